--- a/bench/engines/src/main.rs
+++ b/bench/engines/src/main.rs
@@ -1,6 +1,6 @@
 //! Groups of records, each group durable before the next: the log, redb and fjall in turn, in one run.
 //! `cargo run --release [GROUPS] [RECORDS A GROUP]`, in a folder on the disk that is meant.
-use spanlead_store::{Disk, Log, Options};
+use spanlead_wal::{Disk, Log, Options};
 use std::path::Path;
 use std::time::Instant;
 
--- a/crates/configuration/tests/read.rs
+++ b/crates/cluster/cluster-config/tests/read.rs
@@ -1,6 +1,6 @@
 //! What is taken, and what is refused with which faults.
 use quickcheck::quickcheck;
-use spanlead_configuration::*;
+use spanlead_cluster_config::*;
 
 const GOOD: &str = r#"{"version":7,"routes":[
  {"name":"r-1","host":"a.example","pathPrefix":"/x/","routeType":"mutating","timeoutMs":3000,"targetLatencyMs":1000,
--- a/crates/jobs/src/graphs.rs
+++ b/crates/cluster/job-scheduler/src/graphs.rs
@@ -3,7 +3,7 @@
 use compact_str::CompactString;
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::FxHashMap;
-use spanlead_walkers::{Expander, below};
+use spanlead_expander_walk::{Expander, below};
 
 /// Walkers of a graph: the `d` of the scheme.
 const WALKERS: usize = 4;
--- a/crates/jobs/src/worker.rs
+++ b/crates/cluster/job-scheduler/src/worker.rs
@@ -4,7 +4,7 @@
 use crate::record::TaskKey;
 use crate::spec::Stage;
 use compact_str::CompactString;
-use spanlead_walkers::{Places, Vertex};
+use spanlead_expander_walk::{Places, Vertex};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -121,7 +121,7 @@
             zone: CompactString::default(),
             labels: Vec::new(),
             capacity: Resources::default(),
-            places: spanlead_walkers::places(id.as_bytes()),
+            places: spanlead_expander_walk::places(id.as_bytes()),
             standing: Standing::Unlisted,
             clock,
             fenced: false,
--- a/crates/jobs/tests/common/mod.rs
+++ b/crates/cluster/job-scheduler/tests/common/mod.rs
@@ -2,8 +2,8 @@
 //! rules are checked at every start and end.
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use spanlead_jobs::*;
-use spanlead_trial::{GANG_MS, MAX_HOLD_MS, Rules, STOP_MS, Worker};
+use spanlead_cluster_testbed::{GANG_MS, MAX_HOLD_MS, Rules, STOP_MS, Worker};
+use spanlead_job_scheduler::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub const STEP_MS: u64 = 5;
--- a/crates/jobs/tests/deadlines.rs
+++ b/crates/cluster/job-scheduler/tests/deadlines.rs
@@ -1,7 +1,7 @@
 //! Starts without an answer, and workers that are not heard.
 mod desk;
 use desk::{Desk, ONE, SMALL, hold_of, starts};
-use spanlead_jobs::*;
+use spanlead_job_scheduler::*;
 
 /// A start whose answer alone was lost is found by the look after it, and left alone.
 #[test]
--- a/crates/jobs/tests/desk/mod.rs
+++ b/crates/cluster/job-scheduler/tests/desk/mod.rs
@@ -1,6 +1,6 @@
 //! One scheduler whose calls are answered by hand, in whatever order a test wants.
 #![allow(dead_code, reason = "each test file uses a part of it")]
-use spanlead_jobs::*;
+use spanlead_job_scheduler::*;
 
 pub const BOUNDS: Bounds = Bounds {
     max_hold_ms: 6_000,
--- a/crates/jobs/tests/lifecycle.rs
+++ b/crates/cluster/job-scheduler/tests/lifecycle.rs
@@ -1,7 +1,7 @@
 //! What is promised of a job from its submission to its end.
 mod desk;
 use desk::{Desk, ONE, starts};
-use spanlead_jobs::*;
+use spanlead_job_scheduler::*;
 
 const LASTING: &str =
     r#"{"spec":"x","stages":[{"count":1,"cpu":600,"memMb":10,"estRuntimeMs":100,"longRunning":true}]}"#;
--- a/crates/jobs/tests/load.rs
+++ b/crates/cluster/job-scheduler/tests/load.rs
@@ -1,7 +1,7 @@
 //! A scheduler with more to do than it can.
 mod desk;
 use desk::{BOUNDS, Desk, ONE, starts};
-use spanlead_jobs::*;
+use spanlead_job_scheduler::*;
 
 /// While calls are at their bound, the next look begins with the first worker that found no room.
 #[test]
--- a/crates/jobs/tests/orders.rs
+++ b/crates/cluster/job-scheduler/tests/orders.rs
@@ -1,7 +1,7 @@
 //! Single crossings, forced by the order of events.
 mod desk;
 use desk::{Desk, ONE, SMALL, hold_of, starts};
-use spanlead_jobs::*;
+use spanlead_job_scheduler::*;
 
 #[test]
 fn a_start_goes_out_only_when_its_record_lasts() {
--- a/crates/jobs/tests/simulation.rs
+++ b/crates/cluster/job-scheduler/tests/simulation.rs
@@ -4,7 +4,7 @@
 use common::World;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use spanlead_jobs::*;
+use spanlead_job_scheduler::*;
 
 fn stage(rng: &mut ChaCha8Rng, number: u16) -> Stage {
     Stage {
--- a/crates/cluster/src/bin/control_plane.rs
+++ b/crates/cluster/programs/src/bin/control_plane.rs
@@ -1,5 +1,5 @@
 //! The control plane's program.
-use spanlead_cluster::{control, program};
+use spanlead_cluster_programs::{control, program};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/cluster/src/bin/data_plane.rs
+++ b/crates/cluster/programs/src/bin/data_plane.rs
@@ -1,5 +1,5 @@
 //! The data plane's program.
-use spanlead_cluster::{data, program};
+use spanlead_cluster_programs::{data, program};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/cluster/src/control/configurations.rs
+++ b/crates/cluster/programs/src/control/configurations.rs
@@ -1,6 +1,6 @@
 //! The configuration among the control state: which is in force, and which were ever taken.
 use rkyv::{Archive, Deserialize, Serialize};
-use spanlead_configuration::Configuration;
+use spanlead_cluster_config::Configuration;
 use spanlead_replication::{Change, Keyspace};
 use xxhash_rust::xxh3::xxh3_128;
 
--- a/crates/cluster/src/control/node/clients.rs
+++ b/crates/cluster/programs/src/control/node/clients.rs
@@ -3,7 +3,7 @@
 use crate::control::status::word;
 use crate::frame::{Ask, ClientCall, ClientReply, Frame};
 use async_std::channel::Sender;
-use spanlead_jobs::{Admission, Queue, Terms};
+use spanlead_job_scheduler::{Admission, Queue, Terms};
 
 impl Node {
     pub(super) fn call(&mut self, call: ClientCall, answers: Sender<Frame>) {
@@ -28,7 +28,13 @@
 
 impl Serving {
     /// Answers a client's request by the configuration in force.
-    fn client(&mut self, now: spanlead_jobs::Now, host: String, path: &str, ask: Ask) -> (u16, String) {
+    fn client(
+        &mut self,
+        now: spanlead_job_scheduler::Now,
+        host: String,
+        path: &str,
+        ask: Ask,
+    ) -> (u16, String) {
         let Some(configuration) = self.configurations.current() else {
             return (503, "no configuration".to_owned());
         };
--- a/crates/cluster/src/control/node/data_planes.rs
+++ b/crates/cluster/programs/src/control/node/data_planes.rs
@@ -2,7 +2,7 @@
 use super::Node;
 use crate::frame::{Directory, Frame};
 use async_std::channel::Sender;
-use spanlead_configuration::DataPlaneConfiguration;
+use spanlead_cluster_config::DataPlaneConfiguration;
 use spanlead_dissemination::{PEERS, pick};
 
 impl Node {
--- a/crates/cluster/src/control/node/listing.rs
+++ b/crates/cluster/programs/src/control/node/listing.rs
@@ -3,7 +3,7 @@
 use crate::control::Input;
 use crate::platform::{self, ListError};
 use async_std::task;
-use spanlead_jobs::Listed;
+use spanlead_job_scheduler::Listed;
 
 /// How often the platform's list is read, milliseconds.
 const LIST_EVERY_MS: u64 = 1_000;
--- a/crates/cluster/src/control/node/mod.rs
+++ b/crates/cluster/programs/src/control/node/mod.rs
@@ -17,7 +17,7 @@
 use crate::workers::WorkerCalls;
 use async_std::channel::Sender;
 use clients::unable;
-use spanlead_jobs::{Bounds, Call, Effect, Listed, Reply as WorkerReply, Scheduler};
+use spanlead_job_scheduler::{Bounds, Call, Effect, Listed, Reply as WorkerReply, Scheduler};
 use spanlead_replication::{
     self as replication, Change, Keyspace, Notice, Options, Output, Replica, Restored, View,
 };
@@ -42,7 +42,8 @@
 #[must_use]
 pub fn unreadable(keyspace: &Keyspace) -> Vec<Vec<u8>> {
     let readable = |key: &[u8], value: &[u8]| {
-        configurations::is_readable(key, value).unwrap_or_else(|| spanlead_jobs::is_readable(key, value))
+        configurations::is_readable(key, value)
+            .unwrap_or_else(|| spanlead_job_scheduler::is_readable(key, value))
     };
     keyspace.iter().filter(|(key, value)| !readable(key, value)).map(|(key, _)| key.to_vec()).collect()
 }
@@ -76,7 +77,7 @@
     /// The connection to a peer was lost.
     PeerDown(String),
     /// What came of a call to a worker.
-    Answered(Call, spanlead_jobs::Reply),
+    Answered(Call, spanlead_job_scheduler::Reply),
     /// What came of reading the platform's list.
     Listed(Result<Vec<Listed>, ListError>),
     /// An operator's configuration, with the version that it builds on.
--- a/crates/cluster/src/control/status.rs
+++ b/crates/cluster/programs/src/control/status.rs
@@ -3,7 +3,7 @@
 use crate::metrics;
 use serde::Serialize;
 use serde_json::{Value, json};
-use spanlead_jobs::{Outcome, Scheduler, State};
+use spanlead_job_scheduler::{Outcome, Scheduler, State};
 use spanlead_replication::Replica;
 use std::fmt::Write;
 
--- a/crates/cluster/src/data/core_links.rs
+++ b/crates/cluster/programs/src/data/core_links.rs
@@ -7,7 +7,7 @@
 use async_std::channel::{Receiver, Sender, bounded, unbounded};
 use async_std::future::timeout;
 use async_std::task;
-use spanlead_configuration::DataPlaneConfiguration;
+use spanlead_cluster_config::DataPlaneConfiguration;
 use spanlead_dissemination::{Disseminator, Item, Message, Output};
 use spanlead_replication::Lane;
 use std::collections::{BTreeSet, HashMap};
--- a/crates/cluster/src/frame.rs
+++ b/crates/cluster/programs/src/frame.rs
@@ -3,8 +3,8 @@
 use crate::metrics;
 use quick_error::quick_error;
 use rkyv::{Archive, Deserialize, Serialize};
-use spanlead_configuration::DataPlaneConfiguration;
-use spanlead_jobs::JobSpec;
+use spanlead_cluster_config::DataPlaneConfiguration;
+use spanlead_job_scheduler::JobSpec;
 use spanlead_replication::{Envelope, Lane};
 
 /// The largest frame that is read, bytes.
--- a/crates/cluster/src/platform.rs
+++ b/crates/cluster/programs/src/platform.rs
@@ -6,7 +6,7 @@
 use http_types::{Method, Request, Url};
 use quick_error::quick_error;
 use serde::Deserialize;
-use spanlead_jobs::{Listed, ListedState};
+use spanlead_job_scheduler::{Listed, ListedState};
 use std::time::Duration;
 
 /// How long a call may take.
--- a/crates/cluster/src/settings.rs
+++ b/crates/cluster/programs/src/settings.rs
@@ -225,11 +225,11 @@
 
     /// The scheduler's bounds.
     #[must_use]
-    pub fn job_bounds(&self) -> spanlead_jobs::Bounds {
+    pub fn job_bounds(&self) -> spanlead_job_scheduler::Bounds {
         let given = |pick: fn(&Bounds) -> Option<f64>, default: f64| {
             self.bounds.as_ref().and_then(pick).unwrap_or(default)
         };
-        spanlead_jobs::Bounds {
+        spanlead_job_scheduler::Bounds {
             max_hold_ms: given(|b| b.max_hold_ms, 6_000.0) as u64,
             gang_ms: given(|b| b.gang_ms, 3_000.0) as u64,
             stop_ms: given(|b| b.stop_ms, 400.0) as u64,
--- a/crates/cluster/src/time.rs
+++ b/crates/cluster/programs/src/time.rs
@@ -1,5 +1,5 @@
 //! The clocks of a process.
-use spanlead_jobs::Now;
+use spanlead_job_scheduler::Now;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// Where the steady clock starts, milliseconds: times before the start of the process can be told too.
--- a/crates/cluster/src/workers.rs
+++ b/crates/cluster/programs/src/workers.rs
@@ -6,7 +6,7 @@
 use compact_str::CompactString;
 use http_types::{Body, Method, Request, Url, mime};
 use serde::{Deserialize, Serialize};
-use spanlead_jobs::{Call, FinishedTask, Order, Reply, RunningTask, TaskKey, WorkerReport};
+use spanlead_job_scheduler::{Call, FinishedTask, Order, Reply, RunningTask, TaskKey, WorkerReport};
 use std::time::Duration;
 
 /// The header that names the incarnation that is meant.
--- a/crates/cluster/tests/data_plane.rs
+++ b/crates/cluster/programs/tests/data_plane.rs
@@ -1,12 +1,12 @@
 //! What a data plane tells its clients when the primary is silent, refuses, or is replaced.
 use async_std::channel::Sender;
 use async_std::task;
-use spanlead_cluster::accept;
-use spanlead_cluster::data::core_links::{CoreLinks, Outcome};
-use spanlead_cluster::frame::{Ask, ClientReply, Directory, Frame};
-use spanlead_cluster::settings::Settings;
-use spanlead_cluster::time::Clock;
-use spanlead_jobs::JobSpec;
+use spanlead_cluster_programs::accept;
+use spanlead_cluster_programs::data::core_links::{CoreLinks, Outcome};
+use spanlead_cluster_programs::frame::{Ask, ClientReply, Directory, Frame};
+use spanlead_cluster_programs::settings::Settings;
+use spanlead_cluster_programs::time::Clock;
+use spanlead_job_scheduler::JobSpec;
 use std::net::TcpListener;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/cluster/tests/input.rs
+++ b/crates/cluster/programs/tests/input.rs
@@ -1,8 +1,8 @@
 //! Bad input from peers and files: refused with its place, never a panic.
 use quickcheck::quickcheck;
-use spanlead_cluster::frame::{Ask, ClientCall, Directory, Frame, decode, encode};
-use spanlead_cluster::settings::{Settings, SettingsError};
-use spanlead_jobs::JobSpec;
+use spanlead_cluster_programs::frame::{Ask, ClientCall, Directory, Frame, decode, encode};
+use spanlead_cluster_programs::settings::{Settings, SettingsError};
+use spanlead_job_scheduler::JobSpec;
 
 fn frames() -> Vec<Frame> {
     let spec = JobSpec::read(br#"{"spec":"x","stages":[{"count":2,"cpu":1}]}"#).expect("good");
--- a/crates/cluster/tests/many_workers.rs
+++ b/crates/cluster/programs/tests/many_workers.rs
@@ -3,8 +3,8 @@
 use async_std::io::{ReadExt, WriteExt};
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
-use spanlead_cluster::workers::WorkerCalls;
-use spanlead_jobs::{Call, Order, Reply};
+use spanlead_cluster_programs::workers::WorkerCalls;
+use spanlead_job_scheduler::{Call, Order, Reply};
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
--- a/crates/cluster/tests/unreachable_worker.rs
+++ b/crates/cluster/programs/tests/unreachable_worker.rs
@@ -1,7 +1,7 @@
 //! A worker to which no connection can be made: it is silent, and a start that was never sent can go elsewhere at once.
 use async_std::channel::{Receiver, unbounded};
-use spanlead_cluster::workers::WorkerCalls;
-use spanlead_jobs::{Call, Order, Reply, TaskKey};
+use spanlead_cluster_programs::workers::WorkerCalls;
+use spanlead_job_scheduler::{Call, Order, Reply, TaskKey};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
--- a/crates/oatdock/examples/members.rs
+++ b/crates/service/balancing-policy/examples/members.rs
@@ -1,8 +1,8 @@
-//! What the list of workers costs the module: `cargo run --release -p oatdock --example members`.
+//! What the list of workers costs the module: `cargo run --release -p spanlead-balancing-policy --example members`.
 //!
 //! For each size: a first whole list, the same list again, and one in which every worker's weight, zone and cell have
 //! changed; then one change alone. Microseconds of the event, the median of some rounds, each on a new dispatcher.
-use oatdock::{Class, Dispatcher, Entry, Event, ListScope, Settings, WorkerState};
+use spanlead_balancing_policy::{Class, Dispatcher, Entry, Event, ListScope, Settings, WorkerState};
 use std::time::Instant;
 
 const ROUNDS: usize = 9;
--- a/crates/oatdock/src/graph.rs
+++ b/crates/service/balancing-policy/src/graph.rs
@@ -1,10 +1,10 @@
 //! The walkers' graph over the ready workers of one kind; the graph itself is the crate `spanlead-walkers`.
 use crate::api::WorkerState;
 use crate::worker::Worker;
-use spanlead_walkers::{Expander, Places, Vertex};
+use spanlead_expander_walk::{Expander, Places, Vertex};
 use std::ops::{Deref, DerefMut};
 
-pub(crate) use spanlead_walkers::{CYCLES, Walker, below, unit};
+pub(crate) use spanlead_expander_walk::{CYCLES, Walker, below, unit};
 
 impl Vertex for Worker {
     fn places(&self) -> &Places {
--- a/crates/oatdock/src/worker.rs
+++ b/crates/service/balancing-policy/src/worker.rs
@@ -1,6 +1,6 @@
 //! What is known of a worker: from the list, from its reports, from this dispatcher's own jobs. Nothing is decided here.
 use crate::api::{Entry, Limits, Nanos, Report, Rules, WorkerId, WorkerState};
-use spanlead_walkers::Places;
+use spanlead_expander_walk::Places;
 use std::sync::Arc;
 
 /// A worker that the list has named.
@@ -56,7 +56,7 @@
     /// One that was just named; its state and start are still to be taken from the list.
     pub fn new(id: Arc<str>, entry: &Entry<'_>) -> Self {
         Worker {
-            hash: spanlead_walkers::places(id.as_bytes()),
+            hash: spanlead_expander_walk::places(id.as_bytes()),
             id: WorkerId(id),
             state: WorkerState::Gone,
             started: None,
--- a/crates/oatdock/tests/behaviour.rs
+++ b/crates/service/balancing-policy/tests/behaviour.rs
@@ -1,7 +1,7 @@
 //! One test for each thing that the decisions owe, and for each failure found.
 mod common;
 use common::*;
-use oatdock::*;
+use spanlead_balancing_policy::*;
 
 fn request(id: u64, left: Nanos) -> Request {
     Request::new(RequestId(id), 0, left)
--- a/crates/oatdock/tests/common/mod.rs
+++ b/crates/service/balancing-policy/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A small driver for tests: it plays legal events to a dispatcher and checks the rules on its own account.
 #![allow(dead_code)]
-use oatdock::*;
+use spanlead_balancing_policy::*;
 use std::collections::BTreeMap;
 
 pub const MS: Nanos = 1_000_000;
--- a/crates/oatdock/tests/fleet.rs
+++ b/crates/service/balancing-policy/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Trouble that many dispatchers meet at the same moment, played to a hundred of them, each with a world of its own.
 mod common;
 use common::*;
-use oatdock::*;
+use spanlead_balancing_policy::*;
 use std::collections::BTreeMap;
 
 const DISPATCHERS: u64 = 100;
--- a/crates/oatdock/tests/graph.rs
+++ b/crates/service/balancing-policy/tests/graph.rs
@@ -1,7 +1,7 @@
 //! The shared graph: regular, connected, the same at all dispatchers, changed only locally, an expander.
 mod common;
 use common::*;
-use oatdock::*;
+use spanlead_balancing_policy::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 fn dispatcher(names: &[String], seed: u64) -> Dispatcher {
--- a/crates/oatdock/tests/limiter.rs
+++ b/crates/service/balancing-policy/tests/limiter.rs
@@ -1,5 +1,5 @@
 //! What part of the requests is taken, seen from outside: by what comes and by the signs of room.
-use oatdock::limiter::Limiter;
+use spanlead_balancing_policy::limiter::Limiter;
 
 /// The admitted part of all: what is taken of each lot while nothing tells the lots apart.
 fn admitted(limiter: &Limiter) -> f64 {
--- a/crates/oatdock/tests/rules.rs
+++ b/crates/service/balancing-policy/tests/rules.rs
@@ -1,9 +1,9 @@
 //! The four rules under long random but legal event sequences, checked by an independent checker.
 mod common;
 use common::*;
-use oatdock::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use spanlead_balancing_policy::*;
 
 fn random_settings(dice: &mut Dice) -> Settings {
     let effects = [
--- a/crates/settings/src/lib.rs
+++ b/crates/service/deployment-settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! The settings object that a deployment is described by, as both the simulator's adapter and the real scheduler
-//! read it: translated into [`oatdock::Settings`], with the names that stand behind the module's numbers.
+//! read it: translated into [`spanlead_balancing_policy::Settings`], with the names that stand behind the module's numbers.
 #![allow(missing_docs, reason = "the fields are documented on the operators' page, under the same names")]
-use oatdock as od;
 use serde::Deserialize;
+use spanlead_balancing_policy as od;
 use std::fmt;
 
 /// A deployment's settings, checked and translated.
--- a/crates/ledger/src/lib.rs
+++ b/crates/service/durable-jobs/src/lib.rs
@@ -25,8 +25,8 @@
 mod record;
 mod state;
 
-pub use oatdock::Nanos;
 pub use record::{Anchor, End, Key, Past, Place, Record, Repeats, Session, Taken, decode, encode};
+pub use spanlead_balancing_policy::Nanos;
 pub use state::{Figures, Found, Illegal, Job, Lease, Ledger, Limits, Stage};
 
 use serde::{Deserialize, Serialize};
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/service/durable-jobs/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! The ledger's states: what fits, what a repeat finds, and that what is read back stands where it stood.
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use spanlead_ledger::*;
+use spanlead_durable_jobs::*;
 use std::sync::Arc;
 
 const SEC: Nanos = 1_000_000_000;
--- a/crates/core/examples/facts.rs
+++ b/crates/service/engine/examples/facts.rs
@@ -3,10 +3,12 @@
 //! The reducer takes one input at a time, so the longest step is the longest that a job which has just come can wait for it.
 //! For each size: the longest step of all that follow a first whole list, the same list with every weight changed, a file
 //! that states pods and weights of all, and one that changes them all; and the whole time until the last slice.
-use oatdock::{Class, Effect as Repeating, ListScope, Nanos, RequestId, Scope, Settings, WorkerState};
-use settings::Names;
-use spanlead_core::*;
-use spanlead_facts::{Defaults, Place, Row, Said, Sheet, Source, Version};
+use spanlead_balancing_policy::{
+    Class, Effect as Repeating, ListScope, Nanos, RequestId, Scope, Settings, WorkerState,
+};
+use spanlead_deployment_settings::Names;
+use spanlead_engine::*;
+use spanlead_worker_attributes::{Defaults, Place, Row, Said, Sheet, Source, Version};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/core/src/attempts.rs
+++ b/crates/service/engine/src/attempts.rs
@@ -4,7 +4,7 @@
 use crate::{
     ABANDON_WAIT, Answer, Attempt, AttemptId, Core, Effect, Handover, News, Reply, Stage, TAKE_WAIT, Timer,
 };
-use oatdock::{Event, Nanos, Note, Outcome, Report, RequestId, WorkerId};
+use spanlead_balancing_policy::{Event, Nanos, Note, Outcome, Report, RequestId, WorkerId};
 use std::net::SocketAddr;
 
 impl Core {
--- a/crates/core/src/durable.rs
+++ b/crates/service/engine/src/durable.rs
@@ -7,10 +7,12 @@
     Timer,
 };
 use bytes::Bytes;
-use oatdock::{Effect as Repeating, Event, Nanos, Outcome, RequestId, Tried, WorkerId, WorkerState};
 use serde::Serialize;
-use settings::position;
-use spanlead_ledger::{
+use spanlead_balancing_policy::{
+    Effect as Repeating, Event, Nanos, Outcome, RequestId, Tried, WorkerId, WorkerState,
+};
+use spanlead_deployment_settings::position;
+use spanlead_durable_jobs::{
     Anchor, End, Found, JobNo, Key, Ledger, Lsn, Past, Place, Record, Repeats, Stage as JobStage, Taken,
     Token,
 };
--- a/crates/core/src/duties.rs
+++ b/crates/service/engine/src/duties.rs
@@ -1,9 +1,9 @@
 //! Duties' place in the reducer: leases by the timers and the members' datagrams, and what the holder of a duty does: a call to an
 //! address that operators have named, with the term in it.
 use crate::{Core, Effect, MS, Timer};
-use oatdock::Nanos;
 use serde::Serialize;
-use spanlead_duties::{Duties, Figures, MAX_ITEMS, Out, Settings, Term, decode};
+use spanlead_balancing_policy::Nanos;
+use spanlead_singleton_roles::{Duties, Figures, MAX_ITEMS, Out, Settings, Term, decode};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/crates/core/src/gate.rs
+++ b/crates/service/engine/src/gate.rs
@@ -1,6 +1,6 @@
 //! What waits for the disk: effects that may be seen only when the records before them are durable.
 use crate::{Answer, AttemptId, Effect, Reply};
-use oatdock::Nanos;
+use spanlead_balancing_policy::Nanos;
 use std::collections::{HashSet, VecDeque};
 
 /// Holds effects back until their records are durable, and lets go of them when that comes too late or never.
--- a/crates/core/src/lib.rs
+++ b/crates/service/engine/src/lib.rs
@@ -18,10 +18,12 @@
 use members::{Facts, Member};
 use membership::Membership;
 pub use membership::{MemberView, MembersView};
-use oatdock::{Action, Dispatcher, Event, Nanos, Outcome, RequestId, Settings, SettingsError, WorkerState};
 use rustc_hash::FxHashMap;
-use settings::Names;
-use spanlead_ledger::{JobNo, Record, Token};
+use spanlead_balancing_policy::{
+    Action, Dispatcher, Event, Nanos, Outcome, RequestId, Settings, SettingsError, WorkerState,
+};
+use spanlead_deployment_settings::Names;
+use spanlead_durable_jobs::{JobNo, Record, Token};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -115,7 +117,7 @@
     kinds: Vec<(u32, u32)>,
     names: Arc<Names>,
     /// What repeats of each class do, by its number.
-    effects: Vec<oatdock::Effect>,
+    effects: Vec<spanlead_balancing_policy::Effect>,
     /// The ledger is wanted; and what there is of it, while it is open here.
     wants_ledger: bool,
     durable: Option<Durable>,
--- a/crates/core/src/members.rs
+++ b/crates/service/engine/src/members.rs
@@ -12,10 +12,10 @@
 //! longest window is over it is in a pod, or zone, of its own. So is one of which nothing is known.
 use crate::types::{FactFigures, HostView, Offered};
 use crate::{Core, Effect, Host, MS, Timer};
-use oatdock::{Effect as Repeating, Entry, Event, ListScope, Nanos, WorkerState};
 use rustc_hash::{FxHashMap, FxHashSet};
-use settings::position;
-use spanlead_facts::{LiveHost, Sheet, normal, provenance};
+use spanlead_balancing_policy::{Effect as Repeating, Entry, Event, ListScope, Nanos, WorkerState};
+use spanlead_deployment_settings::position;
+use spanlead_worker_attributes::{LiveHost, Sheet, normal, provenance};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/core/src/membership.rs
+++ b/crates/service/engine/src/membership.rs
@@ -1,8 +1,8 @@
 //! The members' place in the reducer: heartbeats by the timers, what this scheduler says of itself from its state.
 use crate::duties::KIND;
 use crate::{Core, Effect, MS, Timer};
-use oatdock::Nanos;
 use serde::Serialize;
+use spanlead_balancing_policy::Nanos;
 use spanlead_membership::{Members, Out, Settings, Stage, State};
 
 /// The members, and the span between two heartbeats.
--- a/crates/core/src/requests.rs
+++ b/crates/service/engine/src/requests.rs
@@ -1,8 +1,8 @@
 //! The requests that are open: taken once, ended once, given back in one place.
 use crate::durable::{self, Known};
 use crate::{Answer, Attempt, AttemptId, Chapter, Core, Effect, Job, MS, Request, Stage, Tale, Timer};
-use oatdock::{Event, Nanos, RequestId, Tried, WorkerId};
-use spanlead_ledger::JobNo;
+use spanlead_balancing_policy::{Event, Nanos, RequestId, Tried, WorkerId};
+use spanlead_durable_jobs::JobNo;
 
 impl Core {
     pub(crate) fn request(
@@ -78,7 +78,7 @@
         attempts: Vec<Attempt>,
         durable: Option<JobNo>,
         first: bool,
-    ) -> oatdock::Request {
+    ) -> spanlead_balancing_policy::Request {
         self.by_id.insert(job.id.clone(), ticket);
         let request = Request {
             id: job.id.clone(),
@@ -98,7 +98,7 @@
         // Guards the one rule that nothing may break: should the module ever hold a request past its due time,
         // it still gets its answer.
         self.set_timer(job.due + self.tick, Timer::Overdue(ticket));
-        oatdock::Request {
+        spanlead_balancing_policy::Request {
             id: ticket,
             class: job.class,
             slots: job.slots,
--- a/crates/core/src/types.rs
+++ b/crates/service/engine/src/types.rs
@@ -2,11 +2,11 @@
 use crate::Durability;
 use crate::durable::LedgerFigures;
 use bytes::Bytes;
-use oatdock::{ListScope, Nanos, Outcome, Report, RequestId, Settings, WorkerState};
 use serde::{Deserialize, Serialize};
-use settings::Names;
-use spanlead_facts::{Known, Sheet};
-use spanlead_ledger::{JobNo, Record};
+use spanlead_balancing_policy::{ListScope, Nanos, Outcome, Report, RequestId, Settings, WorkerState};
+use spanlead_deployment_settings::Names;
+use spanlead_durable_jobs::{JobNo, Record};
+use spanlead_worker_attributes::{Known, Sheet};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -165,7 +165,7 @@
     },
     /// These duties are held by one of the schedulers at a time.
     Duties {
-        settings: spanlead_duties::Settings,
+        settings: spanlead_singleton_roles::Settings,
         tasks: Vec<crate::Task>,
     },
     /// An operator wants another scheduler to hold this duty.
@@ -384,7 +384,7 @@
     /// A duty was taken or lost here.
     DutyChanged {
         name: String,
-        change: spanlead_duties::Change,
+        change: spanlead_singleton_roles::Change,
     },
     /// Another scheduler is taken for something else.
     MemberChanged(spanlead_membership::Change),
--- a/crates/core/tests/bounds.rs
+++ b/crates/service/engine/tests/bounds.rs
@@ -1,10 +1,12 @@
 //! The ledger's bounds: jobs that it may hold, and its size on disk, whatever lives long in it.
-use oatdock::{Class, Effect as Repeating, ListScope, Nanos, RequestId, Settings, WorkerState};
-use settings::Names;
-use spanlead_core::*;
-use spanlead_ledger::{Anchor, Ledger, Limits, decode, encode};
-use spanlead_store::sim::SimFolder;
-use spanlead_store::{Log, Options};
+use spanlead_balancing_policy::{
+    Class, Effect as Repeating, ListScope, Nanos, RequestId, Settings, WorkerState,
+};
+use spanlead_deployment_settings::Names;
+use spanlead_durable_jobs::{Anchor, Ledger, Limits, decode, encode};
+use spanlead_engine::*;
+use spanlead_wal::sim::SimFolder;
+use spanlead_wal::{Log, Options};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/crates/core/tests/crash.rs
+++ b/crates/service/engine/tests/crash.rs
@@ -3,17 +3,17 @@
 //! follows, and the rules are checked at each step. In the manner of FoundationDB's and TigerBeetle's simulators: one
 //! thread, virtual time, the same seed the same story. `SEED=n` plays one story, `STORIES=n` so many.
 use bytes::Bytes;
-use oatdock::{
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+use spanlead_balancing_policy::{
     Class, Effect as Repeating, Limits as May, ListScope, Nanos, Outcome, RequestId, Scope, Settings,
     WorkerState,
 };
-use rand::rngs::SmallRng;
-use rand::{Rng, SeedableRng};
-use settings::Names;
-use spanlead_core::*;
-use spanlead_ledger::{Anchor, Ledger, Limits, decode, encode};
-use spanlead_store::sim::SimFolder;
-use spanlead_store::{Log, Options};
+use spanlead_deployment_settings::Names;
+use spanlead_durable_jobs::{Anchor, Ledger, Limits, decode, encode};
+use spanlead_engine::*;
+use spanlead_wal::sim::SimFolder;
+use spanlead_wal::{Log, Options};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 use std::net::SocketAddr;
--- a/crates/inventory/examples/read.rs
+++ b/crates/service/inventory/examples/read.rs
@@ -3,10 +3,10 @@
 //! For each size and form: the file's size, the time to read it, to judge it, to compare it with the version before and with
 //! a live list of the same hosts, and the peak of memory beyond the file itself. Medians of some rounds.
 use peak_alloc::PeakAlloc;
-use spanlead_facts::{
+use spanlead_inventory::{Bundle, Form, Reading, Text, read};
+use spanlead_worker_attributes::{
     Defaults, Limits, LiveHost, Schema, Sheet, Shelf, Source, Verdict, Vocabulary, judge, reconcile,
 };
-use spanlead_inventory::{Bundle, Form, Reading, Text, read};
 use std::fmt::Write;
 use std::sync::Arc;
 use std::time::Instant;
--- a/crates/inventory/src/ansible.rs
+++ b/crates/service/inventory/src/ansible.rs
@@ -11,7 +11,7 @@
 use crate::ranges::expand;
 use crate::yaml::{self, Node, Tree};
 use crate::{Bundle, Text};
-use spanlead_facts::{Done, Fact, Item, Place, Rank, Raw, RawFile, Refusal};
+use spanlead_worker_attributes::{Done, Fact, Item, Place, Rank, Raw, RawFile, Refusal};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
--- a/crates/inventory/src/convert.rs
+++ b/crates/service/inventory/src/convert.rs
@@ -1,7 +1,7 @@
 //! An inventory written anew, in the form that is wanted.
 use csv::Writer;
 use serde_json::{Map, Value, json};
-use spanlead_facts::{Fact, Row, Said, Version};
+use spanlead_worker_attributes::{Fact, Row, Said, Version};
 use std::io;
 
 /// The form to write.
--- a/crates/inventory/src/desk.rs
+++ b/crates/service/inventory/src/desk.rs
@@ -5,8 +5,8 @@
 use crate::mapping::{Form, Mapping, Reading, Target};
 use notify::{RecommendedWatcher, RecursiveMode, Watcher};
 use serde::Serialize;
-use spanlead_conf::{Inventory, InventoryForm, Watch};
-use spanlead_facts::{
+use spanlead_conf_file::{Inventory, InventoryForm, Watch};
+use spanlead_worker_attributes::{
     Defaults, Fact, Judged, Limits, Refusal, Schema, Sheet, Shelf, Source, Verdict, Version, Vocabulary,
     judge,
 };
@@ -471,7 +471,8 @@
                 since_ms: h.since_ms,
                 stood_ms: now.saturating_sub(h.since_ms),
                 why: h.why.clone(),
-                changes: current.map_or(h.version.rows.len(), |c| spanlead_facts::differing(c, &h.version)),
+                changes: current
+                    .map_or(h.version.rows.len(), |c| spanlead_worker_attributes::differing(c, &h.version)),
             });
             let refused = d.shelf.turned().map(|t| Waiting {
                 digest: short(&t.digest),
--- a/crates/inventory/src/files.rs
+++ b/crates/service/inventory/src/files.rs
@@ -1,7 +1,7 @@
 //! The files of an inventory on a disk: read whole and bounded, and told apart by what the file system says of them.
 use crate::mapping::{Form, Reading};
 use crate::{Bundle, Text};
-use spanlead_facts::{Place, Refusal};
+use spanlead_worker_attributes::{Place, Refusal};
 use std::collections::BTreeMap;
 use std::fs::{self, File, Metadata};
 use std::io::Read;
--- a/crates/inventory/src/lib.rs
+++ b/crates/service/inventory/src/lib.rs
@@ -15,9 +15,9 @@
 mod yaml;
 
 pub use mapping::{Form, Mapping, Reading, Target};
-pub use spanlead_conf::Delimiter;
+pub use spanlead_conf_file::Delimiter;
 
-use spanlead_facts::{Place, RawFile, Refusal};
+use spanlead_worker_attributes::{Place, RawFile, Refusal};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/inventory/src/mapping.rs
+++ b/crates/service/inventory/src/mapping.rs
@@ -1,6 +1,6 @@
 //! Which column or key is which fact.
-use spanlead_conf::Delimiter;
-use spanlead_facts::Fact;
+use spanlead_conf_file::Delimiter;
+use spanlead_worker_attributes::Fact;
 
 /// The names that a host's column or key has where nothing else is set.
 const HOST: [&str; 3] = ["host", "hostname", "name"];
--- a/crates/inventory/src/plain.rs
+++ b/crates/service/inventory/src/plain.rs
@@ -2,7 +2,7 @@
 //! nothing is said.
 use crate::mapping::{Reading, Target};
 use crate::yaml::{Node, Tree};
-use spanlead_facts::{Done, Fact, Item, Rank, Raw, RawFile, Refusal, Value};
+use spanlead_worker_attributes::{Done, Fact, Item, Rank, Raw, RawFile, Refusal, Value};
 use std::rc::Rc;
 use std::sync::Arc;
 
--- a/crates/inventory/src/table.rs
+++ b/crates/service/inventory/src/table.rs
@@ -4,7 +4,7 @@
 use crate::Delimiter;
 use crate::mapping::{Reading, Target};
 use csv::{ByteRecord, ReaderBuilder, Trim};
-use spanlead_facts::{Done, Fact, Item, Place, Rank, Raw, RawFile, Refusal, Value};
+use spanlead_worker_attributes::{Done, Fact, Item, Place, Rank, Raw, RawFile, Refusal, Value};
 use std::sync::Arc;
 
 /// A row longer than this is no host's: a quote that closes too late.
--- a/crates/inventory/src/yaml.rs
+++ b/crates/service/inventory/src/yaml.rs
@@ -2,7 +2,7 @@
 //! in what its aliases stand for, so that no file takes more memory than a small multiple of its size (the "billion
 //! laughs"), and nothing is looked at twice for being named twice.
 use saphyr_parser::{Event, Parser, ScalarStyle, Span};
-use spanlead_facts::{Place, Refusal};
+use spanlead_worker_attributes::{Place, Refusal};
 use std::collections::HashMap;
 use std::rc::Rc;
 
--- a/crates/inventory/tests/fuzz.rs
+++ b/crates/service/inventory/tests/fuzz.rs
@@ -7,8 +7,8 @@
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, RngCore, SeedableRng};
-use spanlead_facts::{Done, Fact, Judged, Schema, Vocabulary, judge};
 use spanlead_inventory::{Bundle, Form, Reading, Text, read};
+use spanlead_worker_attributes::{Done, Fact, Judged, Schema, Vocabulary, judge};
 use std::sync::Mutex;
 use std::time::Duration;
 
--- a/crates/net/src/caller.rs
+++ b/crates/service/net/src/caller.rs
@@ -4,7 +4,7 @@
 use hyper::client::conn::http1;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use spanlead_core::Called;
+use spanlead_engine::Called;
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
--- a/crates/net/src/clock.rs
+++ b/crates/service/net/src/clock.rs
@@ -1,7 +1,7 @@
 //! The clock that everything goes by.
-use oatdock::Nanos;
 use rustix::time::{ClockId, clock_gettime};
-use spanlead_ledger::Anchor;
+use spanlead_balancing_policy::Nanos;
+use spanlead_durable_jobs::Anchor;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
--- a/crates/net/src/peers.rs
+++ b/crates/service/net/src/peers.rs
@@ -1,6 +1,6 @@
 //! Short messages between schedulers.
 use crate::Message;
-use spanlead_core::Input;
+use spanlead_engine::Input;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/net/src/relay.rs
+++ b/crates/service/net/src/relay.rs
@@ -10,7 +10,7 @@
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
 };
-use spanlead_core::{Reply, Tale};
+use spanlead_engine::{Reply, Tale};
 use std::collections::{HashMap, VecDeque};
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
--- a/crates/net/src/wire.rs
+++ b/crates/service/net/src/wire.rs
@@ -7,11 +7,11 @@
 };
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri};
-use oatdock::{Nanos, Report, WorkerState};
 use serde::{Deserialize, Serialize};
-use settings::{Figures, Names, Reports, position};
-use spanlead_core::{Answer, Figures as Shown, Host, Job, Mark, News, Offer, Reply as NoticeReply};
-use spanlead_facts::{LiveHost, normal};
+use spanlead_balancing_policy::{Nanos, Report, WorkerState};
+use spanlead_deployment_settings::{Figures, Names, Reports, position};
+use spanlead_engine::{Answer, Figures as Shown, Host, Job, Mark, News, Offer, Reply as NoticeReply};
+use spanlead_worker_attributes::{LiveHost, normal};
 use std::sync::Arc;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
--- a/crates/duties/tests/hands.rs
+++ b/crates/service/singleton-roles/tests/hands.rs
@@ -1,5 +1,5 @@
 //! Duties change hands, in one process and without a network: datagrams are handed over as they come.
-use spanlead_duties::{
+use spanlead_singleton_roles::{
     Change, Duties, Item, LAST_TERM, MAX_ITEMS, Out, Reason, Sets, Settings, Word, decode, encode,
 };
 use std::collections::VecDeque;
--- a/crates/duties/tests/model.rs
+++ b/crates/service/singleton-roles/tests/model.rs
@@ -1,7 +1,7 @@
 //! The leases searched whole for small sizes, by the crate's own state machine: three schedulers that grant and ask, messages lost,
 //! doubled and late, clocks of which one may run slow by the bound, restarts that forget all, a change of the set, one after the other, and a
 //! stop between the check of a lease and the act. Each guard can be taken out; then the search must find what it was for.
-use spanlead_duties::{Duties, Item, Millis, Out, Sets, Settings, Term, Word, decode};
+use spanlead_singleton_roles::{Duties, Item, Millis, Out, Sets, Settings, Term, Word, decode};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
--- a/crates/spanlead/examples/handover.rs
+++ b/crates/service/spanlead/examples/handover.rs
@@ -2,7 +2,7 @@
 //! the last act under one term and the first under the next, at what is acted on. Figures: `docs/measurements/duties.md`.
 //!
 //! `cargo run --release -p spanlead --example handover -- PROGRAM COUNT end|move|kill|stop TIMES`
-use spanlead_standin::{Deployment, FleetPlan, Resource, Rig, RigPlan};
+use spanlead_testbed::{Deployment, FleetPlan, Resource, Rig, RigPlan};
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
--- a/crates/spanlead/examples/large_list.rs
+++ b/crates/service/spanlead/examples/large_list.rs
@@ -5,8 +5,8 @@
 //! other, and shows how long the answers took while nothing happened, while the whole list was read anew with every host
 //! changed, and while an inventory file changed the facts of all. The process has one thread for jobs, so no job waits longer.
 use hdrhistogram::Histogram;
-use oatdock::Nanos;
-use spanlead_standin::{Discovery, Listed, Record, Scheduler};
+use spanlead_balancing_policy::Nanos;
+use spanlead_testbed::{Discovery, Listed, Record, Scheduler};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
--- a/crates/spanlead/examples/tier.rs
+++ b/crates/service/spanlead/examples/tier.rs
@@ -2,7 +2,7 @@
 //! Figures: `docs/measurements/membership.md`.
 //!
 //! `cargo run --release -p spanlead --example tier -- PROGRAM COUNT LOSS% MINUTES KILLS`
-use spanlead_standin::{Deployment, FleetPlan, Rig, RigPlan, Way, cpu_of};
+use spanlead_testbed::{Deployment, FleetPlan, Rig, RigPlan, Way, cpu_of};
 use std::time::{Duration, SystemTime};
 use tokio::time::{Instant, sleep, sleep_until};
 
--- a/crates/spanlead/src/config.rs
+++ b/crates/service/spanlead/src/config.rs
@@ -1,9 +1,9 @@
 //! The one place where configuration is read, checked and given defaults.
-use oatdock::{Dispatcher, Nanos};
 use serde::Deserialize;
 use serde_json::Value;
-use settings::{BadField, Deployment, Options};
-use spanlead_core::Host;
+use spanlead_balancing_policy::{Dispatcher, Nanos};
+use spanlead_deployment_settings::{BadField, Deployment, Options};
+use spanlead_engine::Host;
 use spanlead_net::SLACK;
 use spanlead_net::clients::MAX_HEAD;
 use spanlead_net::operator::MAX_CALLS;
@@ -241,7 +241,7 @@
     /// If the configuration has no peers for it; with the place of the section that wants them.
     pub fn members(
         &self,
-        wanted: &spanlead_conf::Membership,
+        wanted: &spanlead_conf_file::Membership,
     ) -> Result<(spanlead_membership::Settings, Nanos), String> {
         let settings = &self.deployment.settings;
         let refused = |why: &str| Err(format!("{}: membership: {why}", wanted.place));
@@ -284,12 +284,17 @@
     ///
     /// # Errors
     /// If the other set of a change isn't the smaller one; with the place of the keyword.
-    pub fn sets(leases: &spanlead_conf::Leases, count: u16) -> Result<spanlead_duties::Sets, String> {
+    pub fn sets(
+        leases: &spanlead_conf_file::Leases,
+        count: u16,
+    ) -> Result<spanlead_singleton_roles::Sets, String> {
         match &leases.joint {
             Some((joint, place)) if *joint >= count => Err(format!(
                 "{place}: joint-with: is not less than the {count} `peers`; the larger set has its `peers` here"
             )),
-            joint => Ok(spanlead_duties::Sets { count, joint: joint.as_ref().map_or(0, |(n, _)| *n) }),
+            joint => {
+                Ok(spanlead_singleton_roles::Sets { count, joint: joint.as_ref().map_or(0, |(n, _)| *n) })
+            }
         }
     }
 
--- a/crates/spanlead/src/driver.rs
+++ b/crates/service/spanlead/src/driver.rs
@@ -7,17 +7,16 @@
 use crate::config::{Config, Keys, Shares};
 use crate::ledger;
 use bytes::Bytes;
-use oatdock::Nanos;
-use oatdock::Outcome;
-use oatdock::{ListScope, RequestId};
-use settings::{Deployment, Names, Reports};
-use spanlead_conf as conf;
-use spanlead_core::{
+use spanlead_balancing_policy::Nanos;
+use spanlead_balancing_policy::Outcome;
+use spanlead_balancing_policy::{ListScope, RequestId};
+use spanlead_conf_file as conf;
+use spanlead_deployment_settings::{Deployment, Names, Reports};
+use spanlead_durable_jobs::Record;
+use spanlead_engine::{
     Answer, AttemptId, Core, Durability, Effect, Gate, Handover, Input, Offered, Passage, Reply, Tale, Task,
 };
-use spanlead_facts::{Report, Vocabulary, reconcile};
 use spanlead_inventory::desk::{Desk, News, Status};
-use spanlead_ledger::Record;
 use spanlead_net::clients::{self, Arrival, Front, Line};
 use spanlead_net::discovery::Discovery;
 use spanlead_net::operator::{self, Asked};
@@ -26,7 +25,8 @@
 use spanlead_net::wire::{self, Notice, OperatorCall, OperatorReply, Parcel};
 use spanlead_net::workers::Pool;
 use spanlead_net::{Clock, Message};
-use spanlead_store::{Progress, Writer};
+use spanlead_wal::{Progress, Writer};
+use spanlead_worker_attributes::{Report, Vocabulary, reconcile};
 use std::collections::HashMap;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -244,7 +244,7 @@
         if !conf.duties.is_empty() {
             let ms = |d: Duration| d.as_millis() as u64;
             let conf::Leases { lease, clock_bound, patience, .. } = conf.leases;
-            let settings = spanlead_duties::Settings {
+            let settings = spanlead_singleton_roles::Settings {
                 me,
                 sets,
                 lease: ms(lease),
--- a/crates/spanlead/src/driver/durable.rs
+++ b/crates/service/spanlead/src/driver/durable.rs
@@ -18,7 +18,7 @@
     pub(super) fn write_down(&mut self, record: &Record) {
         let Some(ledger) = &mut self.ledger else { return };
         let Some(store) = ledger.store.as_mut().filter(|_| ledger.stage == Stage::Open) else { return };
-        match spanlead_ledger::encode(record) {
+        match spanlead_durable_jobs::encode(record) {
             Ok(bytes) => {
                 ledger.gate.record(store.append(bytes.into()));
                 ledger.urgent |= !record.can_wait();
--- a/crates/spanlead/src/driver/effects.rs
+++ b/crates/service/spanlead/src/driver/effects.rs
@@ -1,6 +1,6 @@
 //! What the reducer asks for, done.
 use super::*;
-use spanlead_duties::Change;
+use spanlead_singleton_roles::Change;
 
 impl Driver {
     pub(super) fn perform(&mut self, effect: Effect) {
--- a/crates/spanlead/src/inventory.rs
+++ b/crates/service/spanlead/src/inventory.rs
@@ -2,15 +2,15 @@
 use crate::config::Config;
 use clap::{Args, Subcommand, ValueEnum};
 use comfy_table::{Table, presets};
-use spanlead_conf::{self as conf, Inventory};
-use spanlead_facts::{
-    Defaults, Done, Fact, Judged, LiveHost, Report, Schema, Sheet, Source, Version, Vocabulary, diff,
-    document, normal, provenance, reconcile,
-};
+use spanlead_conf_file::{self as conf, Inventory};
 use spanlead_inventory::archive::Archive;
 use spanlead_inventory::convert::{self, To};
 use spanlead_inventory::desk::{defaults, examine};
 use spanlead_net::wire::List;
+use spanlead_worker_attributes::{
+    Defaults, Done, Fact, Judged, LiveHost, Report, Schema, Sheet, Source, Version, Vocabulary, diff,
+    document, normal, provenance, reconcile,
+};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
--- a/crates/spanlead/src/ledger.rs
+++ b/crates/service/spanlead/src/ledger.rs
@@ -1,12 +1,12 @@
 //! The ledger's folder: opened by a process that serves, and looked at by operators.
 use bytes::Bytes;
 use comfy_table::{Table, presets};
-use oatdock::Nanos;
-use spanlead_conf as conf;
-use spanlead_core::Durability;
-use spanlead_ledger::{Job, Key, Ledger, Limits, Record, decode, encode};
+use spanlead_balancing_policy::Nanos;
+use spanlead_conf_file as conf;
+use spanlead_durable_jobs::{Job, Key, Ledger, Limits, Record, decode, encode};
+use spanlead_engine::Durability;
 use spanlead_net::{Clock, Message};
-use spanlead_store::{Disk, Folder, Log, Opened, Options, Reader, Segment, Writer};
+use spanlead_wal::{Disk, Folder, Log, Opened, Options, Reader, Segment, Writer};
 use std::io::Write;
 use std::path::Path;
 use std::time::{Duration, Instant, UNIX_EPOCH};
--- a/crates/spanlead/src/main.rs
+++ b/crates/service/spanlead/src/main.rs
@@ -1,4 +1,4 @@
-//! The real scheduler: `oatdock`'s decisions on sockets.
+//! The scheduler beside a client process: the balancing policy's decisions on sockets.
 mod config;
 mod door;
 mod driver;
@@ -10,7 +10,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use config::Config;
-use spanlead_conf::{Conf, Format, Level};
+use spanlead_conf_file::{Conf, Format, Level};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tracing_subscriber::filter::LevelFilter;
@@ -129,13 +129,13 @@
 
 impl Settings {
     fn read(&self) -> Result<Conf, Failure> {
-        let conf = self.conf.as_deref().map(spanlead_conf::read).transpose();
+        let conf = self.conf.as_deref().map(spanlead_conf_file::read).transpose();
         Ok(conf.map_err(|errors| format!("the settings can't be used:\n{errors}"))?.unwrap_or_default())
     }
 }
 
 /// The log goes to standard error, as the operators want it.
-fn log(log: &spanlead_conf::Log) {
+fn log(log: &spanlead_conf_file::Log) {
     let level = match log.level {
         Level::Error => LevelFilter::ERROR,
         Level::Warn => LevelFilter::WARN,
--- a/crates/spanlead/src/tier.rs
+++ b/crates/service/spanlead/src/tier.rs
@@ -1,7 +1,7 @@
 //! `spanlead try --schedulers N`: several schedulers among stand-ins, with faults between them by a script or a seed.
 use crate::trial::{Failure, Found, Trial};
-use spanlead_standin::check::{Broken, Rule, check};
-use spanlead_standin::{
+use spanlead_testbed::check::{Broken, Rule, check};
+use spanlead_testbed::{
     Deployment, FleetPlan, Load, Mixture, Plan, Rig, RigPlan, Script, Step, Summary, What,
 };
 use std::path::{Path, PathBuf};
@@ -168,7 +168,7 @@
             passed.bytes as f64 / took / self.schedulers as f64,
             100.0 * passed.delivered as f64 / passed.sent.max(1) as f64
         );
-        let cpu = rig.schedulers.iter().map(spanlead_standin::Scheduler::cpu).sum();
+        let cpu = rig.schedulers.iter().map(spanlead_testbed::Scheduler::cpu).sum();
         for scheduler in &mut rig.schedulers {
             scheduler.kill().await;
         }
--- a/crates/spanlead/tests/duties.rs
+++ b/crates/service/spanlead/tests/duties.rs
@@ -4,7 +4,7 @@
 mod rigs;
 
 use rigs::{COUNT, PATIENCE, play};
-use spanlead_standin::{Act, Mixture, Resource, Rig, Script};
+use spanlead_testbed::{Act, Mixture, Resource, Rig, Script};
 use std::time::Duration;
 
 struct Tier {
--- a/crates/spanlead/tests/rigs/mod.rs
+++ b/crates/service/spanlead/tests/rigs/mod.rs
@@ -1,5 +1,5 @@
 //! Several processes of the program for a test.
-use spanlead_standin::{Deployment, FleetPlan, Rig, RigPlan};
+use spanlead_testbed::{Deployment, FleetPlan, Rig, RigPlan};
 use std::path::PathBuf;
 use std::time::Duration;
 
--- a/crates/spanlead/tests/slow_start.rs
+++ b/crates/service/spanlead/tests/slow_start.rs
@@ -3,8 +3,8 @@
 mod rigs;
 
 use rigs::{PATIENCE, play};
-use spanlead_standin::check::check_cold;
-use spanlead_standin::{Deployment, FleetPlan, Load, Plan, Rig, Summary, What};
+use spanlead_testbed::check::check_cold;
+use spanlead_testbed::{Deployment, FleetPlan, Load, Plan, Rig, Summary, What};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/spanlead/tests/tier.rs
+++ b/crates/service/spanlead/tests/tier.rs
@@ -4,8 +4,8 @@
 mod rigs;
 
 use rigs::{COUNT, PATIENCE, play};
-use spanlead_standin::check::check;
-use spanlead_standin::{Act, Load, Logged, Mixture, Plan, Rig, Script, Seen, Way};
+use spanlead_testbed::check::check;
+use spanlead_testbed::{Act, Load, Logged, Mixture, Plan, Rig, Script, Seen, Way};
 use std::time::Duration;
 
 const SECTION: &str = "membership\n  every 50ms\n";
--- a/crates/store/tests/log.rs
+++ b/crates/service/wal/tests/log.rs
@@ -2,8 +2,8 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use spanlead_store::sim::SimFolder;
-use spanlead_store::{Disk, Folder, Log, OpenError, Opened, Options, Progress, Reader, Writer};
+use spanlead_wal::sim::SimFolder;
+use spanlead_wal::{Disk, Folder, Log, OpenError, Opened, Options, Progress, Reader, Writer};
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
--- a/crates/trial/src/bin/cluster.rs
+++ b/crates/tools/cluster-testbed/src/bin/cluster.rs
@@ -2,9 +2,9 @@
 use async_std::task;
 use clap::{Parser, Subcommand};
 use http_types::Method;
-use spanlead_configuration::{Configuration, ReadError};
-use spanlead_trial::operate::control;
-use spanlead_trial::run::{TrialOptions, run};
+use spanlead_cluster_config::{Configuration, ReadError};
+use spanlead_cluster_testbed::operate::control;
+use spanlead_cluster_testbed::run::{TrialOptions, run};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -90,7 +90,9 @@
     show(task::block_on(control(Method::Get, &at.at, path, &[], None)))
 }
 
-fn show(answer: Result<spanlead_trial::operate::Answer, spanlead_trial::operate::CallError>) -> ExitCode {
+fn show(
+    answer: Result<spanlead_cluster_testbed::operate::Answer, spanlead_cluster_testbed::operate::CallError>,
+) -> ExitCode {
     match answer {
         Ok(answer) if answer.status == 200 => {
             println!("{}", answer.body);
--- a/crates/trial/src/clients.rs
+++ b/crates/tools/cluster-testbed/src/clients.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
-use spanlead_jobs::JobSpec;
+use spanlead_job_scheduler::JobSpec;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
--- a/crates/trial/src/platform.rs
+++ b/crates/tools/cluster-testbed/src/platform.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
-use spanlead_jobs::{Call, Order, Reply, TaskKey};
+use spanlead_job_scheduler::{Call, Order, Reply, TaskKey};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 use tide::{Request, Response, StatusCode};
--- a/crates/trial/src/rules.rs
+++ b/crates/tools/cluster-testbed/src/rules.rs
@@ -1,6 +1,6 @@
 //! The rules that must hold, judged by what workers and clients see.
 use crate::worker::Worker;
-use spanlead_jobs::{JobSpec, TaskKey};
+use spanlead_job_scheduler::{JobSpec, TaskKey};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One end that a worker may still have to tell.
@@ -44,7 +44,7 @@
     }
 
     /// The step of a task.
-    pub fn stage(&self, task: TaskKey) -> Option<&spanlead_jobs::Stage> {
+    pub fn stage(&self, task: TaskKey) -> Option<&spanlead_job_scheduler::Stage> {
         self.specs.get(&task.job)?.stages.get(usize::from(task.stage))
     }
 
--- a/crates/trial/src/worker.rs
+++ b/crates/tools/cluster-testbed/src/worker.rs
@@ -2,7 +2,7 @@
 use crate::rules::Rules;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
-use spanlead_jobs::*;
+use spanlead_job_scheduler::*;
 use std::collections::BTreeMap;
 
 /// A task that runs here.
--- a/crates/lab/src/main.rs
+++ b/crates/tools/experiments/src/main.rs
@@ -1,11 +1,11 @@
 //! `spanlead-lab`: experiments on a modelled fleet, and the same load on real sockets.
 use clap::{Parser, Subcommand};
 use comfy_table::{CellAlignment, Table, presets};
-use spanlead_lab::compare::{FIGURES, compare, figure, of_policy};
-use spanlead_lab::run::{self, Run, by_point, half_interval, show_swept};
-use spanlead_lab::sockets::{self, Played, Target};
-use spanlead_lab::spec::{self, PolicyName, points};
-use spanlead_lab::{World, relay, report};
+use spanlead_experiments::compare::{FIGURES, compare, figure, of_policy};
+use spanlead_experiments::run::{self, Run, by_point, half_interval, show_swept};
+use spanlead_experiments::sockets::{self, Played, Target};
+use spanlead_experiments::spec::{self, PolicyName, points};
+use spanlead_experiments::{World, relay, report};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -167,7 +167,7 @@
 }
 
 fn rayon_threads(threads: usize) -> Result<(), Failure> {
-    Ok(spanlead_lab::threads(threads)?)
+    Ok(spanlead_experiments::threads(threads)?)
 }
 
 fn show(runs: &[Run]) {
--- a/crates/lab/src/rival.rs
+++ b/crates/tools/experiments/src/rival.rs
@@ -4,9 +4,9 @@
 use crate::Nanos;
 use crate::spec::PolicyName;
 use crate::streams::{Concern, Stream};
-use oatdock::{Effect as Repeating, ListScope, Outcome, RequestId, Scope, WorkerState};
 use rustc_hash::FxHashMap;
-use spanlead_core::{Answer, AttemptId, Effect, Handover, Host, Input, News};
+use spanlead_balancing_policy::{Effect as Repeating, ListScope, Outcome, RequestId, Scope, WorkerState};
+use spanlead_engine::{Answer, AttemptId, Effect, Handover, Host, Input, News};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
--- a/crates/lab/src/sockets.rs
+++ b/crates/tools/experiments/src/sockets.rs
@@ -3,7 +3,7 @@
 //! time counts from when it should have come, so that a stall is not left out of the tail (coordinated omission; Tene,
 //! "How NOT to Measure Latency", 2013).
 use crate::spec::{Experiment, Law, Repeats};
-use spanlead_standin::{
+use spanlead_testbed::{
     Class, Deployment, Fleet, FleetPlan, Load, Plan, Record, Scheduler, Scope, Summary, config, cpu_of,
 };
 use std::net::{SocketAddr, TcpListener};
--- a/crates/lab/src/spec.rs
+++ b/crates/tools/experiments/src/spec.rs
@@ -1,6 +1,6 @@
 //! Experiments: TOML files, read and checked. Every time is in the unit that its name ends with.
 use serde::{Deserialize, Serialize};
-use spanlead_standin::Scope;
+use spanlead_testbed::Scope;
 use std::fmt;
 use std::path::Path;
 use toml::Value;
@@ -434,7 +434,7 @@
     let Some(name) = table.remove("deployment") else { return Ok(None) };
     let name = name.as_str().ok_or("is no text")?;
     // Running times here are those of service.
-    let d = spanlead_standin::Deployment::read(&folder.join(name), Some(1.0)).map_err(|e| e.to_string())?;
+    let d = spanlead_testbed::Deployment::read(&folder.join(name), Some(1.0)).map_err(|e| e.to_string())?;
     let ms = |span: std::time::Duration| Value::Float(span.as_secs_f64() * 1000.0);
     let classes = d.classes.iter().map(|c| {
         let repeats = match c.scope {
--- a/crates/lab/src/worker.rs
+++ b/crates/tools/experiments/src/worker.rs
@@ -1,7 +1,7 @@
 //! A worker: cores that are shared among the jobs that run, slots, a queue in order, a cold start, and the memory of its pod.
 use crate::Nanos;
-use oatdock::Report;
 use rustc_hash::FxHashMap;
+use spanlead_balancing_policy::Report;
 use std::collections::VecDeque;
 
 /// A job at a worker: the try's number, and the work that is left, nanoseconds of a core of speed 1.
--- a/crates/lab/src/world.rs
+++ b/crates/tools/experiments/src/world.rs
@@ -10,13 +10,13 @@
 use crate::spec::{ClassSpec, Experiment, Law, PolicyName, Repeats, TroubleKind, TroubleSpec};
 use crate::streams::{Concern, Stream};
 use crate::worker::{Health, Make, Memory, Worker};
-use oatdock::{
+use rustc_hash::{FxHashMap, FxHashSet};
+use spanlead_balancing_policy::{
     Class, Effect as Repeating, Limits, ListScope, Outcome as Ended, Prices, ReportVia, RequestId, Rules,
     Scope, Settings, Tenant, WorkerState,
 };
-use rustc_hash::{FxHashMap, FxHashSet};
-use settings::Names;
-use spanlead_core::{Answer, AttemptId, Core, Effect, Handover, Host, Input, Job, News};
+use spanlead_deployment_settings::Names;
+use spanlead_engine::{Answer, AttemptId, Core, Effect, Handover, Host, Input, Job, News};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -715,7 +715,13 @@
     }
 
     /// An attempt is over before any worker had it.
-    fn end_flying(&mut self, flying: u64, span: Nanos, outcome: Ended, report: Option<oatdock::Report>) {
+    fn end_flying(
+        &mut self,
+        flying: u64,
+        span: Nanos,
+        outcome: Ended,
+        report: Option<spanlead_balancing_policy::Report>,
+    ) {
         if let Some(Flying { node, epoch, attempt, .. }) = self.land(flying) {
             self.hand_to(
                 span,
--- a/crates/wirehost/src/host.rs
+++ b/crates/tools/simulator-adapter/src/host.rs
@@ -1,8 +1,8 @@
 //! Translates between the wire and the dispatchers. It decides nothing.
 use crate::wire;
-use oatdock as od;
-use oatdock::{Action, Dispatcher, Event, Outcome};
-use settings::{Deployment, Figures, Reports};
+use spanlead_balancing_policy as od;
+use spanlead_balancing_policy::{Action, Dispatcher, Event, Outcome};
+use spanlead_deployment_settings::{Deployment, Figures, Reports};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::panic::{AssertUnwindSafe, catch_unwind};
--- a/crates/wirehost/src/main.rs
+++ b/crates/tools/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts oatdock dispatchers behind the simulator's wire: one line of events in, one line of actions out.
+//! Hosts the balancing policy's dispatchers behind the simulator's wire: one line of events in, one line of actions out.
 mod host;
 mod wire;
 
@@ -32,6 +32,6 @@
 }
 
 fn complain(line: u64, error: &str) -> ExitCode {
-    eprintln!("oatdock-wirehost: line {line}: {}", error.replace('\n', " "));
+    eprintln!("spanlead-simulator-adapter: line {line}: {}", error.replace('\n', " "));
     ExitCode::FAILURE
 }
--- a/crates/wirehost/src/wire.rs
+++ b/crates/tools/simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's messages as they are read. Unknown fields are skipped, absent ones get their documented meaning.
 use serde::Deserialize;
-use settings::{Figures, Options};
+use spanlead_deployment_settings::{Figures, Options};
 use std::borrow::Cow;
 
 #[derive(Deserialize)]
--- a/crates/standin/src/deployment.rs
+++ b/crates/tools/testbed/src/deployment.rs
@@ -139,7 +139,7 @@
 
     /// The one that is played when none is named.
     pub fn default_one(scale: Option<f64>) -> Self {
-        let text = include_str!("../../../deploy/deployments/memberships.toml");
+        let text = include_str!("../../../../deploy/deployments/memberships.toml");
         Self::parse("memberships.toml", text, scale).unwrap_or_else(|e| unreachable!("{e}"))
     }
 
--- a/crates/standin/tests/check.rs
+++ b/crates/tools/testbed/tests/check.rs
@@ -1,6 +1,6 @@
 //! The checker against records made by hand: each breaks one rule, or none.
-use spanlead_standin::check::{Rule, check, check_cold};
-use spanlead_standin::{Deployment, Event, What};
+use spanlead_testbed::check::{Rule, check, check_cold};
+use spanlead_testbed::{Deployment, Event, What};
 use std::time::Duration;
 
 fn ms(at: u64) -> Duration {
--- a/crates/standin/tests/script.rs
+++ b/crates/tools/testbed/tests/script.rs
@@ -1,5 +1,5 @@
 //! Scripts of what goes wrong in a tier: read, checked, and drawn by a seed.
-use spanlead_standin::{Act, Mixture, Script, Step};
+use spanlead_testbed::{Act, Mixture, Script, Step};
 use std::time::Duration;
 
 #[test]
