--- a/crates/service/engine/examples/facts.rs
+++ b/crates/service/engine/examples/facts.rs
@@ -1,4 +1,4 @@
-//! How long a job waits while the facts of many workers change: `cargo run --release -p spanlead-core --example facts`.
+//! How long a job waits while the facts of many workers change: `cargo run --release -p spanlead-engine --example facts`.
 //!
 //! The reducer takes one input at a time, so the longest step is the longest that a job which has just come can wait for it.
 //! For each size: the longest step of all that follow a first whole list, the same list with every weight changed, a file
@@ -16,9 +16,9 @@
 const MS: Nanos = 1_000_000;
 
 struct World {
-    core: Core,
+    engine: Engine,
     now: Nanos,
-    ticket: u64,
+    request_id: u64,
     longest: Duration,
 }
 
@@ -26,7 +26,7 @@
     fn step(&mut self, input: Input) {
         let mut effects = Vec::with_capacity(64);
         let begun = Instant::now();
-        self.core.step(self.now, input, &mut effects);
+        self.engine.step(self.now, input, &mut effects);
         self.longest = self.longest.max(begun.elapsed());
     }
 
@@ -35,21 +35,30 @@
         self.longest = Duration::ZERO;
         let begun = Instant::now();
         self.step(input);
-        while self.core.taking_in() {
+        while self.engine.has_pending_list_changes() {
             self.now += MS;
             self.step(Input::Tick);
-            self.ticket += 1;
-            let (ticket, id) = (RequestId(self.ticket), format!("id-{}", self.ticket).into());
+            self.request_id += 1;
+            let (request_id, id) = (RequestId(self.request_id), format!("id-{}", self.request_id).into());
             let due = self.now + 1_000 * MS;
-            let job = Job { id, class: 0, tenant: 0, slots: 1.0, memory: 0.0, key: None, due, mark: None };
-            self.step(Input::Request { ticket, job, tries: None, durable: false });
-            self.step(Input::ClientLeft { ticket });
+            let job = Job {
+                id,
+                class: 0,
+                tenant: 0,
+                slots: 1.0,
+                memory: 0.0,
+                affinity_key: None,
+                due,
+                durable_request: None,
+            };
+            self.step(Input::RequestReceived { request_id, job, previous_attempts: None, durable: false });
+            self.step(Input::ClientDisconnected { request_id });
         }
         (self.longest, begun.elapsed())
     }
 }
 
-fn sheet(names: &[Arc<str>], weight: f64) -> Offered {
+fn sheet(names: &[Arc<str>], weight: f64) -> InventoryUpdate {
     let row = |i: usize| Row {
         pod: Said::This(Arc::from(format!("{}", i / 2)), Place::default()),
         weight: Said::This(weight, Place::default()),
@@ -59,7 +68,7 @@
     let files = vec!["hosts.csv".into()];
     let version = Version { number: 1, digest: "d".into(), read_ms: 1, files, rows, refusals: Vec::new() };
     let source = Source { name: "clubs".into(), weight_first: true, version: version.into() };
-    Offered {
+    InventoryUpdate {
         sheet: Sheet { sources: vec![source], defaults: Defaults::default() }.into(),
         by: None,
         forced: false,
@@ -75,12 +84,12 @@
         let settings = Settings { classes: vec![class], ..Settings::default() };
         let names = Names { classes: vec!["visit".into()], zones: vec!["kista".into()], ..Names::default() };
         let addr: SocketAddr = ([127, 0, 0, 1], 9).into();
-        let core = Core::new(settings, Arc::new(names), 1, 100_000, addr, false).expect("good settings");
-        let mut world = World { core, now: 1_000_000 * MS, ticket: 0, longest: Duration::ZERO };
+        let engine = Engine::new(settings, Arc::new(names), 1, 100_000, addr, false).expect("good settings");
+        let mut world = World { engine, now: 1_000_000 * MS, request_id: 0, longest: Duration::ZERO };
         let names: Vec<Arc<str>> =
             (0..size).map(|i| Arc::from(format!("w{i:05}.kista.example.org"))).collect();
-        let list = |weight: f64| -> Vec<Host> {
-            let host = |name: &Arc<str>| Host {
+        let list = |weight: f64| -> Vec<WorkerEndpoint> {
+            let host = |name: &Arc<str>| WorkerEndpoint {
                 name: name.clone(),
                 addr,
                 state: WorkerState::Ready,
@@ -92,13 +101,13 @@
             };
             names.iter().map(host).collect()
         };
-        let whole = |version, hosts| Input::List { scope: ListScope::Full, version, hosts };
+        let whole = |version, hosts| Input::EndpointList { scope: ListScope::Full, version, hosts };
         for (what, input) in [
             ("first list", whole(1, list(1.0))),
             ("the same again", whole(2, list(1.0))),
             ("all weights change", whole(3, list(0.5))),
-            ("a first file", Input::Offered(sheet(&names, 2.0))),
-            ("all its facts change", Input::Offered(sheet(&names, 3.0))),
+            ("a first file", Input::InventoryUpdated(sheet(&names, 2.0))),
+            ("all its facts change", Input::InventoryUpdated(sheet(&names, 3.0))),
             ("all gone", whole(4, Vec::new())),
         ] {
             let (longest, all) = world.measure(input);
--- a/crates/service/engine/examples/recovery.rs
+++ b/crates/service/engine/examples/recovery.rs
@@ -1,9 +1,9 @@
 //! What a start costs: a log of so many records, a tenth as many open jobs among them, read back and taken into the
-//! reducer. `cargo run --release -p spanlead-core --example recovery`
+//! reducer. `cargo run --release -p spanlead-engine --example recovery`
 use spanlead_balancing_policy::{Class, Effect, Nanos, Scope, Settings, WorkerState};
 use spanlead_deployment_settings::Names;
 use spanlead_durable_jobs::*;
-use spanlead_engine::{Core, Durability, Host, Input};
+use spanlead_engine::{DurableSetup, Engine, Input, WorkerEndpoint};
 use spanlead_wal::{Disk, Log, Options};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -105,11 +105,12 @@
             ..Names::default()
         };
         let settings = Settings { classes: vec![class], ..Settings::default() };
-        let mut core = Core::new(settings, Arc::new(names), 1, 1 << 20, ([127, 0, 0, 1], 9).into(), true)?;
+        let mut engine =
+            Engine::new(settings, Arc::new(names), 1, 1 << 20, ([127, 0, 0, 1], 9).into(), true)?;
         let (now, mut effects) = (1002 * SEC, Vec::new());
         let host = |i| {
             let Place { worker: name, addr, cell, .. } = place(i);
-            Host {
+            WorkerEndpoint {
                 name,
                 addr,
                 state: WorkerState::Ready,
@@ -121,18 +122,18 @@
             }
         };
         let hosts = (0..20).map(host).collect();
-        core.step(
+        engine.step(
             now,
-            Input::List { scope: spanlead_balancing_policy::ListScope::Full, version: 1, hosts },
+            Input::EndpointList { scope: spanlead_balancing_policy::ListScope::Full, version: 1, hosts },
             &mut effects,
         );
         let begun = Instant::now();
         let anchor = Anchor { up: 2 * SEC, clock: now, ..anchor };
         let (lease, clock_bound, disk, segment) = (10 * SEC, SEC / 4, 1 << 40, 16 << 20);
-        let durability = Durability { ledger, anchor, all: false, lease, clock_bound, disk, segment };
-        core.step(now, Input::Opened(Box::new(durability)), &mut effects);
+        let durability = DurableSetup { ledger, anchor, all: false, lease, clock_bound, disk, segment };
+        engine.step(now, Input::DurableJobsOpened(Box::new(durability)), &mut effects);
         let taken = begun.elapsed();
-        assert_eq!(core.durable_open() as u64, open);
+        assert_eq!(engine.open_durable_jobs() as u64, open);
         println!(
             "{:>8}  {:>9}  {:>7}  {:>9}  {:>7}  {:>19}  {:>9}",
             opened.records,
--- a/crates/service/engine/src/attempts.rs
+++ b/crates/service/engine/src/attempts.rs
@@ -2,22 +2,23 @@
 use crate::durable;
 use crate::members::Member;
 use crate::{
-    ABANDON_WAIT, Answer, Attempt, AttemptId, Core, Effect, Handover, News, Reply, Stage, TAKE_WAIT, Timer,
+    ACCEPT_TIMEOUT, ACKNOWLEDGE_TIMEOUT, Answer, Attempt, AttemptId, CANCEL_TIMEOUT, DispatchResult, Effect,
+    Engine, JobUpdate, NoticeReply, Stage, Timer, WorkerNotice,
 };
 use spanlead_balancing_policy::{Event, Nanos, Note, Outcome, Report, RequestId, WorkerId};
 use std::net::SocketAddr;
 
-impl Core {
+impl Engine {
     pub(crate) fn send(
         &mut self,
         now: Nanos,
-        ticket: RequestId,
+        request_id: RequestId,
         to: &WorkerId,
         wait: Option<Nanos>,
         out: &mut Vec<Effect>,
     ) {
-        let Some(request) = self.requests.get_mut(&ticket) else { return };
-        let attempt = AttemptId(ticket, request.attempts.len() as u32);
+        let Some(request) = self.requests.get_mut(&request_id) else { return };
+        let attempt = AttemptId { request: request_id, number: request.attempts.len() as u32 };
         let until = wait.map_or(request.due, |span| request.due.min(now + span));
         let (durable, first) = (request.durable, request.first);
         // What can't be written down may not go out.
@@ -26,8 +27,8 @@
             self.workers.get(&to.0).filter(|_| !request.answered && now < until && !barred)
         else {
             let event = Event::Ended {
-                id: ticket,
-                attempt: attempt.1,
+                id: request_id,
+                attempt: attempt.number,
                 outcome: Outcome::Moot,
                 closed: request.answered,
                 lag: 0,
@@ -38,7 +39,7 @@
                 worker: to.0.clone(),
                 addr,
                 sent: now,
-                stage: Stage::Over,
+                stage: Stage::Ended,
                 may_have_run: false,
                 token: None,
                 leased: None,
@@ -46,7 +47,7 @@
             return self.decide(now, event, out);
         };
         let addr = host.addr;
-        let (worker, stage) = (to.0.clone(), Stage::Offered);
+        let (worker, stage) = (to.0.clone(), Stage::Dispatched);
         request.attempts.push(Attempt {
             worker,
             addr,
@@ -58,29 +59,35 @@
         });
         let offer = durable.and_then(|no| self.lease(now, no, attempt, out));
         self.set_timer(until, Timer::AttemptEnds(attempt));
-        self.set_timer(until.min(now + TAKE_WAIT), Timer::Untaken(attempt));
+        self.set_timer(until.min(now + ACCEPT_TIMEOUT), Timer::Untaken(attempt));
         let text = durable.filter(|_| !first).and_then(|no| self.text(no));
-        let send = Effect::Send { attempt, addr, until, lease: offer, text };
+        let send = Effect::SendAttempt { attempt, addr, until, lease: offer, text };
         out.push(if durable.is_some() { durable::durably(send, until) } else { send });
     }
 
-    pub(crate) fn stage(&self, AttemptId(ticket, number): AttemptId) -> Option<Stage> {
-        Some(self.requests.get(&ticket)?.attempts.get(number as usize)?.stage)
+    pub(crate) fn stage(&self, AttemptId { request: request_id, number }: AttemptId) -> Option<Stage> {
+        Some(self.requests.get(&request_id)?.attempts.get(number as usize)?.stage)
     }
 
-    pub(crate) fn handover(&mut self, now: Nanos, attempt: AttemptId, how: Handover, out: &mut Vec<Effect>) {
-        match (self.stage(attempt), how) {
-            (Some(Stage::Offered), Handover::Taken { aware }) => {
-                self.set_stage(attempt, Stage::Taken);
+    pub(crate) fn dispatch_finished(
+        &mut self,
+        now: Nanos,
+        attempt: AttemptId,
+        result: DispatchResult,
+        out: &mut Vec<Effect>,
+    ) {
+        match (self.stage(attempt), result) {
+            (Some(Stage::Dispatched), DispatchResult::Accepted { lease_aware: aware }) => {
+                self.set_stage(attempt, Stage::Accepted);
                 self.held(attempt, aware, out);
             }
-            (Some(Stage::Offered | Stage::Leaving(_)), Handover::Ended(outcome, report)) => {
+            (Some(Stage::Dispatched | Stage::Cancelling(_)), DispatchResult::Ended(outcome, report)) => {
                 self.end(now, attempt, outcome, report, out);
             }
             // The fault is the request's, so it is not the worker that must be left alone for it, and a repeat would
             // only take it to the next one.
-            (Some(Stage::Offered | Stage::Leaving(_)), Handover::Unusable) => {
-                self.answer(now, attempt.0, Answer::Unusable, out);
+            (Some(Stage::Dispatched | Stage::Cancelling(_)), DispatchResult::Unprocessable) => {
+                self.answer(now, attempt.request, Answer::Unprocessable, out);
                 self.end(now, attempt, Outcome::Cancelled, None, out);
             }
             // It was called off meanwhile, or a worker's notice has ended it before the answer to the send came.
@@ -88,62 +95,71 @@
         }
     }
 
-    pub(crate) fn set_stage(&mut self, AttemptId(ticket, number): AttemptId, stage: Stage) {
-        let request = self.requests.get_mut(&ticket);
+    pub(crate) fn set_stage(&mut self, AttemptId { request: request_id, number }: AttemptId, stage: Stage) {
+        let request = self.requests.get_mut(&request_id);
         if let Some(attempt) = request.and_then(|r| r.attempts.get_mut(number as usize)) {
             attempt.stage = stage;
         }
     }
 
-    /// Notices repeat, overtake the answer to the send and come late: only one that matches an attempt that is
-    /// still out, at the worker that it was sent to, changes anything. (The module never sends a request twice to
-    /// one worker, so id and worker name the attempt.)
-    #[allow(clippy::too_many_arguments, reason = "a notice's parts")]
-    pub(crate) fn news(
-        &mut self,
-        now: Nanos,
-        id: &str,
-        from: &str,
-        token: Option<u64>,
-        news: News,
-        report: Option<Report>,
-        out: &mut Vec<Effect>,
-    ) -> Reply {
-        let ticket = self.by_id.get(id).copied();
-        let request = ticket.and_then(|t| Some((t, self.requests.get(&t)?)));
-        let out_there = |a: &Attempt| {
-            let fits = a.token.is_none() || token.is_none() || a.token.map(|t| t.0) == token;
-            &*a.worker == from && a.stage != Stage::Over && fits
+    /// Takes a worker's notice. Its acknowledgement waits until what the notice has changed is durable.
+    pub(crate) fn worker_notice(&mut self, now: Nanos, notice: WorkerNotice, out: &mut Vec<Effect>) {
+        let before = self.recorded();
+        let number = notice.notice;
+        let last = !matches!(notice.update, JobUpdate::Running(_));
+        let reply = self.apply_notice(now, notice, out);
+        let effect = Effect::Acknowledge { notice: number, reply };
+        // A repeat may come before what its first has changed is durable.
+        let waits = self.recorded() > before || last && self.durable.is_some();
+        out.push(if waits { durable::durably(effect, now + ACKNOWLEDGE_TIMEOUT) } else { effect });
+    }
+
+    /// Notices repeat, overtake the answer to the dispatch and come late: only one that matches a pending attempt at the
+    /// worker that it was sent to changes anything. (The policy never sends a request twice to one worker, so id and
+    /// worker name the attempt.)
+    fn apply_notice(&mut self, now: Nanos, notice: WorkerNotice, out: &mut Vec<Effect>) -> NoticeReply {
+        let WorkerNotice { job_id, worker, fencing_token: token, update, report, .. } = notice;
+        let Some(attempt) = self.noticed_attempt(&job_id, &worker, token) else {
+            return self.stale(&job_id, token);
         };
-        let number = request.and_then(|(t, r)| Some((t, r.attempts.iter().rposition(out_there)?)));
-        let Some((ticket, number)) = number else { return self.stale(id, token) };
-        let attempt = AttemptId(ticket, number as u32);
-        if self.stage(attempt) == Some(Stage::Offered) {
+        if self.stage(attempt) == Some(Stage::Dispatched) {
             // Whatever became of its answer, it has the job.
-            self.set_stage(attempt, Stage::Taken);
+            self.set_stage(attempt, Stage::Accepted);
             self.held(attempt, token.is_some(), out);
         }
         let mut lease = None;
-        let note = |note| Event::Note { id: ticket, attempt: attempt.1, note };
-        match news {
-            News::Started => {
+        let note = |note| Event::Note { id: attempt.request, attempt: attempt.number, note };
+        match update {
+            JobUpdate::Started => {
                 lease = self.renew(now, attempt, token, out);
                 self.started(attempt, out);
                 self.decide(now, note(Note::Started), out);
             }
-            News::Running(share) => {
+            JobUpdate::Running(share) => {
                 lease = self.renew(now, attempt, token, out);
                 self.decide(now, note(Note::Progress(share)), out);
             }
-            News::Done(result) => {
-                self.answer(now, ticket, Answer::Served(result), out);
+            JobUpdate::Done(result) => {
+                self.answer(now, attempt.request, Answer::Served(result), out);
                 self.end(now, attempt, Outcome::Ok, report, out);
             }
-            News::Failed => self.end(now, attempt, Outcome::Error, report, out),
-            News::Returned => self.end(now, attempt, Outcome::Full, report, out),
-            News::Lost => self.end(now, attempt, Outcome::Reset, report, out),
+            JobUpdate::Failed => self.end(now, attempt, Outcome::Error, report, out),
+            JobUpdate::Returned => self.end(now, attempt, Outcome::Full, report, out),
+            JobUpdate::Lost => self.end(now, attempt, Outcome::Reset, report, out),
         }
-        Reply::Heard { lease }
+        NoticeReply::Acknowledged { lease }
+    }
+
+    /// The pending attempt that a worker's notice is about.
+    fn noticed_attempt(&self, job_id: &str, worker: &str, token: Option<u64>) -> Option<AttemptId> {
+        let request_id = *self.by_id.get(job_id)?;
+        let request = self.requests.get(&request_id)?;
+        let matches = |attempt: &Attempt| {
+            let fits = attempt.token.is_none() || token.is_none() || attempt.token.map(|t| t.0) == token;
+            &*attempt.worker == worker && attempt.stage != Stage::Ended && fits
+        };
+        let number = request.attempts.iter().rposition(matches)?;
+        Some(AttemptId { request: request_id, number: number as u32 })
     }
 
     /// Calls an attempt off. While another may follow, its outcome waits until the worker knows, so that two are
@@ -155,26 +171,37 @@
         outcome: Outcome,
         out: &mut Vec<Effect>,
     ) {
-        let Some(request) = self.requests.get_mut(&attempt.0) else { return };
+        let Some(request) = self.requests.get_mut(&attempt.request) else { return };
         let (over, due) = (request.answered || now >= request.due, request.due);
-        let Some(this) = request.attempts.get_mut(attempt.1 as usize) else { return };
+        let Some(this) = request.attempts.get_mut(attempt.number as usize) else { return };
         let taken = match this.stage {
-            Stage::Offered => false,
-            Stage::Taken => true,
-            Stage::Leaving(_) | Stage::Over => return,
+            Stage::Dispatched => false,
+            Stage::Accepted => true,
+            Stage::Cancelling(_) | Stage::Ended => return,
         };
-        this.stage = Stage::Leaving(outcome);
-        let until = if over { now + ABANDON_WAIT } else { due.max(now + ABANDON_WAIT) };
-        out.push(Effect::Abandon { attempt, addr: this.addr, id: request.id.clone(), taken, until });
+        this.stage = Stage::Cancelling(outcome);
+        let until = if over { now + CANCEL_TIMEOUT } else { due.max(now + CANCEL_TIMEOUT) };
+        out.push(Effect::CancelAttempt {
+            attempt,
+            addr: this.addr,
+            job_id: request.id.clone(),
+            accepted: taken,
+            until,
+        });
         if over {
             self.end(now, attempt, outcome, None, out);
         }
     }
 
-    pub(crate) fn abandon_all(&mut self, now: Nanos, ticket: RequestId, out: &mut Vec<Effect>) {
-        let attempts = self.requests.get(&ticket).map_or(0, |r| r.attempts.len());
+    pub(crate) fn abandon_all(&mut self, now: Nanos, request_id: RequestId, out: &mut Vec<Effect>) {
+        let attempts = self.requests.get(&request_id).map_or(0, |r| r.attempts.len());
         for number in 0..attempts {
-            self.abandon(now, AttemptId(ticket, number as u32), Outcome::Cancelled, out);
+            self.abandon(
+                now,
+                AttemptId { request: request_id, number: number as u32 },
+                Outcome::Cancelled,
+                out,
+            );
         }
     }
 
@@ -187,19 +214,19 @@
         report: Option<Report>,
         out: &mut Vec<Effect>,
     ) {
-        let AttemptId(ticket, number) = attempt;
-        let Some(request) = self.requests.get_mut(&ticket) else { return };
+        let AttemptId { request: request_id, number } = attempt;
+        let Some(request) = self.requests.get_mut(&request_id) else { return };
         let closed = request.answered;
-        let Some(this) = request.attempts.get_mut(number as usize).filter(|a| a.stage != Stage::Over) else {
+        let Some(this) = request.attempts.get_mut(number as usize).filter(|a| a.stage != Stage::Ended) else {
             return;
         };
-        this.stage = Stage::Over;
+        this.stage = Stage::Ended;
         this.may_have_run = !outcome.never_ran();
         let (ran, token, durable) = (this.may_have_run, this.token, request.durable);
         let lag = now.saturating_sub(this.sent);
         self.released(durable, token, ran, out);
-        let event = Event::Ended { id: ticket, attempt: number, outcome, closed, lag, report };
+        let event = Event::Ended { id: request_id, attempt: number, outcome, closed, lag, report };
         self.decide(now, event, out);
-        self.forget(ticket);
+        self.forget(request_id);
     }
 }
--- a/crates/service/engine/src/durable.rs
+++ b/crates/service/engine/src/durable.rs
@@ -1,13 +1,13 @@
 //! The part of the reducer that keeps durable jobs: what is written down before what, repeats that join or are answered
 //! again, leases that end, and what comes back after a crash.
 //!
-//! The order is kept by where [`Effect::Record`] stands: what must wait for it is wrapped in [`Effect::Durably`] behind it.
+//! The order is kept by where [`Effect::AppendRecord`] stands: what must wait for it is wrapped in [`Effect::AfterDurable`] behind it.
+use crate::stats::DurableJobStats;
 use crate::{
-    ABANDON_WAIT, Answer, Attempt, AttemptId, Core, Effect, Host, Job, MS, Offer, Reply, Stage, TAKE_WAIT,
-    Timer,
+    ACCEPT_TIMEOUT, Answer, Attempt, AttemptId, CANCEL_TIMEOUT, Effect, Engine, Job, LeaseGrant, MS,
+    NoticeReply, Stage, Timer, WorkerEndpoint,
 };
 use bytes::Bytes;
-use serde::Serialize;
 use spanlead_balancing_policy::{
     Effect as Repeating, Event, Nanos, Outcome, RequestId, Tried, WorkerId, WorkerState,
 };
@@ -21,19 +21,19 @@
 
 /// How long an attempt of the process before may be silent that its worker had not been heard to have taken. Longer than
 /// between two notices of a job that runs, where workers tell of progress.
-const RECOVER_WAIT: Nanos = 3_000 * MS;
+const RECOVERY_NOTICE_TIMEOUT: Nanos = 3_000 * MS;
 /// What clients that can't be taken down now are told to wait.
-const COME_BACK: Nanos = 1_000 * MS;
+const RETRY_AFTER: Nanos = 1_000 * MS;
 /// Jobs written anew at a time.
-const CARRY: usize = 64;
+const MAX_REWRITTEN_JOBS: usize = 64;
 /// Records that must have become needless before segments are looked through.
-const TRIM_EVERY: Lsn = 256;
+const TRUNCATE_INTERVAL_RECORDS: Lsn = 256;
 /// Tickets of jobs that were recovered; those of clients count from 0.
-const RECOVERED: u64 = 1 << 63;
+const RECOVERED_REQUEST_BIT: u64 = 1 << 63;
 
 /// A ledger that was read, and how it is kept.
 #[derive(Debug)]
-pub struct Durability {
+pub struct DurableSetup {
     pub ledger: Ledger,
     /// How this process's clock reads.
     pub anchor: Anchor,
@@ -48,56 +48,25 @@
     pub segment: u64,
 }
 
-/// What operators are shown of the ledger. Counts begin with the process.
-#[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct LedgerFigures {
-    /// Jobs without an end, and kept ones with one.
-    pub open: usize,
-    pub kept: usize,
-    /// What both take in memory, and the log on disk, bytes.
-    pub live_bytes: usize,
-    pub disk_bytes: u64,
-    /// Jobs that came back from the process before.
-    pub recovered: u64,
-    /// Repeats that wait for their first's answer, and that were given a kept one.
-    pub joined: u64,
-    pub replayed: u64,
-    /// Requests whose key had been used for another one.
-    pub mismatched: u64,
-    /// Leases that ended with their worker unheard, and notices that came too late.
-    pub leases_ended: u64,
-    pub fenced: u64,
-    /// Jobs turned away because the ledger is full, failed, or not open yet.
-    pub turned_away: u64,
-    /// It can't be written to any more.
-    pub failed: bool,
-    /// Group commits, the records in them, and the time that they took, microseconds.
-    pub commits: u64,
-    pub records: u64,
-    pub commit_p50_us: u64,
-    pub commit_p99_us: u64,
-    pub commit_max_us: u64,
-}
-
 pub(crate) struct Durable {
     pub ledger: Ledger,
     pub failed: bool,
     /// The open request of each job.
-    pub tickets: HashMap<JobNo, RequestId>,
+    pub request_ids: HashMap<JobNo, RequestId>,
     all: bool,
     lease: Nanos,
     clock_bound: Nanos,
     disk: u64,
     segment: u64,
     trimmed: Lsn,
-    figures: LedgerFigures,
+    figures: DurableJobStats,
 }
 
 impl Durable {
-    pub fn figures(&self) -> LedgerFigures {
+    pub fn figures(&self) -> DurableJobStats {
         let now = self.ledger.figures();
         let (open, kept, live_bytes) = (now.open, now.kept, now.live_bytes);
-        LedgerFigures { open, kept, live_bytes, failed: self.failed, ..self.figures }
+        DurableJobStats { open, kept, live_bytes, failed: self.failed, ..self.figures }
     }
 
     /// Whether the job of this id is kept with its end.
@@ -122,36 +91,36 @@
 
 /// An effect that waits for all records before it.
 pub(crate) fn durably(effect: Effect, until: Nanos) -> Effect {
-    Effect::Durably { effect: Box::new(effect), until }
+    Effect::AfterDurable { effect: Box::new(effect), until }
 }
 
 /// An answer to a client. A result waits until it is written down; whatever else is said of a job claims nothing that a
 /// crash could make untrue.
-pub(crate) fn as_recorded(ticket: RequestId, answer: Answer, job: Option<JobNo>, due: Nanos) -> Effect {
+pub(crate) fn as_recorded(request_id: RequestId, answer: Answer, job: Option<JobNo>, due: Nanos) -> Effect {
     let waits = job.is_some() && matches!(answer, Answer::Served(_));
-    let effect = Effect::Answer { ticket, answer, job };
+    let effect = Effect::Answer { request_id, answer, job };
     if waits { durably(effect, due) } else { effect }
 }
 
 fn end_of(answer: &Answer) -> End {
     match answer {
         Answer::Served(result) => End::Served(Arc::from(result.as_str())),
-        Answer::Refused { .. } => End::Refused,
-        Answer::Unusable => End::Unusable,
-        Answer::Failed | Answer::Duplicate | Answer::Mismatch => End::Failed,
+        Answer::Rejected { .. } => End::Refused,
+        Answer::Unprocessable => End::Unusable,
+        Answer::Failed | Answer::DuplicateId | Answer::KeyMismatch => End::Failed,
     }
 }
 
 fn answer_of(end: &End) -> Answer {
     match end {
         End::Served(result) => Answer::Served(result.to_string()),
-        End::Refused => Answer::Refused { retry_after: Some(COME_BACK) },
+        End::Refused => Answer::Rejected { retry_after: Some(RETRY_AFTER) },
         End::Failed => Answer::Failed,
-        End::Unusable => Answer::Unusable,
+        End::Unusable => Answer::Unprocessable,
     }
 }
 
-impl Core {
+impl Engine {
     /// The number of the last record, if there is a ledger.
     pub(crate) fn recorded(&self) -> Lsn {
         self.durable.as_ref().map_or(0, |d| d.ledger.last())
@@ -162,7 +131,7 @@
         let Some(d) = &mut self.durable else { return };
         match d.ledger.apply(&record) {
             Ok(()) if d.failed => {}
-            Ok(()) => out.push(Effect::Record(record)),
+            Ok(()) => out.push(Effect::AppendRecord(record)),
             Err(illegal) => {
                 debug_assert!(false, "{illegal}");
                 out.push(Effect::Log(format!("the ledger turned a record down: {illegal}")));
@@ -175,11 +144,11 @@
     fn keeps(&self, job: &Job) -> bool {
         let all = self.durable.as_ref().is_some_and(|d| d.all);
         let never = self.effects.get(job.class as usize) == Some(&Repeating::Unsafe);
-        job.mark.as_ref().is_some_and(|mark| all || never || mark.key.is_some())
+        job.durable_request.as_ref().is_some_and(|logged| all || never || logged.key.is_some())
     }
 
     fn key(&self, job: &Job) -> Option<Key> {
-        let key = job.mark.as_ref()?.key.clone()?;
+        let key = job.durable_request.as_ref()?.key.clone()?;
         let (owner, class) = self.owner_and_class(job);
         Some(Key { owner, class, key })
     }
@@ -191,20 +160,20 @@
 
     /// Gives a client of the process before its place again. Its request is open here since the ledger was read, or has had
     /// its end since; it is not taken anew.
-    pub(crate) fn take_over(&mut self, now: Nanos, ticket: RequestId, job: Job, out: &mut Vec<Effect>) {
-        let here = self.durable.as_ref().and_then(|d| d.tickets.get(&d.ledger.by_id(&job.id)?.taken.job));
+    pub(crate) fn take_over(&mut self, now: Nanos, request_id: RequestId, job: Job, out: &mut Vec<Effect>) {
+        let here = self.durable.as_ref().and_then(|d| d.request_ids.get(&d.ledger.by_id(&job.id)?.taken.job));
         if let Some(first) = here.copied() {
-            return self.join(ticket, first, job, out);
+            return self.join(request_id, first, job, out);
         }
         match self.recognise(now, &job) {
-            Known::Open(first) => self.join(ticket, first, job, out),
+            Known::Open(first) => self.join(request_id, first, job, out),
             Known::Over(answer, no) => {
                 self.count(job.class, &answer);
-                out.push(durably(Effect::Answer { ticket, answer, job: no }, job.due));
+                out.push(durably(Effect::Answer { request_id, answer, job: no }, job.due));
             }
             Known::No(_) => {
                 self.count(job.class, &Answer::Failed);
-                out.push(Effect::Answer { ticket, answer: Answer::Failed, job: None });
+                out.push(Effect::Answer { request_id, answer: Answer::Failed, job: None });
             }
         }
     }
@@ -214,22 +183,22 @@
         let key = self.key(job);
         let Some(d) = &mut self.durable else { return Known::No(Vec::new()) };
         d.ledger.expire(now);
-        let (Some(key), Some(mark)) = (key, &job.mark) else { return Known::No(Vec::new()) };
-        match d.ledger.find(&key, &mark.fingerprint) {
+        let (Some(key), Some(logged)) = (key, &job.durable_request) else { return Known::No(Vec::new()) };
+        match d.ledger.find(&key, &logged.fingerprint) {
             Found::New => Known::No(Vec::new()),
             Found::Unsettled(before) => Known::No(before),
             Found::Mismatch => {
                 d.figures.mismatched += 1;
-                Known::Over(Answer::Mismatch, None)
+                Known::Over(Answer::KeyMismatch, None)
             }
             Found::Over(no, end) => {
                 d.figures.replayed += 1;
                 Known::Over(answer_of(&end), Some(no))
             }
-            Found::Running(no) => match d.tickets.get(&no) {
+            Found::Running(no) => match d.request_ids.get(&no) {
                 Some(first) => Known::Open(*first),
                 // It is on its way to another process.
-                None => Known::Over(Answer::Refused { retry_after: Some(COME_BACK) }, None),
+                None => Known::Over(Answer::Rejected { retry_after: Some(RETRY_AFTER) }, None),
             },
         }
     }
@@ -246,7 +215,7 @@
         if let Some(d) = &mut self.durable {
             d.figures.turned_away += 1;
         }
-        Some(Answer::Refused { retry_after: Some(COME_BACK) })
+        Some(Answer::Rejected { retry_after: Some(RETRY_AFTER) })
     }
 
     /// Writes a new job down, if it belongs in the ledger.
@@ -266,21 +235,21 @@
             Repeating::Keyed { ttl, .. } => Repeats::Dropped(*ttl),
             Repeating::Unsafe => Repeats::Never,
         };
-        let (no, mark) = (self.durable.as_ref()?.ledger.next_job(), job.mark.as_ref()?);
+        let (no, logged) = (self.durable.as_ref()?.ledger.next_job(), job.durable_request.as_ref()?);
         let taken = Taken {
             job: no,
             id: job.id.clone(),
-            key: mark.key.clone(),
+            key: logged.key.clone(),
             class,
             owner,
-            fingerprint: mark.fingerprint,
+            fingerprint: logged.fingerprint,
             repeats,
             at: now,
             due: job.due,
             slots: job.slots,
             memory: job.memory,
-            subject: job.key,
-            text: mark.text.clone(),
+            subject: job.affinity_key,
+            text: logged.text.clone(),
             before,
         };
         self.record(Record::Taken(taken), out);
@@ -288,25 +257,25 @@
     }
 
     /// Lets a client wait for the answer to another's request, until its own time is up.
-    pub(crate) fn join(&mut self, ticket: RequestId, first: RequestId, job: Job, out: &mut Vec<Effect>) {
+    pub(crate) fn join(&mut self, request_id: RequestId, first: RequestId, job: Job, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(&first).filter(|r| !r.answered) else {
             // Its end waits only for a worker to know of it.
             self.count(job.class, &Answer::Failed);
-            return out.push(Effect::Answer { ticket, answer: Answer::Failed, job: None });
+            return out.push(Effect::Answer { request_id, answer: Answer::Failed, job: None });
         };
-        request.joined.push((ticket, job.id));
-        self.joined.insert(ticket, first);
+        request.joined.push((request_id, job.id));
+        self.joined.insert(request_id, first);
         self.pending += 1;
         if let Some(d) = &mut self.durable {
             d.figures.joined += 1;
         }
-        self.set_timer(job.due.saturating_sub(2 * self.tick), Timer::JoinedOverdue(ticket));
+        self.set_timer(job.due.saturating_sub(2 * self.tick), Timer::JoinedOverdue(request_id));
     }
 
-    fn part(&mut self, ticket: RequestId) -> Option<u32> {
-        let first = self.joined.remove(&ticket)?;
+    fn part(&mut self, request_id: RequestId) -> Option<u32> {
+        let first = self.joined.remove(&request_id)?;
         let request = self.requests.get_mut(&first)?;
-        request.joined.retain(|(t, _)| *t != ticket);
+        request.joined.retain(|(t, _)| *t != request_id);
         let class = request.class;
         self.pending -= 1;
         self.count(class, &Answer::Failed);
@@ -314,18 +283,18 @@
     }
 
     /// The time of a client that waits for another's request is up; that goes on.
-    pub(crate) fn joined_overdue(&mut self, ticket: RequestId, out: &mut Vec<Effect>) {
-        if self.part(ticket).is_some() {
-            out.push(Effect::Answer { ticket, answer: Answer::Failed, job: None });
+    pub(crate) fn joined_overdue(&mut self, request_id: RequestId, out: &mut Vec<Effect>) {
+        if self.part(request_id).is_some() {
+            out.push(Effect::Answer { request_id, answer: Answer::Failed, job: None });
         }
     }
 
     /// Whether the request goes on although this client has left: others wait for it, or it may come back by its key.
-    pub(crate) fn stays(&mut self, ticket: RequestId) -> bool {
-        if self.part(ticket).is_some() {
+    pub(crate) fn stays(&mut self, request_id: RequestId) -> bool {
+        if self.part(request_id).is_some() {
             return true;
         }
-        let Some(request) = self.requests.get_mut(&ticket).filter(|r| !r.answered) else { return false };
+        let Some(request) = self.requests.get_mut(&request_id).filter(|r| !r.answered) else { return false };
         let job = request.durable.and_then(|no| self.durable.as_ref()?.ledger.job(no));
         let stays = !request.joined.is_empty() || job.is_some_and(|job| job.taken.key.is_some());
         if stays && request.first {
@@ -364,23 +333,23 @@
         job: JobNo,
         attempt: AttemptId,
         out: &mut Vec<Effect>,
-    ) -> Option<Offer> {
+    ) -> Option<LeaseGrant> {
         let d = self.durable.as_ref()?;
         let (token, length) = (d.ledger.next_token(), d.lease);
-        let this = self.requests.get_mut(&attempt.0)?.attempts.get_mut(attempt.1 as usize)?;
+        let this = self.requests.get_mut(&attempt.request)?.attempts.get_mut(attempt.number as usize)?;
         this.token = Some(token);
         let told = self.workers.get(&this.worker)?.told?;
         let zone = Arc::from(self.names.zones.get(told.zone as usize).map_or("", String::as_str));
         let place = Place { worker: this.worker.clone(), addr: this.addr, zone, cell: told.lasting_cell() };
         // Its worker counts from when it came there, which is before we hear that it has.
-        let until = now + TAKE_WAIT + length;
+        let until = now + ACCEPT_TIMEOUT + length;
         self.record(Record::Leased { job, token, place, sent: now, until }, out);
-        Some(Offer { token: token.0, length })
+        Some(LeaseGrant { token: token.0, length })
     }
 
     fn leased(&self, attempt: AttemptId) -> Option<(JobNo, Token)> {
-        let request = self.requests.get(&attempt.0)?;
-        Some((request.durable?, request.attempts.get(attempt.1 as usize)?.token?))
+        let request = self.requests.get(&attempt.request)?;
+        Some((request.durable?, request.attempts.get(attempt.number as usize)?.token?))
     }
 
     /// The worker has the job; `aware` tells whether it goes by the lease.
@@ -398,7 +367,8 @@
         let Some(d) = &self.durable else { return };
         let Some(until) = d.ledger.job(job).and_then(|j| j.lease()).map(|l| l.until) else { return };
         let ends = until + d.clock_bound;
-        let this = self.requests.get_mut(&attempt.0).and_then(|r| r.attempts.get_mut(attempt.1 as usize));
+        let this =
+            self.requests.get_mut(&attempt.request).and_then(|r| r.attempts.get_mut(attempt.number as usize));
         let Some(this) = this else { return };
         let watched = this.leased.replace(until);
         if watched.is_none() {
@@ -458,10 +428,10 @@
     /// A lease may be over: its worker was not heard for so long that it has stopped by its own clock. What follows is
     /// the module's to decide, by the job's class.
     pub(crate) fn lease_ends(&mut self, now: Nanos, attempt: AttemptId, out: &mut Vec<Effect>) {
-        let Some(request) = self.requests.get_mut(&attempt.0) else { return };
-        let Some(this) = request.attempts.get_mut(attempt.1 as usize) else { return };
+        let Some(request) = self.requests.get_mut(&attempt.request) else { return };
+        let Some(this) = request.attempts.get_mut(attempt.number as usize) else { return };
         let (Some(until), Some(d)) = (this.leased, &mut self.durable) else { return };
-        if matches!(this.stage, Stage::Over) {
+        if matches!(this.stage, Stage::Ended) {
             return;
         }
         let ends = until + d.clock_bound;
@@ -471,13 +441,19 @@
         d.figures.leases_ended += 1;
         let (addr, id) = (this.addr, request.id.clone());
         // Should it be there all the same, it need not finish; nothing waits for its word.
-        out.push(Effect::Abandon { attempt, addr, id, taken: true, until: now + ABANDON_WAIT });
+        out.push(Effect::CancelAttempt {
+            attempt,
+            addr,
+            job_id: id,
+            accepted: true,
+            until: now + CANCEL_TIMEOUT,
+        });
         self.end(now, attempt, Outcome::Timeout, None, out);
     }
 
     /// A notice that fits no attempt that is out. A worker that goes by its lease is told that this is over.
-    pub(crate) fn stale(&mut self, id: &str, token: Option<u64>) -> Reply {
-        let heard = Reply::Heard { lease: None };
+    pub(crate) fn stale(&mut self, id: &str, token: Option<u64>) -> NoticeReply {
+        let heard = NoticeReply::Acknowledged { lease: None };
         let (Some(token), Some(d)) = (token, &mut self.durable) else { return heard };
         // It repeats the notice that ended the job.
         let last = d.ledger.by_id(id).filter(|job| matches!(job.end(), Some((_, End::Served(_)))));
@@ -485,7 +461,7 @@
             return heard;
         }
         d.figures.fenced += 1;
-        Reply::Fenced
+        NoticeReply::Fenced
     }
 
     // ------------------------------------------------------------ the store
@@ -506,15 +482,15 @@
         // that comes to an end.
         let live = d.ledger.figures().live_bytes as u64;
         if bytes > 2 * (live + d.segment) {
-            for record in d.ledger.carry(CARRY) {
+            for record in d.ledger.carry(MAX_REWRITTEN_JOBS) {
                 self.record(record, out);
             }
         }
         let Some(d) = &mut self.durable else { return };
         let oldest = d.ledger.oldest();
-        if oldest >= d.trimmed + TRIM_EVERY {
+        if oldest >= d.trimmed + TRUNCATE_INTERVAL_RECORDS {
             d.trimmed = oldest;
-            out.push(Effect::Trim { oldest });
+            out.push(Effect::TruncateLog { oldest });
         }
     }
 
@@ -531,20 +507,20 @@
     // ------------------------------------------------------------ recovery
 
     /// Goes on with all that the ledger holds open.
-    pub(crate) fn opened(&mut self, now: Nanos, durability: Durability, out: &mut Vec<Effect>) {
-        let Durability { ledger, anchor, all, lease, clock_bound, disk, segment } = durability;
+    pub(crate) fn opened(&mut self, now: Nanos, durability: DurableSetup, out: &mut Vec<Effect>) {
+        let DurableSetup { ledger, anchor, all, lease, clock_bound, disk, segment } = durability;
         let session = ledger.session(anchor);
         self.durable = Some(Durable {
             ledger,
             failed: false,
-            tickets: HashMap::new(),
+            request_ids: HashMap::new(),
             all,
             lease,
             clock_bound,
             disk,
             segment,
             trimmed: 0,
-            figures: LedgerFigures::default(),
+            figures: DurableJobStats::default(),
         });
         self.record(session, out);
         let Some(d) = &mut self.durable else { return };
@@ -568,9 +544,9 @@
         let (Some(class), Some(tenant), true) = (class, tenant, now < taken.due) else {
             // Its client has given up, or nothing is known any more of how to go on.
             if let Some(lease) = lease {
-                let attempt = AttemptId(RequestId(RECOVERED | no.0), 0);
-                let (addr, id, until) = (lease.place.addr, taken.id.clone(), now + ABANDON_WAIT);
-                out.push(Effect::Abandon { attempt, addr, id, taken: true, until });
+                let attempt = AttemptId { request: RequestId(RECOVERED_REQUEST_BIT | no.0), number: 0 };
+                let (addr, id, until) = (lease.place.addr, taken.id.clone(), now + CANCEL_TIMEOUT);
+                out.push(Effect::CancelAttempt { attempt, addr, job_id: id, accepted: true, until });
             }
             return self.record_end(now, Some(no), &Answer::Failed, out);
         };
@@ -580,15 +556,15 @@
             tenant,
             slots: taken.slots,
             memory: taken.memory,
-            key: taken.subject,
+            affinity_key: taken.subject,
             due: taken.due,
-            mark: None,
+            durable_request: None,
         };
         let mut past: Vec<Past> = taken.before.iter().chain(&job.past).cloned().collect();
         let out_there = lease.map(|l| (l.held, l.aware));
         past.extend(lease.map(|l| Past { place: l.place.clone(), sent: l.sent, ran: true, token: l.token }));
-        let ticket = RequestId(RECOVERED | no.0);
-        self.resume(now, ticket, this, Some(no), past, out_there, out);
+        let request_id = RequestId(RECOVERED_REQUEST_BIT | no.0);
+        self.resume(now, request_id, this, Some(no), past, out_there, out);
     }
 
     /// Opens a request with attempts of before, the last of them out if `out_there`, which tells whether its worker has
@@ -597,7 +573,7 @@
     pub(crate) fn resume(
         &mut self,
         now: Nanos,
-        ticket: RequestId,
+        request_id: RequestId,
         job: Job,
         durable: Option<JobNo>,
         past: Vec<Past>,
@@ -608,16 +584,17 @@
         let last = past.len().checked_sub(1);
         let attempt = |(i, p): (usize, &Past)| {
             let stage = match out_there.filter(|_| Some(i) == last) {
-                None => Stage::Over,
-                Some((true, _)) => Stage::Taken,
-                Some((false, _)) => Stage::Offered,
+                None => Stage::Ended,
+                Some((true, _)) => Stage::Accepted,
+                Some((false, _)) => Stage::Dispatched,
             };
             let (worker, addr, token) = (p.place.worker.clone(), p.place.addr, Some(p.token));
             Attempt { worker, addr, sent: p.sent, stage, may_have_run: p.ran, token, leased: None }
         };
         let attempts = past.iter().enumerate().map(attempt).collect();
         let (class, due) = (job.class, job.due);
-        let request = self.admit(now, ticket, &job, attempts, durable, ticket.0 & RECOVERED == 0);
+        let request =
+            self.admit(now, request_id, &job, attempts, durable, request_id.0 & RECOVERED_REQUEST_BIT == 0);
         // A class that must never run twice can't go on from an attempt that may have run; the module decides that where an
         // attempt ends, so it is told that the last one does so now.
         let never = self.effects.get(class as usize) == Some(&Repeating::Unsafe);
@@ -632,13 +609,13 @@
             })
             .collect();
         if let (Some(last), Some((held, aware))) = (last, out_there) {
-            let attempt = AttemptId(ticket, last as u32);
+            let attempt = AttemptId { request: request_id, number: last as u32 };
             self.set_timer(due, Timer::AttemptEnds(attempt));
             if aware {
                 self.watch_lease(attempt);
             }
             if !held {
-                self.set_timer(due.min(now + RECOVER_WAIT), Timer::Untaken(attempt));
+                self.set_timer(due.min(now + RECOVERY_NOTICE_TIMEOUT), Timer::Untaken(attempt));
             }
         }
         match tries.is_empty() {
@@ -646,7 +623,7 @@
             false => self.decide(now, Event::Adopted { request, tries: &tries }, out),
         }
         if let Some(number) = exposed {
-            let (id, attempt, outcome) = (ticket, number as u32, Outcome::Cancelled);
+            let (id, attempt, outcome) = (request_id, number as u32, Outcome::Cancelled);
             self.decide(now, Event::Ended { id, attempt, outcome, closed: false, lag: 0, report: None }, out);
         }
     }
@@ -658,7 +635,7 @@
             if self.workers.contains_key(&place.worker) {
                 continue;
             }
-            let host = Host {
+            let host = WorkerEndpoint {
                 name: place.worker.clone(),
                 addr: place.addr,
                 state: WorkerState::Gone,
--- a/crates/service/engine/src/duties.rs
+++ b/crates/service/engine/src/duties.rs
@@ -1,6 +1,6 @@
 //! Duties' place in the reducer: leases by the timers and the members' datagrams, and what the holder of a duty does: a call to an
 //! address that operators have named, with the term in it.
-use crate::{Core, Effect, MS, Timer};
+use crate::{Effect, Engine, MS, Timer};
 use serde::Serialize;
 use spanlead_balancing_policy::Nanos;
 use spanlead_singleton_roles::{Duties, Figures, MAX_ITEMS, Out, Settings, Term, decode};
@@ -10,12 +10,12 @@
 /// The protocol's number among those that members' datagrams carry.
 pub(crate) const KIND: u8 = 1;
 /// How long a call may take.
-const CALL_WAIT: Nanos = 2_000 * MS;
+const ROLE_CALL_TIMEOUT: Nanos = 2_000 * MS;
 const _: () = assert!(MAX_ITEMS * 36 <= spanlead_membership::MAX_CARRIED);
 
 /// What the holder of a duty does: it calls this address, so often.
 #[derive(Clone, Debug)]
-pub struct Task {
+pub struct RoleTask {
     pub name: String,
     pub addr: SocketAddr,
     pub path: Arc<str>,
@@ -24,7 +24,7 @@
 
 /// How the call of a duty ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Called {
+pub enum RoleCallResult {
     /// It was done.
     Done,
     /// Whatever is called knows this later term.
@@ -42,7 +42,7 @@
 }
 
 struct Work {
-    task: Task,
+    task: RoleTask,
     /// Its call is out.
     calling: bool,
     /// Calls that were made.
@@ -51,7 +51,7 @@
 
 /// A duty as operators are shown it.
 #[derive(Debug, Serialize)]
-pub struct DutyView {
+pub struct RoleView {
     pub name: String,
     /// Who holds it as far as this scheduler has granted it.
     pub holder: Option<u16>,
@@ -65,12 +65,12 @@
     pub figures: Figures,
 }
 
-impl Core {
+impl Engine {
     pub(crate) fn take_duties(
         &mut self,
         now: Nanos,
         settings: Settings,
-        tasks: Vec<Task>,
+        tasks: Vec<RoleTask>,
         out: &mut Vec<Effect>,
     ) {
         let names: Vec<String> = tasks.iter().map(|t| t.name.clone()).collect();
@@ -129,17 +129,17 @@
         if let Some(term) = held.duties.may_act(now / MS, at).filter(|_| !work.calling) {
             (work.calling, work.calls) = (true, work.calls + 1);
             let (addr, path) = (work.task.addr, work.task.path.clone());
-            out.push(Effect::Call { duty: at, term, addr, path, until: now + CALL_WAIT });
+            out.push(Effect::CallRole { role: at, term, addr, path, until: now + ROLE_CALL_TIMEOUT });
         }
         let every = work.task.every;
         self.set_timer(now + every, Timer::Duty(at));
     }
 
-    pub(crate) fn called(&mut self, now: Nanos, at: usize, how: Called, out: &mut Vec<Effect>) {
+    pub(crate) fn called(&mut self, now: Nanos, at: usize, how: RoleCallResult, out: &mut Vec<Effect>) {
         let Some(held) = &mut self.duties else { return };
         let Some(work) = held.work.get_mut(at) else { return };
         work.calling = false;
-        if let Called::Fenced(highest) = how {
+        if let RoleCallResult::Fenced(highest) = how {
             let mut said = Vec::new();
             held.duties.fenced(now / MS, at, highest, &mut said);
             self.duty_effects(said, out);
@@ -147,12 +147,12 @@
     }
 
     /// The duties as operators are shown them; `None` where there are none.
-    pub fn duties_view(&self, now: Nanos) -> Option<Vec<DutyView>> {
+    pub fn roles_view(&self, now: Nanos) -> Option<Vec<RoleView>> {
         let held = self.duties.as_ref()?;
         let views = held.duties.duties().enumerate().map(|(at, (duty, figures))| {
             let mine = held.duties.may_act(now / MS, at);
             let granted = held.duties.holder(now / MS, at);
-            DutyView {
+            RoleView {
                 name: duty.name.clone(),
                 holder: granted.map(|(holder, ..)| holder),
                 term: mine.or(granted.map(|(_, term, _)| term)),
@@ -175,7 +175,7 @@
                 Out::Send(to, bytes) => self.carry(to, KIND, bytes, out),
                 Out::Changed(at, change) => {
                     let name = self.duties.as_ref().and_then(|h| h.work.get(at)).map(|w| w.task.name.clone());
-                    out.push(Effect::DutyChanged { name: name.unwrap_or_default(), change });
+                    out.push(Effect::RoleChanged { name: name.unwrap_or_default(), change });
                 }
             }
         }
--- a/crates/service/engine/src/lib.rs
+++ b/crates/service/engine/src/lib.rs
@@ -1,55 +1,66 @@
-//! The reducer: every change of state goes through [`Core::step`]. It owns the dispatcher, the requests, their
+//! The reducer: every change of state goes through [`Engine::step`]. It owns the dispatcher, the requests, their
 //! attempts and the timers, knows no socket and no protocol, and is told the time. What is to be read or written it
 //! asks for as [`Effect`]s.
 #![allow(missing_docs, reason = "fields and variants that say what they are need no second saying")]
 mod attempts;
+mod durability_barrier;
 mod durable;
 mod duties;
-mod gate;
+mod effect;
+mod input;
 mod members;
 mod membership;
 mod requests;
-mod types;
+mod snapshot;
+mod stats;
 
+pub use durability_barrier::{DurabilityBarrier, ReleasedEffect};
 use durable::Durable;
-pub use durable::{Durability, LedgerFigures};
-pub use duties::{Called, DutyView, Task};
-pub use gate::{Gate, Passage};
+pub use durable::DurableSetup;
+pub use duties::{RoleCallResult, RoleTask, RoleView};
+pub use effect::{Answer, Effect, LeaseGrant, NoticeReply};
+pub use input::{
+    AttemptId, DispatchResult, DurableRequest, Input, InventoryUpdate, InventoryVersion, Job, JobUpdate,
+    SettingsChange, WorkerEndpoint, WorkerNotice,
+};
 use members::{Facts, Member};
 use membership::Membership;
 pub use membership::{MemberView, MembersView};
 use rustc_hash::FxHashMap;
+pub use snapshot::{AttemptSnapshot, RequestSnapshot};
 use spanlead_balancing_policy::{
     Action, Dispatcher, Event, Nanos, Outcome, RequestId, Settings, SettingsError, WorkerState,
 };
 use spanlead_deployment_settings::Names;
 use spanlead_durable_jobs::{JobNo, Record, Token};
+pub use stats::{DurableJobStats, EngineStats, HostView, InventoryStats, RequestCounts};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
-pub use types::*;
 
 const MS: Nanos = 1_000_000;
 /// How long the front may need to notice the order to stop or to drain: clients go on using the connections they have,
 /// and new requests are still taken. Then idle connections may close.
-const TURN_AWAY: Nanos = 500 * MS;
+const REDIRECT_GRACE: Nanos = 500 * MS;
 /// How long a worker may take to acknowledge that an attempt is called off when the request is over anyway.
-const ABANDON_WAIT: Nanos = 1_000 * MS;
+const CANCEL_TIMEOUT: Nanos = 1_000 * MS;
 /// How long a worker may take to say that it has a job: it answers at once, so one that doesn't by then has lost it.
-const TAKE_WAIT: Nanos = 1_000 * MS;
+const ACCEPT_TIMEOUT: Nanos = 1_000 * MS;
 /// How long a worker's notice may wait for its record: its call is given up then, and it comes again.
-const ACKNOWLEDGE_WAIT: Nanos = 1_000 * MS;
+const ACKNOWLEDGE_TIMEOUT: Nanos = 1_000 * MS;
 /// How long a probe may take.
-const PROBE_WAIT: Nanos = 500 * MS;
+const HEALTH_CHECK_TIMEOUT: Nanos = 500 * MS;
 
 #[derive(Clone, Copy, PartialEq)]
 enum Stage {
     /// Sent; the worker has not said that it has the job.
-    Offered,
-    Taken,
-    /// Being called off; this outcome stands once the worker knows.
-    Leaving(Outcome),
-    Over,
+    Dispatched,
+    /// The worker has the job.
+    Accepted,
+    /// Being cancelled; this outcome stands once the worker knows.
+    Cancelling(Outcome),
+    /// Over.
+    Ended,
 }
 
 struct Attempt {
@@ -104,7 +115,7 @@
 }
 
 /// The scheduler's whole state.
-pub struct Core {
+pub struct Engine {
     dispatcher: Dispatcher,
     tick: Nanos,
     max_open: usize,
@@ -141,7 +152,7 @@
     /// Clients are to go elsewhere, since then.
     draining: Option<Nanos>,
     /// How requests ended, by the number of their class.
-    ends: Vec<Ends>,
+    ends: Vec<RequestCounts>,
     pending: usize,
     written: u64,
     reloads: u64,
@@ -150,9 +161,9 @@
     bad_input: BTreeMap<&'static str, u64>,
 }
 
-impl Core {
+impl Engine {
     /// A scheduler that knows no workers yet and holds at most `max_open` requests. With `wants_ledger` nothing that
-    /// belongs there is taken before [`Input::Opened`].
+    /// belongs there is taken before [`Input::DurableJobsOpened`].
     ///
     /// # Errors
     /// If the module turns the settings down.
@@ -167,7 +178,7 @@
         let (tick, classes) = (settings.tick, settings.classes.len());
         let effects = settings.classes.iter().map(|c| c.effect).collect();
         let (kinds, pushed) = (kinds(&settings, 0), !settings.must_ask);
-        Ok(Core {
+        Ok(Engine {
             dispatcher: Dispatcher::new(settings, seed)?,
             tick,
             max_open,
@@ -192,7 +203,7 @@
             stopping: None,
             successor: false,
             draining: None,
-            ends: vec![Ends::default(); classes],
+            ends: vec![RequestCounts::default(); classes],
             pending: 0,
             written: 0,
             reloads: 0,
@@ -202,7 +213,7 @@
     }
 
     /// Whether this process can serve.
-    pub fn serves(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         let durable = !self.wants_ledger || self.durable.as_ref().is_some_and(|d| !d.failed);
         self.stopping.is_none()
             && durable
@@ -210,23 +221,23 @@
     }
 
     /// Whether new requests should come here.
-    pub fn ready(&self) -> bool {
-        self.serves() && self.draining.is_none()
+    pub fn is_ready(&self) -> bool {
+        self.is_serving() && self.draining.is_none()
     }
 
     /// Whether connections are to end with the answers that they wait for.
-    pub fn closing(&self) -> bool {
+    pub fn is_closing(&self) -> bool {
         self.stopping.is_some() || self.draining.is_some()
     }
 
     /// Whether the front has had its time to send clients elsewhere: those with nothing under way may be cut off.
-    pub fn turned_away(&self, now: Nanos) -> bool {
-        [self.stopping, self.draining].into_iter().flatten().any(|t| now >= t + TURN_AWAY)
+    pub fn is_redirect_grace_over(&self, now: Nanos) -> bool {
+        [self.stopping, self.draining].into_iter().flatten().any(|t| now >= t + REDIRECT_GRACE)
     }
 
     /// What operators are shown, with the classes under their names.
-    pub fn figures(&self, now: Nanos, classes: &[String]) -> Figures {
-        let mut downstream_requests: BTreeMap<String, Ends> = BTreeMap::new();
+    pub fn stats(&self, now: Nanos, classes: &[String]) -> EngineStats {
+        let mut downstream_requests: BTreeMap<String, RequestCounts> = BTreeMap::new();
         for (name, ends) in classes.iter().zip(&self.ends) {
             let sum = downstream_requests.entry(name.clone()).or_default();
             sum.completed += ends.completed;
@@ -234,8 +245,9 @@
             sum.failed += ends.failed;
         }
         let members = || self.workers.values().map(|m| &m.host).filter(|w| w.state != WorkerState::Gone);
-        let avoided = |w: &&Host| w.state == WorkerState::Draining || self.dispatcher.avoids(now, &w.name);
-        Figures {
+        let avoided =
+            |w: &&WorkerEndpoint| w.state == WorkerState::Draining || self.dispatcher.avoids(now, &w.name);
+        EngineStats {
             downstream_requests,
             upstream_requests: self.written,
             pending: self.pending,
@@ -253,42 +265,42 @@
     /// Whether a request that comes now is still taken. With a successor no new connection comes here, and what those
     /// that were accepted still bring is served.
     fn taking(&self, now: Nanos) -> bool {
-        self.successor || self.stopping.is_none_or(|t| now < t + TURN_AWAY)
+        self.successor || self.stopping.is_none_or(|t| now < t + REDIRECT_GRACE)
     }
 
     /// Whether a stopping scheduler owes nothing any more and the front has had its time.
-    pub fn finished(&self, now: Nanos) -> bool {
-        self.finishing(now) && self.requests.is_empty()
+    pub fn is_finished(&self, now: Nanos) -> bool {
+        self.is_finishing(now) && self.requests.is_empty()
     }
 
     /// Whether it was told to stop and the front has had its time.
-    pub fn finishing(&self, now: Nanos) -> bool {
-        self.stopping.is_some_and(|t| now >= t + TURN_AWAY)
+    pub fn is_finishing(&self, now: Nanos) -> bool {
+        self.stopping.is_some_and(|t| now >= t + REDIRECT_GRACE)
     }
 
     /// Whether this request is open here, or kept with its end.
-    pub fn knows(&self, id: &str) -> bool {
+    pub fn knows_job(&self, id: &str) -> bool {
         self.by_id.contains_key(id) || self.durable.as_ref().is_some_and(|d| d.has_end(id))
     }
 
     /// The id that workers know this open request by.
-    pub fn id_of(&self, ticket: RequestId) -> Option<Arc<str>> {
-        self.requests.get(&ticket).map(|r| r.id.clone())
+    pub fn job_id(&self, request_id: RequestId) -> Option<Arc<str>> {
+        self.requests.get(&request_id).map(|r| r.id.clone())
     }
 
     /// Whether there is a ledger that can't be written to any more.
-    pub fn durable_failed(&self) -> bool {
+    pub fn has_storage_failed(&self) -> bool {
         self.durable.as_ref().is_some_and(|d| d.failed)
     }
 
     /// How many open requests the ledger holds.
-    pub fn durable_open(&self) -> usize {
+    pub fn open_durable_jobs(&self) -> usize {
         self.requests.values().filter(|r| r.durable.is_some()).count()
     }
 
     /// When [`Input::Tick`] is next wanted.
     pub fn next_timer(&self, now: Nanos) -> Option<Nanos> {
-        let stop = self.stopping.map(|t| t + TURN_AWAY).filter(|t| *t > now && self.requests.is_empty());
+        let stop = self.stopping.map(|t| t + REDIRECT_GRACE).filter(|t| *t > now && self.requests.is_empty());
         let expiry = self.durable.as_ref().and_then(|d| d.ledger.next_expiry());
         self.timers.first_key_value().map(|((at, _), _)| *at).into_iter().chain(stop).chain(expiry).min()
     }
@@ -296,83 +308,79 @@
     /// Takes one input at time `now` and appends what is to be done.
     pub fn step(&mut self, now: Nanos, input: Input, out: &mut Vec<Effect>) {
         match input {
-            Input::Request { ticket, job, tries, durable: false } => {
-                self.request(now, ticket, job, tries, out);
-            }
-            Input::Request { ticket, job, .. } => self.take_over(now, ticket, job, out),
-            Input::ClientLeft { ticket } => self.client_left(now, ticket, out),
-            Input::Handover { attempt, how } => self.handover(now, attempt, how, out),
-            Input::News { note, id, from, token, news, report } => {
-                let before = self.recorded();
-                let last = !matches!(news, News::Running(_));
-                let reply = self.news(now, &id, &from, token, news, report, out);
-                let effect = Effect::Acknowledge { note, reply };
-                // A repeat may come before what its first has changed is durable.
-                let durably = self.recorded() > before || last && self.durable.is_some();
-                out.push(if durably { durable::durably(effect, now + ACKNOWLEDGE_WAIT) } else { effect });
+            Input::RequestReceived { request_id, job, previous_attempts: tries, durable: false } => {
+                self.request(now, request_id, job, tries, out);
             }
-            Input::Abandoned { attempt } => {
-                if let Some(Stage::Leaving(outcome)) = self.stage(attempt) {
+            Input::RequestReceived { request_id, job, .. } => self.take_over(now, request_id, job, out),
+            Input::ClientDisconnected { request_id } => self.client_left(now, request_id, out),
+            Input::DispatchFinished { attempt, result } => self.dispatch_finished(now, attempt, result, out),
+            Input::WorkerNotice(notice) => self.worker_notice(now, notice, out),
+            Input::AttemptCancelled { attempt } => {
+                if let Some(Stage::Cancelling(outcome)) = self.stage(attempt) {
                     self.end(now, attempt, outcome, None, out);
                 }
             }
-            Input::List { scope, version, hosts } => {
+            Input::EndpointList { scope, version, hosts } => {
                 self.version = version;
                 self.list(now, scope, hosts, out);
                 self.hear_agent(now, scope, out);
             }
-            Input::Reloaded { discovery, settings, names } => {
+            Input::ConfigurationReloaded { discovery, settings, names } => {
                 self.reloads += 1;
                 self.names = names;
-                if let Some((settings, like)) = settings {
+                if let Some(SettingsChange { settings, continued_classes: like }) = settings {
                     self.tick = settings.tick;
                     self.pushed = !settings.must_ask;
                     self.kinds = kinds(&settings, self.effects.len());
                     self.effects.extend(settings.classes.iter().map(|c| c.effect));
-                    self.ends.resize(self.ends.len() + settings.classes.len(), Ends::default());
+                    self.ends.resize(self.ends.len() + settings.classes.len(), RequestCounts::default());
                     self.decide(now, Event::Retuned { settings, like }, out);
                 }
                 self.move_discovery(discovery, out);
             }
-            Input::Probed { worker, sent, outcome, report } => {
+            Input::HealthChecked { worker, sent, outcome, report } => {
                 let event = Event::Probed { worker: &worker, outcome, lag: now.saturating_sub(sent), report };
                 self.decide(now, event, out);
             }
-            Input::Peer { from, data } => {
+            Input::PeerMessage { from, data } => {
                 if !self.peer(now, from, &data, out) {
                     self.decide(now, Event::Peer { from, data: &data }, out);
                 }
             }
-            Input::Join { settings, every } => self.enter(now, *settings, every, out),
-            Input::Duties { settings, tasks } => self.take_duties(now, settings, tasks, out),
-            Input::ReleaseDuty { name } => self.release_duty(now, &name, out),
-            Input::Called { duty, how } => self.called(now, duty, how, out),
-            Input::Leave => self.say_stage(spanlead_membership::Stage::Left, out),
+            Input::JoinMembership { settings, heartbeat_interval } => {
+                self.enter(now, *settings, heartbeat_interval, out)
+            }
+            Input::SingletonRoles { settings, tasks } => self.take_duties(now, settings, tasks, out),
+            Input::ReleaseRole { name } => self.release_duty(now, &name, out),
+            Input::RoleCallFinished { role: duty, result: how } => self.called(now, duty, how, out),
+            Input::LeaveMembership => self.say_stage(spanlead_membership::Stage::Left, out),
             Input::Tick => self.run_timers(now, out),
-            Input::Stop => {
+            Input::Shutdown => {
                 self.stopping = self.stopping.or(Some(now));
                 self.release_duties(now, out);
                 self.say(out);
             }
-            Input::Drain(on) => {
+            Input::SetDraining(on) => {
                 self.draining = on.then(|| self.draining.unwrap_or(now));
                 if on {
                     self.release_duties(now, out);
                 }
                 self.say(out);
             }
-            Input::Share { open, successor } => (self.max_open, self.successor) = (open, successor),
-            Input::TurnedAway { class } => self.count(class, &Answer::Failed),
-            Input::BadInput { why } => *self.bad_input.entry(why).or_default() += 1,
-            Input::HandOver => self.hand_over(now, out),
-            Input::Written => self.written += 1,
-            Input::Unreadable => self.reload_errors += 1,
-            Input::Opened(durability) => self.opened(now, *durability, out),
-            Input::Stored { bytes } => self.stored(bytes, out),
-            Input::StoreFailed => self.store_failed(out),
-            Input::Released => self.durable = None,
-            Input::Offered(offered) => self.offered(now, offered, out),
-            Input::Answered { job } => self.record(Record::Answered { job }, out),
+            Input::SetCapacity { max_open_requests: open, successor } => {
+                (self.max_open, self.successor) = (open, successor)
+            }
+            Input::RequestRejected { class } => self.count(class, &Answer::Failed),
+            Input::InvalidInput { reason } => *self.bad_input.entry(reason).or_default() += 1,
+            Input::StartHandover => self.hand_over(now, out),
+            Input::AttemptWritten => self.written += 1,
+            Input::ReloadFailed => self.reload_errors += 1,
+            Input::DurableJobsOpened(durability) => self.opened(now, *durability, out),
+            Input::RecordsDurable { bytes } => self.stored(bytes, out),
+            Input::StorageFailed => self.store_failed(out),
+            Input::DurableJobsReleased => self.durable = None,
+            Input::InventoryUpdated(offered) => self.offered(now, offered, out),
+            Input::AnswerDelivered { job } => self.record(Record::Answered { job }, out),
         }
     }
 
@@ -387,10 +395,10 @@
     fn act(&mut self, now: Nanos, action: Action, out: &mut Vec<Effect>) {
         match action {
             Action::Send { id, worker, timeout } => self.send(now, id, &worker, timeout, out),
-            Action::Refuse { id, retry_after } => self.answer(now, id, Answer::Refused { retry_after }, out),
+            Action::Refuse { id, retry_after } => self.answer(now, id, Answer::Rejected { retry_after }, out),
             Action::Fail { id } => self.answer(now, id, Answer::Failed, out),
             Action::Cancel { id, attempt } => {
-                self.abandon(now, AttemptId(id, attempt), Outcome::Cancelled, out);
+                self.abandon(now, AttemptId { request: id, number: attempt }, Outcome::Cancelled, out);
             }
             // A timer never rings in the round that sets it; what is a round in the simulator is a tick here.
             Action::Timer { after, token } => {
@@ -398,18 +406,20 @@
             }
             Action::Probe { worker } => {
                 if let Some(Member { host, .. }) = self.workers.get(&worker.0) {
-                    let (worker, addr, until) = (worker.0, host.addr, now + PROBE_WAIT);
-                    out.push(Effect::Probe { worker, addr, until });
+                    let (worker, addr, until) = (worker.0, host.addr, now + HEALTH_CHECK_TIMEOUT);
+                    out.push(Effect::HealthCheck { worker, addr, until });
                 }
             }
             Action::Close { worker } => {
-                out.extend(self.workers.get(&worker.0).map(|m| Effect::CloseIdle { addr: m.host.addr }));
+                out.extend(
+                    self.workers.get(&worker.0).map(|m| Effect::CloseIdleConnections { addr: m.host.addr }),
+                );
             }
-            Action::Tell { peer, data } => out.push(Effect::Tell { peer, data }),
+            Action::Tell { peer, data } => out.push(Effect::SendPeerMessage { peer, data }),
             Action::Subscribe => {
                 self.watch(out);
             }
-            Action::FetchList => out.push(Effect::FetchList { addr: self.discovery }),
+            Action::FetchList => out.push(Effect::FetchEndpoints { addr: self.discovery }),
             Action::Log(text) => out.push(Effect::Log(text)),
         }
     }
@@ -426,19 +436,19 @@
             match entry.remove() {
                 Timer::Module(token) => self.decide(now, Event::Timer(token), out),
                 Timer::Untaken(attempt) => {
-                    if self.stage(attempt) == Some(Stage::Offered) {
+                    if self.stage(attempt) == Some(Stage::Dispatched) {
                         self.abandon(now, attempt, Outcome::Timeout, out);
                     }
                 }
                 Timer::AttemptEnds(attempt) => self.abandon(now, attempt, Outcome::Timeout, out),
-                Timer::Overdue(ticket) => {
-                    if self.requests.get(&ticket).is_some_and(|r| !r.answered) {
-                        self.answer(now, ticket, Answer::Failed, out);
-                        self.decide(now, Event::Gone(ticket), out);
-                        self.abandon_all(now, ticket, out);
+                Timer::Overdue(request_id) => {
+                    if self.requests.get(&request_id).is_some_and(|r| !r.answered) {
+                        self.answer(now, request_id, Answer::Failed, out);
+                        self.decide(now, Event::Gone(request_id), out);
+                        self.abandon_all(now, request_id, out);
                     }
                 }
-                Timer::JoinedOverdue(ticket) => self.joined_overdue(ticket, out),
+                Timer::JoinedOverdue(request_id) => self.joined_overdue(request_id, out),
                 Timer::LeaseEnds(attempt) => self.lease_ends(now, attempt, out),
                 Timer::Slice => self.next_slice(now, out),
                 Timer::Unbar(worker) => self.unbar(now, worker, out),
--- a/crates/service/engine/src/members.rs
+++ b/crates/service/engine/src/members.rs
@@ -3,15 +3,16 @@
 //! The list is the one authority on who is there: state, start and address come from nowhere else, and a host that it has
 //! not named gets nothing. Files ([`Sheet`]) only fill what the list leaves open, and the weight where that is set so.
 //!
-//! **Large changes go to the module in slices**, so that no job waits for a list: of more than [`SLICE`] hosts the rest is
-//! taken a slice at a time, [`BETWEEN`] apart, and other inputs pass between. What drains, is gone or has just started goes
+//! **Large changes go to the module in slices**, so that no job waits for a list: of more than [`MAX_SLICE_HOSTS`] hosts the rest is
+//! taken a slice at a time, [`SLICE_INTERVAL`] apart, and other inputs pass between. What drains, is gone or has just started goes
 //! first.
 //!
 //! **Pods and zones that change are nobody's for a while.** Repeats of a keyed job are dropped within its worker's pod or
 //! zone, for the class's window. A worker that another file puts elsewhere may hold jobs of the place before: until the
 //! longest window is over it is in a pod, or zone, of its own. So is one of which nothing is known.
-use crate::types::{FactFigures, HostView, Offered};
-use crate::{Core, Effect, Host, MS, Timer};
+use crate::input::{InventoryUpdate, InventoryVersion};
+use crate::stats::{HostView, InventoryStats};
+use crate::{Effect, Engine, MS, Timer, WorkerEndpoint};
 use rustc_hash::{FxHashMap, FxHashSet};
 use spanlead_balancing_policy::{Effect as Repeating, Entry, Event, ListScope, Nanos, WorkerState};
 use spanlead_deployment_settings::position;
@@ -21,22 +22,22 @@
 use std::sync::Arc;
 
 /// Hosts that are taken at once. A slice of them takes well under a millisecond.
-const SLICE: usize = 512;
+const MAX_SLICE_HOSTS: usize = 512;
 /// The pause between slices.
-const BETWEEN: Nanos = MS;
+const SLICE_INTERVAL: Nanos = MS;
 /// How soon after a failed call an agent is asked again: within the shortest grace for drains that is left after a call.
-const AGENT_AGAIN: Nanos = 100 * MS;
+const AGENT_RETRY_INTERVAL: Nanos = 100 * MS;
 /// Numbers of pods below are the list's own; from here on they are those that files name by words, and from
-/// [`OWN`] on those of single workers.
-const NAMED: u32 = 1 << 30;
-const OWN: u32 = 1 << 31;
+/// [`FIRST_OWN_POD`] on those of single workers.
+const FIRST_NAMED_POD: u32 = 1 << 30;
+const FIRST_OWN_POD: u32 = 1 << 31;
 /// The number of a name that the settings don't have, and of a pod that another process would not know.
-pub(crate) const UNKNOWN: u32 = u32::MAX;
+pub(crate) const UNKNOWN_NUMBER: u32 = u32::MAX;
 
 /// A worker.
 pub(crate) struct Member {
     /// As the list has it.
-    pub host: Host,
+    pub host: WorkerEndpoint,
     /// What the module was told of it last.
     pub told: Option<Told>,
     /// The name by which files know it, and whether one does.
@@ -89,7 +90,7 @@
 
     /// The pod as another process would know it.
     pub fn lasting_cell(self) -> u32 {
-        if self.cell < NAMED { self.cell } else { UNKNOWN }
+        if self.cell < FIRST_NAMED_POD { self.cell } else { UNKNOWN_NUMBER }
     }
 }
 
@@ -97,7 +98,7 @@
 #[derive(Default)]
 pub(crate) struct Facts {
     /// Hosts of the list that were not looked at yet.
-    incoming: VecDeque<Host>,
+    incoming: VecDeque<WorkerEndpoint>,
     /// Workers of which files may say something else now.
     again: VecDeque<Arc<str>>,
     /// A slice's timer is set.
@@ -113,28 +114,28 @@
 impl Facts {
     fn pod(&mut self, name: &Arc<str>) -> u32 {
         match name.parse::<u32>() {
-            Ok(number) if number < NAMED => number,
+            Ok(number) if number < FIRST_NAMED_POD => number,
             _ => {
-                let next = NAMED + self.pods.len() as u32 % (OWN - NAMED);
+                let next = FIRST_NAMED_POD + self.pods.len() as u32 % (FIRST_OWN_POD - FIRST_NAMED_POD);
                 *self.pods.entry(name.clone()).or_insert(next)
             }
         }
     }
 }
 
-impl Core {
+impl Engine {
     /// Goes on with the list at another address. For the module the watch just goes on: a call at the old address
     /// that ends with it is no failure of discovery.
     pub(crate) fn move_discovery(&mut self, addr: SocketAddr, out: &mut Vec<Effect>) {
         if addr != self.discovery {
             self.discovery = addr;
-            out.extend(self.watching.then_some(Effect::Watch { addr, version: self.version }));
+            out.extend(self.watching.then_some(Effect::WatchEndpoints { addr, version: self.version }));
         }
     }
 
     pub(crate) fn watch(&mut self, out: &mut Vec<Effect>) {
         self.watching = true;
-        out.push(Effect::Watch { addr: self.discovery, version: self.version });
+        out.push(Effect::WatchEndpoints { addr: self.discovery, version: self.version });
     }
 
     /// Where lists are pushed, the module waits for them and asks for none. On sockets they lie with an agent on this machine, and
@@ -142,13 +143,19 @@
     pub(crate) fn hear_agent(&mut self, now: Nanos, scope: ListScope, out: &mut Vec<Effect>) {
         match scope {
             ListScope::Cached if self.pushed => self.watch(out),
-            ListScope::Failed if self.pushed => self.set_timer(now + AGENT_AGAIN, Timer::Watch),
+            ListScope::Failed if self.pushed => self.set_timer(now + AGENT_RETRY_INTERVAL, Timer::Watch),
             _ => {}
         }
     }
 
     /// Takes news of the list, at once or, if there are many, their first slice.
-    pub(crate) fn list(&mut self, now: Nanos, scope: ListScope, hosts: Vec<Host>, out: &mut Vec<Effect>) {
+    pub(crate) fn list(
+        &mut self,
+        now: Nanos,
+        scope: ListScope,
+        hosts: Vec<WorkerEndpoint>,
+        out: &mut Vec<Effect>,
+    ) {
         let mut hosts = hosts;
         if matches!(scope, ListScope::Full | ListScope::Cached) {
             self.facts.incoming.clear();
@@ -159,7 +166,7 @@
             let named: FxHashSet<&str> = hosts.iter().map(|h| &*h.name).collect();
             self.facts.incoming.retain(|h| !named.contains(&*h.name));
         }
-        if hosts.len() > SLICE {
+        if hosts.len() > MAX_SLICE_HOSTS {
             // Stable: of what the list names twice, the last word stays the last.
             hosts.sort_by_key(|h| (h.state == WorkerState::Ready, std::cmp::Reverse(h.started)));
         }
@@ -172,20 +179,20 @@
     }
 
     /// The workers that a whole list leaves out, as gone.
-    fn missing(&self, hosts: &[Host]) -> Vec<Host> {
+    fn missing(&self, hosts: &[WorkerEndpoint]) -> Vec<WorkerEndpoint> {
         if self.workers.is_empty() {
             return Vec::new();
         }
         let named: FxHashSet<&str> = hosts.iter().map(|h| &*h.name).collect();
         let here = self.workers.values().filter(|m| m.host.state != WorkerState::Gone);
         let left = here.filter(|m| !named.contains(&*m.host.name));
-        left.map(|m| Host { state: WorkerState::Gone, ..m.host.clone() }).collect()
+        left.map(|m| WorkerEndpoint { state: WorkerState::Gone, ..m.host.clone() }).collect()
     }
 
     /// Takes the next hosts and tells the module what is new of them.
     fn slice(&mut self, now: Nanos, scope: ListScope, out: &mut Vec<Effect>) {
         let mut entries: Vec<(Arc<str>, Told)> = Vec::new();
-        for _ in 0..SLICE {
+        for _ in 0..MAX_SLICE_HOSTS {
             let name = match self.facts.incoming.pop_front() {
                 Some(host) => self.hear(now, host, out),
                 None => match self.facts.again.pop_front() {
@@ -200,7 +207,7 @@
         let more = !self.facts.incoming.is_empty() || !self.facts.again.is_empty();
         if more && !self.facts.waiting {
             self.facts.waiting = true;
-            self.set_timer(now + BETWEEN, Timer::Slice);
+            self.set_timer(now + SLICE_INTERVAL, Timer::Slice);
         }
         let entries: Vec<Entry<'_>> = entries.iter().map(|(name, told)| told.entry(name)).collect();
         self.decide(now, Event::Members { scope, entries: &entries }, out);
@@ -213,16 +220,16 @@
     }
 
     /// Notes what the list says of a host.
-    fn hear(&mut self, now: Nanos, host: Host, out: &mut Vec<Effect>) -> Arc<str> {
+    fn hear(&mut self, now: Nanos, host: WorkerEndpoint, out: &mut Vec<Effect>) -> Arc<str> {
         let (name, state) = (host.name.clone(), host.state);
         match self.workers.get_mut(&name) {
             Some(member) => {
                 // A connection to a process that was replaced or removed only waits to be reset under a request.
                 let replaced = member.host.started != host.started || member.host.addr != host.addr;
                 if replaced || state == WorkerState::Gone {
-                    out.push(Effect::CloseIdle { addr: member.host.addr });
+                    out.push(Effect::CloseIdleConnections { addr: member.host.addr });
                 }
-                let facts = |h: &Host| (h.zone, h.cell, h.kind, h.weight);
+                let facts = |h: &WorkerEndpoint| (h.zone, h.cell, h.kind, h.weight);
                 if facts(&member.host) != facts(&host) || member.gone.is_some() {
                     member.since = now;
                 }
@@ -231,8 +238,8 @@
             }
             None => {
                 let gone = (state == WorkerState::Gone).then_some(now);
-                let own = OWN + self.facts.members;
-                self.facts.members = (self.facts.members + 1) % (UNKNOWN - OWN);
+                let own = FIRST_OWN_POD + self.facts.members;
+                self.facts.members = (self.facts.members + 1) % (UNKNOWN_NUMBER - FIRST_OWN_POD);
                 let (pod, zone) = (Place::default(), Place::default());
                 let member =
                     Member { host, told: None, normal: None, named: false, own, pod, zone, since: now, gone };
@@ -247,9 +254,9 @@
         let window = self.window();
         let member = self.workers.get_mut(name)?;
         let host = &member.host;
-        let known = |number: Option<u32>| number.filter(|n| *n != UNKNOWN);
+        let known = |number: Option<u32>| number.filter(|n| *n != UNKNOWN_NUMBER);
         let (mut zone, mut kind) = (known(host.zone), known(host.kind));
-        let (mut pod, mut weight) = (host.cell.filter(|c| *c < NAMED), host.weight);
+        let (mut pod, mut weight) = (host.cell.filter(|c| *c < FIRST_NAMED_POD), host.weight);
         if let Some(sheet) = self.facts.sheet.clone() {
             let normal = &**member.normal.get_or_insert_with(|| normal_name(name));
             member.named = sheet.names(normal);
@@ -267,7 +274,7 @@
         let told = Told {
             state: host.state,
             started: host.started,
-            kind: kind.unwrap_or(UNKNOWN),
+            kind: kind.unwrap_or(UNKNOWN_NUMBER),
             zone: member.zone.settle(now, zone, member.own, window),
             cell: member.pod.settle(now, pod, member.own, window),
             weight: weight.unwrap_or(1.0),
@@ -297,11 +304,11 @@
 
     /// Files say something else from now on. If a class that has a worker would have none by it, nothing changes, unless an
     /// operator wants it all the same.
-    pub(crate) fn offered(&mut self, now: Nanos, offered: Offered, out: &mut Vec<Effect>) {
-        let Offered { sheet, by, forced } = offered;
+    pub(crate) fn offered(&mut self, now: Nanos, offered: InventoryUpdate, out: &mut Vec<Effect>) {
+        let InventoryUpdate { sheet, by, forced } = offered;
         if !forced && let Some(why) = self.without_worker(&sheet) {
-            if let Some((name, number)) = by {
-                out.push(Effect::FactsRefused { name, number, why });
+            if let Some(InventoryVersion { name, number }) = by {
+                out.push(Effect::InventoryRejected { name, version: number, reason: why });
             }
             return;
         }
@@ -314,7 +321,7 @@
     fn without_worker(&self, sheet: &Sheet) -> Option<String> {
         for (class, kind) in &self.kinds {
             let kind_by = |m: &Member| {
-                let listed = m.host.kind.filter(|k| *k != UNKNOWN);
+                let listed = m.host.kind.filter(|k| *k != UNKNOWN_NUMBER);
                 let name = normal_name(&m.host.name);
                 let said = || sheet.kind(&name)?.value.or(sheet.defaults.kind.as_ref()).cloned();
                 listed.or_else(|| position(&self.names.kinds, &said()?))
@@ -330,7 +337,7 @@
     }
 
     /// Whether slices of a large change are still to come.
-    pub fn taking_in(&self) -> bool {
+    pub fn has_pending_list_changes(&self) -> bool {
         self.facts.waiting
     }
 
@@ -360,7 +367,7 @@
     }
 
     /// What is known of a worker that the list has named, and by whose word.
-    pub fn known_host(&self, now: Nanos, name: &str) -> Option<HostView> {
+    pub fn worker_view(&self, now: Nanos, name: &str) -> Option<HostView> {
         let wanted = normal(name).ok()?;
         let member = self.workers.get(name).or_else(|| {
             let here = |m: &&Member| normal(&m.host.name).is_ok_and(|n| n == wanted);
@@ -390,11 +397,11 @@
         Some(HostView { host: host.name.clone(), state, facts: provenance(&live, sheet), apart })
     }
 
-    pub(crate) fn fact_figures(&self, now: Nanos) -> Option<FactFigures> {
+    pub(crate) fn fact_figures(&self, now: Nanos) -> Option<InventoryStats> {
         let sheet = self.facts.sheet.as_ref()?;
         let here = || self.workers.values().filter(|m| m.host.state != WorkerState::Gone);
         let apart = |m: &&Member| now < m.pod.barred.max(m.zone.barred);
-        Some(FactFigures {
+        Some(InventoryStats {
             inventories: sheet.sources.len(),
             hosts: sheet.sources.iter().map(|s| s.version.rows.len()).sum(),
             matched: here().filter(|m| m.named).count(),
@@ -404,7 +411,7 @@
     }
 
     /// A worker that the list doesn't name, as one that is gone: where an attempt of an earlier process was.
-    pub(crate) fn introduce_gone(&mut self, now: Nanos, host: Host, out: &mut Vec<Effect>) {
+    pub(crate) fn introduce_gone(&mut self, now: Nanos, host: WorkerEndpoint, out: &mut Vec<Effect>) {
         let name = self.hear(now, host, out);
         self.unbar(now, name, out);
     }
--- a/crates/service/engine/src/membership.rs
+++ b/crates/service/engine/src/membership.rs
@@ -1,6 +1,6 @@
 //! The members' place in the reducer: heartbeats by the timers, what this scheduler says of itself from its state.
 use crate::duties::KIND;
-use crate::{Core, Effect, MS, Timer};
+use crate::{Effect, Engine, MS, Timer};
 use serde::Serialize;
 use spanlead_balancing_policy::Nanos;
 use spanlead_membership::{Members, Out, Settings, Stage, State};
@@ -36,7 +36,7 @@
     pub since_ms: u64,
 }
 
-impl Core {
+impl Engine {
     pub(crate) fn enter(&mut self, now: Nanos, settings: Settings, every: Nanos, out: &mut Vec<Effect>) {
         self.membership = Some(Membership { members: Members::new(settings), every });
         self.beat(now, out);
@@ -57,7 +57,7 @@
 
     /// Tells the others what this scheduler does, if that has changed.
     pub(crate) fn say(&mut self, out: &mut Vec<Effect>) {
-        let stage = match (self.closing(), self.serves()) {
+        let stage = match (self.is_closing(), self.is_serving()) {
             (true, _) => Stage::Draining,
             (false, true) => Stage::Serving,
             (false, false) => Stage::Starting,
@@ -112,7 +112,7 @@
 
 fn effects(said: Vec<Out>, out: &mut Vec<Effect>) {
     out.extend(said.into_iter().filter_map(|said| match said {
-        Out::Send(to, data) => Some(Effect::Tell { peer: Some(to.into()), data }),
+        Out::Send(to, data) => Some(Effect::SendPeerMessage { peer: Some(to.into()), data }),
         Out::Changed(change) => Some(Effect::MemberChanged(change)),
         // Of a protocol that this program does not know.
         Out::Carried { .. } => None,
--- a/crates/service/engine/tests/bounds.rs
+++ b/crates/service/engine/tests/bounds.rs
@@ -14,7 +14,7 @@
 const SEGMENT: u64 = 16 << 10;
 
 struct World {
-    core: Core,
+    engine: Engine,
     log: Log,
     now: Nanos,
     asks: u64,
@@ -27,7 +27,7 @@
         let settings = Settings { classes: vec![class], ..Settings::default() };
         let names = Names { classes: vec!["once".into()], zones: vec!["kista".into()], ..Names::default() };
         let addr: SocketAddr = ([127, 0, 0, 1], 9).into();
-        let core = Core::new(settings, Arc::new(names), 1, 1000, addr, true).expect("good settings");
+        let engine = Engine::new(settings, Arc::new(names), 1, 1000, addr, true).expect("good settings");
         let mut ledger = Ledger::new(Limits { keep: 60 * SEC, jobs });
         let options = Options { segment: SEGMENT, sync: true };
         let (log, _) = Log::open(Box::new(folder.clone()), options, |lsn, bytes| {
@@ -36,10 +36,10 @@
         })
         .expect("good");
         ledger.seek(log.next());
-        let mut world = World { core, log, now, asks: 0, most: 0 };
+        let mut world = World { engine, log, now, asks: 0, most: 0 };
         let name: Arc<str> = "s-a".into();
         let state = WorkerState::Ready;
-        let host = Host {
+        let host = WorkerEndpoint {
             name,
             addr,
             state,
@@ -49,27 +49,27 @@
             cell: Some(0),
             weight: None,
         };
-        world.step(Input::List { scope: ListScope::Full, version: 1, hosts: vec![host] });
+        world.step(Input::EndpointList { scope: ListScope::Full, version: 1, hosts: vec![host] });
         let anchor = Anchor { boot: "b".into(), up: now, clock: now };
         let (lease, clock_bound, segment) = (10 * SEC, SEC, SEGMENT);
-        let durability = Durability { ledger, anchor, all: false, lease, clock_bound, disk, segment };
-        world.step(Input::Opened(Box::new(durability)));
+        let durability = DurableSetup { ledger, anchor, all: false, lease, clock_bound, disk, segment };
+        world.step(Input::DurableJobsOpened(Box::new(durability)));
         world
     }
 
     /// Takes an input; the answer that some client is given, if any.
     fn step(&mut self, input: Input) -> Option<Answer> {
         let (mut effects, mut records, mut answer) = (Vec::new(), Vec::new(), None);
-        self.core.step(self.now, input, &mut effects);
+        self.engine.step(self.now, input, &mut effects);
         let mut trim = None;
         for effect in effects {
             let effect = match effect {
-                Effect::Durably { effect, .. } => *effect,
+                Effect::AfterDurable { effect, .. } => *effect,
                 other => other,
             };
             match effect {
-                Effect::Record(record) => records.push(encode(&record).expect("it has a form")),
-                Effect::Trim { oldest } => trim = Some(oldest),
+                Effect::AppendRecord(record) => records.push(encode(&record).expect("it has a form")),
+                Effect::TruncateLog { oldest } => trim = Some(oldest),
                 Effect::Answer { answer: given, .. } => answer = Some(given),
                 _ => {}
             }
@@ -79,7 +79,7 @@
         let trimmed = trim.is_some_and(|oldest| self.log.trim(oldest).expect("a good disk"));
         self.most = self.most.max(self.log.bytes());
         if wrote || trimmed {
-            self.step(Input::Stored { bytes: self.log.bytes() });
+            self.step(Input::RecordsDurable { bytes: self.log.bytes() });
         }
         answer
     }
@@ -88,24 +88,37 @@
     fn ask(&mut self, key: &str, body: usize) -> Option<Answer> {
         self.asks += 1;
         let text = vec![b'x'; body].into();
-        let mark = Mark { key: Some(key.into()), fingerprint: [1; 16], text };
+        let durable_request = DurableRequest { key: Some(key.into()), fingerprint: [1; 16], text };
         let job = Job {
             id: format!("r{}", self.asks).into(),
             class: 0,
             tenant: 0,
             slots: 1.0,
             memory: 0.0,
-            key: None,
+            affinity_key: None,
             due: self.now + 15 * SEC,
-            mark: Some(mark),
+            durable_request: Some(durable_request),
         };
-        self.step(Input::Request { ticket: RequestId(self.asks), job, tries: None, durable: false })
+        self.step(Input::RequestReceived {
+            request_id: RequestId(self.asks),
+            job,
+            previous_attempts: None,
+            durable: false,
+        })
     }
 
     /// The worker has done the last job.
     fn done(&mut self) -> Option<Answer> {
-        let (id, from, news) = (format!("r{}", self.asks), "s-a".to_owned(), News::Done("R".into()));
-        self.step(Input::News { note: self.asks, id, from, token: None, news, report: None })
+        let (job_id, worker, update) =
+            (format!("r{}", self.asks), "s-a".to_owned(), JobUpdate::Done("R".into()));
+        self.step(Input::WorkerNotice(WorkerNotice {
+            notice: self.asks,
+            job_id,
+            worker,
+            fencing_token: None,
+            update,
+            report: None,
+        }))
     }
 }
 
@@ -159,7 +172,7 @@
             taken += 1;
             assert!(taken <= 1000, "it has no bound");
         };
-        assert!(matches!(refused, Answer::Refused { retry_after: Some(_) }), "{refused:?}");
+        assert!(matches!(refused, Answer::Rejected { retry_after: Some(_) }), "{refused:?}");
         assert!(world.most <= disk + SEGMENT, "{}", world.most);
         for i in 0..taken {
             assert_eq!(world.ask(&format!("k{i}"), 300), Some(Answer::Served("R".into())), "key {i}");
--- a/crates/service/engine/tests/crash.rs
+++ b/crates/service/engine/tests/crash.rs
@@ -52,17 +52,53 @@
 #[derive(Clone, Debug)]
 enum Happening {
     Ask(usize),
-    GiveUp { client: usize, ask: u64 },
-    Arrive { worker: usize, attempt: AttemptId, id: Arc<str>, key: usize, lease: Option<Offer>, epoch: u64 },
-    Handed { attempt: AttemptId, how: Handover, epoch: u64 },
-    Finish { worker: usize, id: Arc<str>, life: u64 },
-    LeaseOver { worker: usize, id: Arc<str>, life: u64 },
+    GiveUp {
+        client: usize,
+        ask: u64,
+    },
+    Arrive {
+        worker: usize,
+        attempt: AttemptId,
+        id: Arc<str>,
+        key: usize,
+        lease: Option<LeaseGrant>,
+        epoch: u64,
+    },
+    Handed {
+        attempt: AttemptId,
+        result: DispatchResult,
+        epoch: u64,
+    },
+    Finish {
+        worker: usize,
+        id: Arc<str>,
+        life: u64,
+    },
+    LeaseOver {
+        worker: usize,
+        id: Arc<str>,
+        life: u64,
+    },
     Notice(Notice),
-    CallOff { worker: usize, id: Arc<str>, attempt: AttemptId, epoch: u64 },
-    Abandoned { attempt: AttemptId, epoch: u64 },
-    Sync { epoch: u64 },
-    Tick { epoch: u64 },
-    Kill { machine: bool },
+    CallOff {
+        worker: usize,
+        id: Arc<str>,
+        attempt: AttemptId,
+        epoch: u64,
+    },
+    Abandoned {
+        attempt: AttemptId,
+        epoch: u64,
+    },
+    Sync {
+        epoch: u64,
+    },
+    Tick {
+        epoch: u64,
+    },
+    Kill {
+        machine: bool,
+    },
     Start,
     Die(usize),
     Live(usize),
@@ -115,7 +151,7 @@
     happenings: HashMap<u64, Happening>,
     folder: SimFolder,
     /// The running process; `epoch` counts them.
-    process: Option<(Core, Gate, Log)>,
+    process: Option<(Engine, DurabilityBarrier, Log)>,
     epoch: u64,
     /// Attempts whose worker's answer the process waits for, on a connection each.
     offers: HashSet<AttemptId>,
@@ -264,11 +300,11 @@
             self.folder.fail_sync_after(self.rng.random_range(0..40));
         }
         self.epoch += 1;
-        let core = Core::new(settings(), Arc::new(names()), self.seed ^ self.epoch, 100, addr(9), true);
-        let mut gate = Gate::default();
-        gate.open(ledger.last());
-        self.process = Some((core.expect("good settings"), gate, log));
-        let host = |(i, w): (usize, &Worker)| Host {
+        let engine = Engine::new(settings(), Arc::new(names()), self.seed ^ self.epoch, 100, addr(9), true);
+        let mut barrier = DurabilityBarrier::default();
+        barrier.open(ledger.last());
+        self.process = Some((engine.expect("good settings"), barrier, log));
+        let host = |(i, w): (usize, &Worker)| WorkerEndpoint {
             name: name(i),
             addr: addr(i as u16),
             state: WorkerState::Ready,
@@ -279,11 +315,11 @@
             weight: None,
         };
         let hosts = self.workers.iter().enumerate().map(host).collect();
-        self.step(Input::List { scope: ListScope::Cached, version: 1, hosts });
+        self.step(Input::EndpointList { scope: ListScope::Cached, version: 1, hosts });
         let anchor = Anchor { boot: "b".into(), up: self.now, clock: self.now };
         let (lease, clock_bound, disk, segment) = (LEASE, BOUND, 1 << 30, 700);
-        let durability = Durability { ledger, anchor, all: false, lease, clock_bound, disk, segment };
-        self.step(Input::Opened(Box::new(durability)));
+        let durability = DurableSetup { ledger, anchor, all: false, lease, clock_bound, disk, segment };
+        self.step(Input::DurableJobsOpened(Box::new(durability)));
         self.after(20 * MS, Happening::Tick { epoch: self.epoch });
     }
 
@@ -318,32 +354,32 @@
     }
 
     fn step(&mut self, input: Input) {
-        let Some((core, ..)) = &mut self.process else { return };
+        let Some((engine, ..)) = &mut self.process else { return };
         let mut effects = Vec::new();
-        core.step(self.now, input, &mut effects);
+        engine.step(self.now, input, &mut effects);
         effects.into_iter().for_each(|effect| self.perform(effect));
     }
 
-    fn through(&mut self, passed: impl IntoIterator<Item = Passage>) {
+    fn through(&mut self, passed: impl IntoIterator<Item = ReleasedEffect>) {
         for passage in passed {
             match passage {
-                Passage::Do(effect) => self.perform(effect),
-                Passage::Unsent(attempt) => {
-                    let how = Handover::Ended(Outcome::Moot, None);
-                    self.after(0, Happening::Handed { attempt, how, epoch: self.epoch });
+                ReleasedEffect::Perform(effect) => self.perform(effect),
+                ReleasedEffect::NeverSent(attempt) => {
+                    let result = DispatchResult::Ended(Outcome::Moot, None);
+                    self.after(0, Happening::Handed { attempt, result, epoch: self.epoch });
                 }
-                Passage::Unheard(note) => drop(self.notes.remove(&note)),
+                ReleasedEffect::Unacknowledged(note) => drop(self.notes.remove(&note)),
             }
         }
     }
 
     fn perform(&mut self, effect: Effect) {
         let epoch = self.epoch;
-        let Some((_, gate, log)) = &mut self.process else { return };
+        let Some((_, barrier, log)) = &mut self.process else { return };
         match effect {
-            Effect::Record(record) => {
+            Effect::AppendRecord(record) => {
                 self.unwritten.push(encode(&record).expect("it has a form").into());
-                gate.record(log.next() + self.unwritten.len() as u64 - 1);
+                barrier.record_appended(log.next() + self.unwritten.len() as u64 - 1);
                 if self.unwritten.len() == 1 {
                     // Now and then the disk stalls.
                     let stalls = self.rng.random_bool(0.01);
@@ -351,26 +387,28 @@
                     self.after(span, Happening::Sync { epoch });
                 }
             }
-            Effect::Durably { effect, until } => {
-                let passed = gate.pass(*effect, until);
+            Effect::AfterDurable { effect, until } => {
+                let passed = barrier.submit(*effect, until);
                 self.through(passed);
             }
-            Effect::Answer { ticket, answer, job } => {
-                let at = self.clients.iter().position(|c| c.asking.is_some_and(|(_, t)| t == ticket));
+            Effect::Answer { request_id, answer, job } => {
+                let at = self.clients.iter().position(|c| c.asking.is_some_and(|(_, t)| t == request_id));
                 if let Some(at) = at {
                     self.answered(at, answer);
                     if let Some(job) = job {
-                        self.step(Input::Answered { job });
+                        self.step(Input::AnswerDelivered { job });
                     }
                 }
             }
-            Effect::Send { attempt, addr, lease, text, .. } => {
+            Effect::SendAttempt { attempt, addr, lease, text, .. } => {
                 let key = match text {
                     Some(text) => String::from_utf8_lossy(&text).parse().ok(),
-                    None => self.clients.iter().position(|c| c.asking.is_some_and(|(_, t)| t == attempt.0)),
+                    None => {
+                        self.clients.iter().position(|c| c.asking.is_some_and(|(_, t)| t == attempt.request))
+                    }
                 };
                 let Some(key) = key else { return self.must(false, "a send without a request") };
-                let Some(id) = self.id_of(attempt.0) else {
+                let Some(id) = self.id_of(attempt.request) else {
                     return self.must(false, "a send of no open request");
                 };
                 self.keys.insert(id.clone(), key);
@@ -379,13 +417,13 @@
                 match self.rng.random_bool(0.97) {
                     true => self.after(delay, Happening::Arrive { worker, attempt, id, key, lease, epoch }),
                     false => {
-                        let how = Handover::Ended(Outcome::ConnectFailed, None);
-                        self.after(delay, Happening::Handed { attempt, how, epoch });
+                        let result = DispatchResult::Ended(Outcome::ConnectFailed, None);
+                        self.after(delay, Happening::Handed { attempt, result, epoch });
                     }
                 }
             }
-            Effect::Abandon { attempt, addr, id, .. } => match gate.call_off(attempt) {
-                true => self.through([Passage::Unsent(attempt)]),
+            Effect::CancelAttempt { attempt, addr, job_id: id, .. } => match barrier.cancel(attempt) {
+                true => self.through([ReleasedEffect::NeverSent(attempt)]),
                 // The connection closes before the worker has answered on it.
                 false if self.offers.remove(&attempt) => {
                     self.workers[addr.port() as usize - 1].jobs.remove(&id);
@@ -396,7 +434,7 @@
                     self.after(delay, Happening::CallOff { worker, id, attempt, epoch });
                 }
             },
-            Effect::Acknowledge { note, reply } => {
+            Effect::Acknowledge { notice: note, reply } => {
                 if let Some(notice) = self.notes.remove(&note) {
                     self.acknowledge(&notice, reply);
                 }
@@ -405,31 +443,31 @@
         }
     }
 
-    fn acknowledge(&mut self, notice: &Notice, reply: Reply) {
-        let failed = self.process.as_ref().is_some_and(|(core, ..)| core.durable_failed());
+    fn acknowledge(&mut self, notice: &Notice, reply: NoticeReply) {
+        let failed = self.process.as_ref().is_some_and(|(engine, ..)| engine.has_storage_failed());
         let worker = &mut self.workers[notice.worker];
         if worker.life != notice.life {
             return;
         }
         match reply {
-            Reply::Heard { lease: Some(span) } => {
+            NoticeReply::Acknowledged { lease: Some(span) } => {
                 if let Some(job) = worker.jobs.get_mut(&notice.id) {
                     job.until = job.until.max(notice.sent + span);
                     let until = (job.until - BEGIN) as f64 / 1e6;
                     self.told.push(format!("{} may go on until {until:.3} ms", notice.id));
                 }
             }
-            Reply::Heard { lease: None } => {
+            NoticeReply::Acknowledged { lease: None } => {
                 if notice.what == "done" && notice.token.is_some() && !failed {
                     self.acknowledged.extend(self.keys.get(&notice.id));
                 }
             }
-            Reply::Fenced => drop(worker.jobs.remove(&notice.id)),
+            NoticeReply::Fenced => drop(worker.jobs.remove(&notice.id)),
         }
     }
 
-    fn id_of(&self, ticket: RequestId) -> Option<Arc<str>> {
-        self.process.as_ref()?.0.id_of(ticket)
+    fn id_of(&self, request_id: RequestId) -> Option<Arc<str>> {
+        self.process.as_ref()?.0.job_id(request_id)
     }
 
     fn answered(&mut self, at: usize, answer: Answer) {
@@ -438,14 +476,14 @@
         self.told.push(said.clone());
         let own = match &answer {
             Answer::Served(result) => *result == format!("result of {at}"),
-            other => *other != Answer::Mismatch && *other != Answer::Duplicate,
+            other => *other != Answer::KeyMismatch && *other != Answer::DuplicateId,
         };
         self.must(own, &said);
         if self.clients[at].class == 2 && self.acknowledged.contains(&at) && !self.disk_fails {
-            let kept = matches!(answer, Answer::Served(_) | Answer::Refused { .. });
+            let kept = matches!(answer, Answer::Served(_) | Answer::Rejected { .. });
             self.must(kept, &format!("{said} after its result was acknowledged"));
         }
-        let again = matches!(answer, Answer::Refused { .. }) && self.now + SEC < self.clients[at].until;
+        let again = matches!(answer, Answer::Rejected { .. }) && self.now + SEC < self.clients[at].until;
         self.clients[at].answer = Some(answer);
         if again {
             self.after(300 * MS, Happening::Ask(at));
@@ -463,23 +501,23 @@
             Happening::Start => self.start(),
             Happening::Kill { machine } => self.kill(machine),
             Happening::Tick { epoch } if epoch == self.epoch => {
-                let Some((_, gate, _)) = &mut self.process else { return };
-                let late = gate.late(self.now);
+                let Some((_, barrier, _)) = &mut self.process else { return };
+                let late = barrier.expire(self.now);
                 self.through(late);
                 self.step(Input::Tick);
                 self.after(20 * MS, Happening::Tick { epoch });
             }
             Happening::Sync { epoch } if epoch == self.epoch => {
-                let Some((_, gate, log)) = &mut self.process else { return };
+                let Some((_, barrier, log)) = &mut self.process else { return };
                 let group = std::mem::take(&mut self.unwritten);
                 if log.append(&group).is_ok() {
                     let bytes = log.bytes();
-                    let passed = gate.durable(log.next() - 1);
+                    let passed = barrier.records_durable(log.next() - 1);
                     self.through(passed);
-                    self.step(Input::Stored { bytes });
+                    self.step(Input::RecordsDurable { bytes });
                 } else {
-                    let passed = gate.fail();
-                    self.step(Input::StoreFailed);
+                    let passed = barrier.fail();
+                    self.step(Input::StorageFailed);
                     self.through(passed);
                 }
             }
@@ -494,9 +532,9 @@
             {
                 self.arrive(worker, attempt, id, key, lease);
             }
-            Happening::Handed { attempt, how, epoch } if epoch == self.epoch => {
+            Happening::Handed { attempt, result, epoch } if epoch == self.epoch => {
                 self.offers.remove(&attempt);
-                self.step(Input::Handover { attempt, how });
+                self.step(Input::DispatchFinished { attempt, result });
             }
             Happening::Finish { worker, id, life } => {
                 let w = &mut self.workers[worker];
@@ -528,7 +566,7 @@
                 }
             }
             Happening::Abandoned { attempt, epoch } if epoch == self.epoch => {
-                self.step(Input::Abandoned { attempt });
+                self.step(Input::AttemptCancelled { attempt });
             }
             Happening::Die(worker) => {
                 let w = &mut self.workers[worker];
@@ -556,22 +594,23 @@
             return self.after(back, Happening::Ask(client));
         }
         self.asks += 1;
-        let (ask, ticket) = (self.asks, RequestId(self.asks));
-        self.clients[client].asking = Some((ask, ticket));
+        let (ask, request_id) = (self.asks, RequestId(self.asks));
+        self.clients[client].asking = Some((ask, request_id));
         let key: Option<Arc<str>> = Some(format!("key-{client}").into());
-        let mark = Mark { key, fingerprint: [client as u8; 16], text: client.to_string().into() };
+        let durable_request =
+            DurableRequest { key, fingerprint: [client as u8; 16], text: client.to_string().into() };
         let job = Job {
             id: format!("r{ask}").into(),
             class: self.clients[client].class,
             tenant: 0,
             slots: 1.0,
             memory: 0.0,
-            key: None,
+            affinity_key: None,
             due,
-            mark: Some(mark),
+            durable_request: Some(durable_request),
         };
         self.after(due - self.now + 50 * MS, Happening::GiveUp { client, ask });
-        self.step(Input::Request { ticket, job, tries: None, durable: false });
+        self.step(Input::RequestReceived { request_id, job, previous_attempts: None, durable: false });
     }
 
     fn arrive(
@@ -580,12 +619,12 @@
         attempt: AttemptId,
         id: Arc<str>,
         client: usize,
-        lease: Option<Offer>,
+        lease: Option<LeaseGrant>,
     ) {
         let (delay, epoch) = (self.delay(), self.epoch);
         if !self.workers[worker].up {
-            let how = Handover::Ended(Outcome::ConnectFailed, None);
-            return self.after(delay, Happening::Handed { attempt, how, epoch });
+            let result = DispatchResult::Ended(Outcome::ConnectFailed, None);
+            return self.after(delay, Happening::Handed { attempt, result, epoch });
         }
         let elsewhere = self.workers.iter().position(|w| w.jobs.contains_key(&id));
         self.must(elsewhere.is_none(), &format!("{id} went to worker {worker} while {elsewhere:?} had it"));
@@ -613,7 +652,10 @@
             self.after(LEASE, Happening::LeaseOver { worker, id: id.clone(), life });
         }
         if answered {
-            self.after(delay, Happening::Handed { attempt, how: Handover::Taken { aware }, epoch });
+            self.after(
+                delay,
+                Happening::Handed { attempt, result: DispatchResult::Accepted { lease_aware: aware }, epoch },
+            );
         }
         let told = self.delay();
         self.tell(told, worker, id.clone(), token, "started", 10);
@@ -653,12 +695,19 @@
         let (note, id, from, token) =
             (self.serial, notice.id.to_string(), name(notice.worker).to_string(), notice.token);
         let news = match notice.what {
-            "started" => News::Started,
-            "running" => News::Running(0.5),
-            _ => News::Done(format!("result of {}", self.keys[&notice.id])),
+            "started" => JobUpdate::Started,
+            "running" => JobUpdate::Running(0.5),
+            _ => JobUpdate::Done(format!("result of {}", self.keys[&notice.id])),
         };
         self.notes.insert(note, notice);
-        self.step(Input::News { note, id, from, token, news, report: None });
+        self.step(Input::WorkerNotice(WorkerNotice {
+            notice: note,
+            job_id: id,
+            worker: from,
+            fencing_token: token,
+            update: news,
+            report: None,
+        }));
     }
 }
 
--- a/crates/service/engine/tests/members.rs
+++ b/crates/service/engine/tests/members.rs
@@ -41,30 +41,30 @@
 }
 
 struct World {
-    core: Core,
+    engine: Engine,
     now: Nanos,
-    ticket: u64,
+    request_id: u64,
 }
 
 impl World {
-    fn new(hosts: Vec<Host>) -> Self {
-        let core =
-            Core::new(settings(), Arc::new(names()), 7, 100_000, addr(9), false).expect("good settings");
-        let mut world = World { core, now: 1_000 * SEC, ticket: 0 };
-        world.step(Input::List { scope: ListScope::Full, version: 1, hosts });
+    fn new(hosts: Vec<WorkerEndpoint>) -> Self {
+        let engine =
+            Engine::new(settings(), Arc::new(names()), 7, 100_000, addr(9), false).expect("good settings");
+        let mut world = World { engine, now: 1_000 * SEC, request_id: 0 };
+        world.step(Input::EndpointList { scope: ListScope::Full, version: 1, hosts });
         world
     }
 
     fn step(&mut self, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
-        self.core.step(self.now, input, &mut effects);
+        self.engine.step(self.now, input, &mut effects);
         effects
     }
 
     /// Lets time pass up to then, with every timer on the way.
     fn pass(&mut self, to: Nanos) -> Vec<Effect> {
         let mut effects = Vec::new();
-        while let Some(at) = self.core.next_timer(self.now).filter(|at| *at <= to) {
+        while let Some(at) = self.engine.next_timer(self.now).filter(|at| *at <= to) {
             self.now = self.now.max(at);
             effects.extend(self.step(Input::Tick));
         }
@@ -73,27 +73,28 @@
     }
 
     fn request(&mut self, class: u32) -> (RequestId, Vec<Effect>) {
-        self.ticket += 1;
-        let ticket = RequestId(self.ticket);
+        self.request_id += 1;
+        let request_id = RequestId(self.request_id);
         let job = Job {
-            id: format!("id-{}", self.ticket).into(),
+            id: format!("id-{}", self.request_id).into(),
             class,
             tenant: 0,
             slots: 1.0,
             memory: 0.0,
-            key: None,
+            affinity_key: None,
             due: self.now + 15 * SEC,
-            mark: None,
+            durable_request: None,
         };
-        let effects = self.step(Input::Request { ticket, job, tries: None, durable: false });
-        (ticket, effects)
+        let effects =
+            self.step(Input::RequestReceived { request_id, job, previous_attempts: None, durable: false });
+        (request_id, effects)
     }
 
     fn offer(&mut self, rows: &[(&str, Row)]) -> Vec<Effect> {
         let sheet = sheet(rows);
-        self.step(Input::Offered(Offered {
+        self.step(Input::InventoryUpdated(InventoryUpdate {
             sheet: sheet.into(),
-            by: Some(("clubs".into(), 1)),
+            by: Some(InventoryVersion { name: "clubs".into(), number: 1 }),
             forced: false,
         }))
     }
@@ -101,23 +102,32 @@
     /// The worker that an attempt went to, by its address.
     fn sent(effects: &[Effect]) -> Option<(AttemptId, u16)> {
         effects.iter().find_map(|e| match e {
-            Effect::Send { attempt, addr, .. } => Some((*attempt, addr.port())),
+            Effect::SendAttempt { attempt, addr, .. } => Some((*attempt, addr.port())),
             _ => None,
         })
     }
 
     /// An attempt broke after it may have run: where the next one goes, if anywhere.
     fn broke(&mut self, attempt: AttemptId) -> Option<u16> {
-        let how = Handover::Ended(spanlead_balancing_policy::Outcome::Reset, None);
-        let mut effects = self.step(Input::Handover { attempt, how });
+        let result = DispatchResult::Ended(spanlead_balancing_policy::Outcome::Reset, None);
+        let mut effects = self.step(Input::DispatchFinished { attempt, result });
         effects.extend(self.pass(self.now + 500 * MS));
         Self::sent(&effects).map(|(_, port)| port)
     }
 }
 
-fn host(name: &str, port: u16) -> Host {
+fn host(name: &str, port: u16) -> WorkerEndpoint {
     let (name, addr, state) = (Arc::from(name), addr(port), WorkerState::Ready);
-    Host { name, addr, state, started: None, kind: Some(0), zone: Some(0), cell: None, weight: None }
+    WorkerEndpoint {
+        name,
+        addr,
+        state,
+        started: None,
+        kind: Some(0),
+        zone: Some(0),
+        cell: None,
+        weight: None,
+    }
 }
 
 fn sheet(rows: &[(&str, Row)]) -> Sheet {
@@ -146,11 +156,11 @@
 fn followers(world: &mut World, requests: usize) -> BTreeSet<(u16, Option<u16>)> {
     let mut seen = BTreeSet::new();
     for _ in 0..requests {
-        let (ticket, mut effects) = world.request(0);
+        let (request_id, mut effects) = world.request(0);
         effects.extend(world.pass(world.now + 500 * MS));
         let (attempt, first) = World::sent(&effects).expect("sent");
         seen.insert((first, world.broke(attempt)));
-        world.step(Input::ClientLeft { ticket });
+        world.step(Input::ClientDisconnected { request_id });
         world.pass(world.now + 60 * SEC);
     }
     seen
@@ -179,16 +189,16 @@
 fn a_worker_that_is_put_into_another_pod_is_in_none_for_the_window() {
     let mut world = World::new((1..=3).map(|i| host(&format!("w{i}"), i)).collect());
     world.offer(&[("w1", pod("a")), ("w2", pod("a")), ("w3", pod("b"))]);
-    let (ticket, mut effects) = world.request(0);
+    let (request_id, mut effects) = world.request(0);
     effects.extend(world.pass(world.now + 500 * MS));
     let (attempt, first) = World::sent(&effects).expect("sent");
     world.offer(&[("w1", pod("b")), ("w2", pod("b")), ("w3", pod("b"))]);
-    assert_eq!(world.core.figures(world.now, &names().classes).facts.expect("facts").apart, 2);
+    assert_eq!(world.engine.stats(world.now, &names().classes).facts.expect("facts").apart, 2);
     let next = world.broke(attempt);
     assert!(first == 3 || next.is_none(), "{first} ran it, and {next:?} does not drop its repeat");
-    world.step(Input::ClientLeft { ticket });
+    world.step(Input::ClientDisconnected { request_id });
     world.pass(world.now + WINDOW + SEC);
-    assert_eq!(world.core.figures(world.now, &names().classes).facts.expect("facts").apart, 0);
+    assert_eq!(world.engine.stats(world.now, &names().classes).facts.expect("facts").apart, 0);
     assert!(followers(&mut world, 10).iter().any(|(_, next)| next.is_some()), "they are in one pod now");
 }
 
@@ -200,7 +210,7 @@
     let mut world = World::new(vec![known]);
     let other = Row { zone: this("kista".into()), kind: this("slow".into()), weight: this(9.0), ..pod("8") };
     world.offer(&[("w1", other.clone()), ("ghost", other)]);
-    let view = world.core.known_host(world.now, "W1.").expect("listed");
+    let view = world.engine.worker_view(world.now, "W1.").expect("listed");
     let said = |fact: &str| {
         let known = view.facts.iter().find(|k| k.fact.name() == fact).expect("a fact");
         (known.value.clone().unwrap_or_default(), known.from.clone())
@@ -210,14 +220,14 @@
         [said("zone"), said("pod"), said("kind"), said("weight")],
         [list("solna"), list("7"), list("std"), list("1")]
     );
-    assert!(world.core.known_host(world.now, "ghost").is_none());
+    assert!(world.engine.worker_view(world.now, "ghost").is_none());
     for _ in 0..50 {
-        let (ticket, effects) = world.request(0);
+        let (request_id, effects) = world.request(0);
         assert!(World::sent(&effects).is_none_or(|(_, port)| port == 1));
-        world.step(Input::ClientLeft { ticket });
+        world.step(Input::ClientDisconnected { request_id });
     }
     // Gone from the list is gone, whatever the file goes on to say.
-    world.step(Input::List { scope: ListScope::Full, version: 2, hosts: Vec::new() });
+    world.step(Input::EndpointList { scope: ListScope::Full, version: 2, hosts: Vec::new() });
     let (_, mut effects) = world.request(0);
     effects.extend(world.pass(world.now + SEC));
     assert!(World::sent(&effects).is_none());
@@ -225,47 +235,48 @@
 
 #[test]
 fn a_version_that_leaves_a_class_without_a_worker_is_turned_down_unless_forced() {
-    let silent = Host { kind: None, ..host("w1", 1) };
+    let silent = WorkerEndpoint { kind: None, ..host("w1", 1) };
     let mut world = World::new(vec![silent, host("w2", 2)]);
     let slow = Row { kind: this("slow".into()), ..Row::default() };
     world.offer(&[("w1", slow)]);
-    let (ticket, mut effects) = world.request(1);
+    let (request_id, mut effects) = world.request(1);
     effects.extend(world.pass(world.now + 500 * MS));
     assert_eq!(World::sent(&effects).map(|(_, port)| port), Some(1));
-    world.step(Input::ClientLeft { ticket });
+    world.step(Input::ClientDisconnected { request_id });
 
     let std = Row { kind: this("std".into()), ..Row::default() };
     let effects = world.offer(&[("w1", std.clone())]);
     assert!(
-        matches!(&effects[..], [Effect::FactsRefused { why, number: 1, .. }] if why.contains("class settle")),
+        matches!(&effects[..], [Effect::InventoryRejected { reason, version: 1, .. }] if reason.contains("class settle")),
         "{effects:?}"
     );
-    let kind = |world: &World| world.core.known_host(world.now, "w1").expect("listed").facts[2].value.clone();
+    let kind =
+        |world: &World| world.engine.worker_view(world.now, "w1").expect("listed").facts[2].value.clone();
     assert_eq!(kind(&world).as_deref(), Some("slow"), "the one before goes on");
-    let forced = Offered { sheet: sheet(&[("w1", std)]).into(), by: None, forced: true };
-    world.step(Input::Offered(forced));
+    let forced = InventoryUpdate { sheet: sheet(&[("w1", std)]).into(), by: None, forced: true };
+    world.step(Input::InventoryUpdated(forced));
     assert_eq!(kind(&world).as_deref(), Some("std"));
 }
 
 // Guards jobs against large lists: each step takes a bounded part, what drains goes first, and nothing is left out.
 #[test]
 fn a_large_list_is_taken_in_slices_with_what_drains_first() {
-    let all = |state: &dyn Fn(u16) -> WorkerState| -> Vec<Host> {
-        (0..5000).map(|i| Host { state: state(i), ..host(&format!("w{i}"), i) }).collect()
+    let all = |state: &dyn Fn(u16) -> WorkerState| -> Vec<WorkerEndpoint> {
+        (0..5000).map(|i| WorkerEndpoint { state: state(i), ..host(&format!("w{i}"), i) }).collect()
     };
     let mut world = World::new(all(&|_| WorkerState::Ready));
-    assert!(world.core.taking_in(), "the first slice alone was taken");
+    assert!(world.engine.has_pending_list_changes(), "the first slice alone was taken");
     world.pass(world.now + 20 * MS);
-    let members = |world: &World| world.core.figures(world.now, &[]).members;
+    let members = |world: &World| world.engine.stats(world.now, &[]).members;
     assert_eq!(members(&world), 5000);
-    assert!(!world.core.taking_in());
+    assert!(!world.engine.has_pending_list_changes());
 
     // The last hundred of the list drain: known to the module with the first slice, so nothing goes there any more.
     let draining = |i: u16| if i >= 4900 { WorkerState::Draining } else { WorkerState::Ready };
     let mut hosts = all(&draining);
     hosts.iter_mut().for_each(|h| h.weight = Some(0.5));
-    world.step(Input::List { scope: ListScope::Full, version: 2, hosts });
-    assert!(world.core.taking_in());
+    world.step(Input::EndpointList { scope: ListScope::Full, version: 2, hosts });
+    assert!(world.engine.has_pending_list_changes());
     let mut sent = 0;
     for _ in 0..2000 {
         // They stay open: a worker that has just been left would be taken again, being connected.
@@ -277,7 +288,7 @@
     }
     assert!(sent > 1000, "{sent} of 2000 were sent");
     // A whole list that comes in between replaces what was still to be taken of the one before.
-    world.step(Input::List {
+    world.step(Input::EndpointList {
         scope: ListScope::Full,
         version: 3,
         hosts: all(&|_| WorkerState::Ready)[..1000].to_vec(),
@@ -285,10 +296,14 @@
     world.pass(world.now + 20 * MS);
     assert_eq!(members(&world), 1000);
     // So does a change of one host that waits its turn.
-    world.step(Input::List { scope: ListScope::Full, version: 4, hosts: all(&|_| WorkerState::Ready) });
-    let gone = Host { state: WorkerState::Gone, ..host("w4999", 4999) };
-    world.step(Input::List { scope: ListScope::Changes, version: 5, hosts: vec![gone] });
-    let state = world.core.known_host(world.now, "w4999").map(|view| view.state);
+    world.step(Input::EndpointList {
+        scope: ListScope::Full,
+        version: 4,
+        hosts: all(&|_| WorkerState::Ready),
+    });
+    let gone = WorkerEndpoint { state: WorkerState::Gone, ..host("w4999", 4999) };
+    world.step(Input::EndpointList { scope: ListScope::Changes, version: 5, hosts: vec![gone] });
+    let state = world.engine.worker_view(world.now, "w4999").map(|view| view.state);
     assert_eq!(state, Some("gone"), "at once, before what is left of the list");
     world.pass(world.now + 20 * MS);
     assert_eq!(members(&world), 4999);
@@ -303,9 +318,9 @@
     let rows: Vec<(&str, Row)> =
         names.iter().map(|n| (n.as_str(), Row { weight: this(2.0), ..pod("a") })).collect();
     world.offer(&rows);
-    assert!(world.core.taking_in());
+    assert!(world.engine.has_pending_list_changes());
     world.pass(world.now + 20 * MS);
-    let facts = world.core.figures(world.now, &[]).facts.expect("facts");
+    let facts = world.engine.stats(world.now, &[]).facts.expect("facts");
     assert_eq!((facts.matched, facts.pending, facts.hosts), (3000, 0, 3000));
     let (attempt, first) = loop {
         let (_, mut effects) = world.request(0);
--- a/crates/service/net/src/clients.rs
+++ b/crates/service/net/src/clients.rs
@@ -31,7 +31,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::time::{Instant, sleep_until, timeout_at};
-use wire::{Body, CALLBACK, HEALTH, MAX_BODY, Notice, Parcel, Rejected};
+use wire::{Body, CALLBACK, ClientRequest, HEALTH, MAX_BODY, NoticeBody, Rejection};
 
 /// How long a request that is expected or under way may bring nothing, the first on a connection counted from when it was
 /// accepted: that closes those that say nothing or stop half way, and serves those that come slowly, in pieces.
@@ -59,21 +59,21 @@
 const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
 
 /// A request as it goes to the driver.
-pub struct Arrival {
-    pub ticket: RequestId,
+pub struct ReceivedRequest {
+    pub request_id: RequestId,
     pub job: Job,
-    pub parcel: Parcel,
-    pub line: Arc<Line>,
+    pub parcel: ClientRequest,
+    pub connection: Arc<ClientConnection>,
     pub reply: oneshot::Sender<Answer>,
 }
 
 /// What every client connection shares.
-pub struct Front {
+pub struct ClientListener {
     names: watch::Receiver<Arc<Names>>,
     clock: Clock,
     to: UnboundedSender<Message>,
-    tickets: AtomicU64,
-    lines: Mutex<HashMap<u64, Arc<Line>>>,
+    request_ids: AtomicU64,
+    lines: Mutex<HashMap<u64, Arc<ClientConnection>>>,
     /// A connection has ended.
     ended: Notify,
     /// A connection has become idle.
@@ -89,7 +89,7 @@
 }
 
 /// A connection as the others see it.
-pub struct Line {
+pub struct ClientConnection {
     socket: Arc<TcpStream>,
     /// Another process speaks over the socket from now on.
     released: AtomicBool,
@@ -108,7 +108,7 @@
     /// A request has begun to come in.
     begun: Notify,
     /// What its head shows before HTTP has read it.
-    head: Mutex<Head>,
+    head: Mutex<HeadScanner>,
 }
 
 #[derive(Clone, Copy)]
@@ -116,7 +116,7 @@
     /// The first request is expected since then.
     Fresh(Instant),
     /// A request has begun to come in.
-    Reading(Coming),
+    Reading(ReadProgress),
     /// Nothing is under way since then.
     Idle(Instant),
     /// From a request's head to its answer.
@@ -127,22 +127,22 @@
 
 /// A request on its way.
 #[derive(Clone, Copy)]
-struct Coming {
+struct ReadProgress {
     since: Instant,
     /// When the last of it came.
     last: Instant,
 }
 
-impl Coming {
+impl ReadProgress {
     /// When it is given up if no more comes.
     fn end(self) -> Instant {
         (self.last + REQUEST_WAIT).min(self.since + REQUEST_WHOLE)
     }
 }
 
-impl Line {
+impl ClientConnection {
     fn new(socket: TcpStream, adopted: bool) -> Self {
-        Line {
+        ClientConnection {
             socket: Arc::new(socket),
             released: AtomicBool::new(false),
             adopted: AtomicBool::new(adopted),
@@ -222,8 +222,8 @@
 /// A head as it comes in, watched for a Content-Length: hyper hides one that stands beside a Transfer-Encoding, by which
 /// another server would find a second request in the body.
 #[derive(Default)]
-struct Head {
-    /// The name that the present line begins with, as far as it matters.
+struct HeadScanner {
+    /// The name that the present connection begins with, as far as it matters.
     name: Vec<u8>,
     in_value: bool,
     begun: bool,
@@ -231,7 +231,7 @@
     names_length: bool,
 }
 
-impl Head {
+impl HeadScanner {
     fn take(&mut self, bytes: &[u8]) {
         for &byte in bytes {
             match byte {
@@ -255,34 +255,34 @@
     }
 }
 
-/// A line is busy while this lives: from a request's head to its answer.
-struct Busy<'a> {
-    front: &'a Front,
-    line: &'a Arc<Line>,
+/// A connection is busy while this lives: from a request's head to its answer.
+struct RequestGuard<'a> {
+    listener: &'a ClientListener,
+    connection: &'a Arc<ClientConnection>,
     /// When the request began to come in.
     since: Instant,
-    head: Head,
+    head: HeadScanner,
 }
 
-impl<'a> Busy<'a> {
-    fn new(front: &'a Front, line: &'a Arc<Line>) -> Self {
-        let since = match std::mem::replace(&mut *lock(&line.stage), Stage::Busy) {
+impl<'a> RequestGuard<'a> {
+    fn new(listener: &'a ClientListener, connection: &'a Arc<ClientConnection>) -> Self {
+        let since = match std::mem::replace(&mut *lock(&connection.stage), Stage::Busy) {
             Stage::Reading(coming) => coming.since,
             // Its head came together with the end of the request before.
             _ => Instant::now(),
         };
-        Busy { front, line, since, head: std::mem::take(&mut *lock(&line.head)) }
+        RequestGuard { listener, connection, since, head: std::mem::take(&mut *lock(&connection.head)) }
     }
 
     /// Reads the rest of the request, as long as it goes on coming.
-    async fn read(&self, mut body: Incoming) -> Result<Bytes, Rejected> {
-        let too_large = Rejected(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
+    async fn read(&self, mut body: Incoming) -> Result<Bytes, Rejection> {
+        let too_large = Rejection(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
         if hyper::body::Body::size_hint(&body).lower() > MAX_BODY as u64 {
             return Err(too_large);
         }
         let (mut whole, mut last) = (BytesMut::new(), Instant::now());
         loop {
-            match timeout_at(Coming { since: self.since, last }.end(), body.frame()).await {
+            match timeout_at(ReadProgress { since: self.since, last }.end(), body.frame()).await {
                 Ok(Some(Ok(frame))) => {
                     last = Instant::now();
                     whole.extend_from_slice(&frame.into_data().unwrap_or_default());
@@ -291,36 +291,36 @@
                     }
                 }
                 Ok(None) => return Ok(whole.freeze()),
-                Ok(Some(Err(_))) => return Err(Rejected(StatusCode::BAD_REQUEST, "the body broke off")),
-                Err(_) => return Err(Rejected(StatusCode::REQUEST_TIMEOUT, "the body took too long")),
+                Ok(Some(Err(_))) => return Err(Rejection(StatusCode::BAD_REQUEST, "the body broke off")),
+                Err(_) => return Err(Rejection(StatusCode::REQUEST_TIMEOUT, "the body took too long")),
             }
         }
     }
 }
 
-impl Drop for Busy<'_> {
+impl Drop for RequestGuard<'_> {
     fn drop(&mut self) {
-        *lock(&self.line.stage) = Stage::Idle(Instant::now());
-        self.front.idled.notify_one();
+        *lock(&self.connection.stage) = Stage::Idle(Instant::now());
+        self.listener.idled.notify_one();
     }
 }
 
 /// The stream under a connection: it notices when a request begins to come in, and tells HTTP of the end of a connection
 /// that is to end once nothing is left to read. A request that another process had read comes before what the socket brings.
-struct Tap {
+struct ConnectionStream {
     again: Bytes,
-    line: Arc<Line>,
+    connection: Arc<ClientConnection>,
 }
 
-impl Tap {
+impl ConnectionStream {
     fn read(&mut self, cx: &mut Context<'_>, to: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         if !self.again.is_empty() {
             let piece = self.again.split_to(self.again.len().min(to.remaining()));
             to.put_slice(&piece);
             return Poll::Ready(Ok(()));
         }
-        let socket = &self.line.socket;
-        if self.line.ending() && self.line.idle() && ioctl_fionread(socket.as_fd()) == Ok(0) {
+        let socket = &self.connection.socket;
+        if self.connection.ending() && self.connection.idle() && ioctl_fionread(socket.as_fd()) == Ok(0) {
             return Poll::Ready(Ok(()));
         }
         loop {
@@ -337,7 +337,7 @@
     }
 }
 
-impl AsyncRead for Tap {
+impl AsyncRead for ConnectionStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -345,25 +345,27 @@
     ) -> Poll<io::Result<()>> {
         let before = to.filled().len();
         let read = self.read(cx, to);
-        let line = &self.line;
+        let connection = &self.connection;
         if to.filled().len() > before {
-            let mut stage = lock(&line.stage);
+            let mut stage = lock(&connection.stage);
             let last = Instant::now();
             match *stage {
-                Stage::Fresh(_) | Stage::Idle(_) => *stage = Stage::Reading(Coming { since: last, last }),
-                Stage::Reading(coming) => *stage = Stage::Reading(Coming { last, ..coming }),
+                Stage::Fresh(_) | Stage::Idle(_) => {
+                    *stage = Stage::Reading(ReadProgress { since: last, last })
+                }
+                Stage::Reading(coming) => *stage = Stage::Reading(ReadProgress { last, ..coming }),
                 Stage::Busy | Stage::Lingering => return read,
             }
-            lock(&line.head).take(&to.filled()[before..]);
-            line.begun.notify_one();
+            lock(&connection.head).take(&to.filled()[before..]);
+            connection.begun.notify_one();
         }
         read
     }
 }
 
-impl AsyncWrite for Tap {
+impl AsyncWrite for ConnectionStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let socket = &self.line.socket;
+        let socket = &self.connection.socket;
         loop {
             ready!(socket.poll_write_ready(cx))?;
             match socket.try_write(bytes) {
@@ -378,22 +380,22 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(shutdown(self.line.socket.as_fd(), Shutdown::Write)?))
+        Poll::Ready(Ok(shutdown(self.connection.socket.as_fd(), Shutdown::Write)?))
     }
 }
 
 /// Tells the driver if a request's connection ends before its answer came: dropped with the request's future. Of one that
 /// was handed over the reducer knows nothing any more.
-struct Departure<'a> {
-    ticket: RequestId,
+struct DisconnectGuard<'a> {
+    request_id: RequestId,
     to: &'a UnboundedSender<Message>,
     answered: bool,
 }
 
-impl Drop for Departure<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            let _ = self.to.send(Message::Input(Input::ClientLeft { ticket: self.ticket }));
+            let _ = self.to.send(Message::Input(Input::ClientDisconnected { request_id: self.request_id }));
         }
     }
 }
@@ -414,8 +416,8 @@
     TcpListener::from_std(listener)
 }
 
-impl Front {
-    /// A front whose requests go to `to` and that holds at most `budget` connections.
+impl ClientListener {
+    /// A listener whose requests go to `to` and that holds at most `budget` connections.
     pub fn new(
         names: watch::Receiver<Arc<Names>>,
         clock: Clock,
@@ -423,11 +425,11 @@
         budget: usize,
         marks: bool,
     ) -> Self {
-        Front {
+        ClientListener {
             names,
             clock,
             to,
-            tickets: AtomicU64::new(0),
+            request_ids: AtomicU64::new(0),
             lines: Mutex::default(),
             ended: Notify::new(),
             idled: Notify::new(),
@@ -456,14 +458,14 @@
     /// to make room, and accepting would wait for it for ever.
     fn enter(self: &Arc<Self>, stream: TcpStream, again: Bytes) {
         let _ = stream.set_nodelay(true);
-        let number = self.tickets.fetch_add(1, Ordering::Relaxed);
-        let line = Arc::new(Line::new(stream, !again.is_empty()));
-        lock(&self.lines).insert(number, line.clone());
-        let front = self.clone();
+        let number = self.request_ids.fetch_add(1, Ordering::Relaxed);
+        let connection = Arc::new(ClientConnection::new(stream, !again.is_empty()));
+        lock(&self.lines).insert(number, connection.clone());
+        let listener = self.clone();
         tokio::spawn(async move {
-            front.connection(again, &line).await;
-            lock(&front.lines).remove(&number);
-            front.ended.notify_waiters();
+            listener.connection(again, &connection).await;
+            lock(&listener.lines).remove(&number);
+            listener.ended.notify_waiters();
         });
     }
 
@@ -512,13 +514,13 @@
         let now = Instant::now();
         let lines = lock(&self.lines);
         let mut next = now + IDLE;
-        let mut victim: Option<((u8, Instant), &Arc<Line>)> = None;
-        for line in lines.values() {
-            let rank = match line.stage() {
+        let mut victim: Option<((u8, Instant), &Arc<ClientConnection>)> = None;
+        for connection in lines.values() {
+            let rank = match connection.stage() {
                 Stage::Lingering => (0, now),
-                Stage::Idle(since) if line.proven() => (2, since),
-                Stage::Idle(_) | Stage::Fresh(_) | Stage::Reading(_) if !line.proven() => {
-                    let (since, grace) = match line.stage() {
+                Stage::Idle(since) if connection.proven() => (2, since),
+                Stage::Idle(_) | Stage::Fresh(_) | Stage::Reading(_) if !connection.proven() => {
+                    let (since, grace) = match connection.stage() {
                         Stage::Reading(coming) => (coming.last, PIECE_GRACE),
                         Stage::Idle(since) | Stage::Fresh(since) => (since, GRACE),
                         Stage::Busy | Stage::Lingering => continue,
@@ -532,58 +534,59 @@
                 _ => continue,
             };
             if victim.is_none_or(|(best, _)| rank < best) {
-                victim = Some((rank, line));
+                victim = Some((rank, connection));
             }
         }
         let fresh = next < now + IDLE;
-        if let Some(((rank, _), line)) = victim.filter(|((rank, _), _)| *rank < 2 || !fresh) {
-            if rank == 2 { &line.close } else { &line.cut }.notify_one();
+        if let Some(((rank, _), connection)) = victim.filter(|((rank, _), _)| *rank < 2 || !fresh) {
+            if rank == 2 { &connection.close } else { &connection.cut }.notify_one();
         }
         next
     }
 
     /// Serves one connection to its end.
-    async fn connection(&self, again: Bytes, line: &Arc<Line>) {
-        let in_order = self.serve(Tap { again, line: line.clone() }, line).await;
-        *lock(&line.stage) = Stage::Lingering;
+    async fn connection(&self, again: Bytes, connection: &Arc<ClientConnection>) {
+        let in_order =
+            self.serve(ConnectionStream { again, connection: connection.clone() }, connection).await;
+        *lock(&connection.stage) = Stage::Lingering;
         if in_order {
             tokio::select! {
-                () = linger(&line.socket, Instant::now() + LINGER) => {}
-                () = line.cut.notified() => {}
+                () = linger(&connection.socket, Instant::now() + LINGER) => {}
+                () = connection.cut.notified() => {}
             }
         }
     }
 
     /// Speaks HTTP over a connection. Returns whether that came to its end in order, our side of it closed.
-    async fn serve(&self, stream: Tap, line: &Arc<Line>) -> bool {
+    async fn serve(&self, stream: ConnectionStream, connection: &Arc<ClientConnection>) -> bool {
         let service = service_fn(|request| {
-            let busy = Busy::new(self, line);
+            let busy = RequestGuard::new(self, connection);
             async move {
-                // Whatever stands behind a body that names its own end is not read: see `Head`.
+                // Whatever stands behind a body that names its own end is not read: see `HeadScanner`.
                 let chunked = request.headers().contains_key(TRANSFER_ENCODING);
                 let response = self.respond(request, &busy).await;
                 drop(busy);
-                let closing = chunked || self.closing.load(Ordering::Relaxed) || line.ending();
+                let closing = chunked || self.closing.load(Ordering::Relaxed) || connection.ending();
                 Ok::<_, Infallible>(if closing { wire::closing(response) } else { response })
             }
         });
-        let mut connection = pin!(
+        let mut http = pin!(
             http1::Builder::new().max_buf_size(MAX_HEAD).serve_connection(TokioIo::new(stream), service)
         );
         loop {
             tokio::select! {
-                end = connection.as_mut() => {
+                end = http.as_mut() => {
                     if end.is_err_and(|e| e.is_parse()) {
                         bad_input(&self.to, "not HTTP");
                     }
                     return true;
                 }
-                () = line.begun.notified() => {}
+                () = connection.begun.notified() => {}
                 // What has begun to come in is still served; the stream tells HTTP of the end when nothing is left.
-                () = line.close.notified() => line.ending.store(true, Ordering::Relaxed),
-                () = line.cut.notified() => if line.released() || !matches!(line.stage(), Stage::Busy) { return false },
-                () = line.left.notified() => return false,
-                () = sleep_until(line.end()) => if line.end() <= Instant::now() { return false },
+                () = connection.close.notified() => connection.ending.store(true, Ordering::Relaxed),
+                () = connection.cut.notified() => if connection.released() || !matches!(connection.stage(), Stage::Busy) { return false },
+                () = connection.left.notified() => return false,
+                () = sleep_until(connection.end()) => if connection.end() <= Instant::now() { return false },
             }
         }
     }
@@ -606,10 +609,10 @@
 
     // ------------------------------------------------------------ requests
 
-    async fn respond(&self, request: Request<Incoming>, busy: &Busy<'_>) -> Response<Body> {
+    async fn respond(&self, request: Request<Incoming>, busy: &RequestGuard<'_>) -> Response<Body> {
         let chunked = request.headers().contains_key(TRANSFER_ENCODING);
         if chunked && (busy.head.names_length || !busy.head.whole) {
-            return self.reject(Rejected(StatusCode::BAD_REQUEST, "a body's length is told in two ways"));
+            return self.reject(Rejection(StatusCode::BAD_REQUEST, "a body's length is told in two ways"));
         }
         match (request.method(), request.uri().path()) {
             (&Method::GET, HEALTH) => match self.ready.load(Ordering::Relaxed) {
@@ -622,63 +625,71 @@
     }
 
     /// Turns a request down; what is wrong with it is counted.
-    fn reject(&self, rejected: Rejected) -> Response<Body> {
+    fn reject(&self, rejected: Rejection) -> Response<Body> {
         if rejected.0.is_client_error() {
             bad_input(&self.to, rejected.1);
         }
         wire::rejection(rejected)
     }
 
-    async fn notice(&self, request: Request<Incoming>, busy: &Busy<'_>) -> Result<Response<Body>, Rejected> {
+    async fn notice(
+        &self,
+        request: Request<Incoming>,
+        busy: &RequestGuard<'_>,
+    ) -> Result<Response<Body>, Rejection> {
         let body = busy.read(request.into_body()).await?;
-        let Some(notice) = Notice::read(&body) else {
+        let Some(notice) = NoticeBody::read(&body) else {
             bad_input(&self.to, "not a notice");
             return Ok(wire::plain(StatusCode::BAD_REQUEST, "not a notice\n"));
         };
-        busy.line.proven.store(true, Ordering::Relaxed);
+        busy.connection.proven.store(true, Ordering::Relaxed);
         let (heard, word) = oneshot::channel();
         let _ = self.to.send(Message::Notice { notice, body, from: None, heard: Some(heard) });
         // The process that it is for may just have ended; a worker repeats what was not taken.
         match timeout_at(Instant::now() + PASS_WAIT, word).await {
             Ok(Ok(reply)) => Ok(wire::heard(reply)),
-            _ => Err(Rejected(StatusCode::SERVICE_UNAVAILABLE, "nobody has taken this notice")),
+            _ => Err(Rejection(StatusCode::SERVICE_UNAVAILABLE, "nobody has taken this notice")),
         }
     }
 
-    async fn job(&self, request: Request<Incoming>, busy: &Busy<'_>) -> Result<Response<Body>, Rejected> {
+    async fn job(
+        &self,
+        request: Request<Incoming>,
+        busy: &RequestGuard<'_>,
+    ) -> Result<Response<Body>, Rejection> {
         let (head, body) = request.into_parts();
         let arrived = self.clock.now();
         let names = self.names.borrow().clone();
         let class = wire::class(&head, &names)?;
         let mut job = wire::job(&head, class, &names, arrived).inspect_err(|_| {
-            let _ = self.to.send(Message::Input(Input::TurnedAway { class }));
+            let _ = self.to.send(Message::Input(Input::RequestRejected { class }));
         })?;
         let body = busy.read(body).await?;
         // Its time counts from the last byte.
         job.due += self.clock.now() - arrived;
-        busy.line.proven.store(true, Ordering::Relaxed);
-        let adopted = busy.line.adopted.swap(false, Ordering::Relaxed);
-        if !adopted && busy.line.departed().await {
+        busy.connection.proven.store(true, Ordering::Relaxed);
+        let adopted = busy.connection.adopted.swap(false, Ordering::Relaxed);
+        if !adopted && busy.connection.departed().await {
             // Nobody waits for it: it is not taken.
-            let _ = self.to.send(Message::Input(Input::TurnedAway { class }));
-            busy.line.forsake().await
+            let _ = self.to.send(Message::Input(Input::RequestRejected { class }));
+            busy.connection.forsake().await
         }
         let parcel = wire::parcel(head, body);
         if self.marks {
-            job.mark = Some(wire::mark(&parcel).inspect_err(|_| {
-                let _ = self.to.send(Message::Input(Input::TurnedAway { class }));
+            job.durable_request = Some(wire::durable_request(&parcel).inspect_err(|_| {
+                let _ = self.to.send(Message::Input(Input::RequestRejected { class }));
             })?);
         }
-        let ticket = RequestId(self.tickets.fetch_add(1, Ordering::Relaxed));
+        let request_id = RequestId(self.request_ids.fetch_add(1, Ordering::Relaxed));
         let (reply, mut answer) = oneshot::channel();
-        let line = busy.line.clone();
-        let arrival = Arrival { ticket, job, parcel, line, reply };
-        let mut departure = Departure { ticket, to: &self.to, answered: false };
-        let _ = self.to.send(Message::Arrival(arrival));
+        let connection = busy.connection.clone();
+        let received = ReceivedRequest { request_id, job, parcel, connection, reply };
+        let mut departure = DisconnectGuard { request_id, to: &self.to, answered: false };
+        let _ = self.to.send(Message::RequestReceived(received));
         let answer = tokio::select! {
             biased;
             answer = &mut answer => answer.unwrap_or(Answer::Failed),
-            () = busy.line.departure() => busy.line.forsake().await,
+            () = busy.connection.departure() => busy.connection.forsake().await,
         };
         departure.answered = true;
         Ok(wire::answer(answer))
--- a/crates/service/net/src/discovery.rs
+++ b/crates/service/net/src/discovery.rs
@@ -6,7 +6,7 @@
 use hyper::{Request, StatusCode};
 use spanlead_balancing_policy::ListScope;
 use spanlead_deployment_settings::Names;
-use spanlead_engine::{Host, Input};
+use spanlead_engine::{Input, WorkerEndpoint};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,8 +32,8 @@
 /// A longer list is decoded on a thread of its own: jobs must not wait for it.
 const LARGE: usize = 64 << 10;
 
-/// Discovery as one scheduler sees it: where it is, and the version of its list that is held.
-pub struct Discovery {
+/// DiscoveryClient as one scheduler sees it: where it is, and the version of its list that is held.
+pub struct DiscoveryClient {
     pub addr: SocketAddr,
     pub version: u64,
     pub names: watch::Receiver<Arc<Names>>,
@@ -44,7 +44,7 @@
 struct Answer {
     seq: u64,
     whole: bool,
-    hosts: Vec<Host>,
+    hosts: Vec<WorkerEndpoint>,
 }
 
 impl Answer {
@@ -54,7 +54,7 @@
     }
 }
 
-impl Discovery {
+impl DiscoveryClient {
     /// Watches for changes until a call fails, which is told as such: the module decides when to ask again.
     pub async fn watch(mut self) {
         // The first call brings what was missed and does not wait; its answer also tells that the watch stands.
@@ -132,7 +132,7 @@
         answer
     }
 
-    fn tell(&self, scope: ListScope, hosts: Vec<Host>) {
-        let _ = self.to.send(Message::Input(Input::List { scope, version: self.version, hosts }));
+    fn tell(&self, scope: ListScope, hosts: Vec<WorkerEndpoint>) {
+        let _ = self.to.send(Message::Input(Input::EndpointList { scope, version: self.version, hosts }));
     }
 }
--- a/crates/service/net/src/relay.rs
+++ b/crates/service/net/src/handover.rs
@@ -2,7 +2,7 @@
 //! same listening socket, so a worker's notice may reach the one that knows nothing of its job: it is passed on over a
 //! Unix socket, and the worker is answered when the other process has it. What is still open when the old process is to
 //! end goes the same way, with the clients' sockets. The link also tells that the other lives.
-use super::wire::{MAX_BODY, Notice};
+use super::wire::{MAX_BODY, NoticeBody};
 use crate::Message;
 use bytes::{Buf, Bytes, BytesMut};
 use rustix::fs::{Mode, OFlags, open};
@@ -10,7 +10,7 @@
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
 };
-use spanlead_engine::{Reply, Tale};
+use spanlead_engine::{NoticeReply, RequestSnapshot};
 use std::collections::{HashMap, VecDeque};
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -28,22 +28,22 @@
 const LISTEN_AGAIN: Duration = Duration::from_secs(5);
 
 /// What goes to the other process.
-pub enum Passed {
+pub enum Forwarded {
     /// A notice, and who waits to hear that it is there.
-    Notice { body: Bytes, there: oneshot::Sender<Reply> },
+    Notice { body: Bytes, there: oneshot::Sender<NoticeReply> },
     /// An open request: what became of it so far, its text and its client's socket, and who waits to hear likewise.
-    Request { tale: Tale, text: Bytes, socket: OwnedFd, there: oneshot::Sender<Reply> },
+    Request { snapshot: RequestSnapshot, text: Bytes, socket: OwnedFd, there: oneshot::Sender<NoticeReply> },
 }
 
 /// The way to another process of this scheduler.
-pub type Link = UnboundedSender<Passed>;
+pub type ProcessLink = UnboundedSender<Forwarded>;
 
 /// What a link tells the driver.
-pub enum Kin {
+pub enum PeerProcessEvent {
     /// A process has come to take over from this one.
-    Successor(Link),
+    Successor(ProcessLink),
     /// The other end of this link's process has gone.
-    Gone(Link),
+    Gone(ProcessLink),
 }
 
 /// Where the processes of this scheduler find each other.
@@ -53,7 +53,7 @@
 }
 
 /// The link to the process that this one takes over from, if there is one. A socket that was left behind refuses.
-pub async fn predecessor(path: &Path, to: &UnboundedSender<Message>) -> Option<Link> {
+pub async fn predecessor(path: &Path, to: &UnboundedSender<Message>) -> Option<ProcessLink> {
     let (_folder, short) = by_handle(path).ok()?;
     let stream = UnixStream::connect(short).await.ok()?;
     Some(begin(stream, to.clone()))
@@ -77,7 +77,7 @@
         match successor(&path).await {
             Ok(stream) => {
                 let link = begin(stream, to.clone());
-                let _ = to.send(Message::Kin(Kin::Successor(link.clone())));
+                let _ = to.send(Message::PeerProcess(PeerProcessEvent::Successor(link.clone())));
                 link.closed().await;
             }
             Err(error) => {
@@ -100,12 +100,12 @@
     Ok(listener.accept().await?.0)
 }
 
-fn begin(stream: UnixStream, to: UnboundedSender<Message>) -> Link {
+fn begin(stream: UnixStream, to: UnboundedSender<Message>) -> ProcessLink {
     let (link, passed) = unbounded_channel();
     let this = link.clone();
     tokio::spawn(async move {
         let _ = talk(stream, passed, &this, &to).await;
-        let _ = to.send(Message::Kin(Kin::Gone(this)));
+        let _ = to.send(Message::PeerProcess(PeerProcessEvent::Gone(this)));
     });
     link
 }
@@ -113,13 +113,13 @@
 /// What goes over the link, after its number, kind and length.
 enum Frame {
     /// What came under that number has been heard, with what its worker is to be told.
-    There(Reply),
+    There(NoticeReply),
     Notice(Bytes),
     /// What became of a request so far, as a line of JSON, then its text. Its client's socket comes beside it.
     Request(Bytes),
 }
 
-/// The most that a frame holds: a request with a long head and body, and its tale.
+/// The most that a frame holds: a request with a long head and body, and its snapshot.
 const MAX_FRAME: usize = 4 * MAX_BODY;
 const HEAD: usize = 8 + 1 + 4;
 
@@ -127,14 +127,14 @@
     fn encode(&self, number: u64) -> Vec<u8> {
         let lease: [u8; 8];
         let (kind, body): (u8, &[u8]) = match self {
-            Frame::There(Reply::Heard { lease: None }) => (0, &[]),
-            Frame::There(Reply::Heard { lease: Some(span) }) => {
+            Frame::There(NoticeReply::Acknowledged { lease: None }) => (0, &[]),
+            Frame::There(NoticeReply::Acknowledged { lease: Some(span) }) => {
                 lease = span.to_be_bytes();
                 (0, &lease)
             }
             Frame::Notice(body) => (1, body),
             Frame::Request(body) => (2, body),
-            Frame::There(Reply::Fenced) => (3, &[]),
+            Frame::There(NoticeReply::Fenced) => (3, &[]),
         };
         [&number.to_be_bytes()[..], &[kind], &(body.len() as u32).to_be_bytes(), body].concat()
     }
@@ -165,9 +165,9 @@
         match kind {
             0 => {
                 let lease = (body.len() == 8).then(|| (&body[..]).get_u64());
-                Ok((number, Frame::There(Reply::Heard { lease })))
+                Ok((number, Frame::There(NoticeReply::Acknowledged { lease })))
             }
-            3 => Ok((number, Frame::There(Reply::Fenced))),
+            3 => Ok((number, Frame::There(NoticeReply::Fenced))),
             1 => Ok((number, Frame::Notice(body))),
             2 => Ok((number, Frame::Request(body))),
             _ => Err(io::ErrorKind::InvalidData.into()),
@@ -227,8 +227,8 @@
 
 async fn talk(
     stream: UnixStream,
-    mut passed: UnboundedReceiver<Passed>,
-    this: &Link,
+    mut passed: UnboundedReceiver<Forwarded>,
+    this: &ProcessLink,
     to: &UnboundedSender<Message>,
 ) -> io::Result<()> {
     let stream = Arc::new(stream);
@@ -249,7 +249,7 @@
     });
     let _reading = AbortOnDrop(reading.abort_handle());
     let mut last: u64 = 0;
-    let mut waiting: HashMap<u64, oneshot::Sender<Reply>> = HashMap::new();
+    let mut waiting: HashMap<u64, oneshot::Sender<NoticeReply>> = HashMap::new();
     // A notice is there when its consequence is, which a ledger may have to write down first.
     let (heard, mut replies) = unbounded_channel();
     loop {
@@ -260,14 +260,14 @@
             Some(passed) = passed.recv() => {
                 last += 1;
                 let (frame, socket) = match passed {
-                    Passed::Notice { body, there } => {
+                    Forwarded::Notice { body, there } => {
                         waiting.insert(last, there);
                         (Frame::Notice(body), None)
                     }
-                    Passed::Request { tale, text, socket, there } => {
+                    Forwarded::Request { snapshot, text, socket, there } => {
                         waiting.insert(last, there);
-                        let tale = serde_json::to_vec(&tale)?;
-                        (Frame::Request([&tale, &b"\n"[..], &text].concat().into()), Some(socket))
+                        let snapshot = serde_json::to_vec(&snapshot)?;
+                        (Frame::Request([&snapshot, &b"\n"[..], &text].concat().into()), Some(socket))
                     }
                 };
                 write(&stream, &frame.encode(last), socket).await?;
@@ -277,7 +277,7 @@
                     let _ = waiting.remove(&number).map(|there| there.send(reply));
                 }
                 ((number, Frame::Notice(body)), _) => {
-                    if let Some(notice) = Notice::read(&body) {
+                    if let Some(notice) = NoticeBody::read(&body) {
                         let (from, heard, (tell, told)) = (Some(this.clone()), heard.clone(), oneshot::channel());
                         let _ = to.send(Message::Notice { notice, body, from, heard: Some(tell) });
                         tokio::spawn(async move {
@@ -289,11 +289,11 @@
                 }
                 ((number, Frame::Request(mut body)), socket) => {
                     let line = body.iter().position(|b| *b == b'\n').ok_or(io::ErrorKind::InvalidData)?;
-                    let tale = serde_json::from_slice(&body.split_to(line))?;
+                    let snapshot = serde_json::from_slice(&body.split_to(line))?;
                     body.advance(1);
                     let socket = socket.ok_or(io::ErrorKind::InvalidData)?;
-                    let _ = to.send(Message::Adopted { tale, text: body, socket });
-                    let there = Frame::There(Reply::Heard { lease: None });
+                    let _ = to.send(Message::RequestHandedOver { snapshot, text: body, socket });
+                    let there = Frame::There(NoticeReply::Acknowledged { lease: None });
                     write(&stream, &there.encode(number), None).await?;
                 }
             },
--- a/crates/service/net/src/lib.rs
+++ b/crates/service/net/src/lib.rs
@@ -1,14 +1,14 @@
 //! All reading and writing on sockets: clients and workers' notices, workers, discovery, peers, operators and the link to
 //! another process of the same scheduler. What is read goes to the driver as a [`Message`]; nothing is decided here.
 #![allow(missing_docs, reason = "fields and variants that say what they are need no second saying")]
-pub mod caller;
 pub mod clients;
 mod clock;
 pub mod discovery;
+pub mod handover;
 mod message;
 pub mod operator;
 pub mod peers;
-pub mod relay;
+pub mod role_caller;
 pub mod wire;
 pub mod workers;
 
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 /// The slack that the protocol gives each time limit on sockets.
-pub const SLACK: Duration = Duration::from_millis(50);
+pub const SOCKET_SLACK: Duration = Duration::from_millis(50);
 
 /// Locks; the runtime has one thread, so nobody waits, and a panic elsewhere leaves plain data behind.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/service/net/src/message.rs
+++ b/crates/service/net/src/message.rs
@@ -1,9 +1,9 @@
 //! What reaches the driver.
-use crate::clients::Arrival;
-use crate::relay::{Kin, Link};
-use crate::wire::Notice;
+use crate::clients::ReceivedRequest;
+use crate::handover::{PeerProcessEvent, ProcessLink};
+use crate::wire::NoticeBody;
 use bytes::Bytes;
-use spanlead_engine::{Durability, Input, Reply, Tale};
+use spanlead_engine::{DurableSetup, Input, NoticeReply, RequestSnapshot};
 use spanlead_wal::{Progress, Writer};
 use std::os::fd::OwnedFd;
 use tokio::sync::mpsc::UnboundedSender;
@@ -11,29 +11,29 @@
 
 /// What reaches the driver.
 pub enum Message {
-    Arrival(Arrival),
+    RequestReceived(ReceivedRequest),
     /// A worker's notice: its text, the link that it came over, and who waits to hear that it has arrived.
     Notice {
-        notice: Notice,
+        notice: NoticeBody,
         body: Bytes,
-        from: Option<Link>,
-        heard: Option<oneshot::Sender<Reply>>,
+        from: Option<ProcessLink>,
+        heard: Option<oneshot::Sender<NoticeReply>>,
     },
-    Kin(Kin),
+    PeerProcess(PeerProcessEvent),
     /// The predecessor has handed over an open request: what became of it so far, its text and its client's socket.
-    Adopted {
-        tale: Tale,
+    RequestHandedOver {
+        snapshot: RequestSnapshot,
         text: Bytes,
         socket: OwnedFd,
     },
     Input(Input),
     /// The ledger was read, and can be written to; or why not.
-    Ledger(Result<Box<(Durability, Writer)>, String>),
+    DurableJobsOpened(Result<Box<(DurableSetup, Writer)>, String>),
     /// How far the ledger is durable.
-    Progress(Progress),
+    LogProgress(Progress),
 }
 
 /// Has something counted that came in and can't be used, by this reason.
-pub(crate) fn bad_input(to: &UnboundedSender<Message>, why: &'static str) {
-    let _ = to.send(Message::Input(Input::BadInput { why }));
+pub(crate) fn bad_input(to: &UnboundedSender<Message>, reason: &'static str) {
+    let _ = to.send(Message::Input(Input::InvalidInput { reason }));
 }
--- a/crates/service/net/src/operator.rs
+++ b/crates/service/net/src/operator.rs
@@ -1,5 +1,5 @@
 //! The operators' door: one call on each connection, answered within a second whatever else goes on.
-use super::wire::{self, Body, MAX_BODY, OperatorCall, OperatorReply, Rejected};
+use super::wire::{self, Body, MAX_BODY, OperatorCall, OperatorReply, Rejection};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -25,13 +25,13 @@
 const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
 
 /// A call on its way to the driver. Its channel is a way ahead of the inbox, and no longer than [`MAX_CALLS`].
-pub struct Asked {
+pub struct OperatorRequest {
     pub call: OperatorCall,
     pub reply: oneshot::Sender<OperatorReply>,
 }
 
 /// Accepts calls for ever.
-pub async fn listen(listener: TcpListener, to: UnboundedSender<Asked>) {
+pub async fn listen(listener: TcpListener, to: UnboundedSender<OperatorRequest>) {
     let mut calls: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
         match listener.accept().await {
@@ -50,7 +50,7 @@
     }
 }
 
-async fn connection(stream: TcpStream, to: UnboundedSender<Asked>) {
+async fn connection(stream: TcpStream, to: UnboundedSender<OperatorRequest>) {
     let until = Instant::now() + CALL_WAIT;
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| async {
@@ -62,12 +62,15 @@
     let _ = timeout_at(until, http.serve_connection(TokioIo::new(stream), service)).await;
 }
 
-async fn answer(request: Request<Incoming>, to: &UnboundedSender<Asked>) -> Result<Response<Body>, Rejected> {
+async fn answer(
+    request: Request<Incoming>,
+    to: &UnboundedSender<OperatorRequest>,
+) -> Result<Response<Body>, Rejection> {
     let call = wire::operator_call(request.method(), request.uri().path())?;
     // What is left unread would turn the end of the connection into a reset.
     let body = Limited::new(request.into_body(), MAX_BODY).collect().await;
-    body.map_err(|_| Rejected(StatusCode::BAD_REQUEST, "the body is broken or too large"))?;
+    body.map_err(|_| Rejection(StatusCode::BAD_REQUEST, "the body is broken or too large"))?;
     let (reply, replied) = oneshot::channel();
-    let _ = to.send(Asked { call, reply });
+    let _ = to.send(OperatorRequest { call, reply });
     Ok(wire::operator_reply(replied.await.unwrap_or(OperatorReply::No("ending\n"))))
 }
--- a/crates/service/net/src/peers.rs
+++ b/crates/service/net/src/peers.rs
@@ -16,14 +16,14 @@
 const RECEIVE_AGAIN: Duration = Duration::from_millis(20);
 
 /// Where the other schedulers are.
-pub struct Peers {
+pub struct PeerAddresses {
     pub listen: SocketAddr,
     pub each: Vec<SocketAddr>,
     pub all: Option<SocketAddr>,
 }
 
 /// The socket that the schedulers' messages come and go by; dropping it gives the address up.
-pub struct PeerLink {
+pub struct PeerSocket {
     socket: Arc<UdpSocket>,
     receiving: AbortHandle,
     each: Vec<SocketAddr>,
@@ -32,9 +32,9 @@
     strangers: Arc<AtomicU64>,
 }
 
-impl PeerLink {
+impl PeerSocket {
     /// Listens for messages and hands them to the driver.
-    pub fn open(peers: &Peers, to: UnboundedSender<Message>) -> std::io::Result<Self> {
+    pub fn open(peers: &PeerAddresses, to: UnboundedSender<Message>) -> std::io::Result<Self> {
         let socket = std::net::UdpSocket::bind(peers.listen)?;
         socket.set_nonblocking(true)?;
         let socket = Arc::new(UdpSocket::from_std(socket)?);
@@ -55,12 +55,12 @@
                     counted.fetch_add(1, Ordering::Relaxed);
                     continue;
                 };
-                let input = Input::Peer { from: from as u32, data: buffer[..length].to_vec() };
+                let input = Input::PeerMessage { from: from as u32, data: buffer[..length].to_vec() };
                 let _ = to.send(Message::Input(input));
             }
         });
         let receiving = receiving.abort_handle();
-        Ok(PeerLink { socket, receiving, each: peers.each.clone(), all: peers.all, strangers })
+        Ok(PeerSocket { socket, receiving, each: peers.each.clone(), all: peers.all, strangers })
     }
 
     /// How many datagrams were dropped since they came from no peer or were too long.
@@ -77,7 +77,7 @@
     }
 }
 
-impl Drop for PeerLink {
+impl Drop for PeerSocket {
     fn drop(&mut self) {
         self.receiving.abort();
     }
--- a/crates/service/net/src/caller.rs
+++ b/crates/service/net/src/role_caller.rs
@@ -4,7 +4,7 @@
 use hyper::client::conn::http1;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use spanlead_engine::Called;
+use spanlead_engine::RoleCallResult;
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
@@ -15,11 +15,11 @@
 const MAX_BODY: usize = 64 * 1024;
 
 /// Calls; `until` at the latest it has ended.
-pub async fn call(addr: SocketAddr, path: &str, term: u64, until: Instant) -> Called {
-    timeout_at(until, exchange(addr, path, term)).await.ok().flatten().unwrap_or(Called::Failed)
+pub async fn call_role(addr: SocketAddr, path: &str, term: u64, until: Instant) -> RoleCallResult {
+    timeout_at(until, exchange(addr, path, term)).await.ok().flatten().unwrap_or(RoleCallResult::Failed)
 }
 
-async fn exchange(addr: SocketAddr, path: &str, term: u64) -> Option<Called> {
+async fn exchange(addr: SocketAddr, path: &str, term: u64) -> Option<RoleCallResult> {
     let stream = TcpStream::connect(addr).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     // It ends with the sender, when this is over or given up.
@@ -30,8 +30,8 @@
     let status = answer.status();
     let _ = Limited::new(answer.into_body(), MAX_BODY).collect().await;
     Some(match (status, highest) {
-        (status, _) if status.is_success() => Called::Done,
-        (StatusCode::CONFLICT, Some(highest)) => Called::Fenced(highest),
-        _ => Called::Failed,
+        (status, _) if status.is_success() => RoleCallResult::Done,
+        (StatusCode::CONFLICT, Some(highest)) => RoleCallResult::Fenced(highest),
+        _ => RoleCallResult::Failed,
     })
 }
--- a/crates/service/net/src/wire.rs
+++ b/crates/service/net/src/wire.rs
@@ -10,7 +10,9 @@
 use serde::{Deserialize, Serialize};
 use spanlead_balancing_policy::{Nanos, Report, WorkerState};
 use spanlead_deployment_settings::{Figures, Names, Reports, position};
-use spanlead_engine::{Answer, Figures as Shown, Host, Job, Mark, News, Offer, Reply as NoticeReply};
+use spanlead_engine::{
+    Answer, DurableRequest, EngineStats, Job, JobUpdate, LeaseGrant, NoticeReply, WorkerEndpoint,
+};
 use spanlead_worker_attributes::{LiveHost, normal};
 use std::sync::Arc;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
@@ -48,7 +50,7 @@
 
 /// A client's request: what goes on to a worker unchanged, and all that another process must read.
 #[derive(Debug)]
-pub struct Parcel {
+pub struct ClientRequest {
     method: Method,
     uri: Uri,
     headers: HeaderMap,
@@ -57,22 +59,22 @@
 
 /// A request that can't be taken: the answer's status and what is wrong.
 #[derive(Debug)]
-pub struct Rejected(pub StatusCode, pub &'static str);
+pub struct Rejection(pub StatusCode, pub &'static str);
 
-const fn bad(why: &'static str) -> Rejected {
-    Rejected(StatusCode::BAD_REQUEST, why)
+const fn bad(why: &'static str) -> Rejection {
+    Rejection(StatusCode::BAD_REQUEST, why)
 }
 
 /// Reads the class of a job.
-pub fn class(head: &Parts, names: &Names) -> Result<u32, Rejected> {
+pub fn class(head: &Parts, names: &Names) -> Result<u32, Rejection> {
     let class = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or("");
-    names.class(class).ok_or(Rejected(StatusCode::NOT_FOUND, "unknown class"))
+    names.class(class).ok_or(Rejection(StatusCode::NOT_FOUND, "unknown class"))
 }
 
 /// Reads the rest of a job's head; `arrived` is when it came, which turns its span into an instant.
-pub fn job(head: &Parts, class: u32, names: &Names, arrived: Nanos) -> Result<Job, Rejected> {
+pub fn job(head: &Parts, class: u32, names: &Names, arrived: Nanos) -> Result<Job, Rejection> {
     if head.method != Method::POST {
-        return Err(Rejected(StatusCode::METHOD_NOT_ALLOWED, "jobs arrive by POST"));
+        return Err(Rejection(StatusCode::METHOD_NOT_ALLOWED, "jobs arrive by POST"));
     }
     // Sent on, a header that came twice could be read one way here and another way by the worker.
     let once = [&REQ_ID, &REQ_OWNER, &REQ_KEY, &REQ_DEADLINE, &REQ_EXTRA, &IDEMPOTENCY_KEY];
@@ -109,9 +111,9 @@
         tenant,
         slots: figure("slots", 1.0)?,
         memory: figure("memory", 0.0)?,
-        key: head.headers.get(&REQ_KEY).map(|k| xxh3_64(k.as_bytes())),
+        affinity_key: head.headers.get(&REQ_KEY).map(|k| xxh3_64(k.as_bytes())),
         due: arrived + deadline * 1_000_000,
-        mark: None,
+        durable_request: None,
     })
 }
 
@@ -119,7 +121,7 @@
 ///
 /// # Errors
 /// If its key can't be kept.
-pub fn mark(parcel: &Parcel) -> Result<Mark, Rejected> {
+pub fn durable_request(parcel: &ClientRequest) -> Result<DurableRequest, Rejection> {
     let key = match parcel.headers.get(&IDEMPOTENCY_KEY) {
         None => None,
         Some(value) => {
@@ -134,7 +136,7 @@
         digest.update(&(part.len() as u64).to_le_bytes());
         digest.update(part);
     }
-    Ok(Mark { key, fingerprint: digest.digest128().to_le_bytes(), text: stored(parcel) })
+    Ok(DurableRequest { key, fingerprint: digest.digest128().to_le_bytes(), text: stored(parcel) })
 }
 
 /// A request as the ledger keeps it: what a worker will need of it.
@@ -147,7 +149,7 @@
     body: &'a [u8],
 }
 
-fn stored(parcel: &Parcel) -> Bytes {
+fn stored(parcel: &ClientRequest) -> Bytes {
     let kept = [&REQ_ID, &IDEMPOTENCY_KEY, &CONTENT_TYPE].into_iter();
     let headers = kept.filter_map(|n| Some((n.as_str(), parcel.headers.get(n)?.as_bytes()))).collect();
     let (method, uri) = (parcel.method.as_str(), parcel.uri.to_string());
@@ -156,7 +158,7 @@
 }
 
 /// A request that the ledger kept; `None` if it is none.
-pub fn restored(text: &Bytes) -> Option<Parcel> {
+pub fn restored(text: &Bytes) -> Option<ClientRequest> {
     let stored: Stored<'_> = postcard::from_bytes(text).ok()?;
     let mut headers = HeaderMap::new();
     for (name, value) in &stored.headers {
@@ -164,16 +166,16 @@
     }
     let method = Method::from_bytes(stored.method.as_bytes()).ok()?;
     let uri = Uri::try_from(stored.uri).ok()?;
-    Some(Parcel { method, uri, headers, body: text.slice_ref(stored.body) })
+    Some(ClientRequest { method, uri, headers, body: text.slice_ref(stored.body) })
 }
 
 /// Keeps what a worker will need of a request.
-pub fn parcel(head: Parts, body: Bytes) -> Parcel {
-    Parcel { method: head.method, uri: head.uri, headers: head.headers, body }
+pub fn parcel(head: Parts, body: Bytes) -> ClientRequest {
+    ClientRequest { method: head.method, uri: head.uri, headers: head.headers, body }
 }
 
 /// The request as text, as if it came from the client again, the length of its body told in one way.
-pub fn again(parcel: &Parcel) -> Vec<u8> {
+pub fn again(parcel: &ClientRequest) -> Vec<u8> {
     let mut text = format!("{} {} HTTP/1.1\r\n", parcel.method, parcel.uri).into_bytes();
     let framing = [CONTENT_LENGTH, TRANSFER_ENCODING, EXPECT, CONNECTION];
     for (name, value) in parcel.headers.iter().filter(|(name, _)| !framing.contains(name)) {
@@ -188,7 +190,7 @@
 pub fn answer(answer: Answer) -> Response<Body> {
     match answer {
         Answer::Served(result) => plain(StatusCode::OK, result),
-        Answer::Refused { retry_after } => {
+        Answer::Rejected { retry_after } => {
             let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "no room\n");
             let advice = retry_after.map(|span| format!("{:.3}", span as f64 / 1e9));
             if let Some(value) = advice.and_then(|text| HeaderValue::try_from(text).ok()) {
@@ -197,9 +199,11 @@
             response
         }
         Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed\n"),
-        Answer::Unusable => plain(StatusCode::UNPROCESSABLE_ENTITY, "the worker can't use this request\n"),
-        Answer::Duplicate => plain(StatusCode::CONFLICT, "a request with this id is open\n"),
-        Answer::Mismatch => {
+        Answer::Unprocessable => {
+            plain(StatusCode::UNPROCESSABLE_ENTITY, "the worker can't use this request\n")
+        }
+        Answer::DuplicateId => plain(StatusCode::CONFLICT, "a request with this id is open\n"),
+        Answer::KeyMismatch => {
             plain(StatusCode::UNPROCESSABLE_ENTITY, "this Idempotency-Key was used for another request\n")
         }
     }
@@ -213,7 +217,7 @@
 }
 
 /// Turns a request down. What is left of it would be read as the next one, so the connection ends.
-pub fn rejection(Rejected(status, why): Rejected) -> Response<Body> {
+pub fn rejection(Rejection(status, why): Rejection) -> Response<Body> {
     closing(plain(status, format!("{why}\n")))
 }
 
@@ -250,7 +254,7 @@
 pub enum OperatorReply {
     Yes,
     No(&'static str),
-    Figures(Box<Shown>),
+    Figures(Box<EngineStats>),
     /// JSON, already written.
     Json(Vec<u8>),
     /// It can't be done.
@@ -260,7 +264,7 @@
 }
 
 /// Reads an operator's call.
-pub fn operator_call(method: &Method, path: &str) -> Result<OperatorCall, Rejected> {
+pub fn operator_call(method: &Method, path: &str) -> Result<OperatorCall, Rejection> {
     let (wanted, call) = match path {
         "/ops/readiness" => (Method::GET, OperatorCall::Readiness),
         "/ops/stats" => (Method::GET, OperatorCall::Stats),
@@ -279,11 +283,11 @@
                 ["ops", "inventory", name, "accept", digest] => {
                     (Method::POST, OperatorCall::Accept(name.to_owned(), digest.to_owned()))
                 }
-                _ => return Err(Rejected(StatusCode::NOT_FOUND, "no such call")),
+                _ => return Err(Rejection(StatusCode::NOT_FOUND, "no such call")),
             }
         }
     };
-    let other = Rejected(StatusCode::METHOD_NOT_ALLOWED, "this call has another method");
+    let other = Rejection(StatusCode::METHOD_NOT_ALLOWED, "this call has another method");
     (*method == wanted).then_some(call).ok_or(other)
 }
 
@@ -312,7 +316,7 @@
 
 /// A worker's notice of a job.
 #[derive(Debug, Deserialize)]
-pub struct Notice {
+pub struct NoticeBody {
     pub id: String,
     pub from: String,
     state: State,
@@ -336,21 +340,21 @@
     Lost,
 }
 
-impl Notice {
+impl NoticeBody {
     /// Reads the body of a notice.
     pub fn read(body: &[u8]) -> Option<Self> {
         serde_json::from_slice(body).ok()
     }
 
     /// What it says.
-    pub fn news(&mut self) -> News {
+    pub fn news(&mut self) -> JobUpdate {
         match self.state {
-            State::Started => News::Started,
-            State::Running => News::Running(self.share),
-            State::Done => News::Done(std::mem::take(&mut self.result)),
-            State::Failed => News::Failed,
-            State::Returned => News::Returned,
-            State::Lost => News::Lost,
+            State::Started => JobUpdate::Started,
+            State::Running => JobUpdate::Running(self.share),
+            State::Done => JobUpdate::Done(std::mem::take(&mut self.result)),
+            State::Failed => JobUpdate::Failed,
+            State::Returned => JobUpdate::Returned,
+            State::Lost => JobUpdate::Lost,
         }
     }
 }
@@ -358,7 +362,7 @@
 /// The answer to a worker's notice.
 pub fn heard(reply: NoticeReply) -> Response<Body> {
     match reply {
-        NoticeReply::Heard { lease } => {
+        NoticeReply::Acknowledged { lease } => {
             let mut response = plain(StatusCode::OK, "");
             if let Some(span) = lease {
                 response.headers_mut().insert(&LEASE_MS, HeaderValue::from(span / 1_000_000));
@@ -371,7 +375,7 @@
 
 /// What a worker answered: all that matters of it.
 #[derive(Debug)]
-pub struct Reply {
+pub struct WorkerResponse {
     pub status: StatusCode,
     /// The worker says that it goes by the lease.
     pub aware: bool,
@@ -382,11 +386,11 @@
 }
 
 /// Reads a worker's answer.
-pub fn reply(status: StatusCode, headers: &HeaderMap, body: Bytes, reports: Reports) -> Reply {
+pub fn reply(status: StatusCode, headers: &HeaderMap, body: Bytes, reports: Reports) -> WorkerResponse {
     let declined = headers.get(&DECLINED).is_some_and(|v| v == "1");
     let load = text(headers, &LOAD).and_then(load);
     let aware = headers.contains_key(&LEASE_TOKEN);
-    Reply { status, aware, declined, report: load.map(|f| reports.report(f)), body }
+    WorkerResponse { status, aware, declined, report: load.map(|f| reports.report(f)), body }
 }
 
 /// Reads a load report: `TEXT name=value, ...`, or the same as a JSON object.
@@ -403,7 +407,7 @@
 
 /// The request that hands a job to a worker; `left_ms` is how long the scheduler will wait. The lease's length counts from
 /// when the worker has this.
-pub fn handover(parcel: &Parcel, left_ms: u64, lease: Option<Offer>) -> Request<Body> {
+pub fn handover(parcel: &ClientRequest, left_ms: u64, lease: Option<LeaseGrant>) -> Request<Body> {
     let mut request = Request::new(Full::new(parcel.body.clone()));
     *request.method_mut() = parcel.method.clone();
     *request.uri_mut() = parcel.uri.clone();
@@ -415,7 +419,7 @@
         }
     }
     headers.insert(&REQ_DEADLINE, HeaderValue::from(left_ms));
-    if let Some(Offer { token, length }) = lease {
+    if let Some(LeaseGrant { token, length }) = lease {
         headers.insert(&LEASE_TOKEN, HeaderValue::from(token));
         headers.insert(&LEASE_MS, HeaderValue::from(length / 1_000_000));
     }
@@ -471,7 +475,7 @@
     }
 
     /// Its entries; one without a usable address can't be reached and is left out.
-    pub fn hosts(self, names: &Names) -> Vec<Host> {
+    pub fn hosts(self, names: &Names) -> Vec<WorkerEndpoint> {
         // What is named but not known to the settings is told apart from what isn't said.
         let number = |names: &[String], name: Option<String>| {
             let name = name.filter(|n| !n.is_empty())?;
@@ -482,7 +486,7 @@
                 tracing::warn!(worker = %row.host, dial = row.dial, "worker without a usable address");
                 return None;
             };
-            Some(Host {
+            Some(WorkerEndpoint {
                 addr,
                 state: match row.health {
                     Health::Active => WorkerState::Ready,
