--- a/crates/service/net/src/workers.rs
+++ b/crates/service/net/src/workers.rs
@@ -1,6 +1,6 @@
 //! Connections to workers, the pool that keeps them between requests, and what is asked over them.
-use super::wire::{self, Body, Parcel, Reply};
-use super::{Message, SLACK, lock};
+use super::wire::{self, Body, ClientRequest, WorkerResponse};
+use super::{Message, SOCKET_SLACK, lock};
 use crate::message::bad_input;
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -9,7 +9,7 @@
 use hyper_util::rt::TokioIo;
 use spanlead_balancing_policy::{Outcome, Report};
 use spanlead_deployment_settings::Reports;
-use spanlead_engine::{Handover, Offer};
+use spanlead_engine::{DispatchResult, LeaseGrant};
 use std::collections::HashMap;
 use std::error::Error;
 use std::io;
@@ -32,11 +32,11 @@
 /// How long a connection rests before a job goes out on it, or a call that abandons one. Guards them from an answer that comes twice: the second
 /// one, some milliseconds late, would be read as the answer to what is asked next, as a job taken or called off that is not. While nothing
 /// is asked, it ends the connection. Probes don't wait: a figure that is one probe old does no harm.
-const SETTLE: Duration = SLACK;
+const SETTLE: Duration = SOCKET_SLACK;
 
 /// Why an exchange brought no answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fault {
+pub enum ExchangeError {
     /// None of our own descriptors came free: nothing was tried, and it says nothing of the other side.
     NoRoom,
     /// The request's last byte was not written: no worker can have begun it.
@@ -49,20 +49,20 @@
     Overdue,
 }
 
-impl Fault {
+impl ExchangeError {
     /// What the module is told of it.
     fn outcome(self) -> Outcome {
         match self {
-            Fault::NoRoom => Outcome::Moot,
-            Fault::Unsent => Outcome::ConnectFailed,
-            Fault::Broken | Fault::Unreadable(_) => Outcome::Reset,
-            Fault::Overdue => Outcome::Timeout,
+            ExchangeError::NoRoom => Outcome::Moot,
+            ExchangeError::Unsent => Outcome::ConnectFailed,
+            ExchangeError::Broken | ExchangeError::Unreadable(_) => Outcome::Reset,
+            ExchangeError::Overdue => Outcome::Timeout,
         }
     }
 
     /// Has it counted if an answer could not be read.
     pub(crate) fn count(&self, to: &UnboundedSender<Message>) {
-        if let Fault::Unreadable(why) = self {
+        if let ExchangeError::Unreadable(why) = self {
             bad_input(to, why);
         }
     }
@@ -73,7 +73,7 @@
 /// Counts what has left for the other side. Only a request whose last byte was never written is proved not to have
 /// run; what hyper took into its buffers proves nothing.
 #[derive(Default)]
-struct Meter {
+struct WriteMeter {
     /// Bytes of the present request still to be written: its body's, while its head is going out.
     left: AtomicU64,
     /// How much of the blank line that ends the head has been written; 4 is all of it.
@@ -85,7 +85,7 @@
 /// What is to be done when a request's last byte has been written.
 type OnWhole = Box<dyn FnOnce() + Send>;
 
-impl Meter {
+impl WriteMeter {
     fn begin(&self, body: u64) {
         self.left.store(body, Ordering::Relaxed);
         self.head_end.store(0, Ordering::Relaxed);
@@ -122,7 +122,7 @@
 /// with it.
 struct Stream {
     stream: TcpStream,
-    meter: Arc<Meter>,
+    meter: Arc<WriteMeter>,
     _permit: Option<OwnedSemaphorePermit>,
 }
 
@@ -152,7 +152,7 @@
 /// A connection that carries one request at a time. Dropping it closes it, whatever is under way.
 pub struct Connection {
     sender: SendRequest<Body>,
-    meter: Arc<Meter>,
+    meter: Arc<WriteMeter>,
     task: AbortHandle,
 }
 
@@ -167,15 +167,16 @@
     addr: SocketAddr,
     until: Instant,
     permit: Option<OwnedSemaphorePermit>,
-) -> Result<Connection, Fault> {
+) -> Result<Connection, ExchangeError> {
     let stream = match timeout_at(until, TcpStream::connect(addr)).await {
         Ok(Ok(stream)) => stream,
-        _ => return Err(Fault::Unsent),
+        _ => return Err(ExchangeError::Unsent),
     };
     let _ = stream.set_nodelay(true);
-    let meter = Arc::new(Meter::default());
+    let meter = Arc::new(WriteMeter::default());
     let stream = Stream { stream, meter: meter.clone(), _permit: permit };
-    let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(|_| Fault::Unsent)?;
+    let (sender, connection) =
+        http1::handshake(TokioIo::new(stream)).await.map_err(|_| ExchangeError::Unsent)?;
     // Errors reach whoever waits for an answer; between requests they only mean that the connection is gone.
     let task = tokio::spawn(async move { drop(connection.await) }).abort_handle();
     Ok(Connection { sender, meter, task })
@@ -188,35 +189,36 @@
         request: Request<Body>,
         until: Instant,
         max_body: usize,
-    ) -> Result<(StatusCode, HeaderMap, Bytes), Fault> {
+    ) -> Result<(StatusCode, HeaderMap, Bytes), ExchangeError> {
         self.meter.begin(hyper::body::Body::size_hint(request.body()).lower());
         let meter = self.meter.clone();
-        let broken = move |error| if meter.all_written() { after_whole(error) } else { Fault::Unsent };
+        let broken =
+            move |error| if meter.all_written() { after_whole(error) } else { ExchangeError::Unsent };
         let whole = async {
-            self.sender.ready().await.map_err(|_| Fault::Unsent)?;
+            self.sender.ready().await.map_err(|_| ExchangeError::Unsent)?;
             let response = self.sender.send_request(request).await.map_err(|e| broken(e.into()))?;
             let (head, body) = response.into_parts();
             let body = Limited::new(body, max_body).collect().await.map_err(broken)?;
             Ok((head.status, head.headers, body.to_bytes()))
         };
-        timeout_at(until, whole).await.unwrap_or(Err(Fault::Overdue))
+        timeout_at(until, whole).await.unwrap_or(Err(ExchangeError::Overdue))
     }
 }
 
 /// What an error says once the request is whole. An answer that ends before its head does can't be told from none.
-fn after_whole(error: Box<dyn Error + Send + Sync>) -> Fault {
+fn after_whole(error: Box<dyn Error + Send + Sync>) -> ExchangeError {
     if error.is::<LengthLimitError>() {
-        return Fault::Unreadable("answer too long");
+        return ExchangeError::Unreadable("answer too long");
     }
-    let Some(error) = error.downcast_ref::<hyper::Error>() else { return Fault::Broken };
+    let Some(error) = error.downcast_ref::<hyper::Error>() else { return ExchangeError::Broken };
     let source = error.source().and_then(|s| s.downcast_ref::<io::Error>()).map(io::Error::kind);
     match source {
-        _ if error.is_parse() => Fault::Unreadable("answer not HTTP"),
-        Some(io::ErrorKind::UnexpectedEof) => Fault::Unreadable("answer cut short"),
+        _ if error.is_parse() => ExchangeError::Unreadable("answer not HTTP"),
+        Some(io::ErrorKind::UnexpectedEof) => ExchangeError::Unreadable("answer cut short"),
         Some(io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput) => {
-            Fault::Unreadable("answer not HTTP")
+            ExchangeError::Unreadable("answer not HTTP")
         }
-        _ => Fault::Broken,
+        _ => ExchangeError::Broken,
     }
 }
 
@@ -234,17 +236,17 @@
 }
 
 /// The connections to workers: the owner of those that are idle, and of the descriptors for all.
-pub struct Pool {
+pub struct WorkerPool {
     idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
     budget: Arc<Semaphore>,
     size: AtomicUsize,
-    tuning: Mutex<Tuning>,
+    pool_config: Mutex<PoolConfig>,
     to: UnboundedSender<Message>,
 }
 
 /// What of the settings the connections to workers go by.
 #[derive(Clone, Copy)]
-pub struct Tuning {
+pub struct PoolConfig {
     /// How long an idle connection is kept.
     pub keep: Duration,
     /// Jobs, too, go out on connections that are kept.
@@ -254,20 +256,20 @@
     pub reports: Reports,
 }
 
-impl Pool {
+impl WorkerPool {
     /// A pool of at most `budget` connections, which tells `to` of what could not be read.
-    pub fn new(budget: usize, tuning: Tuning, to: UnboundedSender<Message>) -> Self {
+    pub fn new(budget: usize, pool_config: PoolConfig, to: UnboundedSender<Message>) -> Self {
         let (size, budget) = (AtomicUsize::new(budget), Arc::new(Semaphore::new(budget)));
-        Pool { idle: Mutex::default(), budget, size, tuning: Mutex::new(tuning), to }
+        WorkerPool { idle: Mutex::default(), budget, size, pool_config: Mutex::new(pool_config), to }
     }
 
-    fn tuning(&self) -> Tuning {
-        *lock(&self.tuning)
+    fn pool_config(&self) -> PoolConfig {
+        *lock(&self.pool_config)
     }
 
     /// Goes by these from now on.
-    pub fn tune(&self, tuning: Tuning) {
-        *lock(&self.tuning) = tuning;
+    pub fn tune(&self, pool_config: PoolConfig) {
+        *lock(&self.pool_config) = pool_config;
     }
 
     /// Changes how many connections there may be; what is in use above that is given up as it ends.
@@ -287,23 +289,23 @@
     }
 
     /// Hands an attempt to its worker. A reset of a connection that was kept leaves open whether the job has run, so where a
-    /// handshake costs nothing it goes out on one of its own ([`Tuning::reuse`]); probes and calls that abandon a job always use
+    /// handshake costs nothing it goes out on one of its own ([`PoolConfig::reuse`]); probes and calls that abandon a job always use
     /// kept ones.
     ///
     /// `whole` is told when the last byte has been written, also if nobody waits for the answer by then.
-    pub async fn hand_over(
+    pub async fn dispatch(
         &self,
         addr: SocketAddr,
-        parcel: &Parcel,
-        lease: Option<Offer>,
+        parcel: &ClientRequest,
+        lease: Option<LeaseGrant>,
         until: Instant,
         whole: impl FnOnce() + Send + 'static,
-    ) -> Handover {
+    ) -> DispatchResult {
         let left_ms = until.saturating_duration_since(Instant::now()).as_millis() as u64;
         let mut whole: Option<OnWhole> = Some(Box::new(whole));
         let reply = async {
             loop {
-                let kept = if self.tuning().reuse { self.take_idle(addr, SETTLE) } else { None };
+                let kept = if self.pool_config().reuse { self.take_idle(addr, SETTLE) } else { None };
                 let again = kept.is_some();
                 let connection = match kept {
                     Some(connection) => connection,
@@ -314,9 +316,13 @@
                 let request = || Some(wire::handover(parcel, left_ms, lease));
                 match self.call_over(addr, connection, &request, until).await {
                     // A kept one that was closed meanwhile takes less than the whole request: on to the next.
-                    Err(Fault::Unsent) if again => whole = lock(&meter.whole).take(),
+                    Err(ExchangeError::Unsent) if again => whole = lock(&meter.whole).take(),
                     // The others to a worker that broke one off or says nothing are no better.
-                    Err(fault @ (Fault::Broken | Fault::Unreadable(_) | Fault::Overdue)) => {
+                    Err(
+                        fault @ (ExchangeError::Broken
+                        | ExchangeError::Unreadable(_)
+                        | ExchangeError::Overdue),
+                    ) => {
                         self.close_idle(addr);
                         return Err(fault);
                     }
@@ -326,26 +332,28 @@
         };
         match reply.await {
             Ok(reply) => match reply.status {
-                StatusCode::ACCEPTED => Handover::Taken { aware: lease.is_some() && reply.aware },
+                StatusCode::ACCEPTED => {
+                    DispatchResult::Accepted { lease_aware: lease.is_some() && reply.aware }
+                }
                 StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if reply.declined => {
-                    Handover::Ended(Outcome::Full, reply.report)
+                    DispatchResult::Ended(Outcome::Full, reply.report)
                 }
-                status if status.is_client_error() => Handover::Unusable,
-                _ => Handover::Ended(Outcome::Error, reply.report),
+                status if status.is_client_error() => DispatchResult::Unprocessable,
+                _ => DispatchResult::Ended(Outcome::Error, reply.report),
             },
-            Err(fault) => Handover::Ended(fault.outcome(), None),
+            Err(fault) => DispatchResult::Ended(fault.outcome(), None),
         }
     }
 
     /// Tells a worker that a job is not wanted any more, again and again until it knows or `until` has passed.
-    pub async fn abandon(&self, addr: SocketAddr, id: &str, until: Instant) {
+    pub async fn cancel(&self, addr: SocketAddr, id: &str, until: Instant) {
         while Instant::now() < until && self.call(addr, SETTLE, || wire::abandon(id), until).await.is_err() {
             sleep_until(until.min(Instant::now() + ABANDON_AGAIN)).await;
         }
     }
 
     /// Asks a worker for its load.
-    pub async fn probe(&self, addr: SocketAddr, until: Instant) -> (Outcome, Option<Report>) {
+    pub async fn check_health(&self, addr: SocketAddr, until: Instant) -> (Outcome, Option<Report>) {
         match self.call(addr, Duration::ZERO, wire::probe, until).await {
             Ok(reply) => {
                 let text = std::str::from_utf8(&reply.body).unwrap_or("");
@@ -353,7 +361,7 @@
                 if reply.status == StatusCode::OK && figures.is_none() && reply.report.is_none() {
                     bad_input(&self.to, "not a load report");
                 }
-                let report = figures.map(|f| self.tuning().reports.report(f)).or(reply.report);
+                let report = figures.map(|f| self.pool_config().reports.report(f)).or(reply.report);
                 let outcome = match reply.status {
                     StatusCode::OK => Outcome::Ok,
                     StatusCode::SERVICE_UNAVAILABLE => Outcome::Full,
@@ -372,12 +380,12 @@
         rested: Duration,
         request: impl Fn() -> Option<Request<Body>>,
         until: Instant,
-    ) -> Result<Reply, Fault> {
+    ) -> Result<WorkerResponse, ExchangeError> {
         // One that the worker closed just now says so at once, or takes less than the whole request: that can't
         // have begun, so it goes out on the next one.
         while let Some(idle) = self.take_idle(addr, rested) {
             match self.call_over(addr, idle, &request, until).await {
-                Err(Fault::Unsent) => {}
+                Err(ExchangeError::Unsent) => {}
                 other => return other,
             }
         }
@@ -385,8 +393,8 @@
         self.call_over(addr, new, &request, until).await
     }
 
-    async fn connect_anew(&self, addr: SocketAddr, until: Instant) -> Result<Connection, Fault> {
-        let up_by = until.min(Instant::now() + self.tuning().connect_wait);
+    async fn connect_anew(&self, addr: SocketAddr, until: Instant) -> Result<Connection, ExchangeError> {
+        let up_by = until.min(Instant::now() + self.pool_config().connect_wait);
         let permit = self.permit(up_by).await?;
         connect(addr, up_by, Some(permit)).await
     }
@@ -397,21 +405,21 @@
         mut connection: Connection,
         request: &impl Fn() -> Option<Request<Body>>,
         until: Instant,
-    ) -> Result<Reply, Fault> {
-        let request = request().ok_or(Fault::Unsent)?;
+    ) -> Result<WorkerResponse, ExchangeError> {
+        let request = request().ok_or(ExchangeError::Unsent)?;
         let answer = connection.exchange(request, until, wire::MAX_BODY).await;
         let (status, headers, body) = answer.inspect_err(|fault| fault.count(&self.to))?;
         self.put_idle(addr, connection);
-        Ok(wire::reply(status, &headers, body, self.tuning().reports))
+        Ok(wire::reply(status, &headers, body, self.pool_config().reports))
     }
 
     /// A new connection's share of the budget; at the limit, the connection that has been idle longest makes room.
-    async fn permit(&self, until: Instant) -> Result<OwnedSemaphorePermit, Fault> {
+    async fn permit(&self, until: Instant) -> Result<OwnedSemaphorePermit, ExchangeError> {
         if self.budget.available_permits() == 0 {
             self.close_longest_idle();
         }
         let permit = timeout_at(until, self.budget.clone().acquire_owned()).await;
-        permit.ok().and_then(Result::ok).ok_or(Fault::NoRoom)
+        permit.ok().and_then(Result::ok).ok_or(ExchangeError::NoRoom)
     }
 
     fn close_longest_idle(&self) {
@@ -424,7 +432,7 @@
 
     /// Of the connections that have been idle for so long, the one that was used last; those that don't hold any more end here.
     fn take_idle(&self, addr: SocketAddr, rested: Duration) -> Option<Connection> {
-        let keep = self.tuning().keep;
+        let keep = self.pool_config().keep;
         let mut idle = lock(&self.idle);
         let list = idle.get_mut(&addr)?;
         list.retain(|i| i.holds(keep));
@@ -441,7 +449,7 @@
 
     /// Closes what has been idle for too long.
     pub fn sweep(&self) {
-        let keep = self.tuning().keep;
+        let keep = self.pool_config().keep;
         lock(&self.idle).retain(|_, list| {
             list.retain(|i| i.holds(keep));
             !list.is_empty()
--- a/crates/service/spanlead/src/config.rs
+++ b/crates/service/spanlead/src/config.rs
@@ -3,13 +3,13 @@
 use serde_json::Value;
 use spanlead_balancing_policy::{Dispatcher, Nanos};
 use spanlead_deployment_settings::{BadField, Deployment, Options};
-use spanlead_engine::Host;
-use spanlead_net::SLACK;
+use spanlead_engine::WorkerEndpoint;
+use spanlead_net::SOCKET_SLACK;
 use spanlead_net::clients::MAX_HEAD;
 use spanlead_net::operator::MAX_CALLS;
-use spanlead_net::peers::Peers;
+use spanlead_net::peers::PeerAddresses;
 use spanlead_net::wire;
-use spanlead_net::workers::Tuning;
+use spanlead_net::workers::PoolConfig;
 use std::collections::BTreeSet;
 use std::fmt;
 use std::net::SocketAddr;
@@ -43,9 +43,9 @@
     pub shares: Shares,
     /// While another process of this scheduler runs, each keeps to these.
     pub half: Shares,
-    pub peers: Option<Peers>,
+    pub peers: Option<PeerAddresses>,
     pub known_seq: u64,
-    pub known: Vec<Host>,
+    pub known: Vec<WorkerEndpoint>,
     pub deployment: Deployment,
     /// The keys of the file, which a later one may not lack.
     pub keys: Keys,
@@ -227,7 +227,7 @@
             listen_fd: descriptor("ROUTER_LISTEN_FD")?,
             shares: Shares::of(&file.limits, operator.is_some()),
             half: Shares::of(&file.limits.half(), operator.is_some()),
-            peers: peers.map(|listen| Peers { listen, each: file.peers, all: file.peers_all }),
+            peers: peers.map(|listen| PeerAddresses { listen, each: file.peers, all: file.peers_all }),
             known_seq: file.known.seq,
             known: file.known.hosts(&deployment.names),
             deployment,
@@ -303,7 +303,7 @@
     /// Where a handshake has a price, jobs go out on kept connections, and these are kept for half of the time after which the
     /// workers close them. Where it has none, an idle one is kept for the next probe only, and not for long: workers may close
     /// one long before the limit that they state, and what is written to it from then on ends in a reset.
-    pub fn tuning(&self) -> Tuning {
+    pub fn pool_config(&self) -> PoolConfig {
         let settings = &self.deployment.settings;
         let reuse = settings.prices.handshake > 0.0;
         let keep = match (settings.limits.conn_idle, reuse) {
@@ -311,12 +311,12 @@
             (idle, true) => idle / 2,
             (idle, false) => idle / 20,
         };
-        Tuning {
+        PoolConfig {
             keep: Duration::from_nanos(keep),
             reuse,
             // What is decided now is sent when its connection is up, and its worker may be told to drain in between.
             connect_wait: Duration::from_nanos(settings.limits.connect_timeout)
-                .min(Duration::from_nanos(settings.rules.drain_grace).max(SLACK)),
+                .min(Duration::from_nanos(settings.rules.drain_grace).max(SOCKET_SLACK)),
             reports: self.deployment.reports,
         }
     }
--- a/crates/service/spanlead/src/driver.rs
+++ b/crates/service/spanlead/src/driver.rs
@@ -1,8 +1,8 @@
 //! Runs the reducer: one input at a time, then the effects that it asks for, whose results come back as inputs.
 mod durable;
 mod effects;
-mod kin;
 mod operate;
+mod peer_process;
 
 use crate::config::{Config, Keys, Shares};
 use crate::ledger;
@@ -14,16 +14,18 @@
 use spanlead_deployment_settings::{Deployment, Names, Reports};
 use spanlead_durable_jobs::Record;
 use spanlead_engine::{
-    Answer, AttemptId, Core, Durability, Effect, Gate, Handover, Input, Offered, Passage, Reply, Tale, Task,
+    Answer, AttemptId, DispatchResult, DurabilityBarrier, DurableSetup, Effect, Engine, Input,
+    InventoryUpdate, InventoryVersion, NoticeReply, ReleasedEffect, RequestSnapshot, RoleTask,
+    SettingsChange, WorkerNotice,
 };
 use spanlead_inventory::desk::{Desk, News, Status};
-use spanlead_net::clients::{self, Arrival, Front, Line};
-use spanlead_net::discovery::Discovery;
-use spanlead_net::operator::{self, Asked};
-use spanlead_net::peers::{PeerLink, Peers};
-use spanlead_net::relay::{self, Kin, Link, Passed};
-use spanlead_net::wire::{self, Notice, OperatorCall, OperatorReply, Parcel};
-use spanlead_net::workers::Pool;
+use spanlead_net::clients::{self, ClientConnection, ClientListener, ReceivedRequest};
+use spanlead_net::discovery::DiscoveryClient;
+use spanlead_net::handover::{self, Forwarded, PeerProcessEvent, ProcessLink};
+use spanlead_net::operator::{self, OperatorRequest};
+use spanlead_net::peers::{PeerAddresses, PeerSocket};
+use spanlead_net::wire::{self, ClientRequest, NoticeBody, OperatorCall, OperatorReply};
+use spanlead_net::workers::WorkerPool;
 use spanlead_net::{Clock, Message};
 use spanlead_wal::{Progress, Writer};
 use spanlead_worker_attributes::{Report, Vocabulary, reconcile};
@@ -63,48 +65,48 @@
 }
 
 /// A notice, and who waits for what it is answered.
-type Heard = (Notice, Option<oneshot::Sender<Reply>>);
+type Heard = (NoticeBody, Option<oneshot::Sender<NoticeReply>>);
 
 struct Open {
-    line: Arc<Line>,
+    connection: Arc<ClientConnection>,
     reply: oneshot::Sender<Answer>,
-    parcel: Arc<Parcel>,
+    parcel: Arc<ClientRequest>,
 }
 
 struct Driver {
-    core: Core,
+    engine: Engine,
     clock: Clock,
     reports: Reports,
     /// Requests that wait for their answer.
     open: HashMap<RequestId, Open>,
     /// Attempts that are being handed to their workers.
     handovers: HashMap<AttemptId, JoinHandle<()>>,
-    pool: Arc<Pool>,
-    front: Arc<Front>,
+    pool: Arc<WorkerPool>,
+    client_listener: Arc<ClientListener>,
     /// The names in use, for whoever reads messages; and the settings and keys of the file in use.
     names: watch::Sender<Arc<Names>>,
     deployment: Deployment,
     keys: Keys,
     /// The watch of discovery, if one has been begun.
     watch: Option<JoinHandle<()>>,
-    peers: Option<PeerLink>,
+    peers: Option<PeerSocket>,
     /// The peers whose address another process still holds.
-    peers_wanted: Option<Peers>,
+    peers_wanted: Option<PeerAddresses>,
     /// The other processes of this scheduler, while one takes over from another.
-    predecessor: Option<Link>,
-    successor: Option<Link>,
+    predecessor: Option<ProcessLink>,
+    successor: Option<ProcessLink>,
     /// Requests that the predecessor has handed over and that are still to be read here, with the notices for them.
-    adopted: HashMap<Arc<str>, (Tale, Vec<Heard>)>,
+    adopted: HashMap<Arc<str>, (RequestSnapshot, Vec<Heard>)>,
     /// Requests that the successor has, and what would answer them here, which must not be heard of again.
     released: HashMap<Arc<str>, oneshot::Sender<Answer>>,
     /// Those of them that may still be on their way.
-    leaving: Vec<oneshot::Receiver<Reply>>,
+    leaving: Vec<oneshot::Receiver<NoticeReply>>,
     /// The ledger, if one is wanted.
     ledger: Option<Ledger>,
     /// The inventories, if there are any.
     desk: Option<Desk>,
     /// Who waits for the answers to workers' notices.
-    notes: HashMap<u64, oneshot::Sender<Reply>>,
+    notes: HashMap<u64, oneshot::Sender<NoticeReply>>,
     note: u64,
     /// Why this process can't go on.
     broken: Option<String>,
@@ -121,7 +123,7 @@
 struct Ledger {
     stage: Stage,
     store: Option<Writer>,
-    gate: Gate,
+    barrier: DurabilityBarrier,
     /// Something that is seen waits for what was written down last.
     urgent: bool,
     /// What came before the ledger was open.
@@ -141,7 +143,7 @@
 
 /// Serves until told to stop, then until nothing is owed.
 pub async fn serve(config: Config, conf: conf::Conf) -> Result<(), Box<dyn std::error::Error>> {
-    let tuning = config.tuning();
+    let pool_config = config.pool_config();
     let members = match &conf.membership {
         None => None,
         Some(wanted) => {
@@ -160,9 +162,9 @@
     let mut predecessor = None;
     let listener = match config.listen_fd {
         Some(fd) => {
-            let path = relay::path(&config.name);
-            predecessor = relay::predecessor(&path, &to).await;
-            tokio::spawn(relay::listen(path, to.clone()));
+            let path = handover::path(&config.name);
+            predecessor = handover::predecessor(&path, &to).await;
+            tokio::spawn(handover::listen(path, to.clone()));
             clients::inherited(fd).map_err(|e| format!("cannot listen on descriptor {fd}: {e}"))?
         }
         None => {
@@ -181,26 +183,28 @@
     let shares = [config.shares, config.half];
     let share = shares[usize::from(predecessor.is_some())];
     let marks = conf.ledger.is_some();
-    let front = Arc::new(Front::new(names.subscribe(), clock, to.clone(), share.clients, marks));
+    let client_listener =
+        Arc::new(ClientListener::new(names.subscribe(), clock, to.clone(), share.clients, marks));
     if let Some(settings) = conf.ledger {
         ledger::open(settings, clock, predecessor.is_some(), to.clone());
     }
     let desk = (!conf.inventories.is_empty()).then(|| {
         let to = to.clone();
         let tell = move |News { sheet, by, forced }| {
-            let _ = to.send(Message::Input(Input::Offered(Offered { sheet, by, forced })));
+            let by = by.map(|(name, number)| InventoryVersion { name, number });
+            let _ = to.send(Message::Input(Input::InventoryUpdated(InventoryUpdate { sheet, by, forced })));
         };
         Desk::start(conf.inventories, vocabulary(&deployment.names), tell)
     });
     let ledger = marks.then(|| Ledger {
         stage: Stage::Opening,
         store: None,
-        gate: Gate::default(),
+        barrier: DurabilityBarrier::default(),
         urgent: false,
         held_back: Vec::new(),
     });
     let mut driver = Driver {
-        core: Core::new(
+        engine: Engine::new(
             deployment.settings.clone(),
             Arc::new(deployment.names.clone()),
             config.seed,
@@ -212,8 +216,8 @@
         reports: deployment.reports,
         open: HashMap::new(),
         handovers: HashMap::new(),
-        pool: Arc::new(Pool::new(share.workers, tuning, to.clone())),
-        front: front.clone(),
+        pool: Arc::new(WorkerPool::new(share.workers, pool_config, to.clone())),
+        client_listener: client_listener.clone(),
         names,
         deployment,
         keys: config.keys,
@@ -236,11 +240,12 @@
         to,
         effects: Vec::new(),
     };
-    let known = Input::List { scope: ListScope::Cached, version: config.known_seq, hosts: config.known };
+    let known =
+        Input::EndpointList { scope: ListScope::Cached, version: config.known_seq, hosts: config.known };
     driver.open_peers()?;
     if let Some((settings, every, sets)) = members {
         let (me, seed) = (settings.me, settings.seed);
-        driver.step(Input::Join { settings: Box::new(settings), every });
+        driver.step(Input::JoinMembership { settings: Box::new(settings), heartbeat_interval: every });
         if !conf.duties.is_empty() {
             let ms = |d: Duration| d.as_millis() as u64;
             let conf::Leases { lease, clock_bound, patience, .. } = conf.leases;
@@ -252,19 +257,19 @@
                 patience: ms(patience),
                 seed,
             };
-            let tasks = conf.duties.into_iter().map(|d| Task {
+            let tasks = conf.duties.into_iter().map(|d| RoleTask {
                 name: d.name,
                 addr: d.call.0,
                 path: d.call.1.into(),
                 every: d.every.as_nanos() as Nanos,
             });
-            driver.step(Input::Duties { settings, tasks: tasks.collect() });
+            driver.step(Input::SingletonRoles { settings, tasks: tasks.collect() });
         }
     }
     driver.step(known);
     tracing::info!(name = config.name, address = %bound, "listening");
     driver.run(inbox, asked, signals).await;
-    driver.step(Input::Leave);
+    driver.step(Input::LeaveMembership);
     if let Some(why) = driver.broken {
         return Err(why.into());
     }
@@ -293,26 +298,26 @@
     async fn run(
         &mut self,
         mut inbox: UnboundedReceiver<Message>,
-        mut asked: UnboundedReceiver<Asked>,
+        mut asked: UnboundedReceiver<OperatorRequest>,
         mut signals: Signals,
     ) {
         let mut sweep = tokio::time::interval(SWEEP_EVERY);
         let mut stall = tokio::time::interval(STALL_CHECK);
         // It is looked at only while something waits: what was missed till then must not come all at once.
         stall.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let front = self.front.clone();
+        let client_listener = self.client_listener.clone();
         // The last connections close while this goes on: what they still bring is answered.
         let mut closing: Option<Instant> = None;
         loop {
-            let one_ended = front.one_ended();
+            let one_ended = client_listener.one_ended();
             closing = self.finished().then(|| closing.unwrap_or(Instant::now() + LAST_CLOSE));
             if let Some(until) = closing {
-                front.close();
-                if front.empty() || Instant::now() >= until {
+                client_listener.close();
+                if client_listener.empty() || Instant::now() >= until {
                     return;
                 }
             }
-            let timer = self.core.next_timer(self.clock.now()).map(|at| self.clock.instant(at));
+            let timer = self.engine.next_timer(self.clock.now()).map(|at| self.clock.instant(at));
             let far = Instant::now() + SWEEP_EVERY;
             tokio::select! {
                 biased;
@@ -321,7 +326,7 @@
                 _ = signals.interrupt.recv() => self.stop(),
                 _ = signals.hang_up.recv() => self.reload(),
                 _ = sweep.tick() => self.sweep(),
-                _ = stall.tick(), if self.ledger.as_ref().is_some_and(|l| !l.gate.is_empty()) => self.too_late(),
+                _ = stall.tick(), if self.ledger.as_ref().is_some_and(|l| !l.barrier.is_empty()) => self.too_late(),
                 () = sleep_until(timer.unwrap_or(far)) => self.step(Input::Tick),
                 message = inbox.recv() => if let Some(message) = message { self.receive(message) },
                 () = one_ended, if closing.is_some() => {}
@@ -334,28 +339,29 @@
     fn reload(&mut self) {
         match Config::again(&self.keys) {
             Ok(config) => {
-                let (discovery, tuning, mut settings) = (config.discovery, config.tuning(), None);
+                let (discovery, pool_config, mut settings) = (config.discovery, config.pool_config(), None);
                 let mut names = self.names.borrow().clone();
                 self.keys = config.keys;
                 if config.deployment != self.deployment {
                     self.deployment = config.deployment.clone();
                     let (new, like) = config.deployment.after(&self.names.borrow());
-                    settings = Some((Box::new(new.settings), like));
+                    settings =
+                        Some(SettingsChange { settings: Box::new(new.settings), continued_classes: like });
                     self.reports = new.reports;
-                    self.pool.tune(tuning);
+                    self.pool.tune(pool_config);
                     // Who reads by them is heard only after the reducer knows the new numbers.
                     names = Arc::new(new.names);
                     self.names.send_replace(names.clone());
                 }
                 tracing::info!(%discovery, settings = settings.is_some(), "configuration read again");
-                self.step(Input::Reloaded { discovery, settings, names });
+                self.step(Input::ConfigurationReloaded { discovery, settings, names });
                 if let Some(desk) = &self.desk {
                     desk.vocabulary(vocabulary(&self.names.borrow()));
                 }
             }
             Err(error) => {
                 tracing::error!("the new configuration is not used: {error}");
-                self.step(Input::Unreadable);
+                self.step(Input::ReloadFailed);
                 self.desk.iter().for_each(Desk::look);
             }
         }
@@ -367,13 +373,13 @@
         if let Err(error) = self.open_peers() {
             tracing::warn!("{error}");
         }
-        if self.core.finishing(self.clock.now()) && self.successor.is_some() {
-            self.step(Input::HandOver);
+        if self.engine.is_finishing(self.clock.now()) && self.successor.is_some() {
+            self.step(Input::StartHandover);
             self.release_ledger();
         }
         // An idle client would only find out from its next request that nothing new should come here.
-        if self.core.turned_away(self.clock.now()) {
-            self.front.close_idle();
+        if self.engine.is_redirect_grace_over(self.clock.now()) {
+            self.client_listener.close_idle();
         }
     }
 
@@ -384,14 +390,14 @@
             return true;
         }
         self.leaving.retain_mut(|arrived| matches!(arrived.try_recv(), Err(TryRecvError::Empty)));
-        let alone = self.successor.is_none() || self.front.empty() && self.leaving.is_empty();
-        self.core.finished(self.clock.now()) && alone
+        let alone = self.successor.is_none() || self.client_listener.empty() && self.leaving.is_empty();
+        self.engine.is_finished(self.clock.now()) && alone
     }
 
     /// Listens for peers. While another process of this scheduler holds the address, that can wait.
     fn open_peers(&mut self) -> Result<(), String> {
         let Some(peers) = &self.peers_wanted else { return Ok(()) };
-        match PeerLink::open(peers, self.to.clone()) {
+        match PeerSocket::open(peers, self.to.clone()) {
             Ok(link) => (self.peers, self.peers_wanted) = (Some(link), None),
             Err(error) if error.kind() == ErrorKind::AddrInUse && self.predecessor.is_some() => {}
             Err(error) => return Err(format!("cannot listen on {} for peers: {error}", peers.listen)),
@@ -409,54 +415,67 @@
         if self.successor.is_some() {
             (self.peers, self.peers_wanted) = (None, None);
         }
-        self.step(Input::Stop);
+        self.step(Input::Shutdown);
     }
 
     fn receive(&mut self, message: Message) {
         // Before the ledger is read nobody can tell what is new and what is a repeat.
         if let Some(ledger) = self.ledger.as_mut().filter(|l| l.stage == Stage::Opening)
-            && matches!(message, Message::Arrival(_) | Message::Notice { .. } | Message::Adopted { .. })
+            && matches!(
+                message,
+                Message::RequestReceived(_) | Message::Notice { .. } | Message::RequestHandedOver { .. }
+            )
         {
             return ledger.held_back.push(message);
         }
         match message {
-            Message::Ledger(Ok(opened)) => self.opened(*opened),
-            Message::Ledger(Err(why)) => self.broken = Some(why),
-            Message::Progress(progress) => self.progress(progress),
-            Message::Arrival(Arrival { ticket, mut job, parcel, line, reply }) => {
+            Message::DurableJobsOpened(Ok(opened)) => self.opened(*opened),
+            Message::DurableJobsOpened(Err(why)) => self.broken = Some(why),
+            Message::LogProgress(progress) => self.progress(progress),
+            Message::RequestReceived(ReceivedRequest { request_id, mut job, parcel, connection, reply }) => {
                 let adopted = self.adopted.remove(&job.id);
                 // Its client has left while it waited for the ledger to open, and that was told before. What another process had begun
                 // must be ended in order: of one that was adopted the departure is told after this.
                 if adopted.is_none() && reply.is_closed() {
-                    return self.step(Input::TurnedAway { class: job.class });
+                    return self.step(Input::RequestRejected { class: job.class });
                 }
-                self.open.insert(ticket, Open { line, reply, parcel: Arc::new(parcel) });
-                let Some((tale, notices)) = adopted else {
-                    return self.step(Input::Request { ticket, job, tries: None, durable: false });
+                self.open.insert(request_id, Open { connection, reply, parcel: Arc::new(parcel) });
+                let Some((snapshot, notices)) = adopted else {
+                    return self.step(Input::RequestReceived {
+                        request_id,
+                        job,
+                        previous_attempts: None,
+                        durable: false,
+                    });
                 };
-                let Tale { due, tries, durable, .. } = tale;
+                let RequestSnapshot { due, attempts: tries, durable, .. } = snapshot;
                 if !durable {
                     job.due = due;
                 }
-                self.step(Input::Request { ticket, job, tries: Some(tries), durable });
+                self.step(Input::RequestReceived {
+                    request_id,
+                    job,
+                    previous_attempts: Some(tries),
+                    durable,
+                });
                 notices.into_iter().for_each(|(notice, heard)| self.heed(notice, heard));
             }
-            Message::Adopted { tale, text, socket } => {
-                let id = tale.id.clone();
-                self.adopted.insert(id.clone(), (tale, Vec::new()));
-                if let Err(error) = self.front.adopt(socket, text) {
+            Message::RequestHandedOver { snapshot, text, socket } => {
+                let id = snapshot.id.clone();
+                self.adopted.insert(id.clone(), (snapshot, Vec::new()));
+                if let Err(error) = self.client_listener.adopt(socket, text) {
                     tracing::warn!(%error, "a request that was handed over is lost");
                     self.adopted.remove(&id);
                 }
             }
             Message::Notice { notice, body, from, heard } => self.notice(notice, body, from, heard),
-            Message::Kin(kin) => self.kin(kin),
+            Message::PeerProcess(kin) => self.kin(kin),
             Message::Input(input) => {
-                if let Input::Handover { attempt, .. } = &input {
+                if let Input::DispatchFinished { attempt, .. } = &input {
                     self.handovers.remove(attempt);
                 }
-                if let Input::ClientLeft { ticket } = &input {
-                    self.open.remove(ticket);
+                if let Input::ClientDisconnected { request_id } = &input {
+                    self.open.remove(request_id);
                 }
                 self.step(input);
             }
@@ -465,7 +484,7 @@
 
     fn step(&mut self, input: Input) {
         let mut effects = std::mem::take(&mut self.effects);
-        self.core.step(self.clock.now(), input, &mut effects);
+        self.engine.step(self.clock.now(), input, &mut effects);
         for effect in effects.drain(..) {
             self.perform(effect);
         }
@@ -474,15 +493,15 @@
             ledger.urgent = false;
             ledger.store.iter_mut().for_each(Writer::flush);
         }
-        self.front.ready.store(self.core.ready(), Ordering::Relaxed);
-        self.front.closing.store(self.core.closing(), Ordering::Relaxed);
+        self.client_listener.ready.store(self.engine.is_ready(), Ordering::Relaxed);
+        self.client_listener.closing.store(self.engine.is_closing(), Ordering::Relaxed);
         // Beside another that serves, nobody should meet one that can't yet.
         let opening = self.ledger.as_ref().is_some_and(|l| l.stage == Stage::Opening);
         if !opening
-            && (self.predecessor.is_none() || self.core.serves())
+            && (self.predecessor.is_none() || self.engine.is_serving())
             && let Some(listener) = self.listener.take()
         {
-            self.accepting = Some(tokio::spawn(self.front.clone().listen(listener)));
+            self.accepting = Some(tokio::spawn(self.client_listener.clone().listen(listener)));
         }
     }
 }
--- a/crates/service/spanlead/src/driver/durable.rs
+++ b/crates/service/spanlead/src/driver/durable.rs
@@ -2,14 +2,14 @@
 use super::*;
 
 impl Driver {
-    pub(super) fn opened(&mut self, (durability, store): (Durability, Writer)) {
+    pub(super) fn opened(&mut self, (durability, store): (DurableSetup, Writer)) {
         let Some(ledger) = &mut self.ledger else { return };
         (ledger.stage, ledger.store) = (Stage::Open, Some(store));
-        ledger.gate.open(durability.ledger.last());
+        ledger.barrier.open(durability.ledger.last());
         let held_back = std::mem::take(&mut ledger.held_back);
         let figures = durability.ledger.figures();
         tracing::info!(open = figures.open, kept = figures.kept, "the ledger is open");
-        self.step(Input::Opened(Box::new(durability)));
+        self.step(Input::DurableJobsOpened(Box::new(durability)));
         for message in held_back {
             self.receive(message);
         }
@@ -20,13 +20,13 @@
         let Some(store) = ledger.store.as_mut().filter(|_| ledger.stage == Stage::Open) else { return };
         match spanlead_durable_jobs::encode(record) {
             Ok(bytes) => {
-                ledger.gate.record(store.append(bytes.into()));
+                ledger.barrier.record_appended(store.append(bytes.into()));
                 ledger.urgent |= !record.can_wait();
             }
             // Without it what follows would be out of its place.
             Err(error) => {
                 tracing::error!(%error, kind = record.kind(), "a record has no form");
-                let _ = self.to.send(Message::Progress(Progress::Failed));
+                let _ = self.to.send(Message::LogProgress(Progress::Failed));
             }
         }
     }
@@ -35,21 +35,21 @@
     pub(super) fn durably(&mut self, effect: Effect, until: Nanos) {
         let passed = match &mut self.ledger {
             Some(ledger) => {
-                let passed = ledger.gate.pass(effect, until);
+                let passed = ledger.barrier.submit(effect, until);
                 ledger.urgent |= passed.is_none();
                 passed
             }
-            None => Some(Passage::Do(effect)),
+            None => Some(ReleasedEffect::Perform(effect)),
         };
         passed.into_iter().for_each(|passage| self.go_through(passage));
     }
 
-    pub(super) fn go_through(&mut self, passage: Passage) {
+    pub(super) fn go_through(&mut self, passage: ReleasedEffect) {
         match passage {
-            Passage::Do(effect) => self.perform(effect),
-            Passage::Unsent(attempt) => self.never_sent(attempt),
+            ReleasedEffect::Perform(effect) => self.perform(effect),
+            ReleasedEffect::NeverSent(attempt) => self.never_sent(attempt),
             // The worker asks again.
-            Passage::Unheard(note) => drop(self.notes.remove(&note)),
+            ReleasedEffect::Unacknowledged(note) => drop(self.notes.remove(&note)),
         }
     }
 
@@ -57,15 +57,15 @@
         let Some(ledger) = self.ledger.as_mut().filter(|l| l.stage == Stage::Open) else { return };
         match progress {
             Progress::Durable { upto, bytes } => {
-                let passed = ledger.gate.durable(upto);
+                let passed = ledger.barrier.records_durable(upto);
                 passed.into_iter().for_each(|passage| self.go_through(passage));
-                self.step(Input::Stored { bytes });
+                self.step(Input::RecordsDurable { bytes });
             }
             Progress::Failed => {
                 ledger.stage = Stage::Failed;
                 tracing::error!("the ledger has failed: new durable jobs are refused from now on");
-                let passed = ledger.gate.fail();
-                self.step(Input::StoreFailed);
+                let passed = ledger.barrier.fail();
+                self.step(Input::StorageFailed);
                 passed.into_iter().for_each(|passage| self.go_through(passage));
             }
         }
@@ -74,18 +74,18 @@
     /// Gives up what has waited for the disk for too long: clients are answered in time whatever the disk does.
     pub(super) fn too_late(&mut self) {
         let now = self.clock.now();
-        let late = self.ledger.as_mut().map(|l| l.gate.late(now));
+        let late = self.ledger.as_mut().map(|l| l.barrier.expire(now));
         late.into_iter().flatten().for_each(|passage| self.go_through(passage));
     }
 
     /// Leaves the ledger to the successor, when nothing of it is open here any more.
     pub(super) fn release_ledger(&mut self) {
         let Some(ledger) = &mut self.ledger else { return };
-        if ledger.stage == Stage::Open && ledger.gate.is_empty() && self.core.durable_open() == 0 {
+        if ledger.stage == Stage::Open && ledger.barrier.is_empty() && self.engine.open_durable_jobs() == 0 {
             ledger.stage = Stage::Released;
             // Ends it in order, and lets go of the folder.
             ledger.store = None;
-            self.step(Input::Released);
+            self.step(Input::DurableJobsReleased);
             tracing::info!("the ledger is left to the successor");
         }
     }
--- a/crates/service/spanlead/src/driver/effects.rs
+++ b/crates/service/spanlead/src/driver/effects.rs
@@ -6,17 +6,17 @@
     pub(super) fn perform(&mut self, effect: Effect) {
         let (pool, to) = (self.pool.clone(), self.to.clone());
         match effect {
-            Effect::Answer { ticket, answer, job } => {
-                if let Some(open) = self.open.remove(&ticket) {
+            Effect::Answer { request_id, answer, job } => {
+                if let Some(open) = self.open.remove(&request_id) {
                     // A client that has just left needs no answer.
                     let sent = open.reply.send(answer).is_ok();
                     if let Some(job) = job.filter(|_| sent) {
-                        let _ = to.send(Message::Input(Input::Answered { job }));
+                        let _ = to.send(Message::Input(Input::AnswerDelivered { job }));
                     }
                 }
             }
-            Effect::Send { attempt, addr, until, lease, text } => {
-                let parcel = match (self.open.get(&attempt.0), text) {
+            Effect::SendAttempt { attempt, addr, until, lease, text } => {
+                let parcel = match (self.open.get(&attempt.request), text) {
                     (Some(open), _) => open.parcel.clone(),
                     (None, Some(text)) => match wire::restored(&text) {
                         Some(parcel) => Arc::new(parcel),
@@ -27,14 +27,14 @@
                 let until = self.clock.instant(until);
                 let handover = tokio::spawn(async move {
                     let tell = to.clone();
-                    let whole = move || drop(tell.send(Message::Input(Input::Written)));
-                    let how = pool.hand_over(addr, &parcel, lease, until, whole).await;
-                    let _ = to.send(Message::Input(Input::Handover { attempt, how }));
+                    let whole = move || drop(tell.send(Message::Input(Input::AttemptWritten)));
+                    let result = pool.dispatch(addr, &parcel, lease, until, whole).await;
+                    let _ = to.send(Message::Input(Input::DispatchFinished { attempt, result }));
                 });
                 self.handovers.insert(attempt, handover);
             }
-            Effect::Abandon { attempt, addr, id, taken, until } => {
-                if self.ledger.as_mut().is_some_and(|l| l.gate.call_off(attempt)) {
+            Effect::CancelAttempt { attempt, addr, job_id: id, accepted: taken, until } => {
+                if self.ledger.as_mut().is_some_and(|l| l.barrier.cancel(attempt)) {
                     return self.never_sent(attempt);
                 }
                 let until = self.clock.instant(until);
@@ -43,37 +43,37 @@
                     // Its connection closes with it, before the worker has said that it has the job.
                     Some(handover) => {
                         handover.abort();
-                        let _ = to.send(Message::Input(Input::Abandoned { attempt }));
+                        let _ = to.send(Message::Input(Input::AttemptCancelled { attempt }));
                     }
                     // The worker has the job, or its word on that is in the inbox.
                     None => drop(tokio::spawn(async move {
-                        pool.abandon(addr, &id, until).await;
-                        let _ = to.send(Message::Input(Input::Abandoned { attempt }));
+                        pool.cancel(addr, &id, until).await;
+                        let _ = to.send(Message::Input(Input::AttemptCancelled { attempt }));
                     })),
                 }
             }
-            Effect::Probe { worker, addr, until } => {
+            Effect::HealthCheck { worker, addr, until } => {
                 let (sent, until) = (self.clock.now(), self.clock.instant(until));
                 tokio::spawn(async move {
-                    let (outcome, report) = pool.probe(addr, until).await;
-                    let _ = to.send(Message::Input(Input::Probed { worker, sent, outcome, report }));
+                    let (outcome, report) = pool.check_health(addr, until).await;
+                    let _ = to.send(Message::Input(Input::HealthChecked { worker, sent, outcome, report }));
                 });
             }
-            Effect::HandOver { ticket, tale } => self.hand_over(ticket, tale),
-            Effect::CloseIdle { addr } => pool.close_idle(addr),
-            Effect::Tell { peer, data } => {
+            Effect::HandOverRequest { request_id, snapshot } => self.hand_over(request_id, snapshot),
+            Effect::CloseIdleConnections { addr } => pool.close_idle(addr),
+            Effect::SendPeerMessage { peer, data } => {
                 if let Some(peers) = &self.peers {
                     peers.tell(peer, &data);
                 }
             }
-            Effect::Call { duty, term, addr, path, until } => {
+            Effect::CallRole { role: duty, term, addr, path, until } => {
                 let until = self.clock.instant(until);
                 tokio::spawn(async move {
-                    let how = spanlead_net::caller::call(addr, &path, term, until).await;
-                    let _ = to.send(Message::Input(Input::Called { duty, how }));
+                    let how = spanlead_net::role_caller::call_role(addr, &path, term, until).await;
+                    let _ = to.send(Message::Input(Input::RoleCallFinished { role: duty, result: how }));
                 });
             }
-            Effect::DutyChanged { name, change } => {
+            Effect::RoleChanged { name, change } => {
                 let (what, term, why) = match change {
                     Change::Took(term) => ("took", term, None),
                     Change::Lost(term, why) => ("lost", term, Some(why)),
@@ -85,24 +85,24 @@
                 let name = change.name.as_deref().unwrap_or("?");
                 tracing::info!(number, name, from = ?change.from, to = ?change.to, incarnation, view, "member");
             }
-            Effect::Watch { addr, version } => {
+            Effect::WatchEndpoints { addr, version } => {
                 let watch = tokio::spawn(self.discovery(addr, version).watch());
                 // One at a time: the one before, if it still runs, ends here with its connection and is not heard of.
                 self.watch.replace(watch).inspect(JoinHandle::abort);
             }
-            Effect::FetchList { addr } => drop(tokio::spawn(self.discovery(addr, 0).fetch())),
+            Effect::FetchEndpoints { addr } => drop(tokio::spawn(self.discovery(addr, 0).fetch())),
             Effect::Log(text) => tracing::info!("{text}"),
-            Effect::FactsRefused { name, number, why } => {
+            Effect::InventoryRejected { name, version: number, reason: why } => {
                 if let Some(desk) = &self.desk {
                     desk.object(name, number, why);
                 }
             }
-            Effect::Acknowledge { note, reply } => {
+            Effect::Acknowledge { notice: note, reply } => {
                 let _ = self.notes.remove(&note).map(|heard| heard.send(reply));
             }
-            Effect::Record(record) => self.write_down(&record),
-            Effect::Durably { effect, until } => self.durably(*effect, until),
-            Effect::Trim { oldest } => {
+            Effect::AppendRecord(record) => self.write_down(&record),
+            Effect::AfterDurable { effect, until } => self.durably(*effect, until),
+            Effect::TruncateLog { oldest } => {
                 if let Some(store) = self.ledger.as_ref().and_then(|l| l.store.as_ref()) {
                     store.trim(oldest);
                 }
@@ -112,11 +112,11 @@
 
     /// An attempt that was to go out has not.
     pub(super) fn never_sent(&self, attempt: AttemptId) {
-        let how = Handover::Ended(Outcome::Moot, None);
-        let _ = self.to.send(Message::Input(Input::Handover { attempt, how }));
+        let result = DispatchResult::Ended(Outcome::Moot, None);
+        let _ = self.to.send(Message::Input(Input::DispatchFinished { attempt, result }));
     }
 
-    pub(super) fn discovery(&self, addr: SocketAddr, version: u64) -> Discovery {
-        Discovery { addr, version, names: self.names.subscribe(), to: self.to.clone() }
+    pub(super) fn discovery(&self, addr: SocketAddr, version: u64) -> DiscoveryClient {
+        DiscoveryClient { addr, version, names: self.names.subscribe(), to: self.to.clone() }
     }
 }
--- a/crates/service/spanlead/src/driver/operate.rs
+++ b/crates/service/spanlead/src/driver/operate.rs
@@ -3,7 +3,7 @@
 
 impl Driver {
     /// Does what an operator asks.
-    pub(super) fn operate(&mut self, Asked { call, reply }: Asked) {
+    pub(super) fn operate(&mut self, OperatorRequest { call, reply }: OperatorRequest) {
         let call = match (call, &self.desk) {
             (OperatorCall::Inventories | OperatorCall::Accept(..), None) => {
                 let _ = reply.send(OperatorReply::Refused("no inventory is set".into()));
@@ -11,8 +11,8 @@
             }
             // What takes its time is not done where jobs are decided.
             (OperatorCall::Inventories, Some(desk)) => {
-                let (desk, live) = (desk.clone(), self.core.live_hosts());
-                let (sheet, now) = (self.core.sheet().cloned().unwrap_or_default(), self.clock.now());
+                let (desk, live) = (desk.clone(), self.engine.live_hosts());
+                let (sheet, now) = (self.engine.sheet().cloned().unwrap_or_default(), self.clock.now());
                 tokio::task::spawn_blocking(move || {
                     let report = reconcile(&live, &sheet, now / 1_000_000, MAX_FINDINGS);
                     let text = serde_json::to_vec(&Overview { inventories: desk.status(), report });
@@ -37,11 +37,11 @@
         };
         let answer = match call {
             OperatorCall::Inventories | OperatorCall::Accept(..) => OperatorReply::No("ending\n"),
-            OperatorCall::Members => match self.core.members_view() {
+            OperatorCall::Members => match self.engine.members_view() {
                 Some(view) => OperatorReply::Json(serde_json::to_vec(&view).unwrap_or_default()),
                 None => OperatorReply::Missing("membership is not switched on"),
             },
-            OperatorCall::Duties => match self.core.duties_view(self.clock.now()) {
+            OperatorCall::Duties => match self.engine.roles_view(self.clock.now()) {
                 Some(duties) => {
                     let text = serde_json::json!({ "duties": duties }).to_string();
                     OperatorReply::Json(text.into_bytes())
@@ -49,28 +49,28 @@
                 None => OperatorReply::Missing("no duty is set"),
             },
             OperatorCall::ReleaseDuty(name) => {
-                let duties = self.core.duties_view(self.clock.now()).unwrap_or_default();
+                let duties = self.engine.roles_view(self.clock.now()).unwrap_or_default();
                 match duties.iter().find(|d| d.name == name) {
                     None => OperatorReply::Missing("there is no such duty"),
                     Some(duty) if duty.state != "held" => {
                         OperatorReply::Refused(format!("{name} is not held here"))
                     }
                     Some(_) => {
-                        self.step(Input::ReleaseDuty { name });
+                        self.step(Input::ReleaseRole { name });
                         OperatorReply::Yes
                     }
                 }
             }
-            OperatorCall::Host(host) => match self.core.known_host(self.clock.now(), &host) {
+            OperatorCall::Host(host) => match self.engine.worker_view(self.clock.now(), &host) {
                 Some(view) => OperatorReply::Json(serde_json::to_vec(&view).unwrap_or_default()),
                 None => OperatorReply::Refused(format!("the live list has not named {host:?}")),
             },
-            OperatorCall::Readiness if self.core.serves() => OperatorReply::Yes,
+            OperatorCall::Readiness if self.engine.is_serving() => OperatorReply::Yes,
             OperatorCall::Readiness => {
                 OperatorReply::No("no worker is known, the ledger can't be used, or the process is ending\n")
             }
             OperatorCall::Stats => {
-                let mut figures = self.core.figures(self.clock.now(), &self.names.borrow().classes);
+                let mut figures = self.engine.stats(self.clock.now(), &self.names.borrow().classes);
                 let stats = self.ledger.as_ref().and_then(|l| l.store.as_ref()).map(Writer::stats);
                 if let (Some(ledger), Some(stats)) = (&mut figures.ledger, stats) {
                     (ledger.commits, ledger.records) = (stats.commits, stats.records);
@@ -85,7 +85,7 @@
             }
             OperatorCall::Drain(on) => {
                 tracing::info!(on, "an operator's drain");
-                self.step(Input::Drain(on));
+                self.step(Input::SetDraining(on));
                 OperatorReply::Yes
             }
         };
--- a/crates/service/spanlead/src/driver/kin.rs
+++ b/crates/service/spanlead/src/driver/peer_process.rs
@@ -3,10 +3,10 @@
 
 impl Driver {
     /// Another process of this scheduler has come or gone.
-    pub(super) fn kin(&mut self, kin: Kin) {
+    pub(super) fn kin(&mut self, kin: PeerProcessEvent) {
         match kin {
-            Kin::Successor(link) => self.successor = Some(link),
-            Kin::Gone(link) => {
+            PeerProcessEvent::Successor(link) => self.successor = Some(link),
+            PeerProcessEvent::Gone(link) => {
                 for side in [&mut self.predecessor, &mut self.successor] {
                     side.take_if(|l| l.same_channel(&link));
                 }
@@ -15,31 +15,31 @@
         let (predecessor, successor) = (self.predecessor.is_some(), self.successor.is_some());
         tracing::info!(predecessor, successor, "other processes of this scheduler");
         let share = self.shares[usize::from(predecessor || successor)];
-        self.front.set_budget(share.clients);
+        self.client_listener.set_budget(share.clients);
         self.pool.set_budget(share.workers);
-        self.step(Input::Share { open: share.open, successor });
+        self.step(Input::SetCapacity { max_open_requests: share.open, successor });
     }
 
     /// A notice of a job that is not open here is for another process of this scheduler, if there is one.
     pub(super) fn notice(
         &mut self,
-        notice: Notice,
+        notice: NoticeBody,
         body: Bytes,
-        from: Option<Link>,
-        heard: Option<oneshot::Sender<Reply>>,
+        from: Option<ProcessLink>,
+        heard: Option<oneshot::Sender<NoticeReply>>,
     ) {
         let mut passed = Vec::new();
         if let Some((_, notices)) = self.adopted.get_mut(&*notice.id) {
             notices.push((notice, heard));
             return;
         }
-        if !self.core.knows(&notice.id) {
+        if !self.engine.knows_job(&notice.id) {
             // One for a request that was handed over meanwhile goes back, behind it.
             let from = from.filter(|_| !self.released.contains_key(&*notice.id));
             for link in [&self.predecessor, &self.successor].into_iter().flatten() {
                 if from.as_ref().is_none_or(|f| !f.same_channel(link)) {
                     let (there, arrived) = oneshot::channel();
-                    let _ = link.send(Passed::Notice { body: body.clone(), there });
+                    let _ = link.send(Forwarded::Notice { body: body.clone(), there });
                     passed.push(arrived);
                 }
             }
@@ -55,35 +55,42 @@
                 all.push(reply);
             }
             // Whoever holds the lease says so; of one that nobody holds all say the same.
-            let held = all.iter().find(|r| matches!(r, Reply::Heard { lease: Some(_) }));
-            let reply = held.or(all.first()).copied().unwrap_or(Reply::Heard { lease: None });
+            let held = all.iter().find(|r| matches!(r, NoticeReply::Acknowledged { lease: Some(_) }));
+            let reply = held.or(all.first()).copied().unwrap_or(NoticeReply::Acknowledged { lease: None });
             let _ = heard.map(|heard| heard.send(reply));
         });
     }
 
-    pub(super) fn heed(&mut self, mut notice: Notice, heard: Option<oneshot::Sender<Reply>>) {
+    pub(super) fn heed(&mut self, mut notice: NoticeBody, heard: Option<oneshot::Sender<NoticeReply>>) {
         let news = notice.news();
         let report = notice.load.map(|f| self.reports.report(f));
         self.note += 1;
         let note = self.note;
         self.notes.extend(heard.map(|heard| (note, heard)));
-        self.step(Input::News { note, id: notice.id, from: notice.from, token: notice.token, news, report });
+        self.step(Input::WorkerNotice(WorkerNotice {
+            notice: note,
+            job_id: notice.id,
+            worker: notice.from,
+            fencing_token: notice.token,
+            update: news,
+            report,
+        }));
     }
 
     /// Hands an open request to the successor, with its client's socket.
-    pub(super) fn hand_over(&mut self, ticket: RequestId, tale: Tale) {
-        let (Some(Open { line, reply, parcel }), Some(successor)) =
-            (self.open.remove(&ticket), &self.successor)
+    pub(super) fn hand_over(&mut self, request_id: RequestId, snapshot: RequestSnapshot) {
+        let (Some(Open { connection, reply, parcel }), Some(successor)) =
+            (self.open.remove(&request_id), &self.successor)
         else {
             return;
         };
-        let id = tale.id.clone();
-        match line.release() {
+        let id = snapshot.id.clone();
+        match connection.release() {
             Ok(socket) => {
                 let text = wire::again(&parcel).into();
                 let (there, arrived) = oneshot::channel();
                 tracing::info!(%id, "handed over");
-                let _ = successor.send(Passed::Request { tale, text, socket, there });
+                let _ = successor.send(Forwarded::Request { snapshot, text, socket, there });
                 self.leaving.push(arrived);
                 self.released.insert(id, reply);
             }
--- a/crates/service/spanlead/src/ledger.rs
+++ b/crates/service/spanlead/src/ledger.rs
@@ -4,7 +4,7 @@
 use spanlead_balancing_policy::Nanos;
 use spanlead_conf_file as conf;
 use spanlead_durable_jobs::{Job, Key, Ledger, Limits, Record, decode, encode};
-use spanlead_engine::Durability;
+use spanlead_engine::DurableSetup;
 use spanlead_net::{Clock, Message};
 use spanlead_wal::{Disk, Folder, Log, Opened, Options, Reader, Segment, Writer};
 use std::io::Write;
@@ -36,7 +36,7 @@
         let opened = disk.and_then(|disk| read(disk, &settings, clock, to.clone()));
         let folder = settings.folder.display();
         let opened = opened.map(Box::new).map_err(|why| format!("ledger folder {folder}: {why}"));
-        let _ = to.send(Message::Ledger(opened));
+        let _ = to.send(Message::DurableJobsOpened(opened));
     });
 }
 
@@ -56,7 +56,7 @@
     settings: &conf::Ledger,
     clock: Clock,
     to: UnboundedSender<Message>,
-) -> Result<(Durability, Writer), String> {
+) -> Result<(DurableSetup, Writer), String> {
     let begun = Instant::now();
     let mut ledger = Ledger::new(limits(settings));
     let options = Options { segment: settings.segment, sync: settings.sync };
@@ -75,8 +75,8 @@
     }
     tracing::info!(records, bytes, took = ?begun.elapsed(), "the ledger was read");
     let writer =
-        Writer::start(log, settings.gather, move |progress| drop(to.send(Message::Progress(progress))));
-    let durability = Durability {
+        Writer::start(log, settings.gather, move |progress| drop(to.send(Message::LogProgress(progress))));
+    let durability = DurableSetup {
         ledger,
         anchor: clock.anchor(),
         all: settings.durable == conf::Durable::All,
--- a/crates/tools/experiments/src/rival.rs
+++ b/crates/tools/experiments/src/rival.rs
@@ -6,7 +6,9 @@
 use crate::streams::{Concern, Stream};
 use rustc_hash::FxHashMap;
 use spanlead_balancing_policy::{Effect as Repeating, ListScope, Outcome, RequestId, Scope, WorkerState};
-use spanlead_engine::{Answer, AttemptId, Effect, Handover, Host, Input, News};
+use spanlead_engine::{
+    Answer, AttemptId, DispatchResult, Effect, Input, JobUpdate, WorkerEndpoint, WorkerNotice,
+};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -23,7 +25,7 @@
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
 struct Known {
-    host: Host,
+    host: WorkerEndpoint,
     own: f64,
     avoid: Nanos,
 }
@@ -91,59 +93,61 @@
     /// Takes an input.
     pub fn step(&mut self, now: Nanos, input: Input, out: &mut Vec<Effect>) {
         match input {
-            Input::Request { ticket, job, .. } => {
-                self.by_id.insert(job.id.clone(), ticket);
-                self.dues.push(Reverse((job.due, ticket)));
-                self.open
-                    .insert(ticket, Open { id: job.id, class: job.class, due: job.due, tries: Vec::new() });
-                self.next_try(now, ticket, out);
+            Input::RequestReceived { request_id, job, .. } => {
+                self.by_id.insert(job.id.clone(), request_id);
+                self.dues.push(Reverse((job.due, request_id)));
+                self.open.insert(
+                    request_id,
+                    Open { id: job.id, class: job.class, due: job.due, tries: Vec::new() },
+                );
+                self.next_try(now, request_id, out);
             }
-            Input::ClientLeft { ticket } => self.close(ticket, None, out),
-            Input::Handover { attempt, how: Handover::Ended(outcome, _) } => {
+            Input::ClientDisconnected { request_id } => self.close(request_id, None, out),
+            Input::DispatchFinished { attempt, result: DispatchResult::Ended(outcome, _) } => {
                 self.over(now, attempt, outcome, out);
             }
-            Input::News { id, from, news, .. } => {
-                let Some(&ticket) = self.by_id.get(id.as_str()) else { return };
+            Input::WorkerNotice(WorkerNotice { job_id: id, worker: from, update: news, .. }) => {
+                let Some(&request_id) = self.by_id.get(id.as_str()) else { return };
                 let Some(&worker) = self.by_name.get(from.as_str()) else { return };
-                let tries = self.open.get(&ticket).map(|o| &o.tries);
+                let tries = self.open.get(&request_id).map(|o| &o.tries);
                 let Some(number) = tries.and_then(|t| t.iter().rposition(|t| t.out && t.worker == worker))
                 else {
                     return;
                 };
-                let attempt = AttemptId(ticket, number as u32);
+                let attempt = AttemptId { request: request_id, number: number as u32 };
                 match news {
-                    News::Done(result) => {
+                    JobUpdate::Done(result) => {
                         self.release(attempt, true);
                         if self.workers[worker as usize].own <= 0.0 {
                             self.idle.insert(worker, ());
                         }
-                        self.close(ticket, Some(Answer::Served(result)), out);
+                        self.close(request_id, Some(Answer::Served(result)), out);
                     }
-                    News::Failed => self.over(now, attempt, Outcome::Error, out),
-                    News::Returned => self.over(now, attempt, Outcome::Full, out),
-                    News::Lost => self.over(now, attempt, Outcome::Reset, out),
-                    News::Started | News::Running(_) => {}
+                    JobUpdate::Failed => self.over(now, attempt, Outcome::Error, out),
+                    JobUpdate::Returned => self.over(now, attempt, Outcome::Full, out),
+                    JobUpdate::Lost => self.over(now, attempt, Outcome::Reset, out),
+                    JobUpdate::Started | JobUpdate::Running(_) => {}
                 }
             }
-            Input::List { scope, hosts, .. } => self.list(scope, hosts),
+            Input::EndpointList { scope, hosts, .. } => self.list(scope, hosts),
             Input::Tick => {
                 if !self.asked {
                     self.asked = true;
-                    out.push(Effect::Watch { addr: self.discovery, version: 0 });
+                    out.push(Effect::WatchEndpoints { addr: self.discovery, version: 0 });
                 }
-                while let Some(Reverse((at, ticket))) =
+                while let Some(Reverse((at, request_id))) =
                     self.dues.peek().copied().filter(|Reverse((at, _))| *at <= now)
                 {
                     let _ = at;
                     self.dues.pop();
-                    self.close(ticket, Some(Answer::Failed), out);
+                    self.close(request_id, Some(Answer::Failed), out);
                 }
             }
             _ => {}
         }
     }
 
-    fn list(&mut self, scope: ListScope, hosts: Vec<Host>) {
+    fn list(&mut self, scope: ListScope, hosts: Vec<WorkerEndpoint>) {
         if scope == ListScope::Failed {
             self.asked = false;
             return;
@@ -186,14 +190,14 @@
     }
 
     /// The worker that the rule names among those that it looks at.
-    fn choose(&mut self, now: Nanos, ticket: RequestId) -> Option<u32> {
+    fn choose(&mut self, now: Nanos, request_id: RequestId) -> Option<u32> {
         let n = self.ready.len();
         if n == 0 {
             return None;
         }
         let mut rng = std::mem::replace(&mut self.rng, Stream::new(0, Concern::Rivals));
         let (mut turn, mut remembered) = (self.turn, self.remembered);
-        let open = self.open.get(&ticket)?;
+        let open = self.open.get(&request_id)?;
         let own = |w: u32| self.workers[w as usize].own;
         let usable = |w: u32| self.workers[w as usize].avoid <= now && self.allowed(open, w, now);
         let drawn = |rng: &mut Stream, k: usize| -> Vec<u32> {
@@ -257,31 +261,32 @@
         chosen
     }
 
-    fn next_try(&mut self, now: Nanos, ticket: RequestId, out: &mut Vec<Effect>) {
-        let Some(open) = self.open.get(&ticket) else { return };
+    fn next_try(&mut self, now: Nanos, request_id: RequestId, out: &mut Vec<Effect>) {
+        let Some(open) = self.open.get(&request_id) else { return };
         let (due, tries) = (open.due, open.tries.len());
         let ran = open.tries.iter().any(|t| t.may_have_run);
-        let chosen = if tries < ATTEMPTS && now < due { self.choose(now, ticket) } else { None };
+        let chosen = if tries < ATTEMPTS && now < due { self.choose(now, request_id) } else { None };
         let Some(worker) = chosen else {
-            let answer = if ran { Answer::Failed } else { Answer::Refused { retry_after: Some(AVOID) } };
-            return self.close(ticket, Some(answer), out);
+            let answer = if ran { Answer::Failed } else { Answer::Rejected { retry_after: Some(AVOID) } };
+            return self.close(request_id, Some(answer), out);
         };
         let addr = match self.rule {
             PolicyName::Ideal => ANYWHERE,
             _ => self.workers[worker as usize].host.addr,
         };
         self.workers[worker as usize].own += 1.0;
-        let attempt = AttemptId(ticket, tries as u32);
-        if let Some(open) = self.open.get_mut(&ticket) {
+        let attempt = AttemptId { request: request_id, number: tries as u32 };
+        if let Some(open) = self.open.get_mut(&request_id) {
             open.tries.push(Tried { worker, sent: now, out: true, may_have_run: true });
         }
-        out.push(Effect::Send { attempt, addr, until: due, lease: None, text: None });
+        out.push(Effect::SendAttempt { attempt, addr, until: due, lease: None, text: None });
     }
 
     /// For the ideal: the world has chosen.
     pub fn sent_to(&mut self, attempt: AttemptId, name: &str) {
         let Some(&worker) = self.by_name.get(name) else { return };
-        let Some(this) = self.open.get_mut(&attempt.0).and_then(|o| o.tries.get_mut(attempt.1 as usize))
+        let Some(this) =
+            self.open.get_mut(&attempt.request).and_then(|o| o.tries.get_mut(attempt.number as usize))
         else {
             return;
         };
@@ -290,8 +295,8 @@
         self.workers[worker as usize].own += 1.0;
     }
 
-    fn release(&mut self, AttemptId(ticket, number): AttemptId, ran: bool) {
-        let Some(this) = self.open.get_mut(&ticket).and_then(|o| o.tries.get_mut(number as usize)) else {
+    fn release(&mut self, AttemptId { request: request_id, number }: AttemptId, ran: bool) {
+        let Some(this) = self.open.get_mut(&request_id).and_then(|o| o.tries.get_mut(number as usize)) else {
             return;
         };
         if std::mem::take(&mut this.out) {
@@ -301,29 +306,29 @@
     }
 
     fn over(&mut self, now: Nanos, attempt: AttemptId, outcome: Outcome, out: &mut Vec<Effect>) {
-        let Some(open) = self.open.get(&attempt.0) else { return };
-        let Some(this) = open.tries.get(attempt.1 as usize).filter(|t| t.out) else { return };
+        let Some(open) = self.open.get(&attempt.request) else { return };
+        let Some(this) = open.tries.get(attempt.number as usize).filter(|t| t.out) else { return };
         let worker = this.worker;
         self.release(attempt, !outcome.never_ran());
         self.workers[worker as usize].avoid = now + AVOID;
-        self.next_try(now, attempt.0, out);
+        self.next_try(now, attempt.request, out);
     }
 
-    fn close(&mut self, ticket: RequestId, answer: Option<Answer>, out: &mut Vec<Effect>) {
-        let Some(open) = self.open.remove(&ticket) else { return };
+    fn close(&mut self, request_id: RequestId, answer: Option<Answer>, out: &mut Vec<Effect>) {
+        let Some(open) = self.open.remove(&request_id) else { return };
         self.by_id.remove(&open.id);
         for (number, this) in open.tries.iter().enumerate().filter(|(_, t)| t.out) {
             let known = &mut self.workers[this.worker as usize];
             known.own -= 1.0;
-            let attempt = AttemptId(ticket, number as u32);
-            out.push(Effect::Abandon {
+            let attempt = AttemptId { request: request_id, number: number as u32 };
+            out.push(Effect::CancelAttempt {
                 attempt,
                 addr: known.host.addr,
-                id: open.id.clone(),
-                taken: true,
+                job_id: open.id.clone(),
+                accepted: true,
                 until: open.due,
             });
         }
-        out.extend(answer.map(|answer| Effect::Answer { ticket, answer, job: None }));
+        out.extend(answer.map(|answer| Effect::Answer { request_id, answer, job: None }));
     }
 }
--- a/crates/tools/experiments/src/world.rs
+++ b/crates/tools/experiments/src/world.rs
@@ -16,7 +16,9 @@
     Scope, Settings, Tenant, WorkerState,
 };
 use spanlead_deployment_settings::Names;
-use spanlead_engine::{Answer, AttemptId, Core, Effect, Handover, Host, Input, Job, News};
+use spanlead_engine::{
+    Answer, AttemptId, DispatchResult, Effect, Engine, Input, Job, JobUpdate, WorkerEndpoint, WorkerNotice,
+};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -36,7 +38,7 @@
 }
 
 enum Brain {
-    Real(Box<Core>),
+    Real(Box<Engine>),
     Rival(Box<Rival>),
     Dead,
 }
@@ -45,14 +47,14 @@
     brain: Brain,
     /// Counts its processes: what belongs to an earlier one is not heard.
     epoch: u32,
-    /// The job of each open ticket.
+    /// The job of each open request.
     tickets: FxHashMap<RequestId, u32>,
     next_ticket: u64,
     /// When it is ticked next.
     tick_at: Nanos,
     watching: bool,
     version: u64,
-    known: Arc<Vec<Host>>,
+    known: Arc<Vec<WorkerEndpoint>>,
 }
 
 /// What a client wants done.
@@ -63,7 +65,7 @@
     /// Its work, nanoseconds of a core of speed 1.
     work: f64,
     asked: Nanos,
-    /// The try that is out: node, ticket, until when.
+    /// The try that is out: node, request_id, until when.
     out: Option<(u32, RequestId, u32)>,
     /// Attempts at workers that have neither ended nor been called off.
     flying: u8,
@@ -86,7 +88,7 @@
 enum Event {
     Arrive,
     Again(u32),
-    Patience { job: u32, ticket: RequestId, node: u32, epoch: u32 },
+    Patience { job: u32, request_id: RequestId, node: u32, epoch: u32 },
     Tick { node: u32, epoch: u32 },
     Node { node: u32, epoch: u32, input: Box<Input> },
     AtWorker(u64),
@@ -146,7 +148,7 @@
     settings: Settings,
     worker_names: Vec<Arc<str>>,
     /// What discovery says of each worker, and its version's log.
-    listed: Vec<Host>,
+    listed: Vec<WorkerEndpoint>,
     log: Vec<(u64, u32)>,
     discovery_busy: Nanos,
     blind: bool,
@@ -190,7 +192,7 @@
         let worker_names: Vec<Arc<str>> = (0..f.workers)
             .map(|i| Arc::from(format!("w{i:05}-{:04x}", (i.wrapping_mul(40_503)) & 0xffff)))
             .collect();
-        let host = |i: u32| Host {
+        let host = |i: u32| WorkerEndpoint {
             name: worker_names[i as usize].clone(),
             addr: address(i),
             state: WorkerState::Ready,
@@ -201,7 +203,7 @@
             cell: Some((i / f.zones / f.pod) * f.zones + i % f.zones),
             weight: Some(workers[i as usize].make.speed / mean_speed),
         };
-        let listed: Vec<Host> = (0..f.workers).map(host).collect();
+        let listed: Vec<WorkerEndpoint> = (0..f.workers).map(host).collect();
         let capacity: f64 =
             workers.iter().map(|w| f64::from(w.make.cores.min(w.make.slots)) * w.make.speed).sum();
         let all: f64 = spec.classes.iter().map(|c| c.share).sum();
@@ -279,9 +281,15 @@
                 let mut settings = self.settings.clone();
                 settings.me = number as u32;
                 settings.zone = number as u32 % self.spec.fleet.zones;
-                let core =
-                    Core::new(settings, self.names.clone(), own, 100_000, ([127, 0, 0, 1], 9).into(), false);
-                core.map_or(Brain::Dead, |core| Brain::Real(Box::new(core)))
+                let engine = Engine::new(
+                    settings,
+                    self.names.clone(),
+                    own,
+                    100_000,
+                    ([127, 0, 0, 1], 9).into(),
+                    false,
+                );
+                engine.map_or(Brain::Dead, |engine| Brain::Real(Box::new(engine)))
             }
             rule => {
                 let effects = self.settings.classes.iter().map(|c| c.effect).collect();
@@ -325,7 +333,7 @@
     fn introduce(&mut self, node: u32) {
         let hosts = self.nodes[node as usize].known.to_vec();
         let version = self.nodes[node as usize].version;
-        self.tell(node, Input::List { scope: ListScope::Cached, version, hosts });
+        self.tell(node, Input::EndpointList { scope: ListScope::Cached, version, hosts });
         self.tell(node, Input::Tick);
     }
 
@@ -347,7 +355,7 @@
         match event {
             Event::Arrive => self.arrive(),
             Event::Again(job) => self.bring(job),
-            Event::Patience { job, ticket, node, epoch } => self.patience(job, ticket, node, epoch),
+            Event::Patience { job, request_id, node, epoch } => self.patience(job, request_id, node, epoch),
             Event::Tick { node, epoch } => {
                 let n = &mut self.nodes[node as usize];
                 if n.epoch == epoch && n.tick_at <= self.now {
@@ -357,7 +365,7 @@
             }
             Event::Node { node, epoch, input } => {
                 if self.nodes[node as usize].epoch == epoch {
-                    if let Input::List { scope, version, .. } = &*input {
+                    if let Input::EndpointList { scope, version, .. } = &*input {
                         let n = &mut self.nodes[node as usize];
                         n.watching = *scope != ListScope::Failed;
                         n.version = n.version.max(*version);
@@ -451,10 +459,10 @@
         }
         let n = &mut self.nodes[node as usize];
         n.next_ticket += 1;
-        let ticket = RequestId(n.next_ticket);
+        let request_id = RequestId(n.next_ticket);
         let epoch = n.epoch;
-        n.tickets.insert(ticket, job);
-        self.jobs[job as usize].out = Some((node, ticket, epoch));
+        n.tickets.insert(request_id, job);
+        self.jobs[job as usize].out = Some((node, request_id, epoch));
         let due = now + ns(self.spec.classes[class as usize].deadline_s * 1000.0);
         let job_input = Job {
             id: Arc::from(format!("{job}-{tries}-{node}")),
@@ -462,22 +470,25 @@
             tenant: 0,
             slots: 1.0,
             memory: 0.0,
-            key: None,
+            affinity_key: None,
             due,
-            mark: None,
+            durable_request: None,
         };
-        self.after(due - now, Event::Patience { job, ticket, node, epoch });
-        self.tell(node, Input::Request { ticket, job: job_input, tries: None, durable: false });
+        self.after(due - now, Event::Patience { job, request_id, node, epoch });
+        self.tell(
+            node,
+            Input::RequestReceived { request_id, job: job_input, previous_attempts: None, durable: false },
+        );
     }
 
-    fn patience(&mut self, job: u32, ticket: RequestId, node: u32, epoch: u32) {
-        if self.jobs[job as usize].out != Some((node, ticket, epoch)) {
+    fn patience(&mut self, job: u32, request_id: RequestId, node: u32, epoch: u32) {
+        if self.jobs[job as usize].out != Some((node, request_id, epoch)) {
             return;
         }
         self.jobs[job as usize].out = None;
         if self.nodes[node as usize].epoch == epoch {
-            self.nodes[node as usize].tickets.remove(&ticket);
-            self.tell(node, Input::ClientLeft { ticket });
+            self.nodes[node as usize].tickets.remove(&request_id);
+            self.tell(node, Input::ClientDisconnected { request_id });
         }
         self.came_back(job, End::Left, None);
     }
@@ -537,9 +548,9 @@
         let mut effects = std::mem::take(&mut self.effects);
         let n = &mut self.nodes[node as usize];
         let next = match &mut n.brain {
-            Brain::Real(core) => {
-                core.step(now, input, &mut effects);
-                core.next_timer(now)
+            Brain::Real(engine) => {
+                engine.step(now, input, &mut effects);
+                engine.next_timer(now)
             }
             Brain::Rival(rival) => {
                 rival.step(now, input, &mut effects);
@@ -564,20 +575,20 @@
 
     fn perform(&mut self, node: u32, epoch: u32, effect: Effect) {
         match effect {
-            Effect::Answer { ticket, answer, .. } => {
-                let Some(job) = self.nodes[node as usize].tickets.remove(&ticket) else { return };
-                if self.jobs[job as usize].out != Some((node, ticket, epoch)) {
+            Effect::Answer { request_id, answer, .. } => {
+                let Some(job) = self.nodes[node as usize].tickets.remove(&request_id) else { return };
+                if self.jobs[job as usize].out != Some((node, request_id, epoch)) {
                     return;
                 }
                 self.jobs[job as usize].out = None;
                 match answer {
                     Answer::Served(_) => self.over(job, End::Served),
-                    Answer::Refused { retry_after } => self.came_back(job, End::Refused, retry_after),
+                    Answer::Rejected { retry_after } => self.came_back(job, End::Refused, retry_after),
                     _ => self.came_back(job, End::Failed, None),
                 }
             }
-            Effect::Send { attempt, addr, .. } => self.send(node, epoch, attempt, addr),
-            Effect::Abandon { attempt, until, .. } => {
+            Effect::SendAttempt { attempt, addr, .. } => self.send(node, epoch, attempt, addr),
+            Effect::CancelAttempt { attempt, until, .. } => {
                 match self.by_attempt.get(&(node, epoch, attempt)).copied() {
                     Some(flying) => {
                         let span = 2 * self.delay();
@@ -585,11 +596,11 @@
                     }
                     None => {
                         let span = self.delay();
-                        self.hand_to(span, node, epoch, Input::Abandoned { attempt });
+                        self.hand_to(span, node, epoch, Input::AttemptCancelled { attempt });
                     }
                 }
             }
-            Effect::Probe { addr, until, .. } => {
+            Effect::HealthCheck { addr, until, .. } => {
                 let Some(worker) = number(addr) else { return };
                 let span = self.delay();
                 let sent = self.now;
@@ -597,16 +608,16 @@
                 self.out.series(window, |s| s.probes += 1);
                 self.after(span, Event::Probe { node, epoch, worker, sent, until });
             }
-            Effect::Watch { version, .. } => {
+            Effect::WatchEndpoints { version, .. } => {
                 let span = self.delay();
                 self.after(span, Event::Watch { node, epoch, version });
             }
-            Effect::FetchList { .. } => {
+            Effect::FetchEndpoints { .. } => {
                 let span = self.delay();
                 self.after(span, Event::Watch { node, epoch, version: 0 });
             }
-            Effect::Tell { peer, data } => self.datagram(node, peer, &data),
-            Effect::Durably { effect, .. } => self.perform(node, epoch, *effect),
+            Effect::SendPeerMessage { peer, data } => self.datagram(node, peer, &data),
+            Effect::AfterDurable { effect, .. } => self.perform(node, epoch, *effect),
             _ => {}
         }
     }
@@ -618,7 +629,7 @@
             self.out.datagrams += 1;
             if self.network.unit() >= self.spec.network.loss {
                 let (span, epoch) = (self.delay(), self.nodes[node as usize].epoch);
-                self.hand_to(span, node, epoch, Input::Peer { from, data: data.to_vec() });
+                self.hand_to(span, node, epoch, Input::PeerMessage { from, data: data.to_vec() });
             }
         }
     }
@@ -636,8 +647,8 @@
         (n.tick_at, n.watching) = (Nanos::MAX, false);
         let mut broken: Vec<(RequestId, u32)> = std::mem::take(&mut n.tickets).into_iter().collect();
         broken.sort_unstable();
-        for (ticket, job) in broken {
-            if self.jobs[job as usize].out.is_some_and(|(at, t, _)| at == node && t == ticket) {
+        for (request_id, job) in broken {
+            if self.jobs[job as usize].out.is_some_and(|(at, t, _)| at == node && t == request_id) {
                 self.jobs[job as usize].out = None;
                 self.came_back(job, End::Failed, None);
             }
@@ -649,7 +660,7 @@
 
     fn send(&mut self, node: u32, epoch: u32, attempt: AttemptId, addr: SocketAddr) {
         let now = self.now;
-        let Some(&job) = self.nodes[node as usize].tickets.get(&attempt.0) else { return };
+        let Some(&job) = self.nodes[node as usize].tickets.get(&attempt.request) else { return };
         let worker = match addr == ANYWHERE {
             true => {
                 let worker = self.least_loaded();
@@ -727,7 +738,7 @@
                 span,
                 node,
                 epoch,
-                Input::Handover { attempt, how: Handover::Ended(outcome, report) },
+                Input::DispatchFinished { attempt, result: DispatchResult::Ended(outcome, report) },
             );
         }
     }
@@ -750,7 +761,7 @@
             let window = ns(class.window_s * 1000.0);
             if self.memories[group].begin(now, job.into(), window) {
                 // Dropped: its first one's result is the answer.
-                return self.tell_of(flying, News::Done(String::new()), true);
+                return self.tell_of(flying, JobUpdate::Done(String::new()), true);
             }
         }
         let w = &mut self.workers[worker as usize];
@@ -776,7 +787,10 @@
                     span,
                     node,
                     epoch,
-                    Input::Handover { attempt, how: Handover::Taken { aware: false } },
+                    Input::DispatchFinished {
+                        attempt,
+                        result: DispatchResult::Accepted { lease_aware: false },
+                    },
                 );
                 if begun {
                     self.began(flying);
@@ -809,11 +823,11 @@
             self.out.double_runs += 1;
         }
         wanted.began = group;
-        self.tell_of(flying, News::Started, false);
+        self.tell_of(flying, JobUpdate::Started, false);
     }
 
     /// A worker tells of a job; the attempt is over with the last word.
-    fn tell_of(&mut self, flying: u64, news: News, last: bool) {
+    fn tell_of(&mut self, flying: u64, news: JobUpdate, last: bool) {
         let Some(f) = self.flying.get(&flying) else { return };
         let (node, epoch, worker, id) = (f.node, f.epoch, f.worker, f.id.to_string());
         if last {
@@ -823,7 +837,19 @@
         let report = last.then(|| self.workers[worker as usize].report(now)).flatten();
         let from = self.worker_names[worker as usize].to_string();
         let span = self.delay() + self.delay();
-        self.hand_to(span, node, epoch, Input::News { note: 0, id, from, token: None, news, report });
+        self.hand_to(
+            span,
+            node,
+            epoch,
+            Input::WorkerNotice(WorkerNotice {
+                notice: 0,
+                job_id: id,
+                worker: from,
+                fencing_token: None,
+                update: news,
+                report,
+            }),
+        );
     }
 
     fn schedule(&mut self, worker: u32) {
@@ -839,7 +865,7 @@
         let (ended, begun) = self.workers[worker as usize].ended(self.now);
         for held in ended {
             self.down(held.attempt);
-            self.tell_of(held.attempt, News::Done(String::new()), true);
+            self.tell_of(held.attempt, JobUpdate::Done(String::new()), true);
         }
         begun.iter().for_each(|held| self.began(held.attempt));
         self.schedule(worker);
@@ -853,7 +879,7 @@
             // Nobody hears it, and nobody says so.
             let span = until.saturating_sub(now);
             self.land(flying);
-            return self.hand_to(span, node, epoch, Input::Abandoned { attempt });
+            return self.hand_to(span, node, epoch, Input::AttemptCancelled { attempt });
         }
         let (there, begun) = self.workers[worker as usize].call_off(now, flying, self.spec.fleet.stops);
         if there || !self.spec.fleet.stops {
@@ -868,7 +894,7 @@
         begun.iter().for_each(|held| self.began(held.attempt));
         self.schedule(worker);
         let span = self.delay();
-        self.hand_to(span, node, epoch, Input::Abandoned { attempt });
+        self.hand_to(span, node, epoch, Input::AttemptCancelled { attempt });
     }
 
     fn probe(&mut self, node: u32, epoch: u32, worker: u32, sent: Nanos, until: Nanos) {
@@ -885,7 +911,7 @@
             Health::Silent => (until.saturating_sub(now), Ended::Timeout, None),
             Health::Dead | Health::Fallen => (self.delay(), Ended::ConnectFailed, None),
         };
-        self.hand_to(span, node, epoch, Input::Probed { worker: name, sent, outcome, report });
+        self.hand_to(span, node, epoch, Input::HealthChecked { worker: name, sent, outcome, report });
     }
 
     /// A worker's process ends, and what it held is lost.
@@ -904,7 +930,7 @@
             }
             match health {
                 Health::Silent => drop(self.land(held.attempt)),
-                _ => self.tell_of(held.attempt, News::Lost, true),
+                _ => self.tell_of(held.attempt, JobUpdate::Lost, true),
             }
         }
     }
@@ -915,7 +941,7 @@
         let now = self.now;
         if self.blind {
             let span = 250 * MS;
-            let failed = Input::List { scope: ListScope::Failed, version, hosts: Vec::new() };
+            let failed = Input::EndpointList { scope: ListScope::Failed, version, hosts: Vec::new() };
             return self.hand_to(span, node, epoch, failed);
         }
         self.discovery_busy = self.discovery_busy.max(now) + ns(self.spec.discovery.call_ms);
@@ -934,7 +960,7 @@
         self.out.list_lines += hosts.len() as u64;
         self.nodes[node as usize].watching = true;
         self.nodes[node as usize].version = latest;
-        self.hand_to(span, node, epoch, Input::List { scope, version: latest, hosts });
+        self.hand_to(span, node, epoch, Input::EndpointList { scope, version: latest, hosts });
     }
 
     /// What has happened to workers is known to discovery from now on.
@@ -954,7 +980,7 @@
         if self.blind {
             return;
         }
-        let hosts: Vec<Host> = workers.iter().map(|w| self.listed[*w as usize].clone()).collect();
+        let hosts: Vec<WorkerEndpoint> = workers.iter().map(|w| self.listed[*w as usize].clone()).collect();
         for node in 0..self.nodes.len() as u32 {
             let n = &mut self.nodes[node as usize];
             if !n.watching {
@@ -969,7 +995,7 @@
                 span,
                 node,
                 epoch,
-                Input::List { scope: ListScope::Changes, version, hosts: hosts.clone() },
+                Input::EndpointList { scope: ListScope::Changes, version, hosts: hosts.clone() },
             );
         }
     }
@@ -1038,7 +1064,8 @@
                     if std::mem::take(&mut n.watching) {
                         let (epoch, version) = (n.epoch, n.version);
                         let span = self.delay();
-                        let failed = Input::List { scope: ListScope::Failed, version, hosts: Vec::new() };
+                        let failed =
+                            Input::EndpointList { scope: ListScope::Failed, version, hosts: Vec::new() };
                         self.hand_to(span, node, epoch, failed);
                     }
                 }
