--- a/crates/cluster/programs/src/control/inbox.rs
+++ b/crates/cluster/control-plane/src/inbox.rs
@@ -3,9 +3,9 @@
 //! Leases, votes, batches and acknowledgements must not wait behind the answers of workers: a primary that is behind with
 //! those would lose its lease to its own queue.
 use super::Input;
-use crate::frame::Frame;
 use async_std::channel::{Receiver, Sender, unbounded};
 use futures_lite::future::or;
+use spanlead_cluster_runtime::frame::Frame;
 
 /// Where inputs of a node are put.
 #[derive(Clone, Debug)]
--- a/crates/cluster/programs/src/control/mod.rs
+++ b/crates/cluster/control-plane/src/lib.rs
@@ -3,10 +3,14 @@
 //!
 //! One task owns the [`node::Node`] and feeds it one input at a time; everything else hands it inputs over a channel.
 mod configurations;
+pub mod disk;
 mod inbox;
 mod node;
 mod operator;
+pub mod platform;
+pub mod pool;
 mod status;
+pub mod workers;
 
 pub use configurations::{Configurations, Taken};
 pub use inbox::{Inbox, Inputs, inbox};
@@ -14,18 +18,19 @@
 pub use node::{Input, Node, Reply};
 pub use status::Question;
 
-use crate::accept;
 use crate::disk::{DiskError, Store, Writer};
-use crate::frame::Frame;
-use crate::link::{LinkEvent, Links};
-use crate::metrics;
-use crate::settings::Settings;
-use crate::time::Clock;
 use crate::workers::WorkerCalls;
 use async_std::channel::{Receiver, Sender, unbounded};
 use async_std::future::timeout;
 use async_std::task;
 use quick_error::quick_error;
+use spanlead_cluster_runtime::accept;
+use spanlead_cluster_runtime::frame::Frame;
+use spanlead_cluster_runtime::link::{LinkEvent, Links};
+use spanlead_cluster_runtime::metrics;
+use spanlead_cluster_runtime::settings::Settings;
+use spanlead_cluster_runtime::signals;
+use spanlead_cluster_runtime::time::Clock;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -86,7 +91,8 @@
         WorkerCalls::new(settings.worker_connections()),
         inputs.clone(),
     );
-    on_term(inputs.clone());
+    let terminating = inputs.clone();
+    signals::on_terminate(move || terminating.put(Input::Terminate));
     let endpoint = settings.metrics_endpoint();
     task::block_on(async move {
         let taker = inputs.clone();
@@ -105,30 +111,6 @@
     Ok(())
 }
 
-/// Tells the node when the process is to end.
-fn on_term(inputs: Inputs) {
-    signals(move || {
-        inputs.put(Input::Terminate);
-    });
-}
-
-/// Calls back at each SIGTERM. Other signals that have no meaning here change nothing.
-pub fn signals(on_term: impl Fn() + Send + 'static) {
-    use signal_hook::consts::{SIGHUP, SIGTERM};
-    let registered = signal_hook::iterator::Signals::new([SIGTERM, SIGHUP]);
-    let Ok(mut signals) = registered else {
-        log::error!("signals can't be heard");
-        return;
-    };
-    std::thread::spawn(move || {
-        for signal in signals.forever() {
-            if signal == SIGTERM {
-                on_term();
-            }
-        }
-    });
-}
-
 async fn forward(events: Receiver<LinkEvent>, inputs: Inputs) {
     while let Ok(event) = events.recv().await {
         let input = match event {
--- a/crates/cluster/programs/src/control/node/clients.rs
+++ b/crates/cluster/control-plane/src/node/clients.rs
@@ -1,8 +1,8 @@
 //! What clients ask, as data planes pass it on.
 use super::{Node, Serving, Waiting};
-use crate::control::status::word;
-use crate::frame::{Ask, ClientCall, ClientReply, Frame};
+use crate::status::word;
 use async_std::channel::Sender;
+use spanlead_cluster_runtime::frame::{Ask, ClientCall, ClientReply, Frame};
 use spanlead_job_scheduler::{Admission, JobId, QueueId, QueuePolicy};
 
 impl Node {
@@ -83,6 +83,6 @@
     ClientReply { serial, status: 0, body: String::new() }
 }
 
-pub(in crate::control) fn job_id(name: &str) -> Option<JobId> {
+pub(crate) fn job_id(name: &str) -> Option<JobId> {
     (name.len() == 16).then(|| u64::from_str_radix(name, 16).ok().map(JobId)).flatten()
 }
--- a/crates/cluster/programs/src/control/node/data_planes.rs
+++ b/crates/cluster/control-plane/src/node/data_planes.rs
@@ -1,8 +1,8 @@
 //! What data planes are told: who serves, the configuration, and which of them to tell and watch.
 use super::Node;
-use crate::frame::{Directory, Frame};
 use async_std::channel::Sender;
 use spanlead_cluster_config::DataPlaneConfiguration;
+use spanlead_cluster_runtime::frame::{Directory, Frame};
 use spanlead_dissemination::{PEERS, pick};
 
 impl Node {
--- a/crates/cluster/programs/src/control/node/listing.rs
+++ b/crates/cluster/control-plane/src/node/listing.rs
@@ -1,6 +1,6 @@
 //! The platform's list of workers, which the primary reads.
 use super::Node;
-use crate::control::Input;
+use crate::Input;
 use crate::platform::{self, ListError};
 use async_std::task;
 use spanlead_job_scheduler::ListedWorker;
--- a/crates/cluster/programs/src/control/node/mod.rs
+++ b/crates/cluster/control-plane/src/node/mod.rs
@@ -5,25 +5,25 @@
 mod operators;
 mod timing;
 
-use crate::control::configurations::{self, Configurations};
-use crate::control::inbox::Inputs;
-use crate::control::status::Question;
+use crate::configurations::{self, Configurations};
 use crate::disk::Writer;
-use crate::frame::{ClientReply, Directory, Frame};
-use crate::link::Links;
+use crate::inbox::Inputs;
 use crate::platform::ListError;
-use crate::settings::Settings;
-use crate::time::Clock;
+use crate::status::Question;
 use crate::workers::WorkerCalls;
 use async_std::channel::Sender;
 use clients::unable;
+use spanlead_cluster_runtime::frame::{ClientReply, Directory, Frame};
+use spanlead_cluster_runtime::link::Links;
+use spanlead_cluster_runtime::settings::Settings;
+use spanlead_cluster_runtime::time::Clock;
 use spanlead_job_scheduler::{Effect, ListedWorker, Scheduler, SchedulerConfig, WorkerCall, WorkerResponse};
 use spanlead_replication::{
     self as replication, Change, Keyspace, Notice, Options, Output, Replica, Restored, View,
 };
 use std::collections::VecDeque;
 use std::sync::Arc;
-pub(in crate::control) use timing::CommitTimes;
+pub(crate) use timing::CommitTimes;
 
 /// How long a lease lasts, milliseconds.
 const LEASE_MS: u64 = 500;
--- a/crates/cluster/programs/src/control/node/operators.rs
+++ b/crates/cluster/control-plane/src/node/operators.rs
@@ -1,7 +1,7 @@
 //! What operators ask.
 use super::{Node, Reply, Waiting};
-use crate::control::configurations::Taken;
-use crate::control::status::{self, Question};
+use crate::configurations::Taken;
+use crate::status::{self, Question};
 use async_std::channel::Sender;
 
 impl Node {
--- a/crates/cluster/programs/src/control/operator.rs
+++ b/crates/cluster/control-plane/src/operator.rs
@@ -1,10 +1,10 @@
 //! The operators' interface over HTTP.
-use crate::control::node::clients::job_id;
-use crate::control::{Input, Inputs, Question, Reply};
-use crate::http::framing::Bounds;
-use crate::http::server::{self, Limits};
+use crate::node::clients::job_id;
+use crate::{Input, Inputs, Question, Reply};
 use async_std::channel::{Sender, bounded};
 use async_std::future::timeout;
+use spanlead_cluster_runtime::http::framing::Bounds;
+use spanlead_cluster_runtime::http::server::{self, Limits};
 use std::sync::Arc;
 use std::time::Duration;
 use tide::{Request, Response, StatusCode};
--- a/crates/cluster/programs/src/platform.rs
+++ b/crates/cluster/control-plane/src/platform.rs
@@ -1,11 +1,11 @@
 //! Reading the platform's list of workers.
-use crate::http::client;
 use async_std::future::timeout;
 use async_std::net::TcpStream;
 use compact_str::CompactString;
 use http_types::{Method, Request, Url};
 use quick_error::quick_error;
 use serde::Deserialize;
+use spanlead_cluster_runtime::http::client;
 use spanlead_job_scheduler::{ListedWorker, ListedWorkerState};
 use std::time::Duration;
 
--- a/crates/cluster/programs/src/pool.rs
+++ b/crates/cluster/control-plane/src/pool.rs
@@ -2,10 +2,10 @@
 //!
 //! Each open connection, idle or carrying a call, takes one of the pool's permits. A call to an address with an idle
 //! connection uses that; else it takes a free permit, or that of the connection idle the longest, or waits for one.
-use crate::http::client;
 use async_std::channel::{Receiver, Sender, bounded};
 use async_std::future::timeout;
 use async_std::net::TcpStream;
+use spanlead_cluster_runtime::http::client;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/cluster/programs/src/control/status.rs
+++ b/crates/cluster/control-plane/src/status.rs
@@ -1,8 +1,8 @@
 //! What operators see of a node that serves, as JSON.
-use crate::control::node::CommitTimes;
-use crate::metrics;
+use crate::node::CommitTimes;
 use serde::Serialize;
 use serde_json::{Value, json};
+use spanlead_cluster_runtime::metrics;
 use spanlead_job_scheduler::{JobId, JobOutcome, JobState, Scheduler};
 use spanlead_replication::Replica;
 use std::fmt::Write;
--- a/crates/cluster/programs/src/workers.rs
+++ b/crates/cluster/control-plane/src/workers.rs
@@ -1,11 +1,11 @@
 //! Calls to workers.
-use crate::http::client;
 use crate::pool::Pool;
 use async_std::future::timeout;
 use async_std::task;
 use compact_str::CompactString;
 use http_types::{Body, Method, Request, Url, mime};
 use serde::{Deserialize, Serialize};
+use spanlead_cluster_runtime::http::client;
 use spanlead_job_scheduler::{
     FinishedTask, RunningTask, TaskId, WorkerCall, WorkerReport, WorkerRequest, WorkerResponse,
 };
--- a/crates/cluster/programs/tests/disk.rs
+++ b/crates/cluster/control-plane/tests/disk.rs
@@ -1,7 +1,7 @@
 //! Power is cut at every operation of the disk: what was acknowledged is there, and a transaction is there whole or not.
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use spanlead_cluster_programs::disk::{DiskError, Store};
+use spanlead_control_plane::disk::{DiskError, Store};
 use spanlead_replication::{Change, MemberId, Position, Record};
 use std::io;
 use std::sync::{Arc, Mutex};
--- a/crates/cluster/programs/tests/inbox.rs
+++ b/crates/cluster/control-plane/tests/inbox.rs
@@ -1,6 +1,6 @@
 //! What a control plane takes first.
-use spanlead_cluster_programs::control::{Input, inbox};
-use spanlead_cluster_programs::frame::Frame;
+use spanlead_cluster_runtime::frame::Frame;
+use spanlead_control_plane::{Input, inbox};
 use spanlead_replication::{Envelope, MemberId, Message};
 
 /// A primary that is behind with the answers of workers must not lose its lease to them.
--- a/crates/cluster/programs/tests/many_workers.rs
+++ b/crates/cluster/control-plane/tests/many_workers.rs
@@ -3,7 +3,7 @@
 use async_std::io::{ReadExt, WriteExt};
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
-use spanlead_cluster_programs::workers::WorkerCalls;
+use spanlead_control_plane::workers::WorkerCalls;
 use spanlead_job_scheduler::{WorkerCall, WorkerRequest, WorkerResponse};
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/cluster/programs/tests/operators.rs
+++ b/crates/cluster/control-plane/tests/operators.rs
@@ -9,7 +9,7 @@
 use common::World;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use spanlead_cluster_programs::control::{Configurations, Taken};
+use spanlead_control_plane::{Configurations, Taken};
 use spanlead_replication::Notice;
 use std::collections::BTreeMap;
 
--- a/crates/cluster/programs/tests/unreachable_worker.rs
+++ b/crates/cluster/control-plane/tests/unreachable_worker.rs
@@ -1,6 +1,6 @@
 //! A worker to which no connection can be made: it is silent, and a start that was never sent can go elsewhere at once.
 use async_std::channel::{Receiver, unbounded};
-use spanlead_cluster_programs::workers::WorkerCalls;
+use spanlead_control_plane::workers::WorkerCalls;
 use spanlead_job_scheduler::{JobId, TaskId, WorkerCall, WorkerRequest, WorkerResponse};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
--- a/crates/cluster/programs/tests/unreadable.rs
+++ b/crates/cluster/control-plane/tests/unreadable.rs
@@ -1,6 +1,6 @@
 //! Records of a damaged or newer form keep a machine from leading; another primary repairs it.
-use spanlead_cluster_programs::control::unreadable;
-use spanlead_cluster_programs::disk::{DiskError, Store};
+use spanlead_control_plane::disk::{DiskError, Store};
+use spanlead_control_plane::unreadable;
 use spanlead_replication::{
     Change, Input, Keyspace, MemberId, Options, Output, Position, Record, Replica, Restored,
 };
--- a/crates/cluster/programs/src/data/core_links.rs
+++ b/crates/cluster/data-plane/src/core_links.rs
@@ -1,13 +1,13 @@
 //! The connections to the control plane: who is primary, the configuration, and requests on their way.
-use crate::accept;
-use crate::frame::{Ask, ClientCall, ClientReply, Directory, Frame};
-use crate::link::{LinkEvent, Links};
-use crate::settings::Settings;
-use crate::time::Clock;
 use async_std::channel::{Receiver, Sender, bounded, unbounded};
 use async_std::future::timeout;
 use async_std::task;
 use spanlead_cluster_config::DataPlaneConfiguration;
+use spanlead_cluster_runtime::accept;
+use spanlead_cluster_runtime::frame::{Ask, ClientCall, ClientReply, Directory, Frame};
+use spanlead_cluster_runtime::link::{LinkEvent, Links};
+use spanlead_cluster_runtime::settings::Settings;
+use spanlead_cluster_runtime::time::Clock;
 use spanlead_dissemination::{Disseminator, Item, Message, Output};
 use spanlead_replication::Lane;
 use std::collections::{BTreeSet, HashMap};
--- a/crates/cluster/programs/src/data/front.rs
+++ b/crates/cluster/data-plane/src/front.rs
@@ -1,10 +1,10 @@
 //! What clients and the platform ask over HTTP.
-use crate::data::core_links::{CoreLinks, Outcome};
-use crate::frame::Ask;
-use crate::http::framing::Bounds;
-use crate::http::server::{self, Limits};
-use crate::time::Clock;
+use crate::core_links::{CoreLinks, Outcome};
 use spanlead_cluster_config::DataPlaneConfiguration;
+use spanlead_cluster_runtime::frame::Ask;
+use spanlead_cluster_runtime::http::framing::Bounds;
+use spanlead_cluster_runtime::http::server::{self, Limits};
+use spanlead_cluster_runtime::time::Clock;
 use spanlead_job_scheduler::JobSpec;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/cluster/programs/src/data/mod.rs
+++ b/crates/cluster/data-plane/src/lib.rs
@@ -2,12 +2,13 @@
 pub mod core_links;
 mod front;
 
-use crate::metrics;
-use crate::settings::Settings;
-use crate::time::Clock;
 use async_std::task;
 use core_links::CoreLinks;
 use quick_error::quick_error;
+use spanlead_cluster_runtime::metrics;
+use spanlead_cluster_runtime::settings::Settings;
+use spanlead_cluster_runtime::signals;
+use spanlead_cluster_runtime::time::Clock;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -42,7 +43,7 @@
     let ready = settings.listen.readiness.clone();
     let ending = Arc::new(AtomicBool::new(false));
     let told = ending.clone();
-    crate::control::signals(move || told.store(true, Ordering::Relaxed));
+    signals::on_terminate(move || told.store(true, Ordering::Relaxed));
     let clock = Clock::start();
     let grace = Duration::from_millis(settings.grace_ms());
     let connections = settings.max_descriptors().saturating_sub(KEPT_DESCRIPTORS).max(KEPT_DESCRIPTORS);
--- a/crates/cluster/programs/tests/data_plane.rs
+++ b/crates/cluster/data-plane/tests/data_plane.rs
@@ -1,11 +1,11 @@
 //! What a data plane tells its clients when the primary is silent, refuses, or is replaced.
 use async_std::channel::Sender;
 use async_std::task;
-use spanlead_cluster_programs::accept;
-use spanlead_cluster_programs::data::core_links::{CoreLinks, Outcome};
-use spanlead_cluster_programs::frame::{Ask, ClientReply, Directory, Frame};
-use spanlead_cluster_programs::settings::Settings;
-use spanlead_cluster_programs::time::Clock;
+use spanlead_cluster_runtime::accept;
+use spanlead_cluster_runtime::frame::{Ask, ClientReply, Directory, Frame};
+use spanlead_cluster_runtime::settings::Settings;
+use spanlead_cluster_runtime::time::Clock;
+use spanlead_data_plane::core_links::{CoreLinks, Outcome};
 use spanlead_job_scheduler::JobSpec;
 use std::net::TcpListener;
 use std::sync::Arc;
--- a/crates/cluster/programs/src/logs.rs
+++ b/crates/cluster/runtime/src/logs.rs
@@ -9,7 +9,9 @@
             out.finish(format_args!("{} {} {} {message}", record.level(), node, record.target()));
         })
         .level(LevelFilter::Warn)
-        .level_for("spanlead_cluster_programs", level)
+        .level_for("spanlead_cluster_runtime", level)
+        .level_for("spanlead_control_plane", level)
+        .level_for("spanlead_data_plane", level)
         .level_for("spanlead_job_scheduler", level)
         .level_for("spanlead_replication", level)
         .chain(std::io::stderr())
--- a/crates/cluster/programs/tests/http.rs
+++ b/crates/cluster/runtime/tests/http.rs
@@ -3,9 +3,9 @@
 use async_std::io::{ReadExt, WriteExt};
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
-use spanlead_cluster_programs::http::framing::{AnswerReader, Bounds, Progress, RequestReader, Violation};
-use spanlead_cluster_programs::http::server::{self, Limits};
-use spanlead_cluster_programs::http::{client, client::CallError};
+use spanlead_cluster_runtime::http::framing::{AnswerReader, Bounds, Progress, RequestReader, Violation};
+use spanlead_cluster_runtime::http::server::{self, Limits};
+use spanlead_cluster_runtime::http::{client, client::CallError};
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/cluster/programs/tests/input.rs
+++ b/crates/cluster/runtime/tests/input.rs
@@ -1,7 +1,7 @@
 //! Bad input from peers and files: refused with its place, never a panic.
 use quickcheck::quickcheck;
-use spanlead_cluster_programs::frame::{Ask, ClientCall, Directory, Frame, decode, encode};
-use spanlead_cluster_programs::settings::{Settings, SettingsError};
+use spanlead_cluster_runtime::frame::{Ask, ClientCall, Directory, Frame, decode, encode};
+use spanlead_cluster_runtime::settings::{Settings, SettingsError};
 use spanlead_job_scheduler::JobSpec;
 
 fn frames() -> Vec<Frame> {
--- a/crates/cluster/programs/tests/links.rs
+++ b/crates/cluster/runtime/tests/links.rs
@@ -4,9 +4,9 @@
 use async_std::io::{ReadExt, WriteExt};
 use async_std::net::TcpStream;
 use async_std::task;
-use spanlead_cluster_programs::accept;
-use spanlead_cluster_programs::frame::{Frame, MAX_FRAME};
-use spanlead_cluster_programs::link::{LinkEvent, Links};
+use spanlead_cluster_runtime::accept;
+use spanlead_cluster_runtime::frame::{Frame, MAX_FRAME};
+use spanlead_cluster_runtime::link::{LinkEvent, Links};
 use spanlead_replication::Lane;
 use std::sync::Arc;
 use std::time::Duration;
@@ -77,7 +77,7 @@
         assert!(count > 0, "ended after {read} bytes");
         read += count;
         // An answer to pings, and the time that a slow link takes.
-        stream.write_all(&spanlead_cluster_programs::frame::encode(&Frame::Ping)).await.expect("open");
+        stream.write_all(&spanlead_cluster_runtime::frame::encode(&Frame::Ping)).await.expect("open");
         task::sleep(Duration::from_millis(130)).await;
     }
     assert!(began.elapsed() > Duration::from_millis(2_600), "too fast to show anything");
