--- a/crates/cluster/job-scheduler/src/graphs.rs
+++ b/crates/cluster/job-scheduler/src/graphs.rs
@@ -3,7 +3,7 @@
 use compact_str::CompactString;
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::FxHashMap;
-use spanlead_expander_walk::{Expander, below};
+use spanlead_expander_walk::{Expander, VertexIndex, uniform_below};
 
 /// Walkers of a graph: the `d` of the scheme.
 const WALKERS: usize = 4;
@@ -22,8 +22,9 @@
 impl Graphs {
     /// Takes the workers at `moved` in or out of all graphs.
     pub fn settle(&mut self, workers: &[Worker], moved: &[u32]) {
+        let changed: Vec<VertexIndex> = moved.iter().map(|index| VertexIndex(*index)).collect();
         for (kind, graph) in &mut self.graphs {
-            graph.settle(workers, moved, |worker| belongs(worker, kind));
+            graph.update(workers, &changed, |worker| belongs(worker, kind));
         }
     }
 
@@ -31,8 +32,8 @@
     pub fn of(&mut self, workers: &[Worker], kind: &Kind) -> &mut Expander {
         if !self.graphs.contains_key(kind) {
             let mut graph = Expander::default();
-            let all: Vec<u32> = (0..workers.len() as u32).collect();
-            graph.settle(workers, &all, |worker| belongs(worker, kind));
+            let all: Vec<VertexIndex> = (0..workers.len() as u32).map(VertexIndex).collect();
+            graph.update(workers, &all, |worker| belongs(worker, kind));
             self.graphs.insert(kind.clone(), graph);
         }
         self.graphs.get_mut(kind).expect("was just made")
@@ -58,9 +59,9 @@
     let mut walkers = std::mem::take(&mut graph.walkers);
     for walker in &mut walkers {
         for _ in 0..=STEPS_ON {
-            if eligible(walker.at) {
-                if !drawn.contains(&walker.at) {
-                    drawn.push(walker.at);
+            if eligible(walker.current.0) {
+                if !drawn.contains(&walker.current.0) {
+                    drawn.push(walker.current.0);
                 }
                 break;
             }
@@ -72,9 +73,8 @@
     }
     graph.walkers = walkers;
     if drawn.is_empty() {
-        let (n, from) = (graph.len(), below(rng, graph.len()));
-        let ring = &graph.cycles[0];
-        drawn.extend((0..n).map(|k| ring[(from + k) % n].1).find(|at| eligible(*at)));
+        let start = uniform_below(rng, graph.len());
+        drawn.extend(graph.iter_from(start).map(|worker| worker.0).find(|worker| eligible(*worker)));
     }
     drawn
 }
--- a/crates/cluster/job-scheduler/src/worker.rs
+++ b/crates/cluster/job-scheduler/src/worker.rs
@@ -4,7 +4,7 @@
 use crate::pace::Pace;
 use crate::spec::Stage;
 use compact_str::CompactString;
-use spanlead_expander_walk::{Places, Vertex};
+use spanlead_expander_walk::{CyclePositions, Vertex, cycle_positions};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -82,7 +82,7 @@
     pub zone: CompactString,
     pub labels: Vec<CompactString>,
     pub capacity: Resources,
-    pub places: Places,
+    pub cycle_positions: CyclePositions,
     pub standing: Standing,
     pub clock: WorkerClock,
     /// It has answered a hold of this term, so orders of earlier ones do nothing there.
@@ -110,8 +110,8 @@
 }
 
 impl Vertex for Worker {
-    fn places(&self) -> &Places {
-        &self.places
+    fn cycle_positions(&self) -> &CyclePositions {
+        &self.cycle_positions
     }
 }
 
@@ -125,7 +125,7 @@
             zone: CompactString::default(),
             labels: Vec::new(),
             capacity: Resources::default(),
-            places: spanlead_expander_walk::places(id.as_bytes()),
+            cycle_positions: cycle_positions(id.as_bytes()),
             standing: Standing::Unlisted,
             clock,
             fenced: false,
--- a/crates/service/balancing-policy/examples/members.rs
+++ b/crates/service/balancing-policy/examples/members.rs
@@ -2,7 +2,9 @@
 //!
 //! For each size: a first whole list, the same list again, and one in which every worker's weight, zone and cell have
 //! changed; then one change alone. Microseconds of the event, the median of some rounds, each on a new dispatcher.
-use spanlead_balancing_policy::{Class, Dispatcher, Entry, Event, ListScope, Settings, WorkerState};
+use spanlead_balancing_policy::{
+    Dispatcher, Endpoint, EndpointUpdate, Event, RequestClass, Settings, WorkerState,
+};
 use std::time::Instant;
 
 const ROUNDS: usize = 9;
@@ -25,23 +27,23 @@
 }
 
 fn round(names: &[String], seed: u64) -> [u128; 5] {
-    let settings = Settings { classes: vec![Class::new(1, 1_000_000_000)], ..Settings::default() };
+    let settings = Settings { classes: vec![RequestClass::new(1, 1_000_000_000)], ..Settings::default() };
     let mut dispatcher = Dispatcher::new(settings, seed).expect("good settings");
-    let ready = |name| Entry::new(name, WorkerState::Ready);
-    let list: Vec<Entry<'_>> = names.iter().map(|name| ready(name)).collect();
-    let changed: Vec<Entry<'_>> =
-        names.iter().map(|name| Entry { weight: 0.5, zone: 1, cell: 7, ..ready(name) }).collect();
-    let one = [Entry { state: WorkerState::Draining, ..list[names.len() / 2].clone() }];
+    let ready = |name| Endpoint::new(name, WorkerState::Ready);
+    let list: Vec<Endpoint<'_>> = names.iter().map(|name| ready(name)).collect();
+    let changed: Vec<Endpoint<'_>> =
+        names.iter().map(|name| Endpoint { weight: 0.5, zone: 1, cell: 7, ..ready(name) }).collect();
+    let one = [Endpoint { state: WorkerState::Draining, ..list[names.len() / 2].clone() }];
     let mut out = Vec::new();
-    let mut time = |scope, entries: &[Entry<'_>]| {
+    let mut time = |scope, entries: &[Endpoint<'_>]| {
         let begun = Instant::now();
-        dispatcher.handle(1, Event::Members { scope, entries }, &mut out);
+        dispatcher.handle(1, Event::EndpointsChanged { update: scope, endpoints: entries }, &mut out);
         begun.elapsed().as_nanos()
     };
-    let first = time(ListScope::Full, &list);
-    let same = time(ListScope::Full, &list);
-    let all = time(ListScope::Full, &changed);
-    let single = time(ListScope::Changes, &one);
-    let gone = time(ListScope::Full, &[]);
+    let first = time(EndpointUpdate::Snapshot, &list);
+    let same = time(EndpointUpdate::Snapshot, &list);
+    let all = time(EndpointUpdate::Snapshot, &changed);
+    let single = time(EndpointUpdate::Delta, &one);
+    let gone = time(EndpointUpdate::Snapshot, &[]);
     [first, same, all, gone, single]
 }
--- /dev/null
+++ b/crates/service/balancing-policy/src/api/settings_error.rs
@@ -0,0 +1,71 @@
+//! Why settings are rejected.
+
+use std::fmt;
+
+/// The part of the settings that holds a bad figure.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SettingsSection {
+    /// [`Settings::classes`](crate::Settings::classes).
+    Classes,
+    /// [`Settings::prices`](crate::Settings::prices).
+    Prices,
+    /// [`Settings::rules`](crate::Settings::rules).
+    Rules,
+    /// [`Settings::tenants`](crate::Settings::tenants) and what requests past their quota are worth.
+    Tenants,
+}
+
+impl SettingsSection {
+    /// The section's name in messages.
+    fn name(self) -> &'static str {
+        match self {
+            SettingsSection::Classes => "classes",
+            SettingsSection::Prices => "prices",
+            SettingsSection::Rules => "rules",
+            SettingsSection::Tenants => "tenants",
+        }
+    }
+}
+
+/// Why settings were rejected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SettingsError {
+    /// There is no request class.
+    NoClasses,
+    /// A class names a machine kind that does not exist.
+    UnknownMachineKind,
+    /// A figure is negative or not finite.
+    InvalidFigure(SettingsSection),
+    /// The dispatcher's own number is not below the number of dispatchers.
+    InstanceOutOfRange,
+}
+
+impl SettingsError {
+    /// The setting at fault.
+    pub fn setting(&self) -> &'static str {
+        match self {
+            SettingsError::NoClasses => "classes",
+            SettingsError::UnknownMachineKind => "classes.kind",
+            SettingsError::InvalidFigure(section) => section.name(),
+            SettingsError::InstanceOutOfRange => "instances",
+        }
+    }
+
+    /// What is wrong with it.
+    pub fn reason(&self) -> &'static str {
+        match self {
+            SettingsError::NoClasses => "names no class",
+            SettingsError::UnknownMachineKind => "names a machine kind that is not there",
+            SettingsError::InvalidFigure(_) => "has a negative or non-finite figure",
+            SettingsError::InstanceOutOfRange => "does not cover this dispatcher's number",
+        }
+    }
+}
+
+impl fmt::Display for SettingsError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "setting `{}` {}", self.setting(), self.reason())
+    }
+}
+
+impl std::error::Error for SettingsError {}
--- /dev/null
+++ b/crates/service/balancing-policy/src/api/validation.rs
@@ -0,0 +1,64 @@
+//! Which settings make sense.
+
+use super::settings::{Prices, RequestClass, SafetyRules, Settings, Tenant};
+use super::settings_error::{SettingsError, SettingsSection};
+
+/// Returns the first fault of the settings.
+pub(super) fn validate(settings: &Settings) -> Result<(), SettingsError> {
+    if settings.classes.is_empty() {
+        return Err(SettingsError::NoClasses);
+    }
+    for class in &settings.classes {
+        validate_class(class, settings.machine_kind_count)?;
+    }
+    validate_prices(&settings.prices)?;
+    validate_rules(&settings.rules)?;
+    validate_tenants(&settings.tenants, settings.over_quota_value_fraction)?;
+    if settings.instance_count == 0 || settings.instance >= settings.instance_count {
+        return Err(SettingsError::InstanceOutOfRange);
+    }
+    Ok(())
+}
+
+fn validate_class(class: &RequestClass, machine_kind_count: u32) -> Result<(), SettingsError> {
+    let figures = [class.value, class.late_value_fraction, class.latency_target_stretch];
+    validate_figures(figures, SettingsSection::Classes)?;
+    if class.machine_kind.is_some_and(|kind| kind >= machine_kind_count.max(1)) {
+        return Err(SettingsError::UnknownMachineKind);
+    }
+    Ok(())
+}
+
+fn validate_prices(prices: &Prices) -> Result<(), SettingsError> {
+    let figures = [
+        prices.cross_zone,
+        prices.wasted_work,
+        prices.open_connections,
+        prices.new_connection,
+        prices.origin_fetch,
+        prices.probe,
+        prices.peer_message,
+        prices.late_failure,
+    ];
+    validate_figures(figures, SettingsSection::Prices)
+}
+
+fn validate_rules(rules: &SafetyRules) -> Result<(), SettingsError> {
+    let figures = [rules.slow_start_initial_fraction, rules.overload_multiple];
+    validate_figures(figures, SettingsSection::Rules)
+}
+
+fn validate_tenants(tenants: &[Tenant], over_quota_value_fraction: f64) -> Result<(), SettingsError> {
+    let quotas = tenants.iter().map(|tenant| tenant.quota_per_second);
+    validate_figures(quotas.chain([over_quota_value_fraction]), SettingsSection::Tenants)
+}
+
+fn validate_figures(
+    figures: impl IntoIterator<Item = f64>,
+    section: SettingsSection,
+) -> Result<(), SettingsError> {
+    if figures.into_iter().any(|figure| !figure.is_finite() || figure < 0.0) {
+        return Err(SettingsError::InvalidFigure(section));
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/service/balancing-policy/src/dispatcher/admission.rs
@@ -0,0 +1,102 @@
+//! Which requests are admitted, and when one is given up.
+
+use super::Dispatcher;
+use super::permit::may_reject;
+use crate::admission_limiter::GroupFigures;
+use crate::api::{Action, MILLISECOND, Nanos, Request};
+use crate::state::{Job, JobNumber};
+
+/// The advice of a rejection when to retry, unless clients follow only shorter ones.
+const RETRY_AFTER: Nanos = 300 * MILLISECOND;
+
+/// The least fraction of its value that a late answer is reckoned with, so that late requests are not starved.
+const MIN_LATE_VALUE_FRACTION: f64 = 0.01;
+
+/// A job may wait for at least its latency target divided by this.
+const MIN_WAIT_DIVISOR: Nanos = 4;
+
+/// Request groups of each class: those that can still be answered in time, and those that cannot.
+const GROUPS_PER_CLASS: usize = 2;
+
+impl Dispatcher {
+    /// The group that the admission limiter counts a request under.
+    pub(super) fn request_group(&self, request: &Request) -> usize {
+        let is_late = self.slack(request) == 0;
+        GROUPS_PER_CLASS * request.class as usize + usize::from(is_late)
+    }
+
+    /// The fraction of such new requests that is admitted.
+    pub(super) fn admitted_fraction(&self, request: &Request) -> f64 {
+        let group = self.request_group(request);
+        self.limiter.admitted_fraction(group, |group| self.group_figures(group))
+    }
+
+    fn group_figures(&self, group: usize) -> GroupFigures {
+        let class_number = group / GROUPS_PER_CLASS;
+        let is_late = group % GROUPS_PER_CLASS == 1;
+        let class = &self.settings.classes[class_number];
+        let run_time = self.classes[class_number].known_run_time();
+        let value_fraction =
+            if is_late { class.late_value_fraction.max(MIN_LATE_VALUE_FRACTION) } else { 1.0 };
+        let value = class.value * value_fraction;
+        let value_rate = if self.settings.value_by_work { value } else { value / run_time };
+        GroupFigures { value_rate, run_time }
+    }
+
+    /// How long a request may still wait for its start and end in time, at the class's typical running time,
+    /// in nanoseconds. A client's later attempts come with what is left of the first one's time, from which
+    /// the latency target counts.
+    pub(super) fn slack(&self, request: &Request) -> Nanos {
+        let class = &self.settings.classes[request.class as usize];
+        let statistics = &self.classes[request.class as usize];
+        let expected_work = request.expected_work.map_or(1.0, |work| work as f64);
+        let run_time = statistics.typical_run_time() * expected_work;
+        let latency_target = class.latency_target as f64;
+        let total = (latency_target + (class.latency_target_stretch - 1.0) * run_time)
+            .max(latency_target / MIN_WAIT_DIVISOR as f64) as Nanos;
+        let waited = statistics.longest_time_left.saturating_sub(request.time_left);
+        total.saturating_sub(waited)
+    }
+
+    /// Whether a pending job has waited in vain: no walker has found room for as long as it could wait and
+    /// still end in time, so the fleet is overloaded. Joining a queue now would make this job late and the
+    /// next ones too.
+    pub(super) fn has_waited_in_vain(&self, now: Nanos, job: &Job) -> bool {
+        let latency_target = self.settings.classes[job.request.class as usize].latency_target;
+        let longest_wait = self.slack(&job.request).max(latency_target / MIN_WAIT_DIVISOR);
+        now >= job.arrived_at + longest_wait
+    }
+
+    /// Whether a job needs more memory than any worker has reported free since it started, all having
+    /// reported: it would be pending in vain, and its sends would make one worker after the other look full.
+    pub(super) fn is_too_large(&self, job: &Job, machine_kind: Option<u32>) -> bool {
+        let memory = job.request.memory;
+        let mut ready = self
+            .fleet
+            .ready_workers()
+            .filter(|worker| machine_kind.is_none_or(|kind| kind == worker.machine_kind))
+            .peekable();
+        memory > 0.0
+            && ready.peek().is_some()
+            && !ready.any(|worker| worker.reported.max_free_memory.is_none_or(|max| memory <= max))
+    }
+
+    /// Gives the final answer when no attempt can serve any more: a rejection while that is harmless, else a
+    /// failure. While an attempt is in flight, its end answers the request.
+    pub(super) fn give_up(&mut self, number: JobNumber, actions: &mut Vec<Action>) {
+        let Some(job) = self.jobs.get(number) else { return };
+        if job.is_in_flight() {
+            return self.jobs.mark_sent(number);
+        }
+        let id = job.request.id;
+        if may_reject(job, &self.settings) {
+            let limits = &self.settings.limits;
+            let advice = limits.max_retry_after.min(RETRY_AFTER);
+            let retry_after = limits.can_send_retry_after.then_some(advice);
+            actions.push(Action::Reject { id, retry_after });
+        } else {
+            actions.push(Action::Fail { id });
+        }
+        self.jobs.close(number);
+    }
+}
--- /dev/null
+++ b/crates/service/balancing-policy/src/dispatcher/probes.rs
@@ -0,0 +1,119 @@
+//! What a probe teaches, and which pending jobs it lets go.
+
+use super::Dispatcher;
+use super::outlier_detection::CONNECTION_EJECTION;
+use super::selection::Eligible;
+use crate::api::{Action, LoadReport, Nanos, Outcome};
+use crate::state::{JobNumber, TimerPurpose, TimerToken, WorkerIndex};
+use spanlead_expander_walk::uniform_unit;
+
+/// The share of probed workers with a free slot at which the admitted fraction stays as it is.
+pub(super) const FREE_SLOT_TARGET: f64 = 0.15;
+
+/// A worker counts as having a free slot from this many.
+const MIN_FREE_SLOTS: f64 = 0.5;
+
+/// The change of the confidence with a served attempt and with a rejection, and its least value.
+const CONFIDENCE_GAIN: f64 = 1.1;
+const CONFIDENCE_LOSS: f64 = 0.8;
+const MIN_CONFIDENCE: f64 = 0.1;
+
+/// The fraction of chances at a probed free slot that is taken. Other dispatchers see the same free slot: one
+/// that is often rejected takes only some of its chances.
+pub(super) struct ProbeConfidence(f64);
+
+impl Default for ProbeConfidence {
+    /// Every chance is taken.
+    fn default() -> Self {
+        ProbeConfidence(1.0)
+    }
+}
+
+impl ProbeConfidence {
+    /// Counts a served attempt. Served, not sent: when the fleet is full most sends are rejected, whatever the
+    /// workers can do.
+    pub(super) fn record_served(&mut self) {
+        self.0 = (self.0 * CONFIDENCE_GAIN).min(1.0);
+    }
+
+    /// Counts a rejection.
+    pub(super) fn record_rejection(&mut self) {
+        self.0 = (self.0 * CONFIDENCE_LOSS).max(MIN_CONFIDENCE);
+    }
+}
+
+impl Dispatcher {
+    /// Takes the end of a probe.
+    pub(super) fn end_probe(
+        &mut self,
+        now: Nanos,
+        worker: &str,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(index) = self.fleet.find(worker) else { return };
+        self.fleet.worker_mut(index).probe.is_in_flight = false;
+        self.fleet.record_report(index, now, report);
+        if outcome == Outcome::ConnectFailed || outcome == Outcome::Error {
+            self.record_failure(index, now, CONNECTION_EJECTION);
+        }
+        if outcome != Outcome::Ok {
+            return;
+        }
+        if let Some(free) = report.and_then(|report| report.free_slots) {
+            self.limiter.record_capacity_signal(free >= MIN_FREE_SLOTS, FREE_SLOT_TARGET);
+        }
+        self.fleet.worker_mut(index).probe.succeeded_at = Some(now);
+        self.schedule_bindings(now, index, actions);
+    }
+
+    /// Schedules the binding of the pending jobs that wait for a worker that has room for them.
+    ///
+    /// Answers that were sent together come within a tick of each other, so the jobs are bound on the next one.
+    fn schedule_bindings(&mut self, now: Nanos, worker: WorkerIndex, actions: &mut Vec<Action>) {
+        let pending = self.jobs.pending().iter().copied();
+        let ready: Vec<JobNumber> = pending.filter(|number| self.waits_for(now, *number, worker)).collect();
+        for number in ready {
+            if let Some(job) = self.jobs.get_mut(number) {
+                job.binding_scheduled = true;
+            }
+            let token = TimerToken::of_job(TimerPurpose::BindToProbed, number).encode();
+            actions.push(Action::Timer { after: 0, token });
+        }
+    }
+
+    fn waits_for(&self, now: Nanos, number: JobNumber, worker: WorkerIndex) -> bool {
+        let Some(job) = self.jobs.get(number) else { return false };
+        !job.binding_scheduled
+            && job.candidates.contains(&worker)
+            && self.room_test(job.request.slots, 0, now).passes(self.fleet.worker(worker))
+    }
+
+    /// Binds a pending job after a probe came back with room.
+    pub(super) fn bind_after_probe(&mut self, now: Nanos, number: JobNumber, actions: &mut Vec<Action>) {
+        if self.jobs.get_pending(number).is_none() {
+            return;
+        }
+        if let Some(job) = self.jobs.get_mut(number) {
+            job.binding_scheduled = false;
+        }
+        if uniform_unit(&mut self.rng) < self.probe_confidence.0 {
+            self.bind(now, number, Eligible::FreshlyReportedOrProbed, actions);
+        }
+    }
+
+    /// Takes what is known of drawn workers as signals of free capacity. Walkers may be anywhere, so their
+    /// positions are a fair sample of the fleet; recently used workers are not.
+    pub(super) fn observe_capacity(&mut self, now: Nanos, drawn: &[WorkerIndex]) {
+        for &index in drawn {
+            let worker = self.fleet.worker(index);
+            if !self.is_freshly_reported(worker, now) || self.fleet.is_recently_used(index) {
+                continue;
+            }
+            if let Some(free) = worker.reported.last.free_slots {
+                self.limiter.record_capacity_signal(free >= MIN_FREE_SLOTS, FREE_SLOT_TARGET);
+            }
+        }
+    }
+}
--- a/crates/service/balancing-policy/src/lib.rs
+++ b/crates/service/balancing-policy/src/lib.rs
@@ -1,12 +1,20 @@
 #![doc = include_str!("../README.md")]
-mod api;
-mod check;
-mod choice;
-mod graph;
+//!
+//! # Reading order
+//!
+//! [`Dispatcher::handle`] takes each [`Event`] and appends the [`Action`]s that follow. The private module
+//! `dispatcher` holds the decisions, one file for each; the private module `state` what they are based on.
+#![warn(missing_docs, unreachable_pub, clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
+
 #[doc(hidden)]
-pub mod limiter;
-mod rate;
-mod worker;
+pub mod admission_limiter;
+mod api;
+mod dispatcher;
+mod state;
 
-pub use api::*;
-pub use choice::Dispatcher;
+pub use api::{
+    Action, AttemptProgress, DeduplicationScope, Endpoint, EndpointUpdate, Event, Idempotency, Limits,
+    LoadReport, LoadReporting, Nanos, Outcome, Prices, PriorAttempt, Request, RequestClass, RequestId,
+    SafetyRules, Settings, SettingsError, SettingsSection, Tenant, WorkerId, WorkerState,
+};
+pub use dispatcher::Dispatcher;
--- a/crates/service/balancing-policy/tests/behaviour.rs
+++ b/crates/service/balancing-policy/tests/behaviour.rs
@@ -9,23 +9,23 @@
 
 /// Settings under which jobs are held for probes.
 fn probing() -> Settings {
-    let mut set = settings(Effect::Safe);
-    set.limits.probes = true;
+    let mut set = settings(Idempotency::Idempotent);
+    set.limits.can_probe = true;
     set.prices.probe = 0.002;
-    set.reports = ReportVia::Answers;
+    set.load_reporting = LoadReporting::InResponses;
     set
 }
 
 /// Answers all probes that are out, with each worker's report.
-fn answer(world: &mut World, report: impl Fn(&str) -> Report) {
+fn answer(world: &mut World, report: impl Fn(&str) -> LoadReport) {
     for worker in std::mem::take(&mut world.probes) {
         let report = Some(report(&worker));
-        world.give(Event::Probed { worker: &worker, outcome: Outcome::Ok, lag: MS, report });
+        world.give(Event::ProbeEnded { worker: &worker, outcome: Outcome::Ok, elapsed: MS, report });
     }
 }
 
 fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 fn failed(actions: &[Action]) -> bool {
@@ -34,7 +34,7 @@
 
 #[test]
 fn fewest_own_slots_win() {
-    let mut world = World::new(settings(Effect::Safe), 3);
+    let mut world = World::new(settings(Idempotency::Idempotent), 3);
     world.ready(6);
     for id in 0..6 {
         world.ask(request(id, SEC));
@@ -47,7 +47,7 @@
 
 #[test]
 fn slots_come_back_with_the_outcome() {
-    let mut world = World::new(settings(Effect::Safe), 3);
+    let mut world = World::new(settings(Idempotency::Idempotent), 3);
     world.ready(2);
     let counts = |world: &World, from: u64, to: u64| {
         let w0 = (from..to).filter(|id| world.sends(*id) == ["w0"]).count();
@@ -69,8 +69,8 @@
 
 #[test]
 fn proof_of_not_running_lets_an_unsafe_request_go_elsewhere() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed] {
-        let mut world = World::new(settings(Effect::Unsafe), 5);
+    for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
+        let mut world = World::new(settings(Idempotency::AtMostOnce), 5);
         world.ready(4);
         world.ask(request(1, SEC));
         world.end(1, 0, outcome);
@@ -84,7 +84,7 @@
 #[test]
 fn an_unsafe_request_that_may_have_run_fails() {
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
-        let mut world = World::new(settings(Effect::Unsafe), 5);
+        let mut world = World::new(settings(Idempotency::AtMostOnce), 5);
         world.ready(4);
         world.ask(request(1, SEC));
         let actions = world.end(1, 0, outcome);
@@ -94,12 +94,15 @@
 
 #[test]
 fn a_keyed_request_stays_in_its_cell_and_time() {
-    let mut world = World::new(settings(Effect::Keyed { scope: Scope::Cell, ttl: 300 * MS }), 5);
+    let mut world = World::new(
+        settings(Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 300 * MS }),
+        5,
+    );
     let names: Vec<String> = (0..8).map(|i| format!("w{i}")).collect();
-    let entries: Vec<Entry<'_>> = (0..8u32)
-        .map(|i| Entry { cell: i / 2, ..Entry::new(&names[i as usize], WorkerState::Ready) })
+    let entries: Vec<Endpoint<'_>> = (0..8u32)
+        .map(|i| Endpoint { cell: i / 2, ..Endpoint::new(&names[i as usize], WorkerState::Ready) })
         .collect();
-    world.list(ListScope::Full, &entries);
+    world.list(EndpointUpdate::Snapshot, &entries);
     world.ask(request(1, 2 * SEC));
     world.now += 10 * MS;
     world.end(1, 0, Outcome::Reset);
@@ -119,7 +122,10 @@
 #[test]
 fn a_keyed_request_is_sent_again_only_if_its_connection_comes_up_within_its_time() {
     for (after, sends) in [(40 * MS, 2), (60 * MS, 1)] {
-        let mut world = World::new(settings(Effect::Keyed { scope: Scope::All, ttl: 300 * MS }), 5);
+        let mut world = World::new(
+            settings(Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 300 * MS }),
+            5,
+        );
         world.ready(4);
         world.ask(request(1, 2 * SEC));
         world.now += after;
@@ -131,12 +137,12 @@
 
 #[test]
 fn attempts_are_counted() {
-    let mut world = World::new(settings(Effect::Safe), 5);
+    let mut world = World::new(settings(Idempotency::Idempotent), 5);
     world.ready(8);
     world.ask(request(1, 5 * SEC));
     for attempt in 0..3 {
         assert_eq!(world.sends(1).len(), attempt + 1);
-        world.end(1, attempt as u32, Outcome::Full);
+        world.end(1, attempt as u32, Outcome::Rejected);
         world.pass(MS, true);
     }
     assert!(world.checker.requests[&1].closed, "attempts are used up");
@@ -144,13 +150,13 @@
 
 #[test]
 fn an_empty_list_and_a_drained_list_answer_in_time() {
-    let mut world = World::new(settings(Effect::Unsafe), 5);
+    let mut world = World::new(settings(Idempotency::AtMostOnce), 5);
     world.ask(request(1, SEC));
     world.pass(SEC, true);
     assert!(world.checker.requests[&1].closed);
     world.ready(2);
-    let draining = ["w0", "w1"].map(|w| Entry::new(w, WorkerState::Draining));
-    world.list(ListScope::Changes, &draining);
+    let draining = ["w0", "w1"].map(|w| Endpoint::new(w, WorkerState::Draining));
+    world.list(EndpointUpdate::Delta, &draining);
     world.ask(request(2, SEC));
     world.pass(SEC, true);
     assert!(world.checker.requests[&2].closed && world.sends(2).is_empty());
@@ -163,16 +169,16 @@
     world.ready(2);
     world.ask(request(1, SEC));
     assert!(world.sends(1).is_empty() && !world.probes.is_empty(), "held for its probes");
-    world.list(ListScope::Changes, &[Entry::new("w0", WorkerState::Draining)]);
+    world.list(EndpointUpdate::Delta, &[Endpoint::new("w0", WorkerState::Draining)]);
     world.pass(200 * MS, true);
     assert_eq!(world.sends(1), ["w1"]);
 }
 
 #[test]
 fn a_worker_missing_from_a_full_list_gets_nothing() {
-    let mut world = World::new(settings(Effect::Safe), 5);
+    let mut world = World::new(settings(Idempotency::Idempotent), 5);
     world.ready(4);
-    world.list(ListScope::Full, &[Entry::new("w3", WorkerState::Ready)]);
+    world.list(EndpointUpdate::Snapshot, &[Endpoint::new("w3", WorkerState::Ready)]);
     for id in 0..10 {
         world.ask(request(id, SEC));
         assert_eq!(world.sends(id), ["w3"]);
@@ -181,7 +187,7 @@
 
 #[test]
 fn a_worker_that_fails_fast_does_not_win_for_looking_idle() {
-    let mut world = World::new(settings(Effect::Unsafe), 5);
+    let mut world = World::new(settings(Idempotency::AtMostOnce), 5);
     world.ready(10);
     let (mut bad, mut n) = (0, 0);
     for id in 0..300 {
@@ -201,7 +207,7 @@
 
 #[test]
 fn an_ejected_worker_is_tried_again() {
-    let mut world = World::new(settings(Effect::Safe), 5);
+    let mut world = World::new(settings(Idempotency::Idempotent), 5);
     world.ready(3);
     world.ask(request(0, SEC));
     let bad = world.sends(0)[0].clone();
@@ -217,7 +223,7 @@
 
 #[test]
 fn trouble_everywhere_never_empties_the_fleet() {
-    let mut world = World::new(settings(Effect::Safe), 5);
+    let mut world = World::new(settings(Idempotency::Idempotent), 5);
     world.ready(6);
     for id in 0..60 {
         world.ask(request(id, SEC));
@@ -255,10 +261,11 @@
 
 /// How many of 400 jobs 40 dispatchers send, in two seconds, to one of 20 workers that has just started.
 fn cold_jobs(key: impl Fn(u64) -> Option<u64>) -> u64 {
-    let request = |id: u64, left| Request { key: key(id), ..request(id, left) };
+    let request = |id: u64, left| Request { affinity_key: key(id), ..request(id, left) };
     let mut cold = 0;
     for seed in 0..40 {
-        let mut world = World::new(Settings { instances: 40, ..settings(Effect::Safe) }, seed);
+        let mut world =
+            World::new(Settings { instance_count: 40, ..settings(Idempotency::Idempotent) }, seed);
         world.ready(20);
         for id in 0..20 {
             world.ask(request(id, SEC));
@@ -268,7 +275,10 @@
             world.now += 200 * MS;
         }
         let started = Some(world.now);
-        world.list(ListScope::Changes, &[Entry { started, ..Entry::new("w0", WorkerState::Ready) }]);
+        world.list(
+            EndpointUpdate::Delta,
+            &[Endpoint { started_at: started, ..Endpoint::new("w0", WorkerState::Ready) }],
+        );
         for id in 100..110 {
             world.ask(request(id, SEC));
             let sends = world.sends(id);
@@ -288,27 +298,29 @@
 #[test]
 fn cold_workers_get_their_share_from_dispatchers_that_seldom_look() {
     let (dispatchers, fleet, fresh) = (100u64, 60usize, 36usize);
-    let rules = Rules {
-        cold: 24 * SEC,
-        cold_from: 0.12,
-        tip_multiple: 3.0,
-        tip_after: 3 * SEC,
-        ..settings(Effect::Safe).rules
+    let rules = SafetyRules {
+        slow_start_duration: 24 * SEC,
+        slow_start_initial_fraction: 0.12,
+        overload_multiple: 3.0,
+        overload_window: 3 * SEC,
+        ..settings(Idempotency::Idempotent).rules
     };
     let names: Vec<String> = (0..fleet).map(|i| format!("w{i}")).collect();
     let (mut to_cold, mut jobs, mut windows) = (0u32, 0u32, std::collections::BTreeMap::new());
     for seed in 0..dispatchers {
-        let mut world =
-            World::new(Settings { instances: 100, rules: rules.clone(), ..settings(Effect::Safe) }, seed);
+        let mut world = World::new(
+            Settings { instance_count: 100, rules: rules.clone(), ..settings(Idempotency::Idempotent) },
+            seed,
+        );
         world.ready(fleet);
         for id in 0..20 {
             // The fleet is full but for its fresh workers: these would be preferred by all.
             if id == 8 {
                 let started = Some(world.now);
-                let entries: Vec<Entry<'_>> = (0..fresh)
-                    .map(|i| Entry { started, ..Entry::new(&names[i], WorkerState::Ready) })
+                let entries: Vec<Endpoint<'_>> = (0..fresh)
+                    .map(|i| Endpoint { started_at: started, ..Endpoint::new(&names[i], WorkerState::Ready) })
                     .collect();
-                world.list(ListScope::Changes, &entries);
+                world.list(EndpointUpdate::Delta, &entries);
             }
             world.ask(request(id, SEC));
             let Some(to) = world.sends(id).first().cloned() else { continue };
@@ -340,11 +352,12 @@
 fn a_cold_workers_budget_counts_slots_and_no_more_than_the_mean_weight() {
     let mut slots = 0.0;
     for seed in 0..40 {
-        let mut world = World::new(Settings { instances: 40, ..settings(Effect::Safe) }, seed);
+        let mut world =
+            World::new(Settings { instance_count: 40, ..settings(Idempotency::Idempotent) }, seed);
         let names: Vec<String> = (0..10).map(|i| format!("w{i}")).collect();
-        let entry = |i: usize, weight| Entry { weight, ..Entry::new(&names[i], WorkerState::Ready) };
-        let mut entries: Vec<Entry<'_>> = (0..10).map(|i| entry(i, 1.0)).collect();
-        world.list(ListScope::Full, &entries);
+        let entry = |i: usize, weight| Endpoint { weight, ..Endpoint::new(&names[i], WorkerState::Ready) };
+        let mut entries: Vec<Endpoint<'_>> = (0..10).map(|i| entry(i, 1.0)).collect();
+        world.list(EndpointUpdate::Snapshot, &entries);
         let ask = |world: &mut World, id: u64| {
             world.ask(Request { slots: 4.0, ..request(id, SEC) });
             let sends = world.sends(id);
@@ -357,8 +370,8 @@
         for id in 0..40 {
             ask(&mut world, id);
         }
-        entries[0] = Entry { started: Some(world.now), ..entry(0, 10.0) };
-        world.list(ListScope::Changes, &entries[..1]);
+        entries[0] = Endpoint { started_at: Some(world.now), ..entry(0, 10.0) };
+        world.list(EndpointUpdate::Delta, &entries[..1]);
         slots += (100..120).map(|id| 4.0 * f64::from(u8::from(ask(&mut world, id)))).sum::<f64>();
     }
     // 40 dispatchers send 3,200 slots in two seconds, 320 to a warm worker; multiple 3 at 0.3 to 0.475 of that.
@@ -368,7 +381,7 @@
 /// Found in an incident: six workers turned away all they got and drew two thirds of all sends for looking idle.
 #[test]
 fn a_worker_that_turns_everything_away_does_not_win_for_looking_idle() {
-    let mut world = World::new(settings(Effect::Unsafe), 5);
+    let mut world = World::new(settings(Idempotency::AtMostOnce), 5);
     world.ready(10);
     let (mut bad, mut n) = (0, 0);
     for id in 0..2_000 {
@@ -379,7 +392,7 @@
             n += 1;
             let liar = to == "w0";
             bad += usize::from(liar);
-            world.end(id, attempt as u32, if liar { Outcome::Full } else { Outcome::Ok });
+            world.end(id, attempt as u32, if liar { Outcome::Rejected } else { Outcome::Ok });
         }
         world.now += 10 * MS;
     }
@@ -395,27 +408,31 @@
     world.ready(6);
     world.ask(request(1, 2 * SEC));
     for _ in 0..200 {
-        answer(&mut world, |_| Report { free_slots: Some(0.0), ..Report::default() });
+        answer(&mut world, |_| LoadReport { free_slots: Some(0.0), ..LoadReport::default() });
         world.pass(5 * MS, false);
     }
     assert!(world.sends(1).is_empty() && world.checker.requests[&1].closed);
-    assert!(world.trace.iter().any(|a| matches!(a, Action::Refuse { retry_after: Some(t), .. } if *t > 0)));
+    assert!(world.trace.iter().any(|a| matches!(a, Action::Reject { retry_after: Some(t), .. } if *t > 0)));
 }
 
 /// Found at the second deployment, whose workers tell their queue: slots came back unseen while jobs were held for a report of one. A
 /// job may be the first to wait, by the report and by our own count; nobody joins a queue, and none where it is not told.
 #[test]
 fn a_job_may_be_the_first_to_wait_where_the_queue_is_told() {
-    let sent = |backlog: Option<f64>, jobs: u64| {
-        let mut set = Settings { tells_start: true, ..probing() };
-        set.classes[0].aim = SEC;
+    let sent = |queue_depth: Option<f64>, jobs: u64| {
+        let mut set = Settings { reports_attempt_start: true, ..probing() };
+        set.classes[0].latency_target = SEC;
         let mut world = World::new(set, 5);
         world.ready(1);
         // So long after each other that reports would show the one before.
         for id in 0..jobs {
             world.ask(request(id, 60 * SEC));
             for _ in 0..400 {
-                answer(&mut world, |_| Report { free_slots: Some(0.3), backlog, ..Report::default() });
+                answer(&mut world, |_| LoadReport {
+                    free_slots: Some(0.3),
+                    queue_depth,
+                    ..LoadReport::default()
+                });
                 world.pass(5 * MS, false);
             }
         }
@@ -433,14 +450,14 @@
 fn a_try_that_can_only_be_late_is_not_held_like_a_first_one() {
     let held = |lefts: [Nanos; 2]| {
         let mut set = probing();
-        (set.classes[0].deadline, set.classes[0].aim) = (2 * SEC, 400 * MS);
+        (set.classes[0].deadline, set.classes[0].latency_target) = (2 * SEC, 400 * MS);
         let mut world = World::new(set, 5);
         world.ready(2);
         let waits = lefts.iter().zip(1..).map(|(left, id)| {
             world.ask(request(id, *left));
             let from = world.now;
             while !world.checker.requests[&id].closed && world.now < from + 10 * SEC {
-                answer(&mut world, |_| Report { free_slots: Some(0.0), ..Report::default() });
+                answer(&mut world, |_| LoadReport { free_slots: Some(0.0), ..LoadReport::default() });
                 world.pass(5 * MS, false);
             }
             world.now - from
@@ -456,12 +473,12 @@
 /// Found at the second deployment, where worth counts by work: the limiter took it for each request's own, and held short jobs dear.
 #[test]
 fn when_there_is_no_room_worth_counts_as_the_settings_say() {
-    let parts = |worth_by_work: bool| {
+    let parts = |value_by_work: bool| {
         let mut set = probing();
-        let class = Class { worth: 1.0, late_share: 0.5, ..set.classes[0].clone() };
-        set.classes = vec![class.clone(), Class { worth: 4.0, ..class }];
-        set.worth_by_work = worth_by_work;
-        set.reports = ReportVia::Probe;
+        let class = RequestClass { value: 1.0, late_value_fraction: 0.5, ..set.classes[0].clone() };
+        set.classes = vec![class.clone(), RequestClass { value: 4.0, ..class }];
+        set.value_by_work = value_by_work;
+        set.load_reporting = LoadReporting::InProbes;
         let mut world = World::new(set, 5);
         world.ready(4);
         let (mut asked, mut taken) = ([0.0; 2], [0.0; 2]);
@@ -475,9 +492,9 @@
                 asked[class] += 1.0;
                 taken[class] += f64::from(u8::from(world.probes.len() > before));
             }
-            answer(&mut world, |_| Report {
+            answer(&mut world, |_| LoadReport {
                 free_slots: Some(if full { 0.0 } else { 2.0 }),
-                ..Report::default()
+                ..LoadReport::default()
             });
             world.pass(5 * MS, false);
             if !full {
@@ -501,10 +518,10 @@
 fn dispatchers_meet_at_the_same_few_workers_for_a_key() {
     let mut used = std::collections::BTreeSet::new();
     for seed in 0..10 {
-        let mut world = World::new(settings(Effect::Safe), seed);
+        let mut world = World::new(settings(Idempotency::Idempotent), seed);
         world.ready(40);
         for id in 0..10 {
-            world.ask(Request { key: Some(77), ..request(id, SEC) });
+            world.ask(Request { affinity_key: Some(77), ..request(id, SEC) });
             used.extend(world.sends(id));
             world.end(id, 0, Outcome::Ok);
         }
@@ -516,16 +533,23 @@
 #[test]
 fn the_worker_heard_of_last_is_a_candidate() {
     let mut set = probing();
-    set.limits.conn_idle = 5 * SEC;
+    set.limits.idle_connection_timeout = 5 * SEC;
     let mut world = World::new(set, 5);
     world.ready(100);
     world.ask(request(1, SEC));
     world.pass(20 * MS, true);
     let first = world.sends(1)[0].clone();
-    let report = Some(Report { free_slots: Some(2.0), ..Report::default() });
+    let report = Some(LoadReport { free_slots: Some(2.0), ..LoadReport::default() });
     let outcome = Outcome::Ok;
     world.checker.requests.get_mut(&1).expect("asked").closed = true;
-    world.give(Event::Ended { id: RequestId(1), attempt: 0, outcome, closed: true, lag: 9 * MS, report });
+    world.give(Event::AttemptEnded {
+        id: RequestId(1),
+        attempt: 0,
+        outcome,
+        closed: true,
+        elapsed: 9 * MS,
+        report,
+    });
     let actions = world.ask(request(2, SEC));
     assert_eq!(world.sends(2), [first], "sent at once, without probes: {actions:?}");
 }
@@ -536,7 +560,7 @@
 fn probes_go_to_the_workers_with_the_fewest_own_slots() {
     let mut set = probing();
     set.prices.probe = 0.005;
-    set.limits.conn_idle = 10 * SEC;
+    set.limits.idle_connection_timeout = 10 * SEC;
     let mut world = World::new(set, 3);
     world.ready(6);
     let mut busy = None;
@@ -544,9 +568,9 @@
         world.ask(request(id, 2 * SEC));
         while world.sends(id).is_empty() {
             let only = busy.get_or_insert_with(|| world.probes[0].clone()).clone();
-            answer(&mut world, |w| Report {
+            answer(&mut world, |w| LoadReport {
                 free_slots: Some(if w == only { 4.0 } else { 0.0 }),
-                ..Report::default()
+                ..LoadReport::default()
             });
             world.pass(50 * MS, false);
         }
@@ -566,12 +590,12 @@
     let mut set = probing();
     set.prices.cross_zone = 0.061;
     let mut world = World::new(set, 3);
-    let far = Entry { zone: 1, ..Entry::new("far", WorkerState::Ready) };
-    world.list(ListScope::Full, &[Entry::new("near", WorkerState::Ready), far]);
+    let far = Endpoint { zone: 1, ..Endpoint::new("far", WorkerState::Ready) };
+    world.list(EndpointUpdate::Snapshot, &[Endpoint::new("near", WorkerState::Ready), far]);
     world.ask(request(1, SEC));
-    answer(&mut world, |w| Report {
+    answer(&mut world, |w| LoadReport {
         free_slots: Some(if w == "near" { 1.0 } else { 2.0 }),
-        ..Report::default()
+        ..LoadReport::default()
     });
     world.pass(50 * MS, false);
     assert_eq!(world.sends(1), ["near"]);
@@ -584,10 +608,10 @@
         let mut world = World::new(set.clone(), id);
         world.ready(2);
         world.ask(Request { memory: 2.0, ..request(id, SEC) });
-        answer(&mut world, |worker| Report {
+        answer(&mut world, |worker| LoadReport {
             free_slots: Some(2.0),
             free_memory: Some(if worker == "w0" { 1.0 } else { 3.0 }),
-            ..Report::default()
+            ..LoadReport::default()
         });
         world.pass(10 * MS, false);
         assert_eq!(world.sends(id), ["w1"]);
@@ -602,7 +626,7 @@
     world.ready(2);
     for id in 0..20 {
         world.ask(request(id, 2 * SEC));
-        answer(&mut world, |_| Report { free_slots: Some(2.0), ..Report::default() });
+        answer(&mut world, |_| LoadReport { free_slots: Some(2.0), ..LoadReport::default() });
         world.pass(6 * MS, false);
     }
     let sent: usize = (0..20).map(|id| world.sends(id).len()).sum();
@@ -613,10 +637,16 @@
 fn the_list_is_asked_for_with_spread_and_backs_off() {
     let mut first = Vec::new();
     for seed in 0..50 {
-        let mut world =
-            World::new(Settings { must_ask: true, instances: 200, ..settings(Effect::Safe) }, seed);
+        let mut world = World::new(
+            Settings {
+                must_request_endpoints: true,
+                instance_count: 200,
+                ..settings(Idempotency::Idempotent)
+            },
+            seed,
+        );
         let start = world.now;
-        world.list(ListScope::Cached, &[Entry::new("w0", WorkerState::Ready)]);
+        world.list(EndpointUpdate::CachedSnapshot, &[Endpoint::new("w0", WorkerState::Ready)]);
         let subscribes = |w: &World| w.trace.iter().filter(|a| **a == Action::Subscribe).count();
         while subscribes(&world) == 0 {
             world.pass(MS, true);
@@ -625,11 +655,11 @@
         first.push(world.now - start);
         // A call that broke off says little about the next: news is missed until it is asked for again.
         let before = subscribes(&world);
-        world.give(Event::Members { scope: ListScope::Failed, entries: &[] });
+        world.give(Event::EndpointsChanged { update: EndpointUpdate::Unavailable, endpoints: &[] });
         world.pass(SEC, true);
         assert_eq!(subscribes(&world), before + 1, "asked again within a second, once");
         for _ in 0..5 {
-            world.give(Event::Members { scope: ListScope::Failed, entries: &[] });
+            world.give(Event::EndpointsChanged { update: EndpointUpdate::Unavailable, endpoints: &[] });
             world.pass(200 * MS, true);
         }
         assert!(subscribes(&world) <= before + 3, "it crowds a failing list");
@@ -643,23 +673,23 @@
 
 #[test]
 fn odd_but_legal_events_do_no_harm() {
-    let mut world = World::new(settings(Effect::Safe), 5);
-    world.give(Event::Gone(RequestId(9)));
-    world.give(Event::Timer(u64::MAX >> 1));
-    world.give(Event::Peer { from: 99, data: &[1, 2, 3] });
-    world.give(Event::Peer { from: 0, data: &[] });
-    world.give(Event::Probed { worker: "nobody", outcome: Outcome::Ok, lag: 0, report: None });
+    let mut world = World::new(settings(Idempotency::Idempotent), 5);
+    world.give(Event::ClientGone(RequestId(9)));
+    world.give(Event::TimerFired(u64::MAX >> 1));
+    world.give(Event::PeerMessage { from: 99, data: &[1, 2, 3] });
+    world.give(Event::PeerMessage { from: 0, data: &[] });
+    world.give(Event::ProbeEnded { worker: "nobody", outcome: Outcome::Ok, elapsed: 0, report: None });
     world.ready(1);
-    world.ask(Request { hint: Some(0), ..request(1, 0) });
+    world.ask(Request { expected_work: Some(0), ..request(1, 0) });
     world.pass(MS, true);
     world.ask(request(2, SEC));
     world.end(2, 0, Outcome::Ok);
-    let late = Event::Ended {
+    let late = Event::AttemptEnded {
         id: RequestId(2),
         attempt: 0,
         outcome: Outcome::Ok,
         closed: true,
-        lag: 0,
+        elapsed: 0,
         report: None,
     };
     assert!(world.give(late).is_empty(), "a duplicate outcome");
@@ -667,14 +697,14 @@
 
 #[test]
 fn a_deadline_already_past_is_answered_at_once() {
-    let mut world = World::new(settings(Effect::Safe), 5);
+    let mut world = World::new(settings(Idempotency::Idempotent), 5);
     world.ready(2);
     assert!(refused(&world.ask(request(1, 0))));
 }
 
 #[test]
 fn thousands_of_workers_are_no_trouble() {
-    let mut world = World::new(settings(Effect::Safe), 5);
+    let mut world = World::new(settings(Idempotency::Idempotent), 5);
     world.ready(3_000);
     for id in 0..500 {
         world.ask(request(id, SEC));
@@ -684,20 +714,21 @@
 
 #[test]
 fn settings_that_make_no_sense_are_named() {
-    let good = settings(Effect::Safe);
+    let good = settings(Idempotency::Idempotent);
     let mut none = good.clone();
     none.classes.clear();
     let mut negative = good.clone();
-    negative.prices.waste = -1.0;
+    negative.prices.wasted_work = -1.0;
     let mut infinite = good.clone();
-    infinite.rules.tip_multiple = f64::INFINITY;
-    let mut kind = good.clone();
-    kind.classes[0].kind = Some(9);
-    let number = Settings { me: 4, ..good };
-    let cases = [(none, "classes"), (negative, "prices"), (infinite, "rules"), (kind, "classes.kind")];
+    infinite.rules.overload_multiple = f64::INFINITY;
+    let mut machine_kind = good.clone();
+    machine_kind.classes[0].machine_kind = Some(9);
+    let number = Settings { instance: 4, ..good };
+    let cases =
+        [(none, "classes"), (negative, "prices"), (infinite, "rules"), (machine_kind, "classes.kind")];
     for (set, name) in cases.into_iter().chain([(number, "instances")]) {
         let error = Dispatcher::new(set, 1).map(drop).expect_err(name);
-        assert_eq!(error.setting, name);
+        assert_eq!(error.setting(), name);
         assert!(error.to_string().contains(name));
     }
 }
@@ -709,11 +740,14 @@
     let mut world = World::new(probing(), 3);
     world.ready(2);
     let large = |world: &mut World, id: u64| world.ask(Request { memory: 5.0, ..request(id, SEC) });
-    let report =
-        |memory: f64| Report { free_slots: Some(1.0), free_memory: Some(memory), ..Report::default() };
+    let report = |memory: f64| LoadReport {
+        free_slots: Some(1.0),
+        free_memory: Some(memory),
+        ..LoadReport::default()
+    };
     let hear = |world: &mut World, worker: &str, memory: f64| {
         let report = Some(report(memory));
-        world.give(Event::Probed { worker, outcome: Outcome::Ok, lag: MS, report });
+        world.give(Event::ProbeEnded { worker, outcome: Outcome::Ok, elapsed: MS, report });
     };
     hear(&mut world, "w0", 2.0);
     assert!(!refused(&large(&mut world, 1)), "w1 was not heard of");
@@ -726,6 +760,6 @@
         world
             .ask(Request { memory: 0.0, ..request(4, SEC) })
             .iter()
-            .all(|a| !matches!(a, Action::Refuse { .. }))
+            .all(|a| !matches!(a, Action::Reject { .. }))
     );
 }
--- a/crates/service/balancing-policy/tests/common/mod.rs
+++ b/crates/service/balancing-policy/tests/common/mod.rs
@@ -69,28 +69,28 @@
                 if request.closed {
                     return Err("rule 1: sent after its end".into());
                 }
-                if request.attempts.len() >= self.set.limits.attempts as usize {
+                if request.attempts.len() >= self.set.limits.max_attempts as usize {
                     return Err("more attempts than permitted".into());
                 }
-                if !self.set.limits.second_copies && request.attempts.iter().any(|a| a.outcome.is_none()) {
+                if !self.set.limits.can_hedge && request.attempts.iter().any(|a| a.outcome.is_none()) {
                     return Err("two attempts out together".into());
                 }
                 for a in &request.attempts {
                     if a.outcome.is_some_and(Outcome::never_ran) {
                         continue;
                     }
-                    match self.set.classes[request.class].effect {
-                        Effect::Safe => {}
-                        Effect::Unsafe => return Err("rule 2: an unsafe request sent twice".into()),
-                        Effect::Keyed { scope, ttl } => {
+                    match self.set.classes[request.class].idempotency {
+                        Idempotency::Idempotent => {}
+                        Idempotency::AtMostOnce => return Err("rule 2: an unsafe request sent twice".into()),
+                        Idempotency::Deduplicated { scope, window } => {
                             let first = &self.members[&a.worker];
                             let same = match scope {
-                                Scope::All => true,
-                                Scope::Zone => first.zone == member.zone,
-                                Scope::Cell => first.cell == member.cell,
+                                DeduplicationScope::All => true,
+                                DeduplicationScope::Zone => first.zone == member.zone,
+                                DeduplicationScope::Cell => first.cell == member.cell,
                             };
                             // The connection may take its whole time to come up before the send.
-                            if !same || now + self.set.limits.connect_timeout > a.sent + ttl {
+                            if !same || now + self.set.limits.connect_timeout > a.sent + window {
                                 return Err("rule 2: a keyed request left its group or time".into());
                             }
                         }
@@ -98,13 +98,14 @@
                 }
                 request.attempts.push(Attempt { worker: worker.0.to_string(), sent: now, outcome: None });
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let request = self.requests.get_mut(&id.0).ok_or("refused an unknown request")?;
                 if std::mem::replace(&mut request.closed, true) {
                     return Err("rule 1: a second final answer".into());
                 }
-                let free = match self.set.classes[request.class].effect {
-                    Effect::Safe | Effect::Keyed { scope: Scope::All, .. } => true,
+                let free = match self.set.classes[request.class].idempotency {
+                    Idempotency::Idempotent
+                    | Idempotency::Deduplicated { scope: DeduplicationScope::All, .. } => true,
                     _ => request.attempts.iter().all(|a| a.outcome.is_some_and(Outcome::never_ran)),
                 };
                 if !free {
@@ -117,9 +118,15 @@
                     return Err("rule 1: a second final answer".into());
                 }
             }
-            Action::Cancel { .. } if !self.set.limits.cancel => return Err("cancel is not permitted".into()),
-            Action::Probe { .. } if !self.set.limits.probes => return Err("probes are not permitted".into()),
-            Action::Tell { .. } if !self.set.limits.peers => return Err("messages are not permitted".into()),
+            Action::Cancel { .. } if !self.set.limits.can_cancel => {
+                return Err("cancel is not permitted".into());
+            }
+            Action::Probe { .. } if !self.set.limits.can_probe => {
+                return Err("probes are not permitted".into());
+            }
+            Action::SendToPeer { .. } if !self.set.limits.can_message_peers => {
+                return Err("messages are not permitted".into());
+            }
             _ => {}
         }
         Ok(())
@@ -176,36 +183,36 @@
         out
     }
 
-    pub fn list(&mut self, scope: ListScope, entries: &[Entry<'_>]) -> Vec<Action> {
-        if matches!(scope, ListScope::Full | ListScope::Cached) {
+    pub fn list(&mut self, scope: EndpointUpdate, entries: &[Endpoint<'_>]) -> Vec<Action> {
+        if matches!(scope, EndpointUpdate::Snapshot | EndpointUpdate::CachedSnapshot) {
             for (name, member) in &mut self.checker.members {
                 if !entries.iter().any(|e| e.worker == name) {
-                    member.state = WorkerState::Gone;
+                    member.state = WorkerState::Removed;
                 }
             }
         }
         for e in entries {
-            let member = Member { state: e.state, zone: e.zone, cell: e.cell, started: e.started };
+            let member = Member { state: e.state, zone: e.zone, cell: e.cell, started: e.started_at };
             self.checker.members.insert(e.worker.to_owned(), member);
         }
-        self.give(Event::Members { scope, entries })
+        self.give(Event::EndpointsChanged { update: scope, endpoints: entries })
     }
 
     pub fn ready(&mut self, n: usize) {
         let names: Vec<String> = (0..n).map(|i| format!("w{i}")).collect();
-        let entries: Vec<Entry<'_>> = names.iter().map(|w| Entry::new(w, WorkerState::Ready)).collect();
-        self.list(ListScope::Full, &entries);
+        let entries: Vec<Endpoint<'_>> = names.iter().map(|w| Endpoint::new(w, WorkerState::Ready)).collect();
+        self.list(EndpointUpdate::Snapshot, &entries);
     }
 
     pub fn ask(&mut self, request: Request) -> Vec<Action> {
         let open = Open {
             class: request.class as usize,
-            due: self.now + request.left,
+            due: self.now + request.time_left,
             closed: false,
             attempts: Vec::new(),
         };
         self.checker.requests.insert(request.id.0, open);
-        self.give(Event::Request(request))
+        self.give(Event::RequestArrived(request))
     }
 
     /// Ends attempt `attempt` of request `id`; `Ok` closes the request.
@@ -215,8 +222,8 @@
         request.attempts[attempt as usize].outcome = Some(outcome);
         let closed = request.closed || outcome == Outcome::Ok;
         request.closed = closed;
-        let lag = self.now - sent;
-        self.give(Event::Ended { id: RequestId(id), attempt, outcome, closed, lag, report: None })
+        let elapsed = self.now - sent;
+        self.give(Event::AttemptEnded { id: RequestId(id), attempt, outcome, closed, elapsed, report: None })
     }
 
     /// Lets time pass; timers ring, probes are answered idle at once, and nothing else happens.
@@ -225,8 +232,13 @@
         loop {
             if answer_probes {
                 while let Some(worker) = self.probes.pop() {
-                    let report = Some(Report { free_slots: Some(4.0), ..Report::default() });
-                    self.give(Event::Probed { worker: &worker, outcome: Outcome::Ok, lag: MS, report });
+                    let report = Some(LoadReport { free_slots: Some(4.0), ..LoadReport::default() });
+                    self.give(Event::ProbeEnded {
+                        worker: &worker,
+                        outcome: Outcome::Ok,
+                        elapsed: MS,
+                        report,
+                    });
                 }
             }
             let Some((&(at, n), &token)) = self.timers.first_key_value().filter(|((at, _), _)| *at <= until)
@@ -235,7 +247,7 @@
             };
             self.timers.remove(&(at, n));
             self.now = at;
-            self.give(Event::Timer(token));
+            self.give(Event::TimerFired(token));
         }
         self.now = until;
     }
@@ -245,18 +257,22 @@
     }
 }
 
-pub fn settings(effect: Effect) -> Settings {
-    let mut set = Settings { instances: 4, tick: 5 * MS, ..Settings::default() };
-    set.classes.push(Class { effect, stretch: 2.0, ..Class::new(200 * MS, 2 * SEC) });
-    set.limits.attempts = 3;
-    set.limits.cancel = true;
-    set.limits.retry_after = true;
+pub fn settings(idempotency: Idempotency) -> Settings {
+    let mut set = Settings { instance_count: 4, tick: 5 * MS, ..Settings::default() };
+    set.classes.push(RequestClass {
+        idempotency,
+        latency_target_stretch: 2.0,
+        ..RequestClass::new(200 * MS, 2 * SEC)
+    });
+    set.limits.max_attempts = 3;
+    set.limits.can_cancel = true;
+    set.limits.can_send_retry_after = true;
     set.limits.max_retry_after = SEC;
-    set.rules.cold = 8 * SEC;
-    set.rules.cold_from = 0.3;
-    set.rules.tip_multiple = 3.0;
-    set.rules.tip_after = 2 * SEC;
+    set.rules.slow_start_duration = 8 * SEC;
+    set.rules.slow_start_initial_fraction = 0.3;
+    set.rules.overload_multiple = 3.0;
+    set.rules.overload_window = 2 * SEC;
     set.rules.drain_grace = SEC;
-    set.rules.ask_every = 10 * SEC;
+    set.rules.endpoint_poll_interval = 10 * SEC;
     set
 }
--- a/crates/service/balancing-policy/tests/fleet.rs
+++ b/crates/service/balancing-policy/tests/fleet.rs
@@ -12,16 +12,20 @@
 
 /// Settings of a fleet that is large for what comes.
 fn large() -> Settings {
-    let mut set = Settings { must_ask: true, instances: DISPATCHERS as u32, ..settings(Effect::Safe) };
-    set.limits.conn_idle = 10 * SEC;
+    let mut set = Settings {
+        must_request_endpoints: true,
+        instance_count: DISPATCHERS as u32,
+        ..settings(Idempotency::Idempotent)
+    };
+    set.limits.idle_connection_timeout = 10 * SEC;
     set
 }
 
 /// The list that a dispatcher has from before its start.
 fn known(world: &mut World, n: usize) {
     let names: Vec<String> = (0..n).map(|i| format!("w{i}")).collect();
-    let entries: Vec<Entry<'_>> = names.iter().map(|w| Entry::new(w, WorkerState::Ready)).collect();
-    world.list(ListScope::Cached, &entries);
+    let entries: Vec<Endpoint<'_>> = names.iter().map(|w| Endpoint::new(w, WorkerState::Ready)).collect();
+    world.list(EndpointUpdate::CachedSnapshot, &entries);
 }
 
 /// Discovery does not answer for 20 s, to all that started in the same moment: how many call in each 100 ms, and what became of
@@ -45,7 +49,7 @@
             if new > 0 {
                 *calls.entry((world.now - start) / (100 * MS)).or_default() += new;
                 mine += new;
-                world.list(ListScope::Failed, &[]);
+                world.list(EndpointUpdate::Unavailable, &[]);
             }
         }
         assert!((2..=16).contains(&mine), "{mine} calls in 20 s by dispatcher {seed}");
@@ -87,9 +91,9 @@
 #[test]
 fn prices_of_zero_and_barred_peers_change_no_rule() {
     let mut set = large();
-    set.limits.probes = true;
-    set.reports = ReportVia::Answers;
-    assert_eq!((set.prices.clone(), set.limits.peers), (Prices::default(), false));
+    set.limits.can_probe = true;
+    set.load_reporting = LoadReporting::InResponses;
+    assert_eq!((set.prices.clone(), set.limits.can_message_peers), (Prices::default(), false));
     for seed in 0..DISPATCHERS {
         let mut world = World::new(set.clone(), seed);
         known(&mut world, 20);
@@ -100,7 +104,7 @@
             assert_eq!(attempt, 1, "dispatcher {seed}, job {id}");
             world.end(id, 0, Outcome::Ok);
         }
-        assert!(!world.trace.iter().any(|a| matches!(a, Action::Tell { .. })));
+        assert!(!world.trace.iter().any(|a| matches!(a, Action::SendToPeer { .. })));
         assert_eq!(world.checker.overdue(world.now), None);
     }
 }
@@ -111,25 +115,25 @@
 fn a_zone_that_vanishes_and_returns_cold_is_used_again_and_not_pushed_over() {
     const ZONE: usize = 20;
     let names: Vec<String> = (0..60).map(|i| format!("w{i}")).collect();
-    let entry = |i: usize, started| Entry {
+    let entry = |i: usize, started| Endpoint {
         zone: (i / ZONE) as u32,
-        started,
-        ..Entry::new(&names[i], WorkerState::Ready)
+        started_at: started,
+        ..Endpoint::new(&names[i], WorkerState::Ready)
     };
     let lost = |to: &str| names[..ZONE].iter().any(|n| n == to);
     let (mut back, mut windows) = (0u32, BTreeMap::new());
     // No connection is kept: jobs that end at once would all go where the last one was.
     let mut set = large();
-    set.limits.conn_idle = 0;
+    set.limits.idle_connection_timeout = 0;
     for seed in 0..DISPATCHERS {
         let mut world = World::new(set.clone(), seed);
-        let entries: Vec<Entry<'_>> = (0..60).map(|i| entry(i, None)).collect();
-        world.list(ListScope::Full, &entries);
+        let entries: Vec<Endpoint<'_>> = (0..60).map(|i| entry(i, None)).collect();
+        world.list(EndpointUpdate::Snapshot, &entries);
         for id in 0..60u64 {
             // From the 20th to the 40th job, 10 s, the zone is away.
             if id == 40 {
-                let entries: Vec<Entry<'_>> = (0..ZONE).map(|i| entry(i, Some(world.now))).collect();
-                world.list(ListScope::Changes, &entries);
+                let entries: Vec<Endpoint<'_>> = (0..ZONE).map(|i| entry(i, Some(world.now))).collect();
+                world.list(EndpointUpdate::Delta, &entries);
             }
             world.ask(request(id, SEC));
             while let Some(to) = world.sends(id).last().cloned() {
@@ -161,8 +165,8 @@
 
 /// A worker's probe tells of so many free slots.
 fn probed(world: &mut World, worker: &str, free: f64) {
-    let report = Some(Report { free_slots: Some(free), ..Report::default() });
-    world.give(Event::Probed { worker, outcome: Outcome::Ok, lag: MS, report });
+    let report = Some(LoadReport { free_slots: Some(free), ..LoadReport::default() });
+    world.give(Event::ProbeEnded { worker, outcome: Outcome::Ok, elapsed: MS, report });
 }
 
 /// A dispatcher that knows three warm workers and has had six jobs of a second each, four at a time in a worker; `then` comes after each.
@@ -183,13 +187,16 @@
 /// neither: with one worker left each took it for its whole fleet, and what waited at the others was given to nobody.
 #[test]
 fn the_parts_of_a_fresh_worker_add_up_to_what_it_does() {
-    let set = Settings { instances: DISPATCHERS as u32, ..large() };
+    let set = Settings { instance_count: DISPATCHERS as u32, ..large() };
     let cold_sends = |jobs: u64| {
         let mut sent = 0;
         for seed in 0..DISPATCHERS {
             let mut world = served(&set, seed, |world| WARM.into_iter().for_each(|w| probed(world, w, 4.0)));
             let started = Some(world.now);
-            world.list(ListScope::Full, &[Entry { started, ..Entry::new("w9", WorkerState::Ready) }]);
+            world.list(
+                EndpointUpdate::Snapshot,
+                &[Endpoint { started_at: started, ..Endpoint::new("w9", WorkerState::Ready) }],
+            );
             // A window of the cold budget.
             for id in 100..100 + jobs {
                 world.ask(request(id, 4 * SEC));
@@ -219,12 +226,12 @@
             .collect::<Vec<_>>()
     };
     for seed in 0..DISPATCHERS {
-        let mut world = World::new(Settings { instances: 300, ..large() }, seed);
-        let entries = [Entry::new("w0", WorkerState::Ready)];
-        let first = calls(&world.list(ListScope::Cached, &entries));
+        let mut world = World::new(Settings { instance_count: 300, ..large() }, seed);
+        let entries = [Endpoint::new("w0", WorkerState::Ready)];
+        let first = calls(&world.list(EndpointUpdate::CachedSnapshot, &entries));
         assert!(first.len() == 1 && first[0] <= 15 * SEC / 4, "first call after {first:?}");
         for failed in 1..10 {
-            let again = calls(&world.list(ListScope::Failed, &[]));
+            let again = calls(&world.list(EndpointUpdate::Unavailable, &[]));
             assert!(again.len() == 1 && again[0] <= 11 * SEC / 4, "after {failed} failed calls {again:?}");
         }
     }
@@ -234,26 +241,26 @@
 /// window of its budget, when eight jobs come to each, the other workers are full, and its probes show four free slots to all.
 fn sent_by_thirty(before: Nanos, after: Nanos) -> usize {
     const THIRTY: u64 = 30;
-    let mut set = Settings { instances: THIRTY as u32, ..large() };
-    set.limits.probes = true;
-    set.reports = ReportVia::Answers;
+    let mut set = Settings { instance_count: THIRTY as u32, ..large() };
+    set.limits.can_probe = true;
+    set.load_reporting = LoadReporting::InResponses;
     let mut sent = 0;
     for seed in 0..THIRTY {
         let mut world = served(&set, seed, |_| ());
         world.pass(before, false);
         WARM.into_iter().for_each(|w| probed(&mut world, w, 0.0));
         let started = Some(world.now);
-        let entries: Vec<Entry<'_>> = WARM.map(|w| Entry::new(w, WorkerState::Ready)).into();
-        let fresh = [Entry { started, ..Entry::new("w9", WorkerState::Ready) }];
+        let entries: Vec<Endpoint<'_>> = WARM.map(|w| Endpoint::new(w, WorkerState::Ready)).into();
+        let fresh = [Endpoint { started_at: started, ..Endpoint::new("w9", WorkerState::Ready) }];
         let list = [&entries[..], &fresh].concat();
-        world.list(ListScope::Full, &list);
+        world.list(EndpointUpdate::Snapshot, &list);
         world.pass(after, false);
         for id in 100..108 {
             world.ask(request(id, 4 * SEC));
         }
         for _ in 0..20 {
             // The list comes again and again, with the same start.
-            world.list(ListScope::Full, &list);
+            world.list(EndpointUpdate::Snapshot, &list);
             WARM.into_iter().for_each(|w| probed(&mut world, w, 0.0));
             probed(&mut world, "w9", 4.0);
             world.pass(100 * MS, false);
@@ -293,19 +300,19 @@
 /// anything. What all workers are sent, and the most that one is; `told` says whether workers tell of their load.
 fn sent_to_a_fleet_that_has_just_started(told: bool) -> (usize, usize) {
     const THIRTY: u64 = 30;
-    let mut set = Settings { instances: THIRTY as u32, ..large() };
+    let mut set = Settings { instance_count: THIRTY as u32, ..large() };
     if told {
-        set.limits.probes = true;
-        set.reports = ReportVia::Answers;
+        set.limits.can_probe = true;
+        set.load_reporting = LoadReporting::InResponses;
     }
     let names: Vec<String> = (0..10).map(|i| format!("w{i}")).collect();
     let mut sent: BTreeMap<String, usize> = BTreeMap::new();
     for seed in 0..THIRTY {
         let mut world = World::new(set.clone(), seed);
         let started = Some(world.now);
-        let entry = |w| Entry { started, ..Entry::new(w, WorkerState::Ready) };
-        let entries: Vec<Entry<'_>> = names.iter().map(|w| entry(w)).collect();
-        world.list(ListScope::Full, &entries);
+        let entry = |w| Endpoint { started_at: started, ..Endpoint::new(w, WorkerState::Ready) };
+        let entries: Vec<Endpoint<'_>> = names.iter().map(|w| entry(w)).collect();
+        world.list(EndpointUpdate::Snapshot, &entries);
         for id in 0..8 {
             world.ask(request(id, 4 * SEC));
             world.pass(250 * MS, true);
--- a/crates/service/balancing-policy/tests/graph.rs
+++ b/crates/service/balancing-policy/tests/graph.rs
@@ -5,9 +5,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 fn dispatcher(names: &[String], seed: u64) -> Dispatcher {
-    let mut dispatcher = Dispatcher::new(settings(Effect::Safe), seed).expect("legal");
-    let entries: Vec<Entry<'_>> = names.iter().map(|w| Entry::new(w, WorkerState::Ready)).collect();
-    dispatcher.handle(0, Event::Members { scope: ListScope::Full, entries: &entries }, &mut Vec::new());
+    let mut dispatcher = Dispatcher::new(settings(Idempotency::Idempotent), seed).expect("legal");
+    let entries: Vec<Endpoint<'_>> = names.iter().map(|w| Endpoint::new(w, WorkerState::Ready)).collect();
+    dispatcher.handle(
+        0,
+        Event::EndpointsChanged { update: EndpointUpdate::Snapshot, endpoints: &entries },
+        &mut Vec::new(),
+    );
     dispatcher
 }
 
@@ -84,9 +88,9 @@
 #[test]
 fn walkers_visit_all_workers_alike() {
     let names = names(24);
-    let mut world = World::new(settings(Effect::Safe), 11);
-    let entries: Vec<Entry<'_>> = names.iter().map(|w| Entry::new(w, WorkerState::Ready)).collect();
-    world.list(ListScope::Full, &entries);
+    let mut world = World::new(settings(Idempotency::Idempotent), 11);
+    let entries: Vec<Endpoint<'_>> = names.iter().map(|w| Endpoint::new(w, WorkerState::Ready)).collect();
+    world.list(EndpointUpdate::Snapshot, &entries);
     let mut visits: BTreeMap<String, usize> = BTreeMap::new();
     let jobs = 4_800;
     for id in 0..jobs {
@@ -109,15 +113,19 @@
     let mut state: BTreeMap<&String, WorkerState> = BTreeMap::new();
     let (mut whole, mut single) = (dispatcher(&[], 1), dispatcher(&[], 2));
     for round in 0..40 {
-        let states = [WorkerState::Ready, WorkerState::Ready, WorkerState::Draining, WorkerState::Gone];
+        let states = [WorkerState::Ready, WorkerState::Ready, WorkerState::Draining, WorkerState::Removed];
         let count = if round % 2 == 0 { 300 } else { 1 + dice.below(20) };
         let drawn: Vec<(&String, WorkerState)> =
             (0..count).map(|_| (&all[dice.below(300) as usize], states[dice.below(4) as usize])).collect();
         // A list may name a worker twice: the last word holds, as it does one by one.
         state.extend(drawn.iter().copied());
-        let entries: Vec<Entry<'_>> = drawn.iter().map(|(w, s)| Entry::new(w, *s)).collect();
-        let hear = |d: &mut Dispatcher, entries: &[Entry<'_>]| {
-            d.handle(1, Event::Members { scope: ListScope::Changes, entries }, &mut Vec::new());
+        let entries: Vec<Endpoint<'_>> = drawn.iter().map(|(w, s)| Endpoint::new(w, *s)).collect();
+        let hear = |d: &mut Dispatcher, entries: &[Endpoint<'_>]| {
+            d.handle(
+                1,
+                Event::EndpointsChanged { update: EndpointUpdate::Delta, endpoints: entries },
+                &mut Vec::new(),
+            );
         };
         hear(&mut whole, &entries);
         entries.iter().for_each(|e| hear(&mut single, std::slice::from_ref(e)));
@@ -132,15 +140,19 @@
 // Guards facts that change under a worker that runs on: its kind, where its repeats are dropped.
 #[test]
 fn a_listed_worker_may_change_its_kind() {
-    let mut settings = settings(Effect::Safe);
-    settings.kinds = 2;
-    settings.classes[0].kind = Some(1);
+    let mut settings = settings(Idempotency::Idempotent);
+    settings.machine_kind_count = 2;
+    settings.classes[0].machine_kind = Some(1);
     let mut dispatcher = Dispatcher::new(settings, 1).expect("legal");
-    let mut send = |kind: u32, id: u64| {
-        let entries = [Entry { kind, ..Entry::new("a", WorkerState::Ready) }];
+    let mut send = |machine_kind: u32, id: u64| {
+        let entries = [Endpoint { machine_kind, ..Endpoint::new("a", WorkerState::Ready) }];
         let mut out = Vec::new();
-        dispatcher.handle(id, Event::Members { scope: ListScope::Changes, entries: &entries }, &mut out);
-        dispatcher.handle(id, Event::Request(Request::new(RequestId(id), 0, SEC)), &mut out);
+        dispatcher.handle(
+            id,
+            Event::EndpointsChanged { update: EndpointUpdate::Delta, endpoints: &entries },
+            &mut out,
+        );
+        dispatcher.handle(id, Event::RequestArrived(Request::new(RequestId(id), 0, SEC)), &mut out);
         out.iter().any(|a| matches!(a, Action::Send { .. } | Action::Probe { .. }))
     };
     assert_eq!([send(0, 1), send(1, 2), send(0, 3), send(1, 4)], [false, true, false, true]);
@@ -155,7 +167,11 @@
         let round = |seed| {
             let mut dispatcher = dispatcher(&names, seed);
             let begun = std::time::Instant::now();
-            dispatcher.handle(1, Event::Members { scope: ListScope::Full, entries: &[] }, &mut Vec::new());
+            dispatcher.handle(
+                1,
+                Event::EndpointsChanged { update: EndpointUpdate::Snapshot, endpoints: &[] },
+                &mut Vec::new(),
+            );
             begun.elapsed()
         };
         (0..5).map(round).min().expect("rounds")
--- a/crates/service/engine/examples/facts.rs
+++ b/crates/service/engine/examples/facts.rs
@@ -4,7 +4,7 @@
 //! For each size: the longest step of all that follow a first whole list, the same list with every weight changed, a file
 //! that states pods and weights of all, and one that changes them all; and the whole time until the last slice.
 use spanlead_balancing_policy::{
-    Class, Effect as Repeating, ListScope, Nanos, RequestId, Scope, Settings, WorkerState,
+    DeduplicationScope, EndpointUpdate, Idempotency, Nanos, RequestClass, RequestId, Settings, WorkerState,
 };
 use spanlead_deployment_settings::Names;
 use spanlead_engine::*;
@@ -79,8 +79,8 @@
     let ms = |d: Duration| d.as_secs_f64() * 1000.0;
     println!("workers  what              longest step ms    in all ms");
     for size in [1_000_usize, 5_000, 20_000] {
-        let keyed = Repeating::Keyed { scope: Scope::Cell, ttl: 25_000 * MS };
-        let class = Class { effect: keyed, ..Class::new(300 * MS, 15_000 * MS) };
+        let keyed = Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 25_000 * MS };
+        let class = RequestClass { idempotency: keyed, ..RequestClass::new(300 * MS, 15_000 * MS) };
         let settings = Settings { classes: vec![class], ..Settings::default() };
         let names = Names { classes: vec!["visit".into()], zones: vec!["kista".into()], ..Names::default() };
         let addr: SocketAddr = ([127, 0, 0, 1], 9).into();
@@ -101,7 +101,7 @@
             };
             names.iter().map(host).collect()
         };
-        let whole = |version, hosts| Input::EndpointList { scope: ListScope::Full, version, hosts };
+        let whole = |version, hosts| Input::EndpointList { scope: EndpointUpdate::Snapshot, version, hosts };
         for (what, input) in [
             ("first list", whole(1, list(1.0))),
             ("the same again", whole(2, list(1.0))),
--- a/crates/service/engine/examples/recovery.rs
+++ b/crates/service/engine/examples/recovery.rs
@@ -1,6 +1,8 @@
 //! What a start costs: a log of so many records, a tenth as many open jobs among them, read back and taken into the
 //! reducer. `cargo run --release -p spanlead-engine --example recovery`
-use spanlead_balancing_policy::{Class, Effect, Nanos, Scope, Settings, WorkerState};
+use spanlead_balancing_policy::{
+    DeduplicationScope, Idempotency, Nanos, RequestClass, Settings, WorkerState,
+};
 use spanlead_deployment_settings::Names;
 use spanlead_durable_jobs::*;
 use spanlead_engine::{DurableSetup, Engine, Input, WorkerEndpoint};
@@ -94,9 +96,9 @@
         ledger.seek(log.next());
         let read = begun.elapsed();
 
-        let class = Class {
-            effect: Effect::Keyed { scope: Scope::Cell, ttl: 25 * SEC },
-            ..Class::new(SEC, 15 * SEC)
+        let class = RequestClass {
+            idempotency: Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 25 * SEC },
+            ..RequestClass::new(SEC, 15 * SEC)
         };
         let names = Names {
             classes: vec!["guest-visit".into()],
@@ -124,7 +126,11 @@
         let hosts = (0..20).map(host).collect();
         engine.step(
             now,
-            Input::EndpointList { scope: spanlead_balancing_policy::ListScope::Full, version: 1, hosts },
+            Input::EndpointList {
+                scope: spanlead_balancing_policy::EndpointUpdate::Snapshot,
+                version: 1,
+                hosts,
+            },
             &mut effects,
         );
         let begun = Instant::now();
--- a/crates/service/engine/src/attempts.rs
+++ b/crates/service/engine/src/attempts.rs
@@ -5,7 +5,7 @@
     ACCEPT_TIMEOUT, ACKNOWLEDGE_TIMEOUT, Answer, Attempt, AttemptId, CANCEL_TIMEOUT, DispatchResult, Effect,
     Engine, JobUpdate, NoticeReply, Stage, Timer, WorkerNotice,
 };
-use spanlead_balancing_policy::{Event, Nanos, Note, Outcome, Report, RequestId, WorkerId};
+use spanlead_balancing_policy::{AttemptProgress, Event, LoadReport, Nanos, Outcome, RequestId, WorkerId};
 use std::net::SocketAddr;
 
 impl Engine {
@@ -26,12 +26,12 @@
         let Some(Member { host, .. }) =
             self.workers.get(&to.0).filter(|_| !request.answered && now < until && !barred)
         else {
-            let event = Event::Ended {
+            let event = Event::AttemptEnded {
                 id: request_id,
                 attempt: attempt.number,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 closed: request.answered,
-                lag: 0,
+                elapsed: 0,
                 report: None,
             };
             let addr = SocketAddr::from(([0, 0, 0, 0], 0));
@@ -128,23 +128,24 @@
             self.held(attempt, token.is_some(), out);
         }
         let mut lease = None;
-        let note = |note| Event::Note { id: attempt.request, attempt: attempt.number, note };
+        let note =
+            |note| Event::AttemptProgressed { id: attempt.request, attempt: attempt.number, progress: note };
         match update {
             JobUpdate::Started => {
                 lease = self.renew(now, attempt, token, out);
                 self.started(attempt, out);
-                self.decide(now, note(Note::Started), out);
+                self.decide(now, note(AttemptProgress::Started), out);
             }
             JobUpdate::Running(share) => {
                 lease = self.renew(now, attempt, token, out);
-                self.decide(now, note(Note::Progress(share)), out);
+                self.decide(now, note(AttemptProgress::Completed(share)), out);
             }
             JobUpdate::Done(result) => {
                 self.answer(now, attempt.request, Answer::Served(result), out);
                 self.end(now, attempt, Outcome::Ok, report, out);
             }
             JobUpdate::Failed => self.end(now, attempt, Outcome::Error, report, out),
-            JobUpdate::Returned => self.end(now, attempt, Outcome::Full, report, out),
+            JobUpdate::Returned => self.end(now, attempt, Outcome::Rejected, report, out),
             JobUpdate::Lost => self.end(now, attempt, Outcome::Reset, report, out),
         }
         NoticeReply::Acknowledged { lease }
@@ -211,7 +212,7 @@
         now: Nanos,
         attempt: AttemptId,
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LoadReport>,
         out: &mut Vec<Effect>,
     ) {
         let AttemptId { request: request_id, number } = attempt;
@@ -223,9 +224,9 @@
         this.stage = Stage::Ended;
         this.may_have_run = !outcome.never_ran();
         let (ran, token, durable) = (this.may_have_run, this.token, request.durable);
-        let lag = now.saturating_sub(this.sent);
+        let elapsed = now.saturating_sub(this.sent);
         self.released(durable, token, ran, out);
-        let event = Event::Ended { id: request_id, attempt: number, outcome, closed, lag, report };
+        let event = Event::AttemptEnded { id: request_id, attempt: number, outcome, closed, elapsed, report };
         self.decide(now, event, out);
         self.forget(request_id);
     }
--- a/crates/service/engine/src/durable.rs
+++ b/crates/service/engine/src/durable.rs
@@ -9,9 +9,9 @@
 };
 use bytes::Bytes;
 use spanlead_balancing_policy::{
-    Effect as Repeating, Event, Nanos, Outcome, RequestId, Tried, WorkerId, WorkerState,
+    Event, Idempotency, Nanos, Outcome, PriorAttempt, RequestId, WorkerId, WorkerState,
 };
-use spanlead_deployment_settings::position;
+use spanlead_deployment_settings::index_of;
 use spanlead_durable_jobs::{
     Anchor, End, Found, JobNo, Key, Ledger, Lsn, Past, Place, Record, Repeats, Stage as JobStage, Taken,
     Token,
@@ -143,7 +143,7 @@
 
     fn keeps(&self, job: &Job) -> bool {
         let all = self.durable.as_ref().is_some_and(|d| d.all);
-        let never = self.effects.get(job.class as usize) == Some(&Repeating::Unsafe);
+        let never = self.effects.get(job.class as usize) == Some(&Idempotency::AtMostOnce);
         job.durable_request.as_ref().is_some_and(|logged| all || never || logged.key.is_some())
     }
 
@@ -231,9 +231,9 @@
         }
         let (owner, class) = self.owner_and_class(job);
         let repeats = match self.effects.get(job.class as usize)? {
-            Repeating::Safe => Repeats::Harmless,
-            Repeating::Keyed { ttl, .. } => Repeats::Dropped(*ttl),
-            Repeating::Unsafe => Repeats::Never,
+            Idempotency::Idempotent => Repeats::Harmless,
+            Idempotency::Deduplicated { window, .. } => Repeats::Dropped(*window),
+            Idempotency::AtMostOnce => Repeats::Never,
         };
         let (no, logged) = (self.durable.as_ref()?.ledger.next_job(), job.durable_request.as_ref()?);
         let taken = Taken {
@@ -536,10 +536,10 @@
         let Some(job) = d.ledger.job(no).cloned() else { return };
         d.figures.recovered += 1;
         let (taken, lease) = (&job.taken, job.lease());
-        let class = self.names.class(&taken.class);
+        let class = self.names.class_index(&taken.class);
         let tenant = match self.names.tenants.is_empty() {
             true => Some(0),
-            false => position(&self.names.tenants, &taken.owner),
+            false => index_of(&self.names.tenants, &taken.owner),
         };
         let (Some(class), Some(tenant), true) = (class, tenant, now < taken.due) else {
             // Its client has given up, or nothing is known any more of how to go on.
@@ -597,15 +597,15 @@
             self.admit(now, request_id, &job, attempts, durable, request_id.0 & RECOVERED_REQUEST_BIT == 0);
         // A class that must never run twice can't go on from an attempt that may have run; the module decides that where an
         // attempt ends, so it is told that the last one does so now.
-        let never = self.effects.get(class as usize) == Some(&Repeating::Unsafe);
+        let never = self.effects.get(class as usize) == Some(&Idempotency::AtMostOnce);
         let exposed = past.iter().rposition(|p| p.ran).filter(|_| never && out_there.is_none());
-        let tries: Vec<Tried> = past
+        let tries: Vec<PriorAttempt> = past
             .iter()
             .enumerate()
             .map(|(i, p)| {
                 let open = Some(i) == exposed || Some(i) == last && out_there.is_some();
                 let may_have_run = if open { None } else { Some(p.ran) };
-                Tried { worker: WorkerId(p.place.worker.clone()), sent: p.sent, may_have_run }
+                PriorAttempt { worker: WorkerId(p.place.worker.clone()), sent_at: p.sent, may_have_run }
             })
             .collect();
         if let (Some(last), Some((held, aware))) = (last, out_there) {
@@ -619,12 +619,16 @@
             }
         }
         match tries.is_empty() {
-            true => self.decide(now, Event::Request(request), out),
-            false => self.decide(now, Event::Adopted { request, tries: &tries }, out),
+            true => self.decide(now, Event::RequestArrived(request), out),
+            false => self.decide(now, Event::RequestAdopted { request, attempts: &tries }, out),
         }
         if let Some(number) = exposed {
             let (id, attempt, outcome) = (request_id, number as u32, Outcome::Cancelled);
-            self.decide(now, Event::Ended { id, attempt, outcome, closed: false, lag: 0, report: None }, out);
+            self.decide(
+                now,
+                Event::AttemptEnded { id, attempt, outcome, closed: false, elapsed: 0, report: None },
+                out,
+            );
         }
     }
 
@@ -638,11 +642,11 @@
             let host = WorkerEndpoint {
                 name: place.worker.clone(),
                 addr: place.addr,
-                state: WorkerState::Gone,
+                state: WorkerState::Removed,
                 started: None,
                 kind: None,
                 // A zone that is not there any more, or a pod that nobody knew, is no other worker's.
-                zone: position(&self.names.zones, &place.zone),
+                zone: index_of(&self.names.zones, &place.zone),
                 cell: Some(place.cell),
                 weight: None,
             };
--- a/crates/service/engine/src/input.rs
+++ b/crates/service/engine/src/input.rs
@@ -2,7 +2,9 @@
 use crate::snapshot::AttemptSnapshot;
 use crate::{DurableSetup, RoleCallResult, RoleTask};
 use bytes::Bytes;
-use spanlead_balancing_policy::{ListScope, Nanos, Outcome, Report, RequestId, Settings, WorkerState};
+use spanlead_balancing_policy::{
+    EndpointUpdate, LoadReport, Nanos, Outcome, RequestId, Settings, WorkerState,
+};
 use spanlead_deployment_settings::Names;
 use spanlead_durable_jobs::JobNo;
 use spanlead_worker_attributes::Sheet;
@@ -93,7 +95,7 @@
     /// The worker cannot process the request, nor could another.
     Unprocessable,
     /// The attempt is over.
-    Ended(Outcome, Option<Report>),
+    Ended(Outcome, Option<LoadReport>),
 }
 
 /// What a worker's notice says of a job that it has accepted.
@@ -127,7 +129,7 @@
     /// What the worker says of the job.
     pub update: JobUpdate,
     /// The worker's load.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 /// New settings of the deployment.
@@ -175,7 +177,7 @@
     /// The endpoint list of discovery, or the changes in it, at this version.
     EndpointList {
         /// Whether it is the full list, or changes; or that the call failed.
-        scope: ListScope,
+        scope: EndpointUpdate,
         /// Version of the list.
         version: u64,
         /// The workers that it names.
@@ -199,7 +201,7 @@
         /// How it ended.
         outcome: Outcome,
         /// The worker's load.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// A datagram of another scheduler.
     PeerMessage {
--- a/crates/service/engine/src/lib.rs
+++ b/crates/service/engine/src/lib.rs
@@ -29,7 +29,7 @@
 use rustc_hash::FxHashMap;
 pub use snapshot::{AttemptSnapshot, RequestSnapshot};
 use spanlead_balancing_policy::{
-    Action, Dispatcher, Event, Nanos, Outcome, RequestId, Settings, SettingsError, WorkerState,
+    Action, Dispatcher, Event, Idempotency, Nanos, Outcome, RequestId, Settings, SettingsError, WorkerState,
 };
 use spanlead_deployment_settings::Names;
 use spanlead_durable_jobs::{JobNo, Record, Token};
@@ -128,7 +128,7 @@
     kinds: Vec<(u32, u32)>,
     names: Arc<Names>,
     /// What repeats of each class do, by its number.
-    effects: Vec<spanlead_balancing_policy::Effect>,
+    effects: Vec<Idempotency>,
     /// The ledger is wanted; and what there is of it, while it is open here.
     wants_ledger: bool,
     durable: Option<Durable>,
@@ -176,8 +176,8 @@
         wants_ledger: bool,
     ) -> Result<Self, SettingsError> {
         let (tick, classes) = (settings.tick, settings.classes.len());
-        let effects = settings.classes.iter().map(|c| c.effect).collect();
-        let (kinds, pushed) = (kinds(&settings, 0), !settings.must_ask);
+        let effects = settings.classes.iter().map(|c| c.idempotency).collect();
+        let (kinds, pushed) = (kinds(&settings, 0), !settings.must_request_endpoints);
         Ok(Engine {
             dispatcher: Dispatcher::new(settings, seed)?,
             tick,
@@ -244,9 +244,10 @@
             sum.rejected += ends.rejected;
             sum.failed += ends.failed;
         }
-        let members = || self.workers.values().map(|m| &m.host).filter(|w| w.state != WorkerState::Gone);
-        let avoided =
-            |w: &&WorkerEndpoint| w.state == WorkerState::Draining || self.dispatcher.avoids(now, &w.name);
+        let members = || self.workers.values().map(|m| &m.host).filter(|w| w.state != WorkerState::Removed);
+        let avoided = |w: &&WorkerEndpoint| {
+            w.state == WorkerState::Draining || self.dispatcher.is_avoided(now, &w.name)
+        };
         EngineStats {
             downstream_requests,
             upstream_requests: self.written,
@@ -330,21 +331,22 @@
                 self.names = names;
                 if let Some(SettingsChange { settings, continued_classes: like }) = settings {
                     self.tick = settings.tick;
-                    self.pushed = !settings.must_ask;
+                    self.pushed = !settings.must_request_endpoints;
                     self.kinds = kinds(&settings, self.effects.len());
-                    self.effects.extend(settings.classes.iter().map(|c| c.effect));
+                    self.effects.extend(settings.classes.iter().map(|c| c.idempotency));
                     self.ends.resize(self.ends.len() + settings.classes.len(), RequestCounts::default());
-                    self.decide(now, Event::Retuned { settings, like }, out);
+                    self.decide(now, Event::SettingsChanged { settings, continues: like }, out);
                 }
                 self.move_discovery(discovery, out);
             }
             Input::HealthChecked { worker, sent, outcome, report } => {
-                let event = Event::Probed { worker: &worker, outcome, lag: now.saturating_sub(sent), report };
+                let event =
+                    Event::ProbeEnded { worker: &worker, outcome, elapsed: now.saturating_sub(sent), report };
                 self.decide(now, event, out);
             }
             Input::PeerMessage { from, data } => {
                 if !self.peer(now, from, &data, out) {
-                    self.decide(now, Event::Peer { from, data: &data }, out);
+                    self.decide(now, Event::PeerMessage { from, data: &data }, out);
                 }
             }
             Input::JoinMembership { settings, heartbeat_interval } => {
@@ -395,7 +397,7 @@
     fn act(&mut self, now: Nanos, action: Action, out: &mut Vec<Effect>) {
         match action {
             Action::Send { id, worker, timeout } => self.send(now, id, &worker, timeout, out),
-            Action::Refuse { id, retry_after } => self.answer(now, id, Answer::Rejected { retry_after }, out),
+            Action::Reject { id, retry_after } => self.answer(now, id, Answer::Rejected { retry_after }, out),
             Action::Fail { id } => self.answer(now, id, Answer::Failed, out),
             Action::Cancel { id, attempt } => {
                 self.abandon(now, AttemptId { request: id, number: attempt }, Outcome::Cancelled, out);
@@ -410,16 +412,16 @@
                     out.push(Effect::HealthCheck { worker, addr, until });
                 }
             }
-            Action::Close { worker } => {
+            Action::CloseIdleConnections { worker } => {
                 out.extend(
                     self.workers.get(&worker.0).map(|m| Effect::CloseIdleConnections { addr: m.host.addr }),
                 );
             }
-            Action::Tell { peer, data } => out.push(Effect::SendPeerMessage { peer, data }),
+            Action::SendToPeer { peer, data } => out.push(Effect::SendPeerMessage { peer, data }),
             Action::Subscribe => {
                 self.watch(out);
             }
-            Action::FetchList => out.push(Effect::FetchEndpoints { addr: self.discovery }),
+            Action::FetchEndpoints => out.push(Effect::FetchEndpoints { addr: self.discovery }),
             Action::Log(text) => out.push(Effect::Log(text)),
         }
     }
@@ -434,7 +436,7 @@
     fn run_timers(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         while let Some(entry) = self.timers.first_entry().filter(|e| e.key().0 <= now) {
             match entry.remove() {
-                Timer::Module(token) => self.decide(now, Event::Timer(token), out),
+                Timer::Module(token) => self.decide(now, Event::TimerFired(token), out),
                 Timer::Untaken(attempt) => {
                     if self.stage(attempt) == Some(Stage::Dispatched) {
                         self.abandon(now, attempt, Outcome::Timeout, out);
@@ -444,7 +446,7 @@
                 Timer::Overdue(request_id) => {
                     if self.requests.get(&request_id).is_some_and(|r| !r.answered) {
                         self.answer(now, request_id, Answer::Failed, out);
-                        self.decide(now, Event::Gone(request_id), out);
+                        self.decide(now, Event::ClientGone(request_id), out);
                         self.abandon_all(now, request_id, out);
                     }
                 }
@@ -465,5 +467,5 @@
 /// The classes that need a kind of machine, numbered from `first`, and which.
 fn kinds(settings: &Settings, first: usize) -> Vec<(u32, u32)> {
     let classes = settings.classes.iter().enumerate();
-    classes.filter_map(|(i, c)| Some(((first + i) as u32, c.kind?))).collect()
+    classes.filter_map(|(i, c)| Some(((first + i) as u32, c.machine_kind?))).collect()
 }
--- a/crates/service/engine/src/members.rs
+++ b/crates/service/engine/src/members.rs
@@ -14,8 +14,8 @@
 use crate::stats::{HostView, InventoryStats};
 use crate::{Effect, Engine, MS, Timer, WorkerEndpoint};
 use rustc_hash::{FxHashMap, FxHashSet};
-use spanlead_balancing_policy::{Effect as Repeating, Entry, Event, ListScope, Nanos, WorkerState};
-use spanlead_deployment_settings::position;
+use spanlead_balancing_policy::{Endpoint, EndpointUpdate, Event, Idempotency, Nanos, WorkerState};
+use spanlead_deployment_settings::index_of;
 use spanlead_worker_attributes::{LiveHost, Sheet, normal, provenance};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -83,9 +83,9 @@
 }
 
 impl Told {
-    fn entry(self, worker: &str) -> Entry<'_> {
+    fn entry(self, worker: &str) -> Endpoint<'_> {
         let Told { state, started, kind, zone, cell, weight } = self;
-        Entry { worker, state, started, kind, zone, cell, weight }
+        Endpoint { worker, state, started_at: started, machine_kind: kind, zone, cell, weight }
     }
 
     /// The pod as another process would know it.
@@ -140,10 +140,12 @@
 
     /// Where lists are pushed, the module waits for them and asks for none. On sockets they lie with an agent on this machine, and
     /// what it holds counts as told: it is watched from the start, and again soon after a call that failed.
-    pub(crate) fn hear_agent(&mut self, now: Nanos, scope: ListScope, out: &mut Vec<Effect>) {
+    pub(crate) fn hear_agent(&mut self, now: Nanos, scope: EndpointUpdate, out: &mut Vec<Effect>) {
         match scope {
-            ListScope::Cached if self.pushed => self.watch(out),
-            ListScope::Failed if self.pushed => self.set_timer(now + AGENT_RETRY_INTERVAL, Timer::Watch),
+            EndpointUpdate::CachedSnapshot if self.pushed => self.watch(out),
+            EndpointUpdate::Unavailable if self.pushed => {
+                self.set_timer(now + AGENT_RETRY_INTERVAL, Timer::Watch)
+            }
             _ => {}
         }
     }
@@ -152,12 +154,12 @@
     pub(crate) fn list(
         &mut self,
         now: Nanos,
-        scope: ListScope,
+        scope: EndpointUpdate,
         hosts: Vec<WorkerEndpoint>,
         out: &mut Vec<Effect>,
     ) {
         let mut hosts = hosts;
-        if matches!(scope, ListScope::Full | ListScope::Cached) {
+        if matches!(scope, EndpointUpdate::Snapshot | EndpointUpdate::CachedSnapshot) {
             self.facts.incoming.clear();
             hosts.extend(self.missing(&hosts));
             self.workers.reserve(hosts.len().saturating_sub(self.workers.len()));
@@ -174,7 +176,7 @@
         let older = std::mem::replace(&mut self.facts.incoming, hosts.into());
         self.facts.incoming.extend(older);
         // Who is not in a whole list is among what is taken; the module need not look for them.
-        let scope = if scope == ListScope::Full { ListScope::Changes } else { scope };
+        let scope = if scope == EndpointUpdate::Snapshot { EndpointUpdate::Delta } else { scope };
         self.slice(now, scope, out);
     }
 
@@ -184,13 +186,13 @@
             return Vec::new();
         }
         let named: FxHashSet<&str> = hosts.iter().map(|h| &*h.name).collect();
-        let here = self.workers.values().filter(|m| m.host.state != WorkerState::Gone);
+        let here = self.workers.values().filter(|m| m.host.state != WorkerState::Removed);
         let left = here.filter(|m| !named.contains(&*m.host.name));
-        left.map(|m| WorkerEndpoint { state: WorkerState::Gone, ..m.host.clone() }).collect()
+        left.map(|m| WorkerEndpoint { state: WorkerState::Removed, ..m.host.clone() }).collect()
     }
 
     /// Takes the next hosts and tells the module what is new of them.
-    fn slice(&mut self, now: Nanos, scope: ListScope, out: &mut Vec<Effect>) {
+    fn slice(&mut self, now: Nanos, scope: EndpointUpdate, out: &mut Vec<Effect>) {
         let mut entries: Vec<(Arc<str>, Told)> = Vec::new();
         for _ in 0..MAX_SLICE_HOSTS {
             let name = match self.facts.incoming.pop_front() {
@@ -209,14 +211,14 @@
             self.facts.waiting = true;
             self.set_timer(now + SLICE_INTERVAL, Timer::Slice);
         }
-        let entries: Vec<Entry<'_>> = entries.iter().map(|(name, told)| told.entry(name)).collect();
-        self.decide(now, Event::Members { scope, entries: &entries }, out);
+        let entries: Vec<Endpoint<'_>> = entries.iter().map(|(name, told)| told.entry(name)).collect();
+        self.decide(now, Event::EndpointsChanged { update: scope, endpoints: &entries }, out);
     }
 
     /// The pause between two slices is over.
     pub(crate) fn next_slice(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         self.facts.waiting = false;
-        self.slice(now, ListScope::Changes, out);
+        self.slice(now, EndpointUpdate::Delta, out);
     }
 
     /// Notes what the list says of a host.
@@ -226,18 +228,18 @@
             Some(member) => {
                 // A connection to a process that was replaced or removed only waits to be reset under a request.
                 let replaced = member.host.started != host.started || member.host.addr != host.addr;
-                if replaced || state == WorkerState::Gone {
+                if replaced || state == WorkerState::Removed {
                     out.push(Effect::CloseIdleConnections { addr: member.host.addr });
                 }
                 let facts = |h: &WorkerEndpoint| (h.zone, h.cell, h.kind, h.weight);
                 if facts(&member.host) != facts(&host) || member.gone.is_some() {
                     member.since = now;
                 }
-                member.gone = (state == WorkerState::Gone).then(|| member.gone.unwrap_or(now));
+                member.gone = (state == WorkerState::Removed).then(|| member.gone.unwrap_or(now));
                 member.host = host;
             }
             None => {
-                let gone = (state == WorkerState::Gone).then_some(now);
+                let gone = (state == WorkerState::Removed).then_some(now);
                 let own = FIRST_OWN_POD + self.facts.members;
                 self.facts.members = (self.facts.members + 1) % (UNKNOWN_NUMBER - FIRST_OWN_POD);
                 let (pod, zone) = (Place::default(), Place::default());
@@ -260,7 +262,7 @@
         if let Some(sheet) = self.facts.sheet.clone() {
             let normal = &**member.normal.get_or_insert_with(|| normal_name(name));
             member.named = sheet.names(normal);
-            let said = |words: &[String], word: Option<&Arc<str>>| word.and_then(|w| position(words, w));
+            let said = |words: &[String], word: Option<&Arc<str>>| word.and_then(|w| index_of(words, w));
             zone = zone.or_else(|| said(&self.names.zones, sheet.zone(normal)?.value));
             let default = || said(&self.names.kinds, sheet.defaults.kind.as_ref());
             kind = kind.or_else(|| said(&self.names.kinds, sheet.kind(normal)?.value)).or_else(default);
@@ -292,13 +294,18 @@
     pub(crate) fn unbar(&mut self, now: Nanos, name: Arc<str>, out: &mut Vec<Effect>) {
         if let Some(told) = self.look_again(now, &name) {
             let entry = [told.entry(&name)];
-            self.decide(now, Event::Members { scope: ListScope::Changes, entries: &entry }, out);
+            self.decide(
+                now,
+                Event::EndpointsChanged { update: EndpointUpdate::Delta, endpoints: &entry },
+                out,
+            );
         }
     }
 
     /// The longest time for which repeats of some class are dropped.
     fn window(&self) -> Nanos {
-        let window = |e: &Repeating| if let Repeating::Keyed { ttl, .. } = e { *ttl } else { 0 };
+        let window =
+            |e: &Idempotency| if let Idempotency::Deduplicated { window, .. } = e { *window } else { 0 };
         self.effects.iter().map(window).max().unwrap_or(0)
     }
 
@@ -314,7 +321,7 @@
         }
         self.facts.sheet = Some(sheet).filter(|s| !s.is_empty());
         self.facts.again = self.workers.keys().cloned().collect();
-        self.slice(now, ListScope::Changes, out);
+        self.slice(now, EndpointUpdate::Delta, out);
     }
 
     /// The class that has a worker now and would have none by this sheet.
@@ -324,7 +331,7 @@
                 let listed = m.host.kind.filter(|k| *k != UNKNOWN_NUMBER);
                 let name = normal_name(&m.host.name);
                 let said = || sheet.kind(&name)?.value.or(sheet.defaults.kind.as_ref()).cloned();
-                listed.or_else(|| position(&self.names.kinds, &said()?))
+                listed.or_else(|| index_of(&self.names.kinds, &said()?))
             };
             let ready = || self.workers.values().filter(|m| m.host.state == WorkerState::Ready);
             let now = ready().any(|m| m.told.is_some_and(|t| t.kind == *kind));
@@ -390,7 +397,7 @@
         let state = match host.state {
             WorkerState::Ready => "ready",
             WorkerState::Draining => "draining",
-            WorkerState::Gone => "gone",
+            WorkerState::Removed => "gone",
         };
         let apart = [("pod", member.pod.barred), ("zone", member.zone.barred)];
         let apart = apart.into_iter().filter(|(_, until)| now < *until).map(|(what, _)| what).collect();
@@ -399,7 +406,7 @@
 
     pub(crate) fn fact_figures(&self, now: Nanos) -> Option<InventoryStats> {
         let sheet = self.facts.sheet.as_ref()?;
-        let here = || self.workers.values().filter(|m| m.host.state != WorkerState::Gone);
+        let here = || self.workers.values().filter(|m| m.host.state != WorkerState::Removed);
         let apart = |m: &&Member| now < m.pod.barred.max(m.zone.barred);
         Some(InventoryStats {
             inventories: sheet.sources.len(),
--- a/crates/service/engine/src/requests.rs
+++ b/crates/service/engine/src/requests.rs
@@ -4,7 +4,7 @@
     Answer, Attempt, AttemptId, AttemptSnapshot, Effect, Engine, Job, MS, Request, RequestSnapshot, Stage,
     Timer,
 };
-use spanlead_balancing_policy::{Event, Nanos, RequestId, Tried, WorkerId};
+use spanlead_balancing_policy::{Event, Nanos, PriorAttempt, RequestId, WorkerId};
 use spanlead_durable_jobs::JobNo;
 
 impl Engine {
@@ -57,7 +57,7 @@
         let attempts = attempts.collect();
         let request = self.admit(now, request_id, &job, attempts, durable, true);
         if tries.is_empty() {
-            return self.decide(now, Event::Request(request), out);
+            return self.decide(now, Event::RequestArrived(request), out);
         }
         if !known {
             // Where it may have run can't be told to the module, which could then send it there or elsewhere again.
@@ -67,13 +67,13 @@
         for number in 0..tries.len() as u32 {
             self.set_timer(job.due, Timer::AttemptEnds(AttemptId { request: request_id, number }));
         }
-        let tried = |t: AttemptSnapshot| Tried {
+        let tried = |t: AttemptSnapshot| PriorAttempt {
             worker: WorkerId(t.worker),
-            sent: t.sent,
+            sent_at: t.sent,
             may_have_run: t.may_have_run,
         };
-        let tries: Vec<Tried> = tries.into_iter().map(tried).collect();
-        self.decide(now, Event::Adopted { request, tries: &tries }, out);
+        let tries: Vec<PriorAttempt> = tries.into_iter().map(tried).collect();
+        self.decide(now, Event::RequestAdopted { request, attempts: &tries }, out);
     }
 
     /// Opens a request; `first` tells whether its client waits here. Returns it as the module takes it.
@@ -111,9 +111,9 @@
             slots: job.slots,
             memory: job.memory,
             tenant: job.tenant,
-            key: job.affinity_key,
-            hint: None,
-            left: job.due.saturating_sub(now),
+            affinity_key: job.affinity_key,
+            expected_work: None,
+            time_left: job.due.saturating_sub(now),
         }
     }
 
@@ -150,7 +150,7 @@
                     snapshot: RequestSnapshot { id: request.id, due, attempts, durable },
                 });
             }
-            self.decide(now, Event::Gone(request_id), out);
+            self.decide(now, Event::ClientGone(request_id), out);
         }
     }
 
@@ -163,7 +163,7 @@
             return;
         }
         self.record_end(now, durable, &Answer::Failed, out);
-        self.decide(now, Event::Gone(request_id), out);
+        self.decide(now, Event::ClientGone(request_id), out);
         self.abandon_all(now, request_id, out);
         self.forget(request_id);
     }
--- a/crates/service/engine/tests/bounds.rs
+++ b/crates/service/engine/tests/bounds.rs
@@ -1,6 +1,6 @@
 //! The ledger's bounds: jobs that it may hold, and its size on disk, whatever lives long in it.
 use spanlead_balancing_policy::{
-    Class, Effect as Repeating, ListScope, Nanos, RequestId, Settings, WorkerState,
+    EndpointUpdate, Idempotency, Nanos, RequestClass, RequestId, Settings, WorkerState,
 };
 use spanlead_deployment_settings::Names;
 use spanlead_durable_jobs::{Anchor, Ledger, Limits, decode, encode};
@@ -23,7 +23,7 @@
 
 impl World {
     fn new(folder: &SimFolder, jobs: usize, disk: u64, now: Nanos) -> Self {
-        let class = Class { effect: Repeating::Unsafe, ..Class::new(SEC, 15 * SEC) };
+        let class = RequestClass { idempotency: Idempotency::AtMostOnce, ..RequestClass::new(SEC, 15 * SEC) };
         let settings = Settings { classes: vec![class], ..Settings::default() };
         let names = Names { classes: vec!["once".into()], zones: vec!["kista".into()], ..Names::default() };
         let addr: SocketAddr = ([127, 0, 0, 1], 9).into();
@@ -49,7 +49,7 @@
             cell: Some(0),
             weight: None,
         };
-        world.step(Input::EndpointList { scope: ListScope::Full, version: 1, hosts: vec![host] });
+        world.step(Input::EndpointList { scope: EndpointUpdate::Snapshot, version: 1, hosts: vec![host] });
         let anchor = Anchor { boot: "b".into(), up: now, clock: now };
         let (lease, clock_bound, segment) = (10 * SEC, SEC, SEGMENT);
         let durability = DurableSetup { ledger, anchor, all: false, lease, clock_bound, disk, segment };
--- a/crates/service/engine/tests/crash.rs
+++ b/crates/service/engine/tests/crash.rs
@@ -6,8 +6,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use spanlead_balancing_policy::{
-    Class, Effect as Repeating, Limits as May, ListScope, Nanos, Outcome, RequestId, Scope, Settings,
-    WorkerState,
+    DeduplicationScope, EndpointUpdate, Idempotency, Limits as May, Nanos, Outcome, RequestClass, RequestId,
+    Settings, WorkerState,
 };
 use spanlead_deployment_settings::Names;
 use spanlead_durable_jobs::{Anchor, Ledger, Limits, decode, encode};
@@ -30,16 +30,16 @@
 const PATIENCE: Nanos = 15 * SEC;
 
 fn settings() -> Settings {
-    let class = |effect| Class { effect, ..Class::new(SEC, PATIENCE) };
-    let keyed = Repeating::Keyed { scope: Scope::Cell, ttl: WINDOW };
+    let class = |idempotency| RequestClass { idempotency, ..RequestClass::new(SEC, PATIENCE) };
+    let keyed = Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: WINDOW };
     let limits = May {
-        attempts: 6,
-        cancel: true,
-        retry_after: true,
+        max_attempts: 6,
+        can_cancel: true,
+        can_send_retry_after: true,
         max_retry_after: SEC,
         ..Settings::default().limits
     };
-    let classes = vec![class(Repeating::Safe), class(keyed), class(Repeating::Unsafe)];
+    let classes = vec![class(Idempotency::Idempotent), class(keyed), class(Idempotency::AtMostOnce)];
     Settings { classes, limits, tick: 2 * MS, ..Settings::default() }
 }
 
@@ -315,7 +315,7 @@
             weight: None,
         };
         let hosts = self.workers.iter().enumerate().map(host).collect();
-        self.step(Input::EndpointList { scope: ListScope::Cached, version: 1, hosts });
+        self.step(Input::EndpointList { scope: EndpointUpdate::CachedSnapshot, version: 1, hosts });
         let anchor = Anchor { boot: "b".into(), up: self.now, clock: self.now };
         let (lease, clock_bound, disk, segment) = (LEASE, BOUND, 1 << 30, 700);
         let durability = DurableSetup { ledger, anchor, all: false, lease, clock_bound, disk, segment };
@@ -365,7 +365,7 @@
             match passage {
                 ReleasedEffect::Perform(effect) => self.perform(effect),
                 ReleasedEffect::NeverSent(attempt) => {
-                    let result = DispatchResult::Ended(Outcome::Moot, None);
+                    let result = DispatchResult::Ended(Outcome::NotSent, None);
                     self.after(0, Happening::Handed { attempt, result, epoch: self.epoch });
                 }
                 ReleasedEffect::Unacknowledged(note) => drop(self.notes.remove(&note)),
--- a/crates/service/engine/tests/members.rs
+++ b/crates/service/engine/tests/members.rs
@@ -1,7 +1,7 @@
 //! Workers as the list and files tell of them: what goes before what, what is never believed of a file, and large changes that
 //! keep no job waiting.
 use spanlead_balancing_policy::{
-    Class, Effect as Repeating, ListScope, Nanos, RequestId, Scope, Settings, WorkerState,
+    DeduplicationScope, EndpointUpdate, Idempotency, Nanos, RequestClass, RequestId, Settings, WorkerState,
 };
 use spanlead_deployment_settings::Names;
 use spanlead_engine::*;
@@ -31,12 +31,13 @@
 
 /// `visit` may be repeated within a pod; `settle` needs a machine of the kind `slow`.
 fn settings() -> Settings {
-    let keyed = Repeating::Keyed { scope: Scope::Cell, ttl: WINDOW };
-    let visit = Class { effect: keyed, ..Class::new(SEC, 20 * SEC) };
-    let settle = Class { kind: Some(1), ..Class::new(SEC, 20 * SEC) };
-    let mut settings = Settings { classes: vec![visit, settle], kinds: 2, ..Settings::default() };
-    settings.limits.attempts = 4;
-    settings.limits.cancel = true;
+    let keyed = Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: WINDOW };
+    let visit = RequestClass { idempotency: keyed, ..RequestClass::new(SEC, 20 * SEC) };
+    let settle = RequestClass { machine_kind: Some(1), ..RequestClass::new(SEC, 20 * SEC) };
+    let mut settings =
+        Settings { classes: vec![visit, settle], machine_kind_count: 2, ..Settings::default() };
+    settings.limits.max_attempts = 4;
+    settings.limits.can_cancel = true;
     settings
 }
 
@@ -51,7 +52,7 @@
         let engine =
             Engine::new(settings(), Arc::new(names()), 7, 100_000, addr(9), false).expect("good settings");
         let mut world = World { engine, now: 1_000 * SEC, request_id: 0 };
-        world.step(Input::EndpointList { scope: ListScope::Full, version: 1, hosts });
+        world.step(Input::EndpointList { scope: EndpointUpdate::Snapshot, version: 1, hosts });
         world
     }
 
@@ -227,7 +228,7 @@
         world.step(Input::ClientDisconnected { request_id });
     }
     // Gone from the list is gone, whatever the file goes on to say.
-    world.step(Input::EndpointList { scope: ListScope::Full, version: 2, hosts: Vec::new() });
+    world.step(Input::EndpointList { scope: EndpointUpdate::Snapshot, version: 2, hosts: Vec::new() });
     let (_, mut effects) = world.request(0);
     effects.extend(world.pass(world.now + SEC));
     assert!(World::sent(&effects).is_none());
@@ -275,7 +276,7 @@
     let draining = |i: u16| if i >= 4900 { WorkerState::Draining } else { WorkerState::Ready };
     let mut hosts = all(&draining);
     hosts.iter_mut().for_each(|h| h.weight = Some(0.5));
-    world.step(Input::EndpointList { scope: ListScope::Full, version: 2, hosts });
+    world.step(Input::EndpointList { scope: EndpointUpdate::Snapshot, version: 2, hosts });
     assert!(world.engine.has_pending_list_changes());
     let mut sent = 0;
     for _ in 0..2000 {
@@ -289,7 +290,7 @@
     assert!(sent > 1000, "{sent} of 2000 were sent");
     // A whole list that comes in between replaces what was still to be taken of the one before.
     world.step(Input::EndpointList {
-        scope: ListScope::Full,
+        scope: EndpointUpdate::Snapshot,
         version: 3,
         hosts: all(&|_| WorkerState::Ready)[..1000].to_vec(),
     });
@@ -297,12 +298,12 @@
     assert_eq!(members(&world), 1000);
     // So does a change of one host that waits its turn.
     world.step(Input::EndpointList {
-        scope: ListScope::Full,
+        scope: EndpointUpdate::Snapshot,
         version: 4,
         hosts: all(&|_| WorkerState::Ready),
     });
-    let gone = WorkerEndpoint { state: WorkerState::Gone, ..host("w4999", 4999) };
-    world.step(Input::EndpointList { scope: ListScope::Changes, version: 5, hosts: vec![gone] });
+    let gone = WorkerEndpoint { state: WorkerState::Removed, ..host("w4999", 4999) };
+    world.step(Input::EndpointList { scope: EndpointUpdate::Delta, version: 5, hosts: vec![gone] });
     let state = world.engine.worker_view(world.now, "w4999").map(|view| view.state);
     assert_eq!(state, Some("gone"), "at once, before what is left of the list");
     world.pass(world.now + 20 * MS);
--- a/crates/service/net/src/discovery.rs
+++ b/crates/service/net/src/discovery.rs
@@ -4,7 +4,7 @@
 use crate::Message;
 use crate::message::bad_input;
 use hyper::{Request, StatusCode};
-use spanlead_balancing_policy::ListScope;
+use spanlead_balancing_policy::EndpointUpdate;
 use spanlead_deployment_settings::Names;
 use spanlead_engine::{Input, WorkerEndpoint};
 use std::net::SocketAddr;
@@ -82,8 +82,8 @@
                 continue;
             }
             self.version = list.seq;
-            let scope = if list.whole { ListScope::Full } else { ListScope::Changes };
-            if first || scope == ListScope::Full || !list.hosts.is_empty() {
+            let scope = if list.whole { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
+            if first || scope == EndpointUpdate::Snapshot || !list.hosts.is_empty() {
                 self.tell(scope, list.hosts);
             } else {
                 sleep_until(begun + PACE).await;
@@ -91,7 +91,7 @@
             (wait, first, whole) = (WAIT, false, false);
         }
         tracing::info!(version = self.version, "discovery call failed");
-        self.tell(ListScope::Failed, Vec::new());
+        self.tell(EndpointUpdate::Unavailable, Vec::new());
     }
 
     /// Asks for the whole list once.
@@ -99,9 +99,9 @@
         match self.call(&mut None, wire::whole_list(), Instant::now() + ANSWER).await {
             Some(list) => {
                 self.version = list.seq;
-                self.tell(ListScope::Full, list.hosts);
+                self.tell(EndpointUpdate::Snapshot, list.hosts);
             }
-            None => self.tell(ListScope::Failed, Vec::new()),
+            None => self.tell(EndpointUpdate::Unavailable, Vec::new()),
         }
     }
 
@@ -132,7 +132,7 @@
         answer
     }
 
-    fn tell(&self, scope: ListScope, hosts: Vec<WorkerEndpoint>) {
+    fn tell(&self, scope: EndpointUpdate, hosts: Vec<WorkerEndpoint>) {
         let _ = self.to.send(Message::Input(Input::EndpointList { scope, version: self.version, hosts }));
     }
 }
--- a/crates/service/net/src/wire.rs
+++ b/crates/service/net/src/wire.rs
@@ -8,8 +8,8 @@
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri};
 use serde::{Deserialize, Serialize};
-use spanlead_balancing_policy::{Nanos, Report, WorkerState};
-use spanlead_deployment_settings::{Figures, Names, Reports, position};
+use spanlead_balancing_policy::{LoadReport, Nanos, WorkerState};
+use spanlead_deployment_settings::{Names, ReportMapping, ReportedFigures, index_of};
 use spanlead_engine::{
     Answer, DurableRequest, EngineStats, Job, JobUpdate, LeaseGrant, NoticeReply, WorkerEndpoint,
 };
@@ -68,7 +68,7 @@
 /// Reads the class of a job.
 pub fn class(head: &Parts, names: &Names) -> Result<u32, Rejection> {
     let class = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or("");
-    names.class(class).ok_or(Rejection(StatusCode::NOT_FOUND, "unknown class"))
+    names.class_index(class).ok_or(Rejection(StatusCode::NOT_FOUND, "unknown class"))
 }
 
 /// Reads the rest of a job's head; `arrived` is when it came, which turns its span into an instant.
@@ -88,7 +88,7 @@
         return Err(bad("Req-Id is not a plain word"));
     }
     let tenant = match text(&head.headers, &REQ_OWNER) {
-        Some(owner) => position(&names.tenants, owner).ok_or(bad("Req-Owner is unknown"))?,
+        Some(owner) => index_of(&names.tenants, owner).ok_or(bad("Req-Owner is unknown"))?,
         None if names.tenants.is_empty() => 0,
         None => return Err(bad("Req-Owner is missing")),
     };
@@ -326,7 +326,7 @@
     result: String,
     /// The lease's, from a worker that goes by it.
     pub token: Option<u64>,
-    pub load: Option<Figures>,
+    pub load: Option<ReportedFigures>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -381,20 +381,25 @@
     pub aware: bool,
     /// The worker says that it has not begun.
     pub declined: bool,
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     pub body: Bytes,
 }
 
 /// Reads a worker's answer.
-pub fn reply(status: StatusCode, headers: &HeaderMap, body: Bytes, reports: Reports) -> WorkerResponse {
+pub fn reply(
+    status: StatusCode,
+    headers: &HeaderMap,
+    body: Bytes,
+    report_mapping: ReportMapping,
+) -> WorkerResponse {
     let declined = headers.get(&DECLINED).is_some_and(|v| v == "1");
     let load = text(headers, &LOAD).and_then(load);
     let aware = headers.contains_key(&LEASE_TOKEN);
-    WorkerResponse { status, aware, declined, report: load.map(|f| reports.report(f)), body }
+    WorkerResponse { status, aware, declined, report: load.map(|f| report_mapping.to_load_report(f)), body }
 }
 
 /// Reads a load report: `TEXT name=value, ...`, or the same as a JSON object.
-pub fn load(text: &str) -> Option<Figures> {
+pub fn load(text: &str) -> Option<ReportedFigures> {
     let text = text.trim();
     if text.starts_with('{') {
         return serde_json::from_str(text).ok();
@@ -402,7 +407,7 @@
     let text = text.strip_prefix("TEXT").unwrap_or(text);
     let numbers =
         pairs(text).filter_map(|(name, value)| Some((name.to_owned(), value.parse::<f64>().ok()?.into())));
-    Figures::deserialize(serde_json::Value::Object(numbers.collect())).ok()
+    ReportedFigures::deserialize(serde_json::Value::Object(numbers.collect())).ok()
 }
 
 /// The request that hands a job to a worker; `left_ms` is how long the scheduler will wait. The lease's length counts from
@@ -479,7 +484,7 @@
         // What is named but not known to the settings is told apart from what isn't said.
         let number = |names: &[String], name: Option<String>| {
             let name = name.filter(|n| !n.is_empty())?;
-            Some(position(names, &name).unwrap_or(u32::MAX))
+            Some(index_of(names, &name).unwrap_or(u32::MAX))
         };
         let host = |row: Row| {
             let Ok(addr) = row.dial.parse() else {
@@ -491,7 +496,7 @@
                 state: match row.health {
                     Health::Active => WorkerState::Ready,
                     Health::Leaving => WorkerState::Draining,
-                    Health::Left => WorkerState::Gone,
+                    Health::Left => WorkerState::Removed,
                 },
                 // The scheduler's clock is anchored to the wall clock at its start: see `crate::Clock`.
                 started: Some(row.born_ms * 1_000_000).filter(|t| *t > 0),
--- a/crates/service/net/src/workers.rs
+++ b/crates/service/net/src/workers.rs
@@ -7,8 +7,8 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{HeaderMap, Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use spanlead_balancing_policy::{Outcome, Report};
-use spanlead_deployment_settings::Reports;
+use spanlead_balancing_policy::{LoadReport, Outcome};
+use spanlead_deployment_settings::ReportMapping;
 use spanlead_engine::{DispatchResult, LeaseGrant};
 use std::collections::HashMap;
 use std::error::Error;
@@ -53,7 +53,7 @@
     /// What the module is told of it.
     fn outcome(self) -> Outcome {
         match self {
-            ExchangeError::NoRoom => Outcome::Moot,
+            ExchangeError::NoRoom => Outcome::NotSent,
             ExchangeError::Unsent => Outcome::ConnectFailed,
             ExchangeError::Broken | ExchangeError::Unreadable(_) => Outcome::Reset,
             ExchangeError::Overdue => Outcome::Timeout,
@@ -253,7 +253,7 @@
     pub reuse: bool,
     /// A connection that is not up after this counts as failed.
     pub connect_wait: Duration,
-    pub reports: Reports,
+    pub report_mapping: ReportMapping,
 }
 
 impl WorkerPool {
@@ -336,7 +336,7 @@
                     DispatchResult::Accepted { lease_aware: lease.is_some() && reply.aware }
                 }
                 StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if reply.declined => {
-                    DispatchResult::Ended(Outcome::Full, reply.report)
+                    DispatchResult::Ended(Outcome::Rejected, reply.report)
                 }
                 status if status.is_client_error() => DispatchResult::Unprocessable,
                 _ => DispatchResult::Ended(Outcome::Error, reply.report),
@@ -353,7 +353,7 @@
     }
 
     /// Asks a worker for its load.
-    pub async fn check_health(&self, addr: SocketAddr, until: Instant) -> (Outcome, Option<Report>) {
+    pub async fn check_health(&self, addr: SocketAddr, until: Instant) -> (Outcome, Option<LoadReport>) {
         match self.call(addr, Duration::ZERO, wire::probe, until).await {
             Ok(reply) => {
                 let text = std::str::from_utf8(&reply.body).unwrap_or("");
@@ -361,10 +361,11 @@
                 if reply.status == StatusCode::OK && figures.is_none() && reply.report.is_none() {
                     bad_input(&self.to, "not a load report");
                 }
-                let report = figures.map(|f| self.pool_config().reports.report(f)).or(reply.report);
+                let report =
+                    figures.map(|f| self.pool_config().report_mapping.to_load_report(f)).or(reply.report);
                 let outcome = match reply.status {
                     StatusCode::OK => Outcome::Ok,
-                    StatusCode::SERVICE_UNAVAILABLE => Outcome::Full,
+                    StatusCode::SERVICE_UNAVAILABLE => Outcome::Rejected,
                     _ => Outcome::Error,
                 };
                 (outcome, report)
@@ -410,7 +411,7 @@
         let answer = connection.exchange(request, until, wire::MAX_BODY).await;
         let (status, headers, body) = answer.inspect_err(|fault| fault.count(&self.to))?;
         self.put_idle(addr, connection);
-        Ok(wire::reply(status, &headers, body, self.pool_config().reports))
+        Ok(wire::reply(status, &headers, body, self.pool_config().report_mapping))
     }
 
     /// A new connection's share of the budget; at the limit, the connection that has been idle longest makes room.
--- a/crates/service/spanlead/src/config.rs
+++ b/crates/service/spanlead/src/config.rs
@@ -2,7 +2,7 @@
 use serde::Deserialize;
 use serde_json::Value;
 use spanlead_balancing_policy::{Dispatcher, Nanos};
-use spanlead_deployment_settings::{BadField, Deployment, Options};
+use spanlead_deployment_settings::{Deployment, DeploymentOptions, InvalidField};
 use spanlead_engine::WorkerEndpoint;
 use spanlead_net::SOCKET_SLACK;
 use spanlead_net::clients::MAX_HEAD;
@@ -137,7 +137,7 @@
     peers_all: Option<SocketAddr>,
     #[serde(default)]
     known: wire::List,
-    settings: Options,
+    settings: DeploymentOptions,
 }
 
 #[derive(Deserialize)]
@@ -199,8 +199,8 @@
     }
 
     fn checked(file: File, keys: Keys) -> Result<Self, ConfigError> {
-        let bad = |e: BadField| ConfigError::new(format!("settings.{}", e.field), e.why);
-        let mut deployment = Deployment::read(file.settings).map_err(bad)?;
+        let bad = |e: InvalidField| ConfigError::new(format!("settings.{}", e.field), e.problem);
+        let mut deployment = Deployment::from_options(file.settings).map_err(bad)?;
         // The module turns down what makes no sense; ask it now, so that `check` finds it too.
         Dispatcher::new(deployment.settings.clone(), 0).map_err(|e| bad(e.into()))?;
         if deployment.settings.limits.connect_timeout == 0 {
@@ -217,7 +217,7 @@
             return Err(ConfigError::new("limits.memory_mb", format!("must be at least {MIN_MEMORY_MB}")));
         }
         let operator = optional_address("ROUTER_OPERATOR", file.operator)?;
-        let peers = file.peer_listen.filter(|_| deployment.settings.limits.peers);
+        let peers = file.peer_listen.filter(|_| deployment.settings.limits.can_message_peers);
         Ok(Config {
             name: variable("ROUTER_NAME").or(file.name).unwrap_or_else(|| "scheduler".to_owned()),
             listen: address("ROUTER_LISTEN", "listen", file.listen)?,
@@ -245,7 +245,7 @@
     ) -> Result<(spanlead_membership::Settings, Nanos), String> {
         let settings = &self.deployment.settings;
         let refused = |why: &str| Err(format!("{}: membership: {why}", wanted.place));
-        if !settings.limits.peers {
+        if !settings.limits.can_message_peers {
             return refused("the settings bar messages between schedulers (`settings.limits.peerMessages`)");
         }
         let Some(peers) = &self.peers else {
@@ -254,7 +254,9 @@
         if peers.each.is_empty() {
             return refused("the configuration has no `peers`");
         }
-        if settings.me as usize >= peers.each.len() || peers.each.len() != settings.instances as usize {
+        if settings.instance as usize >= peers.each.len()
+            || peers.each.len() != settings.instance_count as usize
+        {
             return refused(
                 "`peers` doesn't name each scheduler, this one included, in the order of their numbers",
             );
@@ -267,7 +269,7 @@
         let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() / 100);
         let incarnation = now.saturating_sub(EPOCH).try_into().unwrap_or(u32::MAX);
         let settings = spanlead_membership::Settings {
-            me: settings.me as u16,
+            me: settings.instance as u16,
             count,
             tier: xxh3_64(wanted.tier.as_bytes()).to_le_bytes()[..4].try_into().unwrap_or_default(),
             name: self.name.clone(),
@@ -305,8 +307,8 @@
     /// one long before the limit that they state, and what is written to it from then on ends in a reset.
     pub fn pool_config(&self) -> PoolConfig {
         let settings = &self.deployment.settings;
-        let reuse = settings.prices.handshake > 0.0;
-        let keep = match (settings.limits.conn_idle, reuse) {
+        let reuse = settings.prices.new_connection > 0.0;
+        let keep = match (settings.limits.idle_connection_timeout, reuse) {
             (0, _) => 5_000_000_000,
             (idle, true) => idle / 2,
             (idle, false) => idle / 20,
@@ -317,7 +319,7 @@
             // What is decided now is sent when its connection is up, and its worker may be told to drain in between.
             connect_wait: Duration::from_nanos(settings.limits.connect_timeout)
                 .min(Duration::from_nanos(settings.rules.drain_grace).max(SOCKET_SLACK)),
-            reports: self.deployment.reports,
+            report_mapping: self.deployment.report_mapping,
         }
     }
 }
--- a/crates/service/spanlead/src/driver.rs
+++ b/crates/service/spanlead/src/driver.rs
@@ -9,9 +9,9 @@
 use bytes::Bytes;
 use spanlead_balancing_policy::Nanos;
 use spanlead_balancing_policy::Outcome;
-use spanlead_balancing_policy::{ListScope, RequestId};
+use spanlead_balancing_policy::{EndpointUpdate, RequestId};
 use spanlead_conf_file as conf;
-use spanlead_deployment_settings::{Deployment, Names, Reports};
+use spanlead_deployment_settings::{Deployment, Names, ReportMapping};
 use spanlead_durable_jobs::Record;
 use spanlead_engine::{
     Answer, AttemptId, DispatchResult, DurabilityBarrier, DurableSetup, Effect, Engine, Input,
@@ -76,7 +76,7 @@
 struct Driver {
     engine: Engine,
     clock: Clock,
-    reports: Reports,
+    report_mapping: ReportMapping,
     /// Requests that wait for their answer.
     open: HashMap<RequestId, Open>,
     /// Attempts that are being handed to their workers.
@@ -213,7 +213,7 @@
             marks,
         )?,
         clock,
-        reports: deployment.reports,
+        report_mapping: deployment.report_mapping,
         open: HashMap::new(),
         handovers: HashMap::new(),
         pool: Arc::new(WorkerPool::new(share.workers, pool_config, to.clone())),
@@ -240,8 +240,11 @@
         to,
         effects: Vec::new(),
     };
-    let known =
-        Input::EndpointList { scope: ListScope::Cached, version: config.known_seq, hosts: config.known };
+    let known = Input::EndpointList {
+        scope: EndpointUpdate::CachedSnapshot,
+        version: config.known_seq,
+        hosts: config.known,
+    };
     driver.open_peers()?;
     if let Some((settings, every, sets)) = members {
         let (me, seed) = (settings.me, settings.seed);
@@ -344,10 +347,10 @@
                 self.keys = config.keys;
                 if config.deployment != self.deployment {
                     self.deployment = config.deployment.clone();
-                    let (new, like) = config.deployment.after(&self.names.borrow());
-                    settings =
-                        Some(SettingsChange { settings: Box::new(new.settings), continued_classes: like });
-                    self.reports = new.reports;
+                    let successor = config.deployment.succeed(&self.names.borrow());
+                    let (new, continued_classes) = (successor.deployment, successor.continues);
+                    settings = Some(SettingsChange { settings: Box::new(new.settings), continued_classes });
+                    self.report_mapping = new.report_mapping;
                     self.pool.tune(pool_config);
                     // Who reads by them is heard only after the reducer knows the new numbers.
                     names = Arc::new(new.names);
--- a/crates/service/spanlead/src/driver/effects.rs
+++ b/crates/service/spanlead/src/driver/effects.rs
@@ -112,7 +112,7 @@
 
     /// An attempt that was to go out has not.
     pub(super) fn never_sent(&self, attempt: AttemptId) {
-        let result = DispatchResult::Ended(Outcome::Moot, None);
+        let result = DispatchResult::Ended(Outcome::NotSent, None);
         let _ = self.to.send(Message::Input(Input::DispatchFinished { attempt, result }));
     }
 
--- a/crates/service/spanlead/src/driver/peer_process.rs
+++ b/crates/service/spanlead/src/driver/peer_process.rs
@@ -63,7 +63,7 @@
 
     pub(super) fn heed(&mut self, mut notice: NoticeBody, heard: Option<oneshot::Sender<NoticeReply>>) {
         let news = notice.news();
-        let report = notice.load.map(|f| self.reports.report(f));
+        let report = notice.load.map(|f| self.report_mapping.to_load_report(f));
         self.note += 1;
         let note = self.note;
         self.notes.extend(heard.map(|heard| (note, heard)));
--- a/crates/tools/experiments/src/rival.rs
+++ b/crates/tools/experiments/src/rival.rs
@@ -5,7 +5,9 @@
 use crate::spec::PolicyName;
 use crate::streams::{Concern, Stream};
 use rustc_hash::FxHashMap;
-use spanlead_balancing_policy::{Effect as Repeating, ListScope, Outcome, RequestId, Scope, WorkerState};
+use spanlead_balancing_policy::{
+    DeduplicationScope, EndpointUpdate, Idempotency, Outcome, RequestId, WorkerState,
+};
 use spanlead_engine::{
     Answer, AttemptId, DispatchResult, Effect, Input, JobUpdate, WorkerEndpoint, WorkerNotice,
 };
@@ -49,7 +51,7 @@
     rule: PolicyName,
     rng: Stream,
     me: usize,
-    effects: Vec<Repeating>,
+    effects: Vec<Idempotency>,
     workers: Vec<Known>,
     by_name: FxHashMap<Arc<str>, u32>,
     ready: Vec<u32>,
@@ -65,7 +67,7 @@
 
 impl Rival {
     /// The `me`-th scheduler under a rule, for classes of these effects.
-    pub fn new(rule: PolicyName, me: usize, effects: Vec<Repeating>, rng: Stream) -> Self {
+    pub fn new(rule: PolicyName, me: usize, effects: Vec<Idempotency>, rng: Stream) -> Self {
         Rival {
             rule,
             rng,
@@ -124,7 +126,7 @@
                         self.close(request_id, Some(Answer::Served(result)), out);
                     }
                     JobUpdate::Failed => self.over(now, attempt, Outcome::Error, out),
-                    JobUpdate::Returned => self.over(now, attempt, Outcome::Full, out),
+                    JobUpdate::Returned => self.over(now, attempt, Outcome::Rejected, out),
                     JobUpdate::Lost => self.over(now, attempt, Outcome::Reset, out),
                     JobUpdate::Started | JobUpdate::Running(_) => {}
                 }
@@ -147,13 +149,13 @@
         }
     }
 
-    fn list(&mut self, scope: ListScope, hosts: Vec<WorkerEndpoint>) {
-        if scope == ListScope::Failed {
+    fn list(&mut self, scope: EndpointUpdate, hosts: Vec<WorkerEndpoint>) {
+        if scope == EndpointUpdate::Unavailable {
             self.asked = false;
             return;
         }
-        if matches!(scope, ListScope::Full | ListScope::Cached) {
-            self.workers.iter_mut().for_each(|w| w.host.state = WorkerState::Gone);
+        if matches!(scope, EndpointUpdate::Snapshot | EndpointUpdate::CachedSnapshot) {
+            self.workers.iter_mut().for_each(|w| w.host.state = WorkerState::Removed);
         }
         for host in hosts {
             match self.by_name.get(&host.name) {
@@ -175,16 +177,16 @@
         }
         let mut exposed = open.tries.iter().filter(|t| t.may_have_run);
         match self.effects[open.class as usize] {
-            Repeating::Safe => true,
-            Repeating::Unsafe => exposed.next().is_none(),
-            Repeating::Keyed { scope, ttl } => exposed.all(|t| {
+            Idempotency::Idempotent => true,
+            Idempotency::AtMostOnce => exposed.next().is_none(),
+            Idempotency::Deduplicated { scope, window } => exposed.all(|t| {
                 let first = &self.workers[t.worker as usize].host;
                 let same = match scope {
-                    Scope::All => true,
-                    Scope::Zone => first.zone == known.host.zone,
-                    Scope::Cell => first.cell == known.host.cell,
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => first.zone == known.host.zone,
+                    DeduplicationScope::Cell => first.cell == known.host.cell,
                 };
-                same && now < t.sent + ttl
+                same && now < t.sent + window
             }),
         }
     }
--- a/crates/tools/experiments/src/worker.rs
+++ b/crates/tools/experiments/src/worker.rs
@@ -1,7 +1,7 @@
 //! A worker: cores that are shared among the jobs that run, slots, a queue in order, a cold start, and the memory of its pod.
 use crate::Nanos;
 use rustc_hash::FxHashMap;
-use spanlead_balancing_policy::Report;
+use spanlead_balancing_policy::LoadReport;
 use std::collections::VecDeque;
 
 /// A job at a worker: the try's number, and the work that is left, nanoseconds of a core of speed 1.
@@ -67,7 +67,7 @@
     at: Nanos,
     /// Counts up with each change; older ends don't count.
     pub stamp: u64,
-    report: Report,
+    report: LoadReport,
     reported: Option<Nanos>,
     /// Work sent while cold, and when: the budget's window.
     sent: VecDeque<(Nanos, f64)>,
@@ -93,7 +93,7 @@
             waiting: VecDeque::new(),
             at: 0,
             stamp: 0,
-            report: Report::default(),
+            report: LoadReport::default(),
             reported: None,
             sent: VecDeque::new(),
             busy: 0.0,
@@ -255,17 +255,17 @@
     }
 
     /// Its report, which is made anew only now and then; `None` where it tells nothing.
-    pub fn report(&mut self, now: Nanos) -> Option<Report> {
+    pub fn report(&mut self, now: Nanos) -> Option<LoadReport> {
         let every = self.make.report?;
         if self.reported.is_none_or(|at| now >= at + every) {
             self.reported = Some(now);
             let free = f64::from(self.make.slots) - self.held() as f64;
             let busy = self.running.len() as f64 / f64::from(self.make.cores);
-            self.report = Report {
+            self.report = LoadReport {
                 free_slots: Some(free.max(0.0)),
                 utilization: Some(busy.min(1.0)),
-                errors_per_s: Some(self.errors),
-                ..Report::default()
+                errors_per_second: Some(self.errors),
+                ..LoadReport::default()
             };
         }
         Some(self.report)
--- a/crates/tools/experiments/src/world.rs
+++ b/crates/tools/experiments/src/world.rs
@@ -12,8 +12,8 @@
 use crate::worker::{Health, Make, Memory, Worker};
 use rustc_hash::{FxHashMap, FxHashSet};
 use spanlead_balancing_policy::{
-    Class, Effect as Repeating, Limits, ListScope, Outcome as Ended, Prices, ReportVia, RequestId, Rules,
-    Scope, Settings, Tenant, WorkerState,
+    DeduplicationScope, EndpointUpdate, Idempotency, Limits, LoadReport, LoadReporting, Outcome as Ended,
+    Prices, RequestClass, RequestId, SafetyRules, Settings, Tenant, WorkerState,
 };
 use spanlead_deployment_settings::Names;
 use spanlead_engine::{
@@ -279,7 +279,7 @@
         match self.policy {
             PolicyName::Walkers => {
                 let mut settings = self.settings.clone();
-                settings.me = number as u32;
+                settings.instance = number as u32;
                 settings.zone = number as u32 % self.spec.fleet.zones;
                 let engine = Engine::new(
                     settings,
@@ -292,7 +292,7 @@
                 engine.map_or(Brain::Dead, |engine| Brain::Real(Box::new(engine)))
             }
             rule => {
-                let effects = self.settings.classes.iter().map(|c| c.effect).collect();
+                let effects = self.settings.classes.iter().map(|c| c.idempotency).collect();
                 let rng = Stream::new(seed ^ own, Concern::Rivals);
                 Brain::Rival(Box::new(Rival::new(rule, number, effects, rng)))
             }
@@ -333,7 +333,7 @@
     fn introduce(&mut self, node: u32) {
         let hosts = self.nodes[node as usize].known.to_vec();
         let version = self.nodes[node as usize].version;
-        self.tell(node, Input::EndpointList { scope: ListScope::Cached, version, hosts });
+        self.tell(node, Input::EndpointList { scope: EndpointUpdate::CachedSnapshot, version, hosts });
         self.tell(node, Input::Tick);
     }
 
@@ -367,7 +367,7 @@
                 if self.nodes[node as usize].epoch == epoch {
                     if let Input::EndpointList { scope, version, .. } = &*input {
                         let n = &mut self.nodes[node as usize];
-                        n.watching = *scope != ListScope::Failed;
+                        n.watching = *scope != EndpointUpdate::Unavailable;
                         n.version = n.version.max(*version);
                     }
                     self.tell(node, *input);
@@ -726,13 +726,7 @@
     }
 
     /// An attempt is over before any worker had it.
-    fn end_flying(
-        &mut self,
-        flying: u64,
-        span: Nanos,
-        outcome: Ended,
-        report: Option<spanlead_balancing_policy::Report>,
-    ) {
+    fn end_flying(&mut self, flying: u64, span: Nanos, outcome: Ended, report: Option<LoadReport>) {
         if let Some(Flying { node, epoch, attempt, .. }) = self.land(flying) {
             self.hand_to(
                 span,
@@ -772,7 +766,7 @@
                     self.memories[group].forget(job.into());
                 }
                 let span = self.delay();
-                self.end_flying(flying, span, Ended::Full, report);
+                self.end_flying(flying, span, Ended::Rejected, report);
             }
             Ok(begun) => {
                 let Some(f) = self.flying.get(&flying) else { return };
@@ -941,20 +935,21 @@
         let now = self.now;
         if self.blind {
             let span = 250 * MS;
-            let failed = Input::EndpointList { scope: ListScope::Failed, version, hosts: Vec::new() };
+            let failed =
+                Input::EndpointList { scope: EndpointUpdate::Unavailable, version, hosts: Vec::new() };
             return self.hand_to(span, node, epoch, failed);
         }
         self.discovery_busy = self.discovery_busy.max(now) + ns(self.spec.discovery.call_ms);
         let span = self.discovery_busy - now + self.delay();
         let latest = self.log.last().map_or(1, |(v, _)| *v);
         let (scope, hosts) = match version {
-            0 => (ListScope::Full, self.listed.clone()),
+            0 => (EndpointUpdate::Snapshot, self.listed.clone()),
             _ => {
                 let from = self.log.partition_point(|(v, _)| *v <= version);
                 let mut changed: Vec<u32> = self.log[from..].iter().map(|(_, w)| *w).collect();
                 changed.sort_unstable();
                 changed.dedup();
-                (ListScope::Changes, changed.iter().map(|w| self.listed[*w as usize].clone()).collect())
+                (EndpointUpdate::Delta, changed.iter().map(|w| self.listed[*w as usize].clone()).collect())
             }
         };
         self.out.list_lines += hosts.len() as u64;
@@ -970,7 +965,7 @@
             let worker = &self.workers[w as usize];
             let host = &mut self.listed[w as usize];
             host.state = match worker.health {
-                Health::Dead => WorkerState::Gone,
+                Health::Dead => WorkerState::Removed,
                 _ if worker.draining => WorkerState::Draining,
                 _ => WorkerState::Ready,
             };
@@ -995,7 +990,7 @@
                 span,
                 node,
                 epoch,
-                Input::EndpointList { scope: ListScope::Changes, version, hosts: hosts.clone() },
+                Input::EndpointList { scope: EndpointUpdate::Delta, version, hosts: hosts.clone() },
             );
         }
     }
@@ -1064,8 +1059,11 @@
                     if std::mem::take(&mut n.watching) {
                         let (epoch, version) = (n.epoch, n.version);
                         let span = self.delay();
-                        let failed =
-                            Input::EndpointList { scope: ListScope::Failed, version, hosts: Vec::new() };
+                        let failed = Input::EndpointList {
+                            scope: EndpointUpdate::Unavailable,
+                            version,
+                            hosts: Vec::new(),
+                        };
                         self.hand_to(span, node, epoch, failed);
                     }
                 }
@@ -1162,60 +1160,64 @@
 
 /// What the module is told of the deployment.
 fn settings(spec: &Experiment) -> Settings {
-    let class = |c: &ClassSpec| Class {
-        aim: ns(c.aim_ms),
-        stretch: c.stretch,
+    let class = |c: &ClassSpec| RequestClass {
+        latency_target: ns(c.aim_ms),
+        latency_target_stretch: c.stretch,
         deadline: ns(c.deadline_s * 1000.0),
-        worth: c.worth,
-        late_share: c.late,
-        effect: match c.repeats {
-            Repeats::Harmless => Repeating::Safe,
-            Repeats::Pod => Repeating::Keyed { scope: Scope::Cell, ttl: ns(c.window_s * 1000.0) },
-            Repeats::Zone => Repeating::Keyed { scope: Scope::Zone, ttl: ns(c.window_s * 1000.0) },
-            Repeats::Never => Repeating::Unsafe,
+        value: c.worth,
+        late_value_fraction: c.late,
+        idempotency: match c.repeats {
+            Repeats::Harmless => Idempotency::Idempotent,
+            Repeats::Pod => {
+                Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: ns(c.window_s * 1000.0) }
+            }
+            Repeats::Zone => {
+                Idempotency::Deduplicated { scope: DeduplicationScope::Zone, window: ns(c.window_s * 1000.0) }
+            }
+            Repeats::Never => Idempotency::AtMostOnce,
         },
-        ..Class::new(0, 0)
+        ..RequestClass::new(0, 0)
     };
     let f = &spec.fleet;
     Settings {
-        instances: spec.schedulers.count,
-        kinds: 1,
+        instance_count: spec.schedulers.count,
+        machine_kind_count: 1,
         tick: ns(spec.schedulers.tick_ms),
         classes: spec.classes.iter().map(class).collect(),
-        tenants: vec![Tenant { quota_per_s: 1e9 }],
-        must_ask: true,
+        tenants: vec![Tenant { quota_per_second: 1e9 }],
+        must_request_endpoints: true,
         limits: Limits {
-            attempts: 6,
-            cancel: true,
-            probes: true,
-            peers: true,
-            second_copies: false,
-            retry_after: true,
+            max_attempts: 6,
+            can_cancel: true,
+            can_probe: true,
+            can_message_peers: true,
+            can_hedge: false,
+            can_send_retry_after: true,
             max_retry_after: 2 * SEC,
             connect_timeout: ns(spec.network.connect_ms),
-            conn_idle: 10 * SEC,
-            streams_per_conn: 1,
+            idle_connection_timeout: 10 * SEC,
+            streams_per_connection: 1,
         },
         // As the deployment prices them, of all worth for one a request.
         prices: Prices {
             cross_zone: 0.061,
-            waste: 0.018,
+            wasted_work: 0.018,
             probe: 0.003,
-            peer: 0.01,
-            late_fail: 0.08,
+            peer_message: 0.01,
+            late_failure: 0.08,
             ..Prices::default()
         },
-        reports: if f.reports { ReportVia::Answers } else { ReportVia::None },
-        rules: Rules {
-            ask_every: 10 * SEC,
-            cold: ns(f.cold_s * 1000.0),
-            cold_from: f.cold_from,
+        load_reporting: if f.reports { LoadReporting::InResponses } else { LoadReporting::Disabled },
+        rules: SafetyRules {
+            endpoint_poll_interval: 10 * SEC,
+            slow_start_duration: ns(f.cold_s * 1000.0),
+            slow_start_initial_fraction: f.cold_from,
             drain_grace: 750 * MS,
-            tip_multiple: f.tip_multiple,
-            tip_after: ns(f.tip_s * 1000.0),
+            overload_multiple: f.tip_multiple,
+            overload_window: ns(f.tip_s * 1000.0),
         },
-        progress: 2 * SEC,
-        tells_start: true,
+        progress_interval: 2 * SEC,
+        reports_attempt_start: true,
         ..Settings::default()
     }
 }
--- a/crates/tools/simulator-adapter/src/host.rs
+++ b/crates/tools/simulator-adapter/src/host.rs
@@ -1,245 +1,186 @@
-//! Translates between the wire and the dispatchers. It decides nothing.
-use crate::wire;
-use spanlead_balancing_policy as od;
-use spanlead_balancing_policy::{Action, Dispatcher, Event, Outcome};
-use spanlead_deployment_settings::{Deployment, Figures, Reports};
+//! The dispatchers of one process, and the events that reach them.
+
+use crate::error::{BatchError, BatchNumber, BatchProblem, EventName};
+use crate::wire::{self, InstanceId};
+use crate::{decode, encode};
+use spanlead_balancing_policy::{Action, Dispatcher, Endpoint, Event, LoadReport, Nanos, RequestId};
+use spanlead_deployment_settings::{Deployment, DeploymentOptions, ReportMapping, ReportedFigures};
+use std::any::Any;
 use std::collections::BTreeMap;
-use std::io::Write;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 /// The dispatchers of one process.
 #[derive(Default)]
-pub struct Host {
-    instances: BTreeMap<u32, Instance>,
+pub(crate) struct Host {
+    instances: BTreeMap<InstanceId, Instance>,
+    /// The actions of the event in hand.
     actions: Vec<Action>,
 }
 
 struct Instance {
     dispatcher: Dispatcher,
-    classes: u32,
-    reports: Reports,
+    class_count: u32,
+    report_mapping: ReportMapping,
+}
+
+/// An event that reached its instance.
+struct Handled {
+    instance: InstanceId,
+    /// The message of the panic, if the dispatcher panicked.
+    fault: Option<String>,
+}
+
+impl Handled {
+    fn without_fault(instance: InstanceId) -> Self {
+        Handled { instance, fault: None }
+    }
 }
 
 impl Host {
-    /// Answers one batch; the error says which batch, which field and why.
-    pub fn turn(&mut self, line: &[u8], reply: &mut Vec<u8>) -> Result<(), String> {
-        let batch: wire::Batch<'_> = match serde_json::from_slice(line) {
-            Ok(batch) => batch,
-            Err(plain) => return Err(explain(line, &plain)),
-        };
-        let _ = write!(reply, "{{\"batch\":{},\"decisions\":[", batch.number);
-        let empty = reply.len();
+    /// Handles one batch and appends the reply.
+    pub(crate) fn handle_batch(&mut self, line: &[u8], reply: &mut Vec<u8>) -> Result<(), BatchError> {
+        let batch = decode::batch(line)?;
+        let opened = encode::begin_reply(batch.number, reply);
         for event in batch.events {
-            let (who, fault) =
-                self.event(batch.now, event).map_err(|why| format!("batch {}: {why}", batch.number))?;
+            let handled = self
+                .handle_event(batch.now, event)
+                .map_err(|problem| BatchError { batch: BatchNumber(Some(batch.number)), problem })?;
             for action in self.actions.drain(..) {
-                write_action(who, &action, reply);
+                encode::action(handled.instance, &action, reply);
             }
-            if let Some(text) = fault {
-                let text = serde_json::to_string(&text).unwrap_or_default();
-                let _ = write!(reply, "{{\"FAULT\":{{\"who\":{who},\"msg\":{text}}}}},");
+            if let Some(message) = handled.fault {
+                encode::fault(handled.instance, &message, reply);
             }
         }
-        if reply.len() > empty {
-            reply.pop();
-        }
-        reply.extend_from_slice(b"]}\n");
+        encode::end_reply(opened, reply);
         Ok(())
     }
 
-    fn event(&mut self, now: u64, event: wire::Event<'_>) -> Result<(u32, Option<String>), String> {
-        let rows;
-        let data;
-        let (who, event) = match event {
-            wire::Event::Configure { who, salt, options } => {
-                let Deployment { settings, names, reports, .. } =
-                    Deployment::read(*options).map_err(|why| format!("CONFIGURE of {who}: {why}"))?;
-                let classes = names.classes.len() as u32;
-                let dispatcher =
-                    Dispatcher::new(settings, salt).map_err(|why| format!("CONFIGURE of {who}: {why}"))?;
-                self.instances.insert(who, Instance { dispatcher, classes, reports });
-                return Ok((who, None));
-            }
-            wire::Event::Shutdown(e) => {
-                self.instances.remove(&e.who);
-                return Ok((e.who, None));
-            }
-            wire::Event::Announce(e) => {
-                let scope = match e.scope {
-                    wire::ListScope::Update => od::ListScope::Changes,
-                    wire::ListScope::Replace => od::ListScope::Full,
-                    wire::ListScope::Restored => od::ListScope::Cached,
-                    wire::ListScope::Unavailable => od::ListScope::Failed,
-                };
-                rows = e.rows_in.unwrap_or_default();
-                let entries: Vec<od::Entry<'_>> = rows.iter().map(entry).collect();
-                return self.give(now, e.who, "ANNOUNCE", Event::Members { scope, entries: &entries });
-            }
-            wire::Event::Call(e) => {
-                let classes = self.instances.get(&e.who).map_or(u32::MAX, |i| i.classes);
-                if e.class >= classes {
-                    return Err(format!("CALL: type {} is no class of instance {}", e.class, e.who));
-                }
-                let request = od::Request {
-                    id: od::RequestId(e.msg_id),
-                    class: e.class,
-                    slots: e.slots.unwrap_or(1.0),
-                    memory: e.mem.unwrap_or(0.0),
-                    tenant: e.team.unwrap_or(0),
-                    key: e.item,
-                    hint: e.estimate,
-                    left: e.time_left,
-                };
-                (e.who, Event::Request(request))
+    fn handle_event(&mut self, now: Nanos, event: wire::Event<'_>) -> Result<Handled, BatchProblem> {
+        match event {
+            wire::Event::Configure { instance, seed, options } => self.configure(instance, seed, *options),
+            wire::Event::Shutdown(shutdown) => {
+                self.instances.remove(&shutdown.instance);
+                Ok(Handled::without_fault(shutdown.instance))
             }
-            wire::Event::Streaming(e) => {
-                (e.who, Event::FirstByte { id: od::RequestId(e.msg_id), attempt: e.round_no })
+            wire::Event::Announce(announce) => self.change_endpoints(now, announce),
+            wire::Event::Call(call) => self.accept_request(now, &call),
+            wire::Event::Streaming(started) => {
+                let id = RequestId(started.request);
+                let event = Event::ResponseStarted { id, attempt: started.attempt };
+                self.dispatch(now, started.instance, EventName::Other, event)
             }
-            wire::Event::Ended(e) => {
-                let event = Event::Ended {
-                    id: od::RequestId(e.msg_id),
-                    attempt: e.round_no,
-                    outcome: outcome(&e.how).ok_or_else(|| format!("ENDED: unknown how `{}`", e.how))?,
-                    closed: e.no_more.unwrap_or(false),
-                    lag: e.lag.unwrap_or(0),
-                    report: self.report(e.who, e.telemetry),
-                };
-                (e.who, event)
+            wire::Event::Ended(ended) => self.end_attempt(now, &ended),
+            wire::Event::Gone(gone) => {
+                let event = Event::ClientGone(RequestId(gone.request));
+                self.dispatch(now, gone.instance, EventName::Other, event)
             }
-            wire::Event::Gone(e) => (e.who, Event::Gone(od::RequestId(e.msg_id))),
-            wire::Event::Ring(e) => (e.who, Event::Timer(e.token)),
-            wire::Event::HealthResult(e) => {
-                let outcome =
-                    outcome(&e.how).ok_or_else(|| format!("HEALTH_RESULT: unknown how `{}`", e.how))?;
-                let (lag, report) = (e.lag.unwrap_or(0), self.report(e.who, e.telemetry));
-                data = e.worker;
-                (e.who, Event::Probed { worker: &data, outcome, lag, report })
+            wire::Event::Ring(timer) => {
+                self.dispatch(now, timer.instance, EventName::Other, Event::TimerFired(timer.token))
             }
-            wire::Event::Mail(e) => {
-                let bytes = unhex(&e.data).ok_or_else(|| "MAIL: data is not hex".to_owned())?;
-                return self.give(now, e.who, "MAIL", Event::Peer { from: e.neighbour, data: &bytes });
+            wire::Event::HealthResult(result) => self.end_probe(now, &result),
+            wire::Event::Mail(mail) => {
+                let data = decode::peer_message(&mail.data)?;
+                let event = Event::PeerMessage { from: mail.sender, data: &data };
+                self.dispatch(now, mail.instance, EventName::Mail, event)
             }
-            wire::Event::Notice(e) => {
-                let note = match e.what {
-                    1 => od::Note::Started,
-                    2 => od::Note::Progress(e.level.unwrap_or(0.0)),
-                    _ => return Ok((e.who, None)),
-                };
-                (e.who, Event::Note { id: od::RequestId(e.msg_id), attempt: e.round_no, note })
-            }
-        };
-        self.give(now, who, "event", event)
+            wire::Event::Notice(notice) => self.report_progress(now, &notice),
+        }
     }
 
-    fn give(
+    fn configure(
         &mut self,
-        now: u64,
-        who: u32,
-        what: &str,
-        event: Event<'_>,
-    ) -> Result<(u32, Option<String>), String> {
-        let Some(instance) = self.instances.get_mut(&who) else {
-            return Err(format!("{what}: field who: instance {who} was never configured"));
-        };
-        let actions = &mut self.actions;
-        let fault = catch_unwind(AssertUnwindSafe(|| instance.dispatcher.handle(now, event, actions)))
-            .err()
-            .map(|panic| {
-                let text = panic.downcast_ref::<String>().map(String::as_str);
-                text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic").to_owned()
-            });
-        Ok((who, fault))
+        instance: InstanceId,
+        seed: u64,
+        options: DeploymentOptions,
+    ) -> Result<Handled, BatchProblem> {
+        let deployment = Deployment::from_options(options)
+            .map_err(|error| BatchProblem::InvalidOptions { instance, error })?;
+        let class_count = deployment.names.classes.len() as u32;
+        let report_mapping = deployment.report_mapping;
+        let dispatcher = Dispatcher::new(deployment.settings, seed)
+            .map_err(|error| BatchProblem::InvalidSettings { instance, error })?;
+        self.instances.insert(instance, Instance { dispatcher, class_count, report_mapping });
+        Ok(Handled::without_fault(instance))
     }
 
-    fn report(&self, who: u32, figures: Option<Figures>) -> Option<od::Report> {
-        let instance = self.instances.get(&who)?;
-        figures.map(|f| instance.reports.report(f))
+    fn change_endpoints(
+        &mut self,
+        now: Nanos,
+        announce: wire::Announce<'_>,
+    ) -> Result<Handled, BatchProblem> {
+        let update = decode::endpoint_update(&announce.scope);
+        let rows = announce.rows.unwrap_or_default();
+        let endpoints: Vec<Endpoint<'_>> = rows.iter().map(decode::endpoint).collect();
+        let event = Event::EndpointsChanged { update, endpoints: &endpoints };
+        self.dispatch(now, announce.instance, EventName::Announce, event)
+    }
+
+    fn accept_request(&mut self, now: Nanos, call: &wire::Call) -> Result<Handled, BatchProblem> {
+        let instance = call.instance;
+        let class_count = self.instances.get(&instance).map_or(u32::MAX, |known| known.class_count);
+        if call.class >= class_count {
+            return Err(BatchProblem::UnknownClass { class: call.class, instance });
+        }
+        self.dispatch(now, instance, EventName::Other, Event::RequestArrived(decode::request(call)))
     }
-}
 
-fn explain(line: &[u8], plain: &serde_json::Error) -> String {
-    #[derive(serde::Deserialize)]
-    struct Number {
-        batch: Option<u64>,
+    fn end_attempt(&mut self, now: Nanos, ended: &wire::Ended<'_>) -> Result<Handled, BatchProblem> {
+        let event = Event::AttemptEnded {
+            id: RequestId(ended.request),
+            attempt: ended.attempt,
+            outcome: decode::outcome(EventName::Ended, &ended.outcome)?,
+            closed: ended.closed.unwrap_or(false),
+            elapsed: ended.elapsed.unwrap_or(0),
+            report: self.load_report(ended.instance, ended.figures),
+        };
+        self.dispatch(now, ended.instance, EventName::Other, event)
     }
-    let number = serde_json::from_slice::<Number>(line).ok().and_then(|n| n.batch);
-    let number = number.map_or("unknown".to_owned(), |n| n.to_string());
-    let mut reader = serde_json::Deserializer::from_slice(line);
-    match serde_path_to_error::deserialize::<_, wire::Batch<'_>>(&mut reader) {
-        Err(error) => format!("batch {number}: field {}: {}", error.path(), error.inner()),
-        Ok(_) => format!("batch {number}: {plain}"),
+
+    fn end_probe(&mut self, now: Nanos, result: &wire::HealthResult<'_>) -> Result<Handled, BatchProblem> {
+        let event = Event::ProbeEnded {
+            worker: &result.worker,
+            outcome: decode::outcome(EventName::HealthResult, &result.outcome)?,
+            elapsed: result.elapsed.unwrap_or(0),
+            report: self.load_report(result.instance, result.figures),
+        };
+        self.dispatch(now, result.instance, EventName::Other, event)
     }
-}
 
-fn entry<'a>(row: &'a wire::Row<'_>) -> od::Entry<'a> {
-    od::Entry {
-        worker: &row.worker,
-        state: match row.readiness {
-            wire::Readiness::Healthy => od::WorkerState::Ready,
-            wire::Readiness::Cordoned => od::WorkerState::Draining,
-            wire::Readiness::Deregistered => od::WorkerState::Gone,
-        },
-        started: row.ready_at.filter(|t| *t > 0),
-        kind: row.family_type.unwrap_or(0),
-        zone: row.az.unwrap_or(0),
-        cell: row.cell.unwrap_or(0),
-        weight: row.scale.unwrap_or(1.0),
+    fn report_progress(&mut self, now: Nanos, notice: &wire::Notice) -> Result<Handled, BatchProblem> {
+        let Some(progress) = decode::progress(notice) else {
+            return Ok(Handled::without_fault(notice.instance));
+        };
+        let id = RequestId(notice.request);
+        let event = Event::AttemptProgressed { id, attempt: notice.attempt, progress };
+        self.dispatch(now, notice.instance, EventName::Other, event)
     }
-}
 
-fn outcome(how: &str) -> Option<Outcome> {
-    Some(match how {
-        "Ok" => Outcome::Ok,
-        "Failed" => Outcome::Error,
-        "QueueFull" => Outcome::Full,
-        "TimedOut" => Outcome::Timeout,
-        "ConnectError" => Outcome::ConnectFailed,
-        "ResetByPeer" => Outcome::Reset,
-        "Canceled" => Outcome::Cancelled,
-        "Ignored" => Outcome::Moot,
-        _ => return None,
-    })
-}
+    /// Hands an event to its dispatcher, whose panic becomes a fault in the reply.
+    fn dispatch(
+        &mut self,
+        now: Nanos,
+        instance: InstanceId,
+        name: EventName,
+        event: Event<'_>,
+    ) -> Result<Handled, BatchProblem> {
+        let Some(known) = self.instances.get_mut(&instance) else {
+            return Err(BatchProblem::UnknownInstance { event: name, instance });
+        };
+        let actions = &mut self.actions;
+        let result = catch_unwind(AssertUnwindSafe(|| known.dispatcher.handle(now, event, actions)));
+        let fault = result.err().map(|panic| panic_message(&*panic));
+        Ok(Handled { instance, fault })
+    }
 
-fn unhex(text: &str) -> Option<Vec<u8>> {
-    let digit = |c: u8| char::from(c).to_digit(16).map(|d| d as u8);
-    let pairs = text.as_bytes().chunks(2);
-    pairs.map(|p| Some(digit(p[0])? << 4 | digit(*p.get(1)?)?)).collect()
+    fn load_report(&self, instance: InstanceId, figures: Option<ReportedFigures>) -> Option<LoadReport> {
+        let known = self.instances.get(&instance)?;
+        figures.map(|figures| known.report_mapping.to_load_report(figures))
+    }
 }
 
-fn write_action(who: u32, action: &Action, to: &mut Vec<u8>) {
-    let quoted = |text: &str| serde_json::to_string(text).unwrap_or_default();
-    // Writing into a Vec cannot fail.
-    let _ = match action {
-        Action::Send { id, worker, timeout } => {
-            let (id, worker) = (id.0, quoted(&worker.0));
-            let limit = timeout.unwrap_or(0);
-            write!(to, r#"{{"DELIVER":{{"who":{who},"msgId":{id},"tryFor":{limit},"worker":{worker}}}}},"#)
-        }
-        Action::Refuse { id, retry_after } => {
-            let after = retry_after.unwrap_or(0);
-            write!(to, r#"{{"BOUNCE":{{"who":{who},"msgId":{},"retryAfter":{after}}}}},"#, id.0)
-        }
-        Action::Fail { id } => write!(to, r#"{{"ERROR":{{"who":{who},"msgId":{}}}}},"#, id.0),
-        Action::Cancel { id, attempt } => {
-            write!(to, r#"{{"STOP_ATTEMPT":{{"who":{who},"msgId":{},"roundNo":{attempt}}}}},"#, id.0)
-        }
-        Action::Timer { after, token } => {
-            write!(to, r#"{{"SCHEDULE":{{"who":{who},"offset":{after},"ref":{token}}}}},"#)
-        }
-        Action::Probe { worker } => {
-            write!(to, r#"{{"INSPECT":{{"who":{who},"worker":{}}}}},"#, quoted(&worker.0))
-        }
-        Action::Close { worker } => {
-            write!(to, r#"{{"LET_GO":{{"who":{who},"worker":{}}}}},"#, quoted(&worker.0))
-        }
-        Action::Tell { peer, data } => {
-            let peer = peer.map_or("\"all\"".to_owned(), |p| p.to_string());
-            let hex: String = data.iter().map(|b| format!("{b:02x}")).collect();
-            write!(to, r#"{{"SAY":{{"who":{who},"peer":{peer},"data":"{hex}"}}}},"#)
-        }
-        Action::Subscribe => write!(to, r#"{{"FOLLOW":{{"who":{who},"want":true}}}},"#),
-        Action::FetchList => write!(to, r#"{{"LIST_ALL":{{"who":{who}}}}},"#),
-        Action::Log(text) => write!(to, r#"{{"NOTE_DOWN":{{"who":{who},"msg":{}}}}},"#, quoted(text)),
-    };
+fn panic_message(panic: &(dyn Any + Send)) -> String {
+    let owned = panic.downcast_ref::<String>().map(String::as_str);
+    let text = owned.or(panic.downcast_ref::<&str>().copied());
+    text.unwrap_or("panic").to_owned()
 }
--- a/crates/tools/simulator-adapter/src/wire.rs
+++ b/crates/tools/simulator-adapter/src/wire.rs
@@ -1,165 +1,223 @@
-//! The wire's messages as they are read. Unknown fields are skipped, absent ones get their documented meaning.
+//! The wire's messages as they are read.
+//!
+//! Unknown fields are skipped, absent ones get their documented meaning. Times are nanoseconds of the
+//! simulator's clock. Where a name in the code differs from the wire's, the wire's stands in `rename`; containers
+//! keep the names that they have in messages of the reader.
+
 use serde::Deserialize;
-use spanlead_deployment_settings::{Figures, Options};
+use spanlead_deployment_settings::{DeploymentOptions, ReportedFigures};
 use std::borrow::Cow;
+use std::fmt;
+
+/// The number of a dispatcher in this process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
+#[serde(transparent)]
+pub(crate) struct InstanceId(u32);
+
+impl fmt::Display for InstanceId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(f)
+    }
+}
 
+/// One line: events that happen at the same time.
 #[derive(Deserialize)]
-pub struct Batch<'a> {
+pub(crate) struct Batch<'a> {
     #[serde(rename = "simTime")]
-    pub now: u64,
+    pub(crate) now: u64,
     #[serde(rename = "batch")]
-    pub number: u64,
+    pub(crate) number: u64,
     #[serde(borrow, rename = "input")]
-    pub events: Vec<Event<'a>>,
+    pub(crate) events: Vec<Event<'a>>,
 }
 
+/// What happens to one of the dispatchers.
 #[derive(Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
-pub enum Event<'a> {
+pub(crate) enum Event<'a> {
+    /// Starts a dispatcher.
     Configure {
-        who: u32,
-        salt: u64,
-        options: Box<Options>,
+        #[serde(rename = "who")]
+        instance: InstanceId,
+        #[serde(rename = "salt")]
+        seed: u64,
+        options: Box<DeploymentOptions>,
     },
+    /// Service discovery sent an update.
     #[serde(borrow)]
     Announce(Announce<'a>),
+    /// A request arrived.
     Call(Call),
+    /// A streamed answer has begun.
     Streaming(Streaming),
+    /// An attempt ended.
     #[serde(borrow)]
     Ended(Ended<'a>),
+    /// The client left.
     Gone(Gone),
+    /// A timer fired.
     Ring(Ring),
+    /// A load probe ended.
     #[serde(borrow)]
     HealthResult(HealthResult<'a>),
+    /// A peer's message.
     #[serde(borrow)]
     Mail(Mail<'a>),
+    /// Ends a dispatcher.
     Shutdown(Shutdown),
+    /// A worker reported the progress of an attempt.
     Notice(Notice),
 }
 
 #[derive(Deserialize)]
-pub struct Shutdown {
-    pub who: u32,
+pub(crate) struct Shutdown {
+    #[serde(rename = "who")]
+    pub(crate) instance: InstanceId,
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct Announce<'a> {
-    pub who: u32,
-    pub scope: ListScope,
-    #[serde(borrow, default)]
-    pub rows_in: Option<Vec<Row<'a>>>,
+pub(crate) struct Announce<'a> {
+    #[serde(rename = "who")]
+    pub(crate) instance: InstanceId,
+    pub(crate) scope: UpdateScope,
+    #[serde(borrow, default, rename = "rowsIn")]
+    pub(crate) rows: Option<Vec<Row<'a>>>,
 }
 
+/// What an update of the endpoint list covers.
 #[derive(Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum ListScope {
+#[serde(rename = "ListScope", rename_all = "lowercase")]
+pub(crate) enum UpdateScope {
     Update,
     Replace,
     Restored,
     Unavailable,
 }
 
+/// An entry of the endpoint list.
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct Row<'a> {
-    pub ready_at: Option<u64>,
-    pub family_type: Option<u32>,
+pub(crate) struct Row<'a> {
+    #[serde(rename = "readyAt")]
+    pub(crate) ready_at: Option<u64>,
+    #[serde(rename = "familyType")]
+    pub(crate) machine_kind: Option<u32>,
     #[serde(borrow)]
-    pub worker: Cow<'a, str>,
-    pub scale: Option<f64>,
-    pub readiness: Readiness,
-    pub az: Option<u32>,
-    pub cell: Option<u32>,
+    pub(crate) worker: Cow<'a, str>,
+    #[serde(rename = "scale")]
+    pub(crate) weight: Option<f64>,
+    pub(crate) readiness: Readiness,
+    #[serde(rename = "az")]
+    pub(crate) zone: Option<u32>,
+    pub(crate) cell: Option<u32>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Readiness {
+pub(crate) enum Readiness {
     Healthy,
     Cordoned,
     Deregistered,
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct Call {
-    pub who: u32,
-    pub msg_id: u64,
-    pub slots: Option<f64>,
-    pub mem: Option<f64>,
-    pub team: Option<u32>,
+pub(crate) struct Call {
+    #[serde(rename = "who")]
+    pub(crate) instance: InstanceId,
+    #[serde(rename = "msgId")]
+    pub(crate) request: u64,
+    pub(crate) slots: Option<f64>,
+    #[serde(rename = "mem")]
+    pub(crate) memory: Option<f64>,
+    #[serde(rename = "team")]
+    pub(crate) tenant: Option<u32>,
     #[serde(rename = "type")]
-    pub class: u32,
-    pub item: Option<u64>,
-    pub estimate: Option<u64>,
-    pub time_left: u64,
+    pub(crate) class: u32,
+    #[serde(rename = "item")]
+    pub(crate) affinity_key: Option<u64>,
+    #[serde(rename = "estimate")]
+    pub(crate) expected_work: Option<u64>,
+    #[serde(rename = "timeLeft")]
+    pub(crate) time_left: u64,
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct Streaming {
-    pub who: u32,
-    pub msg_id: u64,
-    pub round_no: u32,
+pub(crate) struct Streaming {
+    #[serde(rename = "who")]
+    pub(crate) instance: InstanceId,
+    #[serde(rename = "msgId")]
+    pub(crate) request: u64,
+    #[serde(rename = "roundNo")]
+    pub(crate) attempt: u32,
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct Ended<'a> {
-    pub who: u32,
-    pub msg_id: u64,
-    #[serde(borrow)]
-    pub how: Cow<'a, str>,
-    pub round_no: u32,
-    #[serde(default)]
-    pub no_more: Option<bool>,
-    #[serde(default)]
-    pub lag: Option<u64>,
-    #[serde(default)]
-    pub telemetry: Option<Figures>,
+pub(crate) struct Ended<'a> {
+    #[serde(rename = "who")]
+    pub(crate) instance: InstanceId,
+    #[serde(rename = "msgId")]
+    pub(crate) request: u64,
+    #[serde(borrow, rename = "how")]
+    pub(crate) outcome: Cow<'a, str>,
+    #[serde(rename = "roundNo")]
+    pub(crate) attempt: u32,
+    #[serde(default, rename = "noMore")]
+    pub(crate) closed: Option<bool>,
+    #[serde(default, rename = "lag")]
+    pub(crate) elapsed: Option<u64>,
+    #[serde(default, rename = "telemetry")]
+    pub(crate) figures: Option<ReportedFigures>,
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct Gone {
-    pub who: u32,
-    pub msg_id: u64,
+pub(crate) struct Gone {
+    #[serde(rename = "who")]
+    pub(crate) instance: InstanceId,
+    #[serde(rename = "msgId")]
+    pub(crate) request: u64,
 }
 
 #[derive(Deserialize)]
-pub struct Ring {
-    pub who: u32,
+pub(crate) struct Ring {
+    #[serde(rename = "who")]
+    pub(crate) instance: InstanceId,
     #[serde(rename = "ref")]
-    pub token: u64,
+    pub(crate) token: u64,
 }
 
 #[derive(Deserialize)]
-pub struct HealthResult<'a> {
-    pub who: u32,
-    #[serde(borrow)]
-    pub how: Cow<'a, str>,
-    pub lag: Option<u64>,
+pub(crate) struct HealthResult<'a> {
+    #[serde(rename = "who")]
+    pub(crate) instance: InstanceId,
+    #[serde(borrow, rename = "how")]
+    pub(crate) outcome: Cow<'a, str>,
+    #[serde(rename = "lag")]
+    pub(crate) elapsed: Option<u64>,
     #[serde(borrow)]
-    pub worker: Cow<'a, str>,
-    #[serde(default)]
-    pub telemetry: Option<Figures>,
+    pub(crate) worker: Cow<'a, str>,
+    #[serde(default, rename = "telemetry")]
+    pub(crate) figures: Option<ReportedFigures>,
 }
 
 #[derive(Deserialize)]
-pub struct Mail<'a> {
-    pub who: u32,
-    pub neighbour: u32,
+pub(crate) struct Mail<'a> {
+    #[serde(rename = "who")]
+    pub(crate) instance: InstanceId,
+    #[serde(rename = "neighbour")]
+    pub(crate) sender: u32,
     #[serde(borrow)]
-    pub data: Cow<'a, str>,
+    pub(crate) data: Cow<'a, str>,
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-pub struct Notice {
-    pub who: u32,
-    pub msg_id: u64,
-    pub round_no: u32,
-    pub what: u32,
-    pub level: Option<f64>,
+pub(crate) struct Notice {
+    #[serde(rename = "who")]
+    pub(crate) instance: InstanceId,
+    #[serde(rename = "msgId")]
+    pub(crate) request: u64,
+    #[serde(rename = "roundNo")]
+    pub(crate) attempt: u32,
+    /// The kind of the notice.
+    pub(crate) what: u32,
+    /// The completed fraction, if the notice reports one.
+    pub(crate) level: Option<f64>,
 }
