--- a/crates/cluster/control-plane/src/disk.rs
+++ b/crates/cluster/control-plane/src/disk.rs
@@ -5,7 +5,7 @@
 use redb::{
     Database, DatabaseError, Durability, ReadableDatabase, ReadableTable, StorageError, TableDefinition,
 };
-use spanlead_replication::{Change, MemberId, Position, Record, Restored, WitnessRecord};
+use spanlead_replication::{Change, MemberId, Position, Record, RecoveredState, WitnessRecord};
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -124,18 +124,18 @@
     ///
     /// # Errors
     /// If it can't be read.
-    pub fn restore(&self) -> Result<Restored, DiskError> {
+    pub fn restore(&self) -> Result<RecoveredState, DiskError> {
         let transaction = self.database.begin_read()?;
         let node = transaction.open_table(NODE)?;
-        let mut restored = Restored::default();
+        let mut restored = RecoveredState::default();
         let format = node.get(FORMAT)?.map(|value| value.value().try_into().map(u32::from_le_bytes));
         match format {
             Some(Ok(format)) if format > FORMAT_VERSION => return Err(DiskError::Newer(format)),
             Some(Err(_)) => return Err(DiskError::Form("format")),
             _ => {}
         }
-        restored.founder = node.get(FOUNDER)?.is_some();
-        restored.incomplete = node.get(INCOMPLETE)?.is_some();
+        restored.bootstrap_voter = node.get(FOUNDER)?.is_some();
+        restored.repair_incomplete = node.get(INCOMPLETE)?.is_some();
         if let Some(value) = node.get(IDENTITY)? {
             let bytes = value.value().try_into().map_err(|_| DiskError::Form("identity"))?;
             restored.identity = Some(MemberId(u64::from_le_bytes(bytes)));
@@ -168,10 +168,10 @@
             let mut entries = transaction.open_table(ENTRIES)?;
             for record in records {
                 match record {
-                    Record::Identity { id, founder } => {
+                    Record::Identity { id, bootstrap_voter } => {
                         node.insert(IDENTITY, id.0.to_le_bytes().as_slice())?;
                         node.insert(FORMAT, FORMAT_VERSION.to_le_bytes().as_slice())?;
-                        if *founder {
+                        if *bootstrap_voter {
                             node.insert(FOUNDER, [].as_slice())?;
                         }
                     }
--- a/crates/cluster/control-plane/src/node/clients.rs
+++ b/crates/cluster/control-plane/src/node/clients.rs
@@ -8,7 +8,7 @@
 impl Node {
     pub(super) fn call(&mut self, call: ClientCall, answers: Sender<Frame>) {
         let now = self.clock.now();
-        let active = self.replica.active(now.monotonic_ms).is_some() && self.terminate_at.is_none();
+        let active = self.replica.active_term(now.monotonic_ms).is_some() && self.terminate_at.is_none();
         let Some(serving) = self.serving.as_mut().filter(|_| active) else {
             let _ = answers.try_send(Frame::Reply(unable(call.serial)));
             return;
--- a/crates/cluster/control-plane/src/node/data_planes.rs
+++ b/crates/cluster/control-plane/src/node/data_planes.rs
@@ -43,14 +43,14 @@
     /// Who serves, once this machine can prove it; until then what it could prove last.
     fn directory(&self) -> Directory {
         let (Some(view), Some(primary)) =
-            (self.replica.view(), self.replica.proven_primary(self.clock.steady()))
+            (self.replica.view(), self.replica.verified_primary(self.clock.steady()))
         else {
             return self.announced.clone();
         };
         Directory {
-            epoch: view.epoch,
-            primary: primary.peer.clone(),
-            members: view.members.iter().map(|m| m.peer.clone()).collect(),
+            epoch: view.epoch.0,
+            primary: primary.peer_address.clone(),
+            members: view.members.iter().map(|m| m.peer_address.clone()).collect(),
         }
     }
 
@@ -59,11 +59,12 @@
     fn configuration(&self, known: u64) -> Option<DataPlaneConfiguration> {
         let serving = self.serving.as_ref()?;
         let version = serving.configurations.version();
-        let lasts = version == self.announced_version || self.replica.committed() >= serving.sequence;
+        let lasts =
+            version == self.announced_version || self.replica.committed_sequence() >= serving.sequence;
         if version <= known || !lasts {
             return None;
         }
-        self.replica.active(self.clock.steady())?;
+        self.replica.active_term(self.clock.steady())?;
         serving.configurations.current().map(DataPlaneConfiguration::from)
     }
 
--- a/crates/cluster/control-plane/src/node/mod.rs
+++ b/crates/cluster/control-plane/src/node/mod.rs
@@ -19,7 +19,7 @@
 use spanlead_cluster_runtime::time::Clock;
 use spanlead_job_scheduler::{Effect, ListedWorker, Scheduler, SchedulerConfig, WorkerCall, WorkerResponse};
 use spanlead_replication::{
-    self as replication, Change, Keyspace, Notice, Options, Output, Replica, Restored, View,
+    self as replication, Change, Keyspace, Output, RecoveredState, Replica, ReplicaConfig, ReplicaEvent, View,
 };
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -147,20 +147,20 @@
     #[must_use]
     pub fn start(
         settings: &Settings,
-        restored: Restored,
+        restored: RecoveredState,
         clock: Clock,
         links: Links,
         writer: Writer,
         workers: WorkerCalls,
         inputs: Inputs,
     ) -> Self {
-        let options = Options {
-            node: settings.node.clone(),
-            peer: settings.peer(),
-            control: settings.listen.control.clone().unwrap_or_default(),
+        let options = ReplicaConfig {
+            node_name: settings.node.clone(),
+            peer_address: settings.peer(),
+            operator_address: settings.listen.control.clone().unwrap_or_default(),
             seeds: settings.seed_peers(),
             bootstrap: settings.bootstrap.unwrap_or(false),
-            losses: settings.losses(),
+            max_failures: settings.losses(),
             lease_ms: LEASE_MS,
             heartbeat_ms: HEARTBEAT_MS,
             random: clock.random(&settings.node),
@@ -169,9 +169,9 @@
         let mut replica = Replica::start(options, restored, clock.steady());
         if !unreadable.is_empty() {
             log_unreadable(&unreadable);
-            replica.withhold(clock.steady());
+            replica.mark_ineligible(clock.steady());
         }
-        log::info!("started as {:?} at {:?}", replica.me().id, replica.position());
+        log::info!("started as {:?} at {:?}", replica.local_member().id, replica.position());
         Node {
             clock,
             bounds: settings.job_bounds(),
@@ -236,7 +236,7 @@
         self.ask_for_list(now.monotonic_ms);
         let serves = self.serving.is_some();
         if self.terminate_at.is_some_and(|at| !serves || now.monotonic_ms >= at + FINISH_MS) {
-            self.replica.leave(now.monotonic_ms);
+            self.replica.request_leave(now.monotonic_ms);
             self.carry_out();
         }
         self.announce();
@@ -258,7 +258,7 @@
 
     /// Answers what rests on nothing that is still to be written, and lets the rest wait.
     fn answer(&mut self) {
-        let committed = self.replica.committed();
+        let committed = self.replica.committed_sequence();
         let Some(serving) = &mut self.serving else { return };
         for waiting in std::mem::take(&mut serving.decided) {
             if committed >= serving.sequence {
@@ -297,25 +297,25 @@
     }
 
     fn carry_out(&mut self) {
-        for output in self.replica.drain() {
+        for output in self.replica.take_outputs() {
             match output {
                 Output::Send { to, envelope } => {
-                    let lane = envelope.message.lane();
+                    let lane = envelope.message.traffic_class();
                     self.links.send(&to, lane, &Frame::Replication(envelope));
                 }
                 Output::Write { token, record } => self.writer.write(token, record),
-                Output::Notice(notice) => self.notice(notice),
+                Output::Event(notice) => self.notice(notice),
             }
         }
     }
 
-    fn notice(&mut self, notice: Notice) {
+    fn notice(&mut self, notice: ReplicaEvent) {
         match notice {
-            Notice::Activated { term } => self.activate(term),
-            Notice::Deactivated => self.deactivate(),
-            Notice::Committed { sequence } => self.committed(sequence),
-            Notice::View(view) => log::info!("view {}: {}", view.epoch, names(&view)),
-            Notice::MayLeave => self.may_leave = true,
+            ReplicaEvent::Activated { term } => self.activate(term.0),
+            ReplicaEvent::Deactivated => self.deactivate(),
+            ReplicaEvent::Committed { sequence } => self.committed(sequence),
+            ReplicaEvent::ViewChanged(view) => log::info!("view {}: {}", view.epoch, names(&view)),
+            ReplicaEvent::LeaveAllowed => self.may_leave = true,
         }
     }
 
@@ -328,7 +328,7 @@
         unreadable.extend(scheduler.recover(now, of_jobs));
         if !unreadable.is_empty() {
             log_unreadable(&unreadable);
-            self.replica.withhold(now.monotonic_ms);
+            self.replica.mark_ineligible(now.monotonic_ms);
             return;
         }
         log::info!("serving term {term} with {} keys", keyspace.len());
@@ -391,7 +391,7 @@
 
     fn propose(&mut self, changes: Vec<Change>) {
         let now = self.clock.steady();
-        let bytes = changes.iter().map(Change::bytes).sum();
+        let bytes = changes.iter().map(Change::size_bytes).sum();
         let sequence = self.replica.propose(now, changes);
         if let (Some(sequence), Some(serving)) = (sequence, &mut self.serving) {
             serving.sequence = sequence;
@@ -400,8 +400,8 @@
     }
 
     fn act(&mut self) {
-        let committed = self.replica.committed();
-        let active = self.replica.active(self.clock.steady()).is_some();
+        let committed = self.replica.committed_sequence();
+        let active = self.replica.active_term(self.clock.steady()).is_some();
         let Some(serving) = &mut self.serving else { return };
         // Staged by a pass that changed nothing that must be written.
         serving.scheduler.handle_committed(self.clock.now(), committed);
@@ -436,7 +436,7 @@
     let name = |m: &replication::Member| {
         let role = if m.id == view.primary { "*" } else { "" };
         let sync = if view.in_sync.contains(&m.id) { "" } else { " (behind)" };
-        format!("{}{role}{sync}", m.node)
+        format!("{}{role}{sync}", m.node_name)
     };
     view.members.iter().map(name).collect::<Vec<_>>().join(", ")
 }
--- a/crates/cluster/control-plane/src/node/operators.rs
+++ b/crates/cluster/control-plane/src/node/operators.rs
@@ -76,16 +76,16 @@
     /// touch with a majority.
     fn elsewhere(&self, path: &str) -> Option<Reply> {
         let now = self.clock.steady();
-        if self.serving.is_some() && self.replica.active(now).is_some() {
+        if self.serving.is_some() && self.replica.active_term(now).is_some() {
             return None;
         }
-        let me = self.replica.me().id;
-        let other = self.replica.proven_primary(now).filter(|primary| primary.id != me);
+        let me = self.replica.local_member().id;
+        let other = self.replica.verified_primary(now).filter(|primary| primary.id != me);
         Some(match other {
             Some(primary) => Reply {
                 status: 307,
                 body: String::new(),
-                location: Some(format!("http://{}{path}", primary.control)),
+                location: Some(format!("http://{}{path}", primary.operator_address)),
             },
             None => Reply { status: 503, body: "no primary".to_owned(), location: None },
         })
--- a/crates/cluster/control-plane/src/status.rs
+++ b/crates/cluster/control-plane/src/status.rs
@@ -41,19 +41,19 @@
     let Some(view) = replica.view() else { return json!({ "members": [] }) };
     let last = replica.position().sequence;
     let members: Vec<MemberView> = replica
-        .members()
+        .member_statuses()
         .into_iter()
         .map(|status| MemberView {
             primary: status.member.id == view.primary,
             in_sync: view.in_sync.contains(&status.member.id),
-            unfit: status.unfit,
-            lag: status.on_disk.map(|on_disk| last.saturating_sub(on_disk)),
-            node: status.member.node,
-            peer: status.member.peer,
-            control: status.member.control,
+            unfit: status.ineligible,
+            lag: status.durable_sequence.map(|on_disk| last.saturating_sub(on_disk)),
+            node: status.member.node_name,
+            peer: status.member.peer_address,
+            control: status.member.operator_address,
         })
         .collect();
-    json!({ "epoch": view.epoch, "term": view.term, "sequence": last, "members": members })
+    json!({ "epoch": view.epoch.0, "term": view.term.0, "sequence": last, "members": members })
 }
 
 /// The workers.
--- a/crates/cluster/control-plane/tests/disk.rs
+++ b/crates/cluster/control-plane/tests/disk.rs
@@ -2,7 +2,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use spanlead_control_plane::disk::{DiskError, Store};
-use spanlead_replication::{Change, MemberId, Position, Record};
+use spanlead_replication::{Change, MemberId, Position, Record, Term};
 use std::io;
 use std::sync::{Arc, Mutex};
 
@@ -110,8 +110,8 @@
     if number > 3 {
         changes.push(Change { key: key(&format!("n{}", number - 3)), value: None });
     }
-    let position = Position { term: 1, sequence: number };
-    vec![Record::Identity { id: MemberId(7), founder: true }, Record::Batch { position, changes }]
+    let position = Position { term: Term(1), sequence: number };
+    vec![Record::Identity { id: MemberId(7), bootstrap_voter: true }, Record::Batch { position, changes }]
 }
 
 /// Writes batches until the disk fails; tells the last one that was acknowledged.
--- a/crates/cluster/control-plane/tests/inbox.rs
+++ b/crates/cluster/control-plane/tests/inbox.rs
@@ -10,7 +10,7 @@
     for _ in 0..10_000 {
         inputs.put(Input::Terminate);
     }
-    let message = Message::LeaveAnswer { wait: false };
+    let message = Message::LeaveResponse { must_wait: false };
     let envelope = Envelope { from: MemberId(1), to: None, message };
     inputs.put(Input::Frame(Frame::Replication(envelope), None));
     inputs.put(Input::Written(7));
--- a/crates/cluster/control-plane/tests/operators.rs
+++ b/crates/cluster/control-plane/tests/operators.rs
@@ -6,11 +6,11 @@
 //! - at the end the newest confirmed version is in force, or one that came after it without a clear answer.
 #[path = "../../replication/tests/common/mod.rs"]
 mod common;
-use common::World;
+use common::SimulatedCluster;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use spanlead_control_plane::{Configurations, Taken};
-use spanlead_replication::Notice;
+use spanlead_replication::ReplicaEvent;
 use std::collections::BTreeMap;
 
 /// How long an operator waits for an answer before it sends the same again, milliseconds.
@@ -51,7 +51,7 @@
 }
 
 struct Office {
-    world: World,
+    world: SimulatedCluster,
     rng: ChaCha8Rng,
     desks: BTreeMap<usize, Desk>,
     operators: Vec<Operator>,
@@ -63,8 +63,8 @@
 
 impl Office {
     fn open(seed: u64) -> Self {
-        let mut world = World::new(seed, 1);
-        world.keeps_notices = true;
+        let mut world = SimulatedCluster::new(seed, 1);
+        world.records_events = true;
         let operators = (0..3).map(|_| Operator::default()).collect();
         Office {
             world,
@@ -85,25 +85,25 @@
         for _ in 0..ms {
             self.world.step();
             self.take_notices();
-            if self.world.now.is_multiple_of(20) {
+            if self.world.now_ms.is_multiple_of(20) {
                 (0..self.operators.len()).for_each(|operator| self.act(operator));
             }
         }
     }
 
     fn take_notices(&mut self) {
-        for (i, notice) in std::mem::take(&mut self.world.notices) {
+        for (i, notice) in std::mem::take(&mut self.world.events) {
             match notice {
-                Notice::Activated { .. } => {
+                ReplicaEvent::Activated { .. } => {
                     let replica = self.world.machines[i].replica.as_ref().expect("runs");
                     let configurations = Configurations::load(replica.keyspace());
                     let sequence = replica.position().sequence;
                     self.desks.insert(i, Desk { configurations, sequence, waiting: Vec::new() });
                 }
-                Notice::Deactivated => {
+                ReplicaEvent::Deactivated => {
                     self.desks.remove(&i);
                 }
-                Notice::Committed { sequence } => self.answer_up_to(i, sequence),
+                ReplicaEvent::Committed { sequence } => self.answer_up_to(i, sequence),
                 _ => {}
             }
         }
@@ -148,7 +148,7 @@
     }
 
     fn act(&mut self, operator: usize) {
-        let now = self.world.now;
+        let now = self.world.now_ms;
         if self.operators[operator].change.is_none() {
             self.read(operator);
             let known = self.operators[operator].known;
@@ -178,7 +178,7 @@
 
     fn serves(&self, machine: usize) -> bool {
         let replica = self.world.machines[machine].replica.as_ref();
-        !self.world.is_frozen(machine) && replica.is_some_and(|r| r.active(self.world.now).is_some())
+        !self.world.is_paused(machine) && replica.is_some_and(|r| r.active_term(self.world.now_ms).is_some())
     }
 
     /// Follows the machine's directions once, as operators do.
@@ -186,12 +186,12 @@
         if self.serves(machine) {
             return Some(machine);
         }
-        if self.world.is_frozen(machine) {
+        if self.world.is_paused(machine) {
             return None;
         }
         let replica = self.world.machines[machine].replica.as_ref()?;
-        let primary = replica.proven_primary(self.world.now)?;
-        let named = self.world.machines.iter().position(|m| m.options.peer == primary.peer)?;
+        let primary = replica.verified_primary(self.world.now_ms)?;
+        let named = self.world.machines.iter().position(|m| m.config.peer_address == primary.peer_address)?;
         self.serves(named).then_some(named)
     }
 
@@ -204,9 +204,9 @@
         let desk = self.desks.get_mut(&machine).expect("serves");
         let answer = match desk.configurations.replace(&keyspace, change.base, &change.text) {
             Taken::New(changes) => {
-                let now = self.world.now;
+                let now = self.world.now_ms;
                 let mut sequence = None;
-                self.world.with(machine, |replica| sequence = replica.propose(now, changes));
+                self.world.with_replica(machine, |replica| sequence = replica.propose(now, changes));
                 let desk = self.desks.get_mut(&machine).expect("serves");
                 desk.sequence = sequence.expect("primary");
                 Answer::Confirmed
@@ -214,7 +214,7 @@
             Taken::Again => Answer::Confirmed,
             Taken::Conflict | Taken::Invalid(_) => Answer::Refused,
         };
-        let committed = self.world.machines[machine].replica.as_ref().map_or(0, |r| r.committed());
+        let committed = self.world.machines[machine].replica.as_ref().map_or(0, |r| r.committed_sequence());
         let desk = self.desks.get_mut(&machine).expect("serves");
         if committed >= desk.sequence {
             self.answer(operator, answer);
@@ -229,7 +229,7 @@
         let Some(machine) = self.directed(machine) else { return };
         let Some(desk) = self.desks.get(&machine) else { return };
         let replica = self.world.machines[machine].replica.as_ref().expect("serves");
-        if replica.committed() < desk.sequence {
+        if replica.committed_sequence() < desk.sequence {
             return;
         }
         let version = desk.configurations.version();
@@ -253,41 +253,41 @@
         office.run(wait);
         match office.rng.random_range(0..8) {
             0 => {
-                office.world.kill(i);
+                office.world.crash(i);
                 let down = office.rng.random_range(100..2_000);
                 office.run(down);
-                office.world.boot(i);
+                office.world.start(i);
             }
             1 => {
-                (0..count).for_each(|i| office.world.kill(i));
+                (0..count).for_each(|i| office.world.crash(i));
                 office.run(100);
-                (0..count).for_each(|i| office.world.boot(i));
+                (0..count).for_each(|i| office.world.start(i));
             }
             2 => {
-                office.world.wipe(i);
+                office.world.lose_disk(i);
                 office.run(500);
-                office.world.boot(i);
+                office.world.start(i);
             }
             3 => {
-                office.world.freeze(i, 3_000);
+                office.world.pause(i, 3_000);
                 office.run(3_500);
             }
             4 | 5 => {
                 let way = office.rng.random_range(0..3);
-                office.world.cut_off(i, way != 1, way != 2);
+                office.world.isolate(i, way != 1, way != 2);
                 office.run(CUT_MS);
-                office.world.cuts.clear();
+                office.world.partitioned_links.clear();
                 office.run(1_000);
             }
             6 => {
-                office.world.wipe(i);
-                (0..count).filter(|o| *o != i).for_each(|o| office.world.kill(o));
+                office.world.lose_disk(i);
+                (0..count).filter(|o| *o != i).for_each(|o| office.world.crash(o));
                 office.run(50);
-                (0..count).for_each(|i| office.world.boot(i));
+                (0..count).for_each(|i| office.world.start(i));
             }
             _ => {
                 let to = (i + 1) % count;
-                office.world.hold((i, to), 1_500);
+                office.world.delay_link((i, to), 1_500);
                 office.run(2_000);
             }
         }
@@ -318,7 +318,7 @@
         office.run(1_500);
         let primary = office.world.primary().expect("serves");
         // What the primary writes reaches nobody, and its machine is lost right after.
-        office.world.cut_off(primary, true, false);
+        office.world.isolate(primary, true, false);
         let text = |body: u32| {
             format!("{{\"version\":5,\"routes\":[],\"services\":[],\"limits\":{{\"maxBodyBytes\":{body}}}}}")
         };
@@ -329,14 +329,14 @@
         office.send(0, primary);
         office.run(30);
         assert!(office.confirmed.is_empty(), "seed {seed}: confirmed without lasting");
-        office.world.kill(primary);
-        office.world.cuts.clear();
+        office.world.crash(primary);
+        office.world.partitioned_links.clear();
         let other = Change { base: 0, version: 5, text: text(2) };
         office.operators[0].change = Some(other.clone());
         office.run(3_000);
         assert_eq!(office.confirmed.get(&5), Some(&other), "seed {seed}");
         // The machine that wrote the first one returns; its copy does not come into force.
-        office.world.boot(primary);
+        office.world.start(primary);
         office.run(2_000);
         let (serving, desk) = office.desks.iter().next().expect("serves");
         assert!(
--- a/crates/cluster/control-plane/tests/unreadable.rs
+++ b/crates/cluster/control-plane/tests/unreadable.rs
@@ -2,7 +2,7 @@
 use spanlead_control_plane::disk::{DiskError, Store};
 use spanlead_control_plane::unreadable;
 use spanlead_replication::{
-    Change, Input, Keyspace, MemberId, Options, Output, Position, Record, Replica, Restored,
+    Change, Input, Keyspace, MemberId, Output, Position, Record, RecoveredState, Replica, ReplicaConfig, Term,
 };
 
 fn keyspace(records: &[(&[u8], &[u8])]) -> Keyspace {
@@ -28,25 +28,25 @@
 
 /// What a machine does until `until`, with all its writes done at once and nobody to talk to.
 fn stands(unfit: bool) -> bool {
-    let options = Options {
-        node: "core-1".into(),
-        peer: "p1".into(),
-        control: "c1".into(),
+    let options = ReplicaConfig {
+        node_name: "core-1".into(),
+        peer_address: "p1".into(),
+        operator_address: "c1".into(),
         seeds: vec!["p1".into()],
         bootstrap: true,
-        losses: 0,
+        max_failures: 0,
         lease_ms: 500,
         heartbeat_ms: 100,
         random: 9,
     };
-    let mut replica = Replica::start(options, Restored::default(), 1_000);
+    let mut replica = Replica::start(options, RecoveredState::default(), 1_000);
     if unfit {
-        replica.withhold(1_000);
+        replica.mark_ineligible(1_000);
     }
     for now in (1_000..6_000).step_by(10) {
         replica.handle(now, Input::Tick);
         let mut last = None;
-        for output in replica.drain() {
+        for output in replica.take_outputs() {
             if let Output::Write { token, .. } = output {
                 last = Some(token);
             }
@@ -54,16 +54,16 @@
         if let Some(token) = last {
             replica.handle(now, Input::Written(token));
         }
-        if replica.active(now).is_some() {
+        if replica.active_term(now).is_some() {
             if !unfit {
                 return true;
             }
             // Told only once it leads, as a node finds out when it takes over: it gives its role away and stays away.
-            replica.withhold(now);
-            assert!(replica.active(now).is_none());
+            replica.mark_ineligible(now);
+            assert!(replica.active_term(now).is_none());
             return (now..now + 8_000).step_by(10).any(|now| {
                 replica.handle(now, Input::Tick);
-                replica.active(now).is_some()
+                replica.active_term(now).is_some()
             });
         }
     }
@@ -80,14 +80,17 @@
 fn a_folder_of_a_newer_form_is_refused_with_its_number() {
     let folder = tempfile::tempdir().expect("a folder");
     let store = Store::open(folder.path()).expect("opened");
-    store.write(&[Record::Identity { id: MemberId(5), founder: true }]).expect("written");
+    store.write(&[Record::Identity { id: MemberId(5), bootstrap_voter: true }]).expect("written");
     let restored = store.restore().expect("read");
-    assert_eq!((restored.identity, restored.founder, restored.incomplete), (Some(MemberId(5)), true, false));
+    assert_eq!(
+        (restored.identity, restored.bootstrap_voter, restored.repair_incomplete),
+        (Some(MemberId(5)), true, false)
+    );
     store.write(&[Record::Repair { changes: Vec::new() }]).expect("written");
-    assert!(store.restore().expect("read").incomplete, "a repair was begun");
-    let position = Position { term: 1, sequence: 2 };
+    assert!(store.restore().expect("read").repair_incomplete, "a repair was begun");
+    let position = Position { term: Term(1), sequence: 2 };
     store.write(&[Record::Batch { position, changes: Vec::new() }]).expect("written");
-    assert!(!store.restore().expect("read").incomplete, "and finished");
+    assert!(!store.restore().expect("read").repair_incomplete, "and finished");
     store.mark_format(99).expect("written");
     drop(store);
     let error = Store::open(folder.path()).expect("opened").restore().expect_err("newer");
--- a/crates/cluster/data-plane/src/core_links.rs
+++ b/crates/cluster/data-plane/src/core_links.rs
@@ -9,7 +9,7 @@
 use spanlead_cluster_runtime::settings::Settings;
 use spanlead_cluster_runtime::time::Clock;
 use spanlead_dissemination::{Disseminator, Item, Message, Output};
-use spanlead_replication::Lane;
+use spanlead_replication::TrafficClass;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -177,7 +177,7 @@
             match timeout(left.min(PROBE), answer.recv()).await {
                 Ok(answered) => return answered.ok(),
                 Err(_) if left <= PROBE => return None,
-                Err(_) => self.links.send(primary, Lane::Control, &Frame::Ping),
+                Err(_) => self.links.send(primary, TrafficClass::Control, &Frame::Ping),
             }
         }
     }
@@ -192,7 +192,7 @@
             serial
         };
         let call = ClientCall { serial, host: host.to_owned(), path: path.to_owned(), ask };
-        self.links.send(primary, Lane::Control, &Frame::Call(call));
+        self.links.send(primary, TrafficClass::Control, &Frame::Call(call));
         (serial, answer)
     }
 
@@ -204,7 +204,7 @@
                 inner.connected.insert(address.clone());
                 drop(inner);
                 let (node, peer) = (self.node.to_string(), self.peer.to_string());
-                self.links.send(&address, Lane::Control, &Frame::Hello { node, peer, version });
+                self.links.send(&address, TrafficClass::Control, &Frame::Hello { node, peer, version });
             }
             LinkEvent::Down(address) => {
                 let mut inner = self.lock();
@@ -248,7 +248,7 @@
                 Output::Send { to, message } => {
                     self.links.send(
                         &to,
-                        Lane::Control,
+                        TrafficClass::Control,
                         &Frame::Gossip { from: self.peer.to_string(), message },
                     );
                 }
@@ -299,7 +299,7 @@
     loop {
         for address in core.known() {
             if !core.lock().connected.contains(&address) {
-                core.links.send(&address, Lane::Control, &Frame::Ping);
+                core.links.send(&address, TrafficClass::Control, &Frame::Ping);
             }
         }
         core.primary();
--- a/crates/cluster/replication/src/election.rs
+++ b/crates/cluster/replication/src/election.rs
@@ -1,199 +1,265 @@
-//! A candidate's round: it asks whether it could win, gathers promises, finishes the newest view that it finds, and then
-//! brings the view in which it is primary.
-use crate::view::{Accepted, Ballot, Member, MemberId, View};
+//! The course of one election.
+//!
+//! A candidate asks whether it would win (pre-vote), gathers promises, completes the newest view that it finds, and then
+//! proposes the view in which it is primary. Since any two quorums share a witness, a view that may be in force is among
+//! the promises, and it is completed before anything new is proposed.
+use crate::view::{AcceptedView, Ballot, Epoch, Member, MemberId, Term, View};
 use std::collections::BTreeMap;
 
-/// Where a round stands.
+/// How far an election is.
 #[derive(Clone, Debug)]
 enum Phase {
     /// The voters of this view are asked whether they would promise.
-    Canvassing(View, Vec<MemberId>),
+    PreVote { view: View, supporters: Vec<MemberId> },
     /// Promises are gathered.
     Preparing,
-    /// A view that may be in force is brought to everybody under the own ballot.
-    Finishing(View, Vec<MemberId>),
-    /// The own view is brought.
-    Proposing(View, Vec<MemberId>),
+    /// A view that may be in force is proposed to all its voters under the candidate's own ballot.
+    Completing(Proposal),
+    /// The view in which the candidate is primary is proposed.
+    Proposing(Proposal),
+}
+
+/// A proposed view and who has accepted it.
+#[derive(Clone, Debug)]
+struct Proposal {
+    view: View,
+    acceptors: Vec<MemberId>,
+}
+
+impl Proposal {
+    fn new(view: View) -> Self {
+        Proposal { view, acceptors: Vec::new() }
+    }
+
+    fn accepted(&mut self, from: MemberId, epoch: Epoch) {
+        if self.view.epoch == epoch && !self.acceptors.contains(&from) {
+            self.acceptors.push(from);
+        }
+    }
+
+    fn is_decided(&self, min_quorum: usize) -> bool {
+        self.view.decided_by(&self.acceptors, min_quorum)
+    }
 }
 
 /// What the candidate does next.
 #[derive(Debug, PartialEq)]
-pub(crate) enum Step {
-    /// Waits.
+pub(crate) enum ElectionStep {
+    /// Wait for more answers.
     Wait,
-    /// Asks these whether they would promise.
-    Canvass(Vec<Member>),
-    /// Asks these for promises too.
-    Prepare(Vec<Member>),
-    /// Brings this view to its voters.
-    Accept(View),
-    /// Ends: too many refuse. Another try makes sense in so many milliseconds.
-    Refused(u64),
-    /// Ends: it can't take over; the newest view is this.
+    /// Ask these members whether they would promise.
+    RequestPreVotes(Vec<Member>),
+    /// Ask these members for promises.
+    RequestPromises(Vec<Member>),
+    /// Propose this view to its voters.
+    Propose(View),
+    /// End: too many reject.
+    Rejected {
+        /// Milliseconds until a retry makes sense.
+        retry_after_ms: u64,
+    },
+    /// End: the candidate is not in sync in the newest view, which is this one.
     Lost(View),
-    /// Its view is in force.
+    /// End: this view, in which the candidate is primary, is in force.
     Won(View),
 }
 
-/// A candidate's round.
+/// One election, as its candidate runs it.
 #[derive(Clone, Debug)]
 pub(crate) struct Election {
-    pub ballot: Ballot,
-    pub started_at: u64,
-    asked_at: u64,
-    me: MemberId,
-    /// Votes that any decision needs at least; as many replicas stay in sync.
-    quorum: usize,
-    /// The first view, if this round is to begin the system.
-    founding: Option<View>,
-    promises: BTreeMap<MemberId, Option<Accepted>>,
-    asked: Vec<MemberId>,
-    refusals: BTreeMap<MemberId, u64>,
+    ballot: Ballot,
+    started_at_ms: u64,
+    pre_vote_at_ms: u64,
+    local_id: MemberId,
+    min_quorum: usize,
+    /// The first view, if this election is to start the system.
+    first_view: Option<View>,
+    promises: BTreeMap<MemberId, Option<AcceptedView>>,
+    /// Everybody who was asked.
+    voters: Vec<MemberId>,
+    /// Who rejects, and for how many milliseconds.
+    rejections: BTreeMap<MemberId, u64>,
     phase: Phase,
 }
 
 impl Election {
-    /// Begins a round among the voters of the newest view known; [`Step::Canvass`] names whom to ask.
-    pub fn start(me: MemberId, quorum: usize, ballot: Ballot, known: &View, now: u64) -> (Self, Step) {
+    /// Starts an election among the voters of the newest view known.
+    pub(crate) fn start(
+        local_id: MemberId,
+        min_quorum: usize,
+        ballot: Ballot,
+        known: &View,
+        now_ms: u64,
+    ) -> (Self, ElectionStep) {
         let targets: Vec<Member> = known.voters().into_iter().cloned().collect();
         let election = Election {
             ballot,
-            started_at: now,
-            asked_at: now,
-            me,
-            quorum,
-            founding: None,
+            started_at_ms: now_ms,
+            pre_vote_at_ms: now_ms,
+            local_id,
+            min_quorum,
+            first_view: None,
             promises: BTreeMap::new(),
-            asked: targets.iter().map(|m| m.id).collect(),
-            refusals: BTreeMap::new(),
-            phase: Phase::Canvassing(known.clone(), Vec::new()),
+            voters: targets.iter().map(|member| member.id).collect(),
+            rejections: BTreeMap::new(),
+            phase: Phase::PreVote { view: known.clone(), supporters: Vec::new() },
         };
-        (election, Step::Canvass(targets))
+        (election, ElectionStep::RequestPreVotes(targets))
+    }
+
+    /// Starts the election that starts the system with `first_view`, unless a voter has accepted another view.
+    pub(crate) fn start_bootstrap(
+        local_id: MemberId,
+        min_quorum: usize,
+        ballot: Ballot,
+        first_view: View,
+        now_ms: u64,
+    ) -> (Self, ElectionStep) {
+        let (election, step) = Election::start(local_id, min_quorum, ballot, &first_view, now_ms);
+        (Election { first_view: Some(first_view), ..election }, step)
+    }
+
+    /// The candidate's ballot.
+    pub(crate) fn ballot(&self) -> Ballot {
+        self.ballot
+    }
+
+    /// When the election started, milliseconds.
+    pub(crate) fn started_at_ms(&self) -> u64 {
+        self.started_at_ms
+    }
+
+    /// When pre-votes were requested last, milliseconds; `None` once promises are gathered.
+    pub(crate) fn pre_vote_at_ms(&self) -> Option<u64> {
+        matches!(self.phase, Phase::PreVote { .. }).then_some(self.pre_vote_at_ms)
+    }
+
+    /// Whether a machine has promised.
+    pub(crate) fn has_promised(&self, id: MemberId) -> bool {
+        self.promises.contains_key(&id)
     }
 
     /// A machine would promise.
-    pub fn supported(&mut self, from: MemberId) -> Step {
-        let Phase::Canvassing(view, supporters) = &mut self.phase else { return Step::Wait };
+    pub(crate) fn pre_vote_granted(&mut self, from: MemberId) -> ElectionStep {
+        let Phase::PreVote { view, supporters } = &mut self.phase else { return ElectionStep::Wait };
         if !supporters.contains(&from) {
             supporters.push(from);
         }
-        if !view.decided_by(supporters, self.quorum) {
-            return Step::Wait;
+        if !view.decided_by(supporters, self.min_quorum) {
+            return ElectionStep::Wait;
         }
         let targets = view.voters().into_iter().cloned().collect();
         self.phase = Phase::Preparing;
-        self.refusals.clear();
-        Step::Prepare(targets)
+        self.rejections.clear();
+        ElectionStep::RequestPromises(targets)
     }
 
-    /// Whether it is still only asked who would promise, and how long ago that was asked last.
-    pub fn canvassing_since(&self) -> Option<u64> {
-        matches!(self.phase, Phase::Canvassing(..)).then_some(self.asked_at)
+    /// Repeats the pre-vote with those that have not answered, or rejected.
+    pub(crate) fn retry_pre_vote(&mut self, now_ms: u64) -> ElectionStep {
+        let Phase::PreVote { view, supporters } = &self.phase else { return ElectionStep::Wait };
+        self.pre_vote_at_ms = now_ms;
+        self.rejections.clear();
+        let others = view.voters().into_iter().filter(|member| !supporters.contains(&member.id));
+        ElectionStep::RequestPreVotes(others.cloned().collect())
     }
 
-    /// Asks those again that have not answered, or refused.
-    pub fn canvass_again(&mut self, now: u64) -> Step {
-        let Phase::Canvassing(view, supporters) = &self.phase else { return Step::Wait };
-        self.asked_at = now;
-        self.refusals.clear();
-        let others = view.voters().into_iter().filter(|m| !supporters.contains(&m.id));
-        Step::Canvass(others.cloned().collect())
-    }
-
-    /// A machine refuses, and would do so for so many milliseconds. The round ends when too few are left.
-    pub fn refused(&mut self, from: MemberId, retry_ms: u64) -> Step {
-        self.refusals.insert(from, retry_ms);
-        let left = self.asked.iter().filter(|id| !self.refusals.contains_key(id)).count();
-        let needed = self.quorum.max(self.asked.len() / 2 + 1);
-        match left < needed {
-            true => Step::Refused(self.refusals.values().copied().min().unwrap_or(0)),
-            false => Step::Wait,
+    /// A machine rejects. The election ends when too few are left.
+    pub(crate) fn rejected(&mut self, from: MemberId, retry_after_ms: u64) -> ElectionStep {
+        self.rejections.insert(from, retry_after_ms);
+        let left = self.voters.iter().filter(|id| !self.rejections.contains_key(id)).count();
+        let needed = self.min_quorum.max(self.voters.len() / 2 + 1);
+        if left >= needed {
+            return ElectionStep::Wait;
         }
+        ElectionStep::Rejected { retry_after_ms: self.rejections.values().copied().min().unwrap_or(0) }
     }
 
-    /// The round that begins the system, with this view if nobody has accepted another. See [`crate::replica`].
-    pub fn founding(mut self, view: View) -> Self {
-        self.founding = Some(view);
-        self
-    }
-
-    /// Whether a machine has promised.
-    pub fn has_promised(&self, id: MemberId) -> bool {
-        self.promises.contains_key(&id)
-    }
-
-    /// A promise came.
-    pub fn promised(&mut self, from: MemberId, accepted: Option<Accepted>) -> Step {
+    /// A machine promised, and reports the newest view that it has accepted.
+    pub(crate) fn promised(&mut self, from: MemberId, accepted: Option<AcceptedView>) -> ElectionStep {
         self.promises.insert(from, accepted);
         if !matches!(self.phase, Phase::Preparing) {
-            return Step::Wait;
+            return ElectionStep::Wait;
         }
-        let newest = self.promises.values().flatten().reduce(|a, b| if b.newer_than(a) { b } else { a });
-        let Some(newest) = newest.cloned() else { return self.found() };
-        let view = newest.view.clone();
-        let more: Vec<Member> =
-            view.voters().into_iter().filter(|m| !self.asked.contains(&m.id)).cloned().collect();
-        if !more.is_empty() {
-            self.asked.extend(more.iter().map(|m| m.id));
-            return Step::Prepare(more);
+        let Some(newest) = self.newest_accepted() else { return self.propose_first_view() };
+        let new_voters = self.voters_not_asked(&newest.view);
+        if !new_voters.is_empty() {
+            self.voters.extend(new_voters.iter().map(|member| member.id));
+            return ElectionStep::RequestPromises(new_voters);
         }
-        let voters: Vec<MemberId> = self.promises.keys().copied().collect();
-        if !view.decided_by(&voters, self.quorum) {
-            return Step::Wait;
+        let promised_by: Vec<MemberId> = self.promises.keys().copied().collect();
+        if !newest.view.decided_by(&promised_by, self.min_quorum) {
+            return ElectionStep::Wait;
         }
-        if !view.in_sync.contains(&self.me) {
-            return Step::Lost(view);
+        if !newest.view.is_in_sync(self.local_id) {
+            return ElectionStep::Lost(newest.view);
         }
-        let holders = self.promises.iter().filter(|(_, a)| a.as_ref() == Some(&newest));
-        let holders: Vec<MemberId> = holders.map(|(id, _)| *id).collect();
-        if view.decided_by(&holders, self.quorum) {
-            return self.propose(&view);
+        if self.is_in_force(&newest) {
+            return self.propose_own_view(&newest.view);
         }
-        self.phase = Phase::Finishing(view.clone(), Vec::new());
-        Step::Accept(view)
+        self.phase = Phase::Completing(Proposal::new(newest.view.clone()));
+        ElectionStep::Propose(newest.view)
     }
 
-    /// A view was accepted by a witness.
-    pub fn accepted(&mut self, from: MemberId, epoch: u64) -> Step {
-        let quorum = self.quorum;
+    /// A witness accepted a view.
+    pub(crate) fn accepted(&mut self, from: MemberId, epoch: Epoch) -> ElectionStep {
+        let min_quorum = self.min_quorum;
         match &mut self.phase {
-            Phase::Canvassing(..) | Phase::Preparing => Step::Wait,
-            Phase::Finishing(view, voters) => {
-                if view.epoch == epoch && !voters.contains(&from) {
-                    voters.push(from);
+            Phase::PreVote { .. } | Phase::Preparing => ElectionStep::Wait,
+            Phase::Completing(proposal) => {
+                proposal.accepted(from, epoch);
+                if !proposal.is_decided(min_quorum) {
+                    return ElectionStep::Wait;
                 }
-                let view = view.clone();
-                if view.decided_by(voters, quorum) { self.propose(&view) } else { Step::Wait }
+                let completed = proposal.view.clone();
+                self.propose_own_view(&completed)
             }
-            Phase::Proposing(view, voters) => {
-                if view.epoch == epoch && !voters.contains(&from) {
-                    voters.push(from);
+            Phase::Proposing(proposal) => {
+                proposal.accepted(from, epoch);
+                if !proposal.is_decided(min_quorum) {
+                    return ElectionStep::Wait;
                 }
-                if view.decided_by(voters, quorum) { Step::Won(view.clone()) } else { Step::Wait }
+                ElectionStep::Won(proposal.view.clone())
             }
         }
     }
 
-    /// Brings the first view once enough machines have promised that none will accept another of a lower ballot.
-    fn found(&mut self) -> Step {
-        let Some(view) = self.founding.clone().filter(|_| self.promises.len() >= self.quorum) else {
-            return Step::Wait;
+    /// The newest view among the promises.
+    fn newest_accepted(&self) -> Option<AcceptedView> {
+        let accepted = self.promises.values().flatten();
+        accepted.reduce(|newest, other| if other.is_newer_than(newest) { other } else { newest }).cloned()
+    }
+
+    fn voters_not_asked(&self, view: &View) -> Vec<Member> {
+        view.voters().into_iter().filter(|member| !self.voters.contains(&member.id)).cloned().collect()
+    }
+
+    /// Whether the promises alone show that this view is in force.
+    fn is_in_force(&self, accepted: &AcceptedView) -> bool {
+        let holders = self.promises.iter().filter(|(_, promise)| promise.as_ref() == Some(accepted));
+        let holders: Vec<MemberId> = holders.map(|(id, _)| *id).collect();
+        accepted.view.decided_by(&holders, self.min_quorum)
+    }
+
+    /// Proposes the first view once enough voters have promised that none accepts another of a lower ballot.
+    fn propose_first_view(&mut self) -> ElectionStep {
+        let Some(view) = self.first_view.clone().filter(|_| self.promises.len() >= self.min_quorum) else {
+            return ElectionStep::Wait;
         };
-        self.phase = Phase::Proposing(view.clone(), Vec::new());
-        Step::Accept(view)
-    }
-
-    /// The view that makes this candidate primary. In sync stay those that answered, if they are enough.
-    fn propose(&mut self, view: &View) -> Step {
-        let mut next = view.next();
-        next.term = next.epoch;
-        next.primary = self.me;
-        let answered = |id: &MemberId| *id == self.me || self.promises.contains_key(id);
-        let alive: Vec<MemberId> = view.in_sync.iter().copied().filter(answered).collect();
-        if alive.len() >= self.quorum {
+        self.phase = Phase::Proposing(Proposal::new(view.clone()));
+        ElectionStep::Propose(view)
+    }
+
+    /// Proposes the view that makes this candidate primary. The in-sync set keeps those that promised, if they are enough.
+    fn propose_own_view(&mut self, current: &View) -> ElectionStep {
+        let mut next = current.successor();
+        next.term = Term::from(next.epoch);
+        next.primary = self.local_id;
+        let is_alive = |id: &MemberId| *id == self.local_id || self.has_promised(*id);
+        let alive: Vec<MemberId> = current.in_sync.iter().copied().filter(is_alive).collect();
+        if alive.len() >= self.min_quorum {
             next.in_sync = alive;
         }
-        self.phase = Phase::Proposing(next.clone(), Vec::new());
-        Step::Accept(next)
+        self.phase = Phase::Proposing(Proposal::new(next.clone()));
+        ElectionStep::Propose(next)
     }
 }
--- a/crates/cluster/replication/src/keyspace.rs
+++ b/crates/cluster/replication/src/keyspace.rs
@@ -1,83 +1,112 @@
-//! Keys and values with digests of ranges, by which two copies find out cheaply where they differ.
+//! A replica of the key space in memory, and the chunks of it that repair transfers.
+use crate::digest::{LEAF_COUNT, RANGE_COUNT, entry_digest, first_leaf_of, leaf_of, range_digest};
 use rkyv::{Archive, Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::ops::Bound;
-use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
-
-/// Ranges of the hashed key space: the upper level of digests.
-pub const RANGES: usize = 32;
-/// Leaves in all: the lower level of digests, and the unit of repair.
-pub const LEAVES: usize = RANGES * RANGES;
 
 /// A key's new value.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The key.
     pub key: Vec<u8>,
-    /// Its value; `None` takes the key away.
+    /// Its value; `None` removes the key.
     pub value: Option<Vec<u8>>,
 }
 
 impl Change {
     /// The size of key and value, bytes.
     #[must_use]
-    pub fn bytes(&self) -> usize {
+    pub fn size_bytes(&self) -> usize {
         self.key.len() + self.value.as_ref().map_or(0, Vec::len)
     }
 }
 
-/// The entries of a leaf in a range of its keys, in order. A repair is cut into such pieces, so that none is large.
+/// A key with its value, as repair transfers it.
+#[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
+pub struct LeafEntry {
+    /// The key.
+    pub key: Vec<u8>,
+    /// The value.
+    pub value: Vec<u8>,
+}
+
+/// The entries of one leaf in a range of its keys, in order. Repair transfers such chunks, so that no message is large.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct LeafChunk {
     /// The leaf's number.
     pub leaf: u16,
     /// The range begins after this key; `None` for the leaf's first key.
     pub after: Option<Vec<u8>>,
-    /// Whether the range reaches to the leaf's end; else it ends with the last entry.
-    pub last: bool,
+    /// Whether the range reaches to the leaf's end; if not, it ends with the last entry.
+    pub is_last: bool,
     /// The range's keys with their values.
-    pub entries: Vec<(Vec<u8>, Vec<u8>)>,
+    pub entries: Vec<LeafEntry>,
 }
 
-impl Part {
-    /// Whether a key of the same leaf lies in this range.
+impl LeafChunk {
+    /// Whether a key of the same leaf lies in this chunk's range.
     fn covers(&self, key: &[u8]) -> bool {
-        let begun = self.after.as_deref().is_none_or(|after| key > after);
-        let ended = !self.last && self.entries.last().is_none_or(|(last, _)| key > last.as_slice());
-        begun && !ended
+        let is_before = self.after.as_deref().is_some_and(|after| key <= after);
+        let is_behind = !self.is_last && self.entries.last().is_none_or(|last| key > last.key.as_slice());
+        !is_before && !is_behind
     }
 
     /// The size of its entries, bytes.
     #[must_use]
-    pub fn bytes(&self) -> usize {
-        self.entries.iter().map(|(key, value)| key.len() + value.len()).sum()
+    pub fn size_bytes(&self) -> usize {
+        self.entries.iter().map(|entry| entry.key.len() + entry.value.len()).sum()
+    }
+
+    /// The last key of a chunk that ends before its leaf does: the next chunk begins after it.
+    pub(crate) fn continuation(&self) -> Option<Vec<u8>> {
+        let last = self.entries.last().filter(|_| !self.is_last)?;
+        Some(last.key.clone())
+    }
+}
+
+/// The place of an entry: keys are kept by leaf, so that a leaf's entries lie together.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EntryKey {
+    leaf: u16,
+    key: Vec<u8>,
+}
+
+impl EntryKey {
+    fn new(key: &[u8]) -> Self {
+        EntryKey { leaf: leaf_of(key), key: key.to_vec() }
+    }
+
+    /// A place before all entries of a leaf, or that of its empty key.
+    fn first_of(leaf: u16) -> Self {
+        EntryKey { leaf, key: Vec::new() }
     }
 }
 
-/// A copy of the key space in memory.
+/// A replica of the key space in memory, with the digests of its leaves.
+///
+/// Invariant: each leaf's digest is that of its entries, since [`Keyspace::apply`] is the only way to change them.
 #[derive(Clone, Debug)]
 pub struct Keyspace {
-    entries: BTreeMap<(u16, Vec<u8>), Vec<u8>>,
-    leaves: Vec<u64>,
+    entries: BTreeMap<EntryKey, Vec<u8>>,
+    leaf_digests: Vec<u64>,
 }
 
 impl Default for Keyspace {
     fn default() -> Self {
-        Keyspace { entries: BTreeMap::new(), leaves: vec![0; LEAVES] }
+        Keyspace { entries: BTreeMap::new(), leaf_digests: vec![0; LEAF_COUNT] }
     }
 }
 
 impl Keyspace {
-    /// Makes one change.
+    /// Applies one change.
     pub fn apply(&mut self, change: &Change) {
-        let leaf = leaf_of(&change.key);
-        let place = (leaf, change.key.clone());
-        let before = match &change.value {
-            Some(value) => self.entries.insert(place, value.clone()),
-            None => self.entries.remove(&place),
+        let entry_key = EntryKey::new(&change.key);
+        let digest = &mut self.leaf_digests[entry_key.leaf as usize];
+        let replaced = match &change.value {
+            Some(value) => self.entries.insert(entry_key, value.clone()),
+            None => self.entries.remove(&entry_key),
         };
-        let digest = &mut self.leaves[leaf as usize];
-        if let Some(value) = before {
+        if let Some(value) = replaced {
             *digest ^= entry_digest(&change.key, &value);
         }
         if let Some(value) = &change.value {
@@ -85,91 +114,89 @@
         }
     }
 
+    /// Applies changes in order.
+    pub(crate) fn apply_all(&mut self, changes: &[Change]) {
+        changes.iter().for_each(|change| self.apply(change));
+    }
+
     /// A key's value.
     #[must_use]
     pub fn get(&self, key: &[u8]) -> Option<&[u8]> {
-        self.entries.get(&(leaf_of(key), key.to_vec())).map(Vec::as_slice)
+        self.entries.get(&EntryKey::new(key)).map(Vec::as_slice)
     }
 
-    /// All keys and values, in no order of use.
+    /// All keys and values, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
-        self.entries.iter().map(|((_, key), value)| (key.as_slice(), value.as_slice()))
+        self.entries.iter().map(|(place, value)| (place.key.as_slice(), value.as_slice()))
     }
 
-    /// How many keys there are.
+    /// The number of keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// A digest for each range.
+    /// The digest of each range.
     #[must_use]
-    pub fn roots(&self) -> Vec<u64> {
-        (0..RANGES).map(|range| root_of(self.leaf_digests(range as u16))).collect()
+    pub fn range_digests(&self) -> Vec<u64> {
+        (0..RANGE_COUNT).map(|range| range_digest(self.leaf_digests(range as u16))).collect()
     }
 
-    /// The digests of a range's leaves.
+    /// The digests of a range's leaves; none for a range that does not exist.
     #[must_use]
     pub fn leaf_digests(&self, range: u16) -> &[u64] {
-        let first = usize::from(range) * RANGES;
-        self.leaves.get(first..first + RANGES).unwrap_or(&[])
+        if usize::from(range) >= RANGE_COUNT {
+            return &[];
+        }
+        let first = usize::from(first_leaf_of(range));
+        &self.leaf_digests[first..first + RANGE_COUNT]
     }
 
-    /// The entries of a leaf after a key, as many as fit into `limit` bytes but at least one.
+    /// The entries of a leaf after a key: as many as fit into `limit_bytes`, but at least one.
     #[must_use]
-    pub fn part(&self, leaf: u16, after: Option<&[u8]>, limit: usize) -> Part {
-        let from = match after {
-            Some(key) => Bound::Excluded((leaf, key.to_vec())),
-            None => Bound::Included((leaf, Vec::new())),
+    pub fn leaf_chunk(&self, leaf: u16, after: Option<&[u8]>, limit_bytes: usize) -> LeafChunk {
+        let start = match after {
+            Some(key) => Bound::Excluded(EntryKey { leaf, key: key.to_vec() }),
+            None => Bound::Included(EntryKey::first_of(leaf)),
         };
-        let mut part = Part { leaf, after: after.map(<[u8]>::to_vec), last: true, entries: Vec::new() };
-        let mut bytes = 0;
-        for ((at, key), value) in self.entries.range((from, Bound::Unbounded)) {
-            if *at != leaf {
+        let mut chunk =
+            LeafChunk { leaf, after: after.map(<[u8]>::to_vec), is_last: true, entries: Vec::new() };
+        let mut size_bytes = 0;
+        for (place, value) in self.entries.range((start, Bound::Unbounded)) {
+            if place.leaf != leaf {
                 break;
             }
-            bytes += key.len() + value.len();
-            if bytes > limit && !part.entries.is_empty() {
-                part.last = false;
+            size_bytes += place.key.len() + value.len();
+            if size_bytes > limit_bytes && !chunk.entries.is_empty() {
+                chunk.is_last = false;
                 break;
             }
-            part.entries.push((key.clone(), value.clone()));
+            chunk.entries.push(LeafEntry { key: place.key.clone(), value: value.clone() });
         }
-        part
+        chunk
     }
 
-    /// The changes that make this copy equal to the part in the part's range.
+    /// The changes that make this replica equal to a chunk in the chunk's range: removals, then new values.
     #[must_use]
-    pub fn difference(&self, part: &Part) -> Vec<Change> {
+    pub fn changes_to_match(&self, chunk: &LeafChunk) -> Vec<Change> {
         let wanted: BTreeMap<&[u8], &[u8]> =
-            part.entries.iter().map(|(key, value)| (key.as_slice(), value.as_slice())).collect();
-        let held = self.entries.range((part.leaf, Vec::new())..).take_while(|((at, _), _)| *at == part.leaf);
-        let gone = held.filter(|((_, key), _)| part.covers(key) && !wanted.contains_key(key.as_slice()));
-        let mut changes: Vec<Change> =
-            gone.map(|((_, key), _)| Change { key: key.clone(), value: None }).collect();
-        let other =
-            wanted.iter().filter(|(key, value)| leaf_of(key) == part.leaf && self.get(key) != Some(value));
-        changes.extend(other.map(|(key, value)| Change { key: key.to_vec(), value: Some(value.to_vec()) }));
-        changes
+            chunk.entries.iter().map(|entry| (entry.key.as_slice(), entry.value.as_slice())).collect();
+        let present = self.entries.range(EntryKey::first_of(chunk.leaf)..);
+        let removed = present
+            .take_while(|(place, _)| place.leaf == chunk.leaf)
+            .map(|(place, _)| &place.key)
+            .filter(|key| chunk.covers(key) && !wanted.contains_key(key.as_slice()))
+            .map(|key| Change { key: key.clone(), value: None });
+        let changed = wanted
+            .iter()
+            .filter(|(key, value)| leaf_of(key) == chunk.leaf && self.get(key) != Some(value))
+            .map(|(key, value)| Change { key: key.to_vec(), value: Some(value.to_vec()) });
+        removed.chain(changed).collect()
     }
 }
-
-/// The digest of a range whose leaves have these.
-pub(crate) fn root_of(leaves: &[u64]) -> u64 {
-    let bytes: Vec<u8> = leaves.iter().flat_map(|digest| digest.to_le_bytes()).collect();
-    xxh3_64(&bytes)
-}
-
-fn leaf_of(key: &[u8]) -> u16 {
-    (xxh3_64(key) % LEAVES as u64) as u16
-}
-
-fn entry_digest(key: &[u8], value: &[u8]) -> u64 {
-    xxh3_64_with_seed(value, xxh3_64_with_seed(key, 1))
-}
--- a/crates/cluster/replication/src/message.rs
+++ b/crates/cluster/replication/src/message.rs
@@ -1,224 +1,248 @@
-//! What members say to one another.
-use crate::keyspace::{Change, Part};
-use crate::view::{Accepted, Ballot, Member, MemberId, View};
+//! The messages that members send to each other.
+//!
+//! The order and the types of fields and variants are the wire format: names may change, these may not.
+use crate::keyspace::{Change, LeafChunk};
+use crate::view::{AcceptedView, Ballot, Epoch, Member, MemberId, Term, View};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// A message with its sender and the identity it is meant for.
+/// A message with its sender and receiver.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Envelope {
-    /// Who sends it.
+    /// The sender.
     pub from: MemberId,
-    /// Who is meant; nobody else heeds it. `None` where the sender knows only an address.
+    /// The receiver; any other member drops the message. `None` where the sender knows only an address.
     pub to: Option<MemberId>,
-    /// What is said.
+    /// The message.
     pub message: Message,
 }
 
-/// What is said.
+/// A message between members.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub enum Message {
-    /// A machine that is no member, or has heard of no primary, shows itself.
-    Register {
-        /// Itself.
+    /// A machine that is no member, or hears no primary, announces itself.
+    Announce {
+        /// The sender.
         member: Member,
-        /// Whether its folder dates from the first start of the whole system and has no view: it may take part in the
-        /// round that begins the system.
-        founder: bool,
-        /// The epoch of the newest view it knows.
-        epoch: u64,
-    },
-    /// The answer: the newest view known there.
-    Directory {
+        /// Whether the sender's folder dates from the first start of the whole system and has no view: it may vote in the
+        /// election that starts the system.
+        bootstrap_voter: bool,
+        /// The epoch of the newest view that the sender knows.
+        known_epoch: Epoch,
+    },
+    /// The answer to [`Message::Announce`]: the newest view that the sender knows.
+    CurrentView {
         /// That view.
         view: View,
     },
-    /// A machine that would stand for election asks whether it would be given a promise. Nothing is promised by the answer:
-    /// one that can't win does not disturb a primary.
-    Canvass {
+    /// A machine that would start an election asks whether it would get a promise.
+    ///
+    /// The answer promises nothing, so a machine that can't win does not disturb a primary.
+    PreVoteRequest {
         /// The ballot that it would use.
         ballot: Ballot,
-        /// Where it is answered.
+        /// The sender.
         candidate: Member,
     },
-    /// It would.
-    Support {
-        /// The ballot.
+    /// The witness would promise.
+    PreVoteGrant {
+        /// The ballot of the request.
         ballot: Ballot,
     },
     /// A candidate asks for a promise.
     Prepare {
         /// Its ballot.
         ballot: Ballot,
-        /// Where it is answered.
+        /// The sender.
         candidate: Member,
     },
-    /// The promise, with the newest view accepted there.
+    /// The witness promises to ignore lower ballots. Sent once the promise is on disk.
     Promise {
-        /// The ballot.
+        /// The ballot of the request.
         ballot: Ballot,
-        /// That view.
-        accepted: Option<Accepted>,
+        /// The newest view that the witness has accepted.
+        accepted: Option<AcceptedView>,
     },
-    /// A ballot is refused.
-    Refuse {
-        /// The ballot.
+    /// The witness rejects a ballot.
+    Reject {
+        /// The rejected ballot.
         ballot: Ballot,
-        /// What was promised instead.
+        /// The highest ballot that the witness has promised.
         promised: Ballot,
-        /// Milliseconds until another try makes sense; 0 if a higher ballot is needed.
-        retry_ms: u64,
+        /// Milliseconds until a retry makes sense; 0 if a higher ballot is needed.
+        retry_after_ms: u64,
     },
-    /// A view to accept.
+    /// A candidate or primary proposes a view.
     Accept {
         /// Its ballot.
         ballot: Ballot,
         /// The view.
         view: View,
     },
-    /// The view is on disk.
+    /// The witness has accepted the view. Sent once it is on disk.
     Accepted {
-        /// The ballot.
+        /// The ballot of the proposal.
         ballot: Ballot,
         /// The view's epoch.
-        epoch: u64,
-    },
-    /// The primary lives, and asks for its lease.
-    Heartbeat {
-        /// The ballot under which its view was accepted.
-        ballot: Ballot,
-        /// The view in force.
-        view: View,
-        /// The primary's clock, returned with the grant.
-        sent_at: u64,
-        /// The number of the last batch sent.
-        sequence: u64,
-        /// The session in which the primary serves the receiver; `None` if there is none.
-        session: Option<u64>,
-        /// What the primary can prove of its majority.
-        contact: Option<Contact>,
-    },
-    /// The lease.
-    Grant {
-        /// The ballot.
-        ballot: Ballot,
-        /// The primary's clock as it was told.
-        sent_at: u64,
-        /// The witness's own clock, returned with a later heartbeat.
-        clock: u64,
-        /// Whether it holds records that it can't read, and may not lead.
-        unfit: bool,
-    },
-    /// A replica asks to be sent the changes.
-    Follow {
-        /// The term.
-        term: u64,
-        /// A number of its own for this session.
+        epoch: Epoch,
+    },
+    /// The primary is alive and asks for its lease.
+    Heartbeat(Heartbeat),
+    /// The witness grants the lease.
+    LeaseGrant(LeaseGrant),
+    /// A backup asks the primary for a new replication session.
+    SessionRequest {
+        /// The term of the primary that it follows.
+        term: Term,
+        /// The session's number, chosen by the backup.
         session: u64,
-        /// The digests of its ranges.
-        roots: Vec<u64>,
+        /// The digest of each range of the backup's key space.
+        range_digests: Vec<u64>,
     },
-    /// Ranges that differ.
-    Compare {
+    /// The primary asks for the leaf digests of the ranges that differ.
+    LeafDigestRequest {
         /// The session.
         session: u64,
-        /// Whether the follower counts as in sync, and must stay able to lead while it is repaired.
+        /// Whether the backup counts as in sync, and so must stay able to become primary while it is repaired.
         in_sync: bool,
-        /// The ranges' numbers.
+        /// The numbers of the ranges.
         ranges: Vec<u16>,
     },
-    /// The digests of these ranges' leaves.
-    Leaves {
+    /// The answer: the digests of the leaves of these ranges.
+    LeafDigests {
         /// The session.
         session: u64,
-        /// Each range with the digests of its leaves.
-        leaves: Vec<(u16, Vec<u64>)>,
+        /// One entry for each range that was asked for.
+        ranges: Vec<RangeLeafDigests>,
     },
     /// The next item of a session's stream.
     Stream {
         /// The session.
         session: u64,
-        /// The item's place in the stream, from 1 without gaps.
+        /// The item's index in the stream, from 1 without gaps.
         index: u64,
         /// The item.
         item: StreamItem,
     },
-    /// A piece of a repair is taken; the next may be sent.
-    Repaired {
+    /// The backup holds a chunk of the repair; the next one may be sent.
+    ChunkAck {
         /// The session.
         session: u64,
-        /// The piece's place in the stream.
+        /// The chunk's index in the stream.
         index: u64,
     },
-    /// All up to here is on this replica's disk.
-    Appended {
+    /// All batches up to this one are on the backup's disk.
+    BatchAck {
         /// The session.
         session: u64,
-        /// The number of the last batch on disk.
+        /// The sequence number of the last batch on disk.
         sequence: u64,
     },
-    /// The primary gives its lease back.
+    /// The primary steps down and releases its lease.
     Resign {
         /// Its ballot.
         ballot: Ballot,
-        /// Who should take over.
+        /// The replica that should take over.
         successor: Option<MemberId>,
     },
-    /// A member is to leave for good, and asks to be exchanged for a machine that stands by.
-    Leave {
-        /// Itself.
+    /// A member is to leave for good and asks to be replaced by a standby.
+    LeaveRequest {
+        /// The sender.
         member: Member,
     },
-    /// The primary's answer.
-    LeaveAnswer {
-        /// Whether an exchange is under way; if not, the member may end.
-        wait: bool,
+    /// The primary's answer to [`Message::LeaveRequest`].
+    LeaveResponse {
+        /// Whether a replacement is pending; if not, the member may terminate.
+        must_wait: bool,
     },
 }
 
-/// Proof that a primary was in touch with a majority.
+/// What a primary tells a member with each heartbeat; see [`Message::Heartbeat`].
+#[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
+pub struct Heartbeat {
+    /// The ballot under which the primary's view was accepted.
+    pub ballot: Ballot,
+    /// The view in force.
+    pub view: View,
+    /// The primary's clock, milliseconds; returned with the grant.
+    pub sent_at_ms: u64,
+    /// The sequence number of the last batch that was sent.
+    pub sequence: u64,
+    /// The session in which the primary replicates to the receiver; `None` if there is none.
+    pub session: Option<u64>,
+    /// The primary's proof that a majority granted its lease, if it has one.
+    pub majority_contact: Option<MajorityContact>,
+}
+
+/// A witness's grant of a lease; see [`Message::LeaseGrant`].
+#[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
+pub struct LeaseGrant {
+    /// The ballot of the heartbeat.
+    pub ballot: Ballot,
+    /// The primary's clock as the heartbeat gave it, milliseconds.
+    pub sent_at_ms: u64,
+    /// The witness's own clock, milliseconds; returned with a later heartbeat.
+    pub witness_clock_ms: u64,
+    /// Whether the witness's replica holds records that it can't read, and so must not become primary.
+    pub ineligible: bool,
+}
+
+/// Proof that a primary was in contact with a majority.
+///
+/// Both values are of one clock each, so a delayed message can only make the contact look older than it is.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Contact {
-    /// The receiver's own clock, as the primary last had it with a grant.
-    pub clock: u64,
+pub struct MajorityContact {
+    /// The receiver's own clock as its last grant told the primary, milliseconds.
+    pub receiver_clock_ms: u64,
     /// How long before this heartbeat the primary asked for the grants of the majority, milliseconds.
     pub age_ms: u64,
 }
 
+/// The digests of the leaves of one range.
+#[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
+pub struct RangeLeafDigests {
+    /// The range's number.
+    pub range: u16,
+    /// The digest of each leaf, in order.
+    pub digests: Vec<u64>,
+}
+
 /// An item of a session's stream.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub enum StreamItem {
-    /// A piece of the repair: these ranges as they are at this place of the stream.
-    Piece(Vec<Part>),
+    /// A chunk of the repair: these key ranges as they are at this index of the stream.
+    RepairChunk(Vec<LeafChunk>),
     /// A batch of changes.
     Batch {
-        /// Its number.
+        /// Its sequence number.
         sequence: u64,
         /// The changes.
         changes: Vec<Change>,
     },
-    /// The repair is complete: the copy is as the primary's after this batch.
-    Whole {
-        /// The batch's number.
+    /// The repair is complete: the backup now equals the primary after this batch.
+    RepairComplete {
+        /// The batch's sequence number.
         sequence: u64,
     },
 }
 
-/// The connection that a message belongs on. Messages on one lane stay in order; the lanes don't wait for one another.
+/// The connection on which a message travels. Messages of one class keep their order; the classes don't delay each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Lane {
+pub enum TrafficClass {
     /// Small and urgent: leases, votes, acknowledgements.
     Control,
-    /// Data: repair and batches.
+    /// Bulk data: repair and batches.
     Data,
 }
 
 impl Message {
-    /// The lane of this message.
+    /// The class of this message.
     #[must_use]
-    pub fn lane(&self) -> Lane {
+    pub fn traffic_class(&self) -> TrafficClass {
         match self {
-            Message::Stream { .. } | Message::Compare { .. } | Message::Leaves { .. } => Lane::Data,
-            _ => Lane::Control,
+            Message::Stream { .. } | Message::LeafDigestRequest { .. } | Message::LeafDigests { .. } => {
+                TrafficClass::Data
+            }
+            _ => TrafficClass::Control,
         }
     }
 }
--- /dev/null
+++ b/crates/cluster/replication/src/primary/lease.rs
@@ -0,0 +1,56 @@
+//! The grants of the witnesses, of which a primary's lease consists.
+use crate::timing::USABLE_LEASE_TENTHS;
+use crate::view::{Member, MemberId};
+use std::collections::BTreeMap;
+
+/// The newest grant of a witness.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Grant {
+    /// The primary's clock when it asked, milliseconds.
+    pub(crate) asked_at_ms: u64,
+    /// The witness's clock when it granted, milliseconds.
+    pub(crate) witness_clock_ms: u64,
+    /// Whether the witness's replica holds records that it can't read.
+    pub(crate) ineligible: bool,
+}
+
+/// The newest grant of each witness.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct LeaseGrants {
+    by_witness: BTreeMap<MemberId, Grant>,
+}
+
+impl LeaseGrants {
+    /// Records a grant, unless a newer one is known.
+    pub(crate) fn record(&mut self, witness: MemberId, grant: Grant) {
+        let known = self.by_witness.get(&witness);
+        if known.is_none_or(|known| known.asked_at_ms < grant.asked_at_ms) {
+            self.by_witness.insert(witness, grant);
+        }
+    }
+
+    /// The newest grant of a witness.
+    pub(crate) fn of(&self, witness: MemberId) -> Option<&Grant> {
+        self.by_witness.get(&witness)
+    }
+
+    /// When the primary asked for the newest grants that `votes_needed` of these members have given, milliseconds; 0 if
+    /// fewer have.
+    pub(crate) fn majority_granted_at_ms(&self, members: &[Member], votes_needed: usize) -> u64 {
+        let grants = members.iter().filter_map(|member| self.of(member.id));
+        let mut asked_at_ms: Vec<u64> = grants.map(|grant| grant.asked_at_ms).collect();
+        asked_at_ms.sort_unstable_by(|one, other| other.cmp(one));
+        asked_at_ms.get(votes_needed - 1).copied().unwrap_or(0)
+    }
+}
+
+/// Until when a lease may be used whose grants were asked for at this time; 0 if there is none.
+///
+/// A witness counts a lease from the moment at which it grants it, which is later than that at which the primary asked.
+/// The holder uses nine tenths of it, so that its clock may be slower than the witness's by a tenth.
+pub(super) fn usable_until_ms(granted_at_ms: u64, lease_ms: u64) -> u64 {
+    if granted_at_ms == 0 {
+        return 0;
+    }
+    granted_at_ms + lease_ms * USABLE_LEASE_TENTHS / 10
+}
--- /dev/null
+++ b/crates/cluster/replication/src/primary/mod.rs
@@ -0,0 +1,14 @@
+//! A primary: its lease, its backups, its batches, and the changes of view that it decides on.
+mod batches;
+mod failure_detector;
+mod lease;
+mod membership;
+mod session;
+mod state;
+mod view_change;
+
+pub(crate) use batches::BatchTracker;
+pub(crate) use lease::Grant;
+pub(crate) use session::PrimarySession;
+pub(crate) use state::{PrimaryState, ViewProposal};
+pub(crate) use view_change::ReviewContext;
--- /dev/null
+++ b/crates/cluster/replication/src/replica/backup.rs
@@ -0,0 +1,110 @@
+//! This machine as a backup: heartbeats, sessions, and what arrives in them.
+use super::outbox::{Destination, WriteCompletion};
+use super::state::{Replica, Role, VerifiedContact};
+use crate::backup::{PrimaryProgress, StreamAction};
+use crate::interface::Record;
+use crate::keyspace::Change;
+use crate::message::{Heartbeat, MajorityContact, Message, RangeLeafDigests, StreamItem};
+use crate::timing::ELECTION_STAGGER_MS;
+use crate::view::{Ballot, Member, MemberId, Term};
+use crate::witness::Vote;
+
+impl Replica {
+    pub(super) fn handle_heartbeat(&mut self, now_ms: u64, from: MemberId, heartbeat: Heartbeat) {
+        let Some(primary) = heartbeat.view.member(from).cloned() else { return };
+        if let Vote::Rejected { retry_after_ms } = self.witness.grant_lease(now_ms, heartbeat.ballot) {
+            let message = self.rejection(heartbeat.ballot, retry_after_ms);
+            return self.send_to(&primary, message);
+        }
+        self.answer_lease_request(now_ms, &primary, &heartbeat);
+        if !matches!(self.role, Role::Backup) {
+            self.become_backup(now_ms);
+        }
+        self.timers.primary_heard_at_ms = now_ms;
+        let term = heartbeat.view.term;
+        if let Some(contact) = heartbeat.majority_contact {
+            self.note_majority_contact(term, contact);
+        }
+        let Heartbeat { view, session, sequence, .. } = heartbeat;
+        self.learn_decided_view(view);
+        let progress = PrimaryProgress { primary: from, term, session, sequence };
+        if self.backup.needs_session(&progress, now_ms) {
+            self.request_session(now_ms, &primary, term);
+        }
+    }
+
+    fn note_majority_contact(&mut self, term: Term, contact: MajorityContact) {
+        let at_ms = contact.receiver_clock_ms.saturating_sub(contact.age_ms);
+        self.verified_contact = self.verified_contact.max(Some(VerifiedContact { term, at_ms }));
+    }
+
+    fn request_session(&mut self, now_ms: u64, primary: &Member, term: Term) {
+        let session = self.backup.start_session(primary, term, now_ms);
+        let range_digests = self.copy.keyspace.range_digests();
+        self.send_to(primary, Message::SessionRequest { term, session, range_digests });
+    }
+
+    /// The primary has stepped down and released its lease. The successor that it names starts an election at once, the
+    /// others after it; if it names none, all in the order of their ranks.
+    pub(super) fn handle_resign(&mut self, now_ms: u64, ballot: Ballot, successor: Option<MemberId>) {
+        self.witness.release_lease(ballot);
+        let is_known_primary = self.view.as_ref().is_some_and(|view| view.primary == ballot.candidate);
+        if !is_known_primary || !matches!(self.role, Role::Backup) || self.election_rank().is_none() {
+            return;
+        }
+        if successor == Some(self.local_member.id) {
+            return self.start_election(now_ms);
+        }
+        let head_start_ms = if successor.is_some() { ELECTION_STAGGER_MS } else { 0 };
+        self.timers.primary_heard_at_ms = (now_ms + head_start_ms).saturating_sub(self.config.lease_ms);
+    }
+
+    pub(super) fn handle_leaf_digest_request(&mut self, number: u64, in_sync: bool, ranges: &[u16]) {
+        let Some(session) = self.backup.session_numbered(number) else { return };
+        session.in_sync = in_sync;
+        let primary = Destination { address: session.primary_address.clone(), id: Some(session.primary) };
+        let digests_of = |range: &u16| RangeLeafDigests {
+            range: *range,
+            digests: self.copy.keyspace.leaf_digests(*range).to_vec(),
+        };
+        let ranges = ranges.iter().map(digests_of).collect();
+        self.send(primary, Message::LeafDigests { session: number, ranges });
+    }
+
+    pub(super) fn handle_stream(&mut self, now_ms: u64, number: u64, index: u64, item: StreamItem) {
+        let Some(session) = self.backup.session_numbered(number) else { return };
+        let primary = Destination { address: session.primary_address.clone(), id: Some(session.primary) };
+        for action in session.receive(now_ms, &mut self.copy.keyspace, index, item) {
+            self.take_stream_action(&primary, number, action);
+        }
+    }
+
+    fn take_stream_action(&mut self, primary: &Destination, session: u64, action: StreamAction) {
+        let primary = primary.clone();
+        match action {
+            StreamAction::EndSession => self.backup.end_session(),
+            StreamAction::AcknowledgeChunk { index } => {
+                self.send(primary, Message::ChunkAck { session, index });
+            }
+            StreamAction::WriteRepair { changes, acknowledge } => {
+                let acknowledgement = |index| WriteCompletion::AcknowledgeChunk { primary, session, index };
+                self.write_repair(changes, acknowledge.map(acknowledgement));
+            }
+            StreamAction::WriteBatch { position, changes } => {
+                self.copy.batch_applied(position);
+                let sequence = position.sequence;
+                let completion = WriteCompletion::AcknowledgeBatch { primary, session, sequence };
+                self.outbox.write(Record::Batch { position, changes }, completion);
+            }
+        }
+    }
+
+    fn write_repair(&mut self, changes: Vec<Change>, acknowledgement: Option<WriteCompletion>) {
+        if changes.is_empty() && acknowledgement.is_none() {
+            return;
+        }
+        self.copy.repair_incomplete |= !changes.is_empty();
+        let completion = acknowledgement.unwrap_or(WriteCompletion::Nothing);
+        self.outbox.write(Record::Repair { changes }, completion);
+    }
+}
--- /dev/null
+++ b/crates/cluster/replication/src/replica/handover.rs
@@ -0,0 +1,77 @@
+//! Members that leave for good.
+//!
+//! A member that is told to terminate asks the primary to be replaced by a standby. It may terminate once no view that can
+//! still be decided needs its vote, so another loss right after it is tolerated. If there is no standby, this is taken for
+//! a restart: the member terminates at once, and nobody takes its place until it has been gone for long.
+use super::state::{Replica, Role};
+use crate::interface::ReplicaEvent;
+use crate::message::Message;
+use crate::timing::{IN_SYNC_SILENCE_TIMEOUT_MS, LEAVE_REQUEST_INTERVAL_MS, STANDBY_DISCOVERY_MS};
+use crate::view::Member;
+
+/// The state of a machine that was told to leave for good.
+#[derive(Clone, Debug)]
+pub(super) struct LeaveState {
+    /// When it asked the primary last, milliseconds; 0 if it has not.
+    requested_at_ms: u64,
+    /// Whether it may terminate.
+    is_allowed: bool,
+}
+
+impl Replica {
+    /// Tells this machine to leave for good. [`ReplicaEvent::LeaveAllowed`] tells when it may terminate.
+    pub fn request_leave(&mut self, now_ms: u64) {
+        if self.leave.is_some() {
+            return;
+        }
+        self.leave = Some(LeaveState { requested_at_ms: 0, is_allowed: false });
+        self.hand_over_primary_role(now_ms);
+        self.send_leave_requests(now_ms);
+    }
+
+    /// A primary that leaves steps down first.
+    fn hand_over_primary_role(&mut self, now_ms: u64) {
+        if matches!(self.role, Role::Primary(_)) {
+            self.resign(now_ms);
+        }
+    }
+
+    /// Repeats the request to leave, if there is one.
+    pub(super) fn send_leave_requests(&mut self, now_ms: u64) {
+        let Some(leave) = &mut self.leave else { return };
+        if leave.is_allowed || now_ms < leave.requested_at_ms + LEAVE_REQUEST_INTERVAL_MS {
+            return;
+        }
+        leave.requested_at_ms = now_ms;
+        let view = self.view.as_ref().filter(|view| view.has_voter(self.local_member.id));
+        let Some(members) = view.map(|view| view.members.clone()) else {
+            return self.handle_leave_response(false);
+        };
+        self.hand_over_primary_role(now_ms);
+        let message = Message::LeaveRequest { member: self.local_member.clone() };
+        self.send_to_others(&members, &message);
+    }
+
+    /// A member asks to leave.
+    pub(super) fn handle_leave_request(&mut self, now_ms: u64, member: &Member) {
+        let Some(primary) = self.as_primary_mut() else { return };
+        let is_voter = primary.may_need_vote_of(member.id);
+        if is_voter && primary.is_active {
+            primary.membership.leave_requested(member.id, now_ms);
+        }
+        let has_standby = primary.has_standby(IN_SYNC_SILENCE_TIMEOUT_MS, now_ms);
+        let is_replacing = primary.view.changes_members();
+        // A primary that has just taken over has not yet heard from standbys.
+        let may_have_standby = now_ms < primary.elected_at_ms + STANDBY_DISCOVERY_MS;
+        let must_wait = is_voter && (has_standby || is_replacing || may_have_standby || !primary.is_active);
+        self.send_to(member, Message::LeaveResponse { must_wait });
+    }
+
+    pub(super) fn handle_leave_response(&mut self, must_wait: bool) {
+        let Some(leave) = &mut self.leave else { return };
+        if !must_wait && !leave.is_allowed {
+            leave.is_allowed = true;
+            self.outbox.emit(ReplicaEvent::LeaveAllowed);
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster/replication/src/replica/primary.rs
@@ -0,0 +1,220 @@
+//! This machine as primary: taking over, proposing batches, renewing the lease, reviewing the view, stepping down.
+use super::outbox::WriteCompletion;
+use super::state::{Replica, Role};
+use crate::interface::{Record, ReplicaEvent};
+use crate::keyspace::Change;
+use crate::message::{Heartbeat, LeaseGrant, MajorityContact, Message};
+use crate::primary::{BatchTracker, Grant, PrimaryState, ReviewContext, ViewProposal};
+use crate::timing::{ACTIVATION_TIMEOUT_LEASES, PROPOSAL_RETRY_INTERVAL_MS, STEP_DOWN_COOLDOWN_MS};
+use crate::view::{Ballot, Member, MemberId, Position, Term, View};
+use crate::witness::Vote;
+
+impl Replica {
+    /// Proposes changes as primary, and returns the sequence number of their batch; `None` if this machine is not primary.
+    ///
+    /// They are applied here at once. They last once [`ReplicaEvent::Committed`] covers the batch.
+    pub fn propose(&mut self, now_ms: u64, changes: Vec<Change>) -> Option<u64> {
+        let Role::Primary(primary) = &mut self.role else { return None };
+        self.copy.keyspace.apply_all(&changes);
+        let sequence = primary.batches.append(now_ms);
+        let position = Position { term: primary.view.term, sequence };
+        self.copy.position = position;
+        self.stream_batch(position, &changes);
+        let completion = WriteCompletion::BatchProposed { term: position.term, sequence };
+        self.outbox.write(Record::Batch { position, changes }, completion);
+        Some(sequence)
+    }
+
+    /// Steps down, if this machine is primary, in favour of a replica that lacks nothing.
+    pub fn resign(&mut self, now_ms: u64) {
+        let Some(primary) = self.as_primary() else { return };
+        let ballot = primary.ballot;
+        let last = primary.batches.last;
+        let is_current = |id: &&MemberId| primary.acknowledged(**id) == Some(last);
+        let successor = primary.view.in_sync.iter().find(is_current).copied();
+        self.release_lease(now_ms, ballot, successor);
+        self.timers.not_candidate_before_ms = now_ms + STEP_DOWN_COOLDOWN_MS;
+    }
+
+    /// Tells that this machine's replica holds records that the embedder can't read. It does not become primary until
+    /// another primary has repaired it.
+    pub fn mark_ineligible(&mut self, now_ms: u64) {
+        self.copy.ineligible = true;
+        self.resign(now_ms);
+    }
+
+    /// Stops acting as primary and releases the lease, so that nobody has to wait for its end.
+    fn release_lease(&mut self, now_ms: u64, ballot: Ballot, successor: Option<MemberId>) {
+        let Some(primary) = self.as_primary() else { return };
+        let members = primary.view.members.clone();
+        self.witness.release_lease(ballot);
+        self.become_backup(now_ms);
+        self.send_to_others(&members, &Message::Resign { ballot, successor });
+    }
+
+    /// Takes over after a won election.
+    pub(super) fn become_primary(&mut self, now_ms: u64, ballot: Ballot, view: View) {
+        log::info!("primary elected term={} in_sync={}", view.term, view.in_sync.len());
+        let batches = BatchTracker::new(self.copy.position.sequence, self.copy.durable_sequence);
+        let local_id = self.local_member.id;
+        let mut primary =
+            PrimaryState::new(local_id, ballot, view.clone(), self.min_quorum(), batches, now_ms);
+        let silent_since_ms = self.timers.primary_heard_at_ms.min(now_ms);
+        if let Role::Candidate(election) = &self.role {
+            // A member that did not answer the election has not been heard since before it.
+            for member in view.members.iter().filter(|member| !election.has_promised(member.id)) {
+                primary.failure_detector.silent_since(member.id, silent_since_ms);
+            }
+        }
+        self.role = Role::Primary(Box::new(primary));
+        self.learn_decided_view(view);
+        // Batches that an earlier primary left uncommitted are committed with this one.
+        self.propose(now_ms, Vec::new());
+        self.run_primary(now_ms);
+    }
+
+    /// Stops being candidate or primary.
+    pub(super) fn become_backup(&mut self, now_ms: u64) {
+        let previous_role = std::mem::replace(&mut self.role, Role::Backup);
+        self.timers.primary_heard_at_ms = now_ms;
+        if let Role::Primary(primary) = previous_role {
+            log::info!("primary stepped down term={}", primary.view.term);
+            if primary.is_active {
+                self.outbox.emit(ReplicaEvent::Deactivated);
+            }
+        }
+    }
+
+    /// A change of view that this primary proposed is in force.
+    pub(super) fn adopt_view(&mut self, now_ms: u64, view: View) {
+        let Role::Primary(primary) = &mut self.role else { return };
+        primary.membership.note_replacement(&primary.view, &view, now_ms);
+        log::info!(
+            "view adopted epoch={} members={} in_sync={}",
+            view.epoch,
+            view.members.len(),
+            view.in_sync.len()
+        );
+        primary.membership.standbys.retain(|id, _| !view.has_member(*id));
+        primary.view = view.clone();
+        primary.proposal = None;
+        self.learn_decided_view(view);
+        self.advance_commit();
+    }
+
+    pub(super) fn handle_lease_grant(&mut self, from: MemberId, grant: &LeaseGrant) {
+        let Some(primary) = self.as_primary_mut() else { return };
+        if primary.ballot == grant.ballot {
+            let LeaseGrant { sent_at_ms, witness_clock_ms, ineligible, .. } = *grant;
+            primary.grants.record(from, Grant { asked_at_ms: sent_at_ms, witness_clock_ms, ineligible });
+        }
+    }
+
+    /// A batch that this machine proposed as primary of that term is on its disk.
+    pub(super) fn own_batch_written(&mut self, term: Term, sequence: u64) {
+        self.copy.durable_sequence = sequence;
+        if let Some(primary) = self.as_primary_mut()
+            && primary.view.term == term
+        {
+            primary.batches.durable_locally = sequence;
+        }
+    }
+
+    /// Commits what is on disk at all replicas whose acknowledgement is needed.
+    pub(super) fn advance_commit(&mut self) {
+        let local_id = self.local_member.id;
+        let Some(primary) = self.as_primary_mut() else { return };
+        let sequence = primary.commit_point(local_id);
+        if sequence > primary.batches.committed {
+            primary.batches.committed = sequence;
+            self.outbox.emit(ReplicaEvent::Committed { sequence });
+        }
+    }
+
+    /// The primary's periodic work: lease, heartbeats, view.
+    pub(super) fn run_primary(&mut self, now_ms: u64) {
+        let lease_ms = self.config.lease_ms;
+        let Some(primary) = self.as_primary_mut() else { return };
+        let holds_majority = now_ms < primary.lease_until_ms(lease_ms);
+        let activation_deadline_ms = primary.elected_at_ms + ACTIVATION_TIMEOUT_LEASES * lease_ms;
+        if !holds_majority && (primary.is_active || now_ms >= activation_deadline_ms) {
+            // This machine is cut off from the witnesses. If they still hear it, they need not wait for the lease's end.
+            let ballot = primary.ballot;
+            return self.release_lease(now_ms, ballot, None);
+        }
+        if holds_majority && !primary.is_active {
+            primary.is_active = true;
+            let term = primary.view.term;
+            self.outbox.emit(ReplicaEvent::Activated { term });
+        }
+        if self.as_primary().is_some_and(|primary| primary.batches.is_own_disk_stalled(now_ms)) {
+            log::warn!("primary's disk stalled, stepping down");
+            return self.resign(now_ms);
+        }
+        self.send_heartbeats(now_ms);
+        self.review_view(now_ms);
+        self.advance_commit();
+    }
+
+    fn send_heartbeats(&mut self, now_ms: u64) {
+        let heartbeat_ms = self.config.heartbeat_ms;
+        let Some(primary) = self.as_primary_mut() else { return };
+        if now_ms < primary.heartbeat_at_ms + heartbeat_ms {
+            return;
+        }
+        primary.heartbeat_at_ms = now_ms;
+        primary.membership.forget_silent_standbys(now_ms);
+        let standbys = primary.membership.standbys.values().map(|standby| &standby.member);
+        let receivers: Vec<Member> = primary.view.members.iter().chain(standbys).cloned().collect();
+        let ballot = primary.ballot;
+        if self.witness.grant_lease(now_ms, ballot) == Vote::Granted {
+            let local_id = self.local_member.id;
+            let (sent_at_ms, witness_clock_ms) = (now_ms, now_ms);
+            let grant = LeaseGrant { ballot, sent_at_ms, witness_clock_ms, ineligible: false };
+            self.handle_lease_grant(local_id, &grant);
+        }
+        let local_id = self.local_member.id;
+        for member in receivers.iter().filter(|member| member.id != local_id) {
+            self.send_heartbeat(now_ms, member);
+        }
+    }
+
+    pub(super) fn send_heartbeat(&mut self, now_ms: u64, member: &Member) {
+        let Some(primary) = self.as_primary() else { return };
+        let age_ms = now_ms.saturating_sub(primary.majority_granted_at_ms());
+        let holds_lease = primary.holds_lease(self.config.lease_ms, now_ms);
+        let grant = primary.grants.of(member.id).filter(|_| holds_lease);
+        let contact = |grant: &Grant| MajorityContact { receiver_clock_ms: grant.witness_clock_ms, age_ms };
+        let heartbeat = Heartbeat {
+            ballot: primary.ballot,
+            view: primary.view.clone(),
+            sent_at_ms: now_ms,
+            sequence: primary.batches.last,
+            session: primary.sessions.get(&member.id).map(|session| session.number()),
+            majority_contact: grant.map(contact),
+        };
+        self.send_to(member, Message::Heartbeat(heartbeat));
+    }
+
+    /// Proposes the change of view that is due, or repeats the proposal that is under way.
+    fn review_view(&mut self, now_ms: u64) {
+        let local_id = self.local_member.id;
+        let max_failures = self.config.max_failures;
+        let Some(primary) = self.as_primary_mut() else { return };
+        let ballot = primary.ballot;
+        if let Some(proposal) = &mut primary.proposal {
+            if now_ms > proposal.sent_at_ms + PROPOSAL_RETRY_INTERVAL_MS {
+                proposal.sent_at_ms = now_ms;
+                let view = proposal.view.clone();
+                self.propose_view(ballot, &view);
+            }
+            return;
+        }
+        primary.batches.forget_old(now_ms);
+        let context = ReviewContext { local_id, max_failures, now_ms };
+        if let Some(view) = primary.review_view(&context) {
+            primary.proposal = Some(ViewProposal::new(view.clone(), now_ms));
+            self.propose_view(ballot, &view);
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster/replication/src/replica/state.rs
@@ -0,0 +1,234 @@
+//! [`Replica`]: its parts, its start, and what the embedder may ask it.
+use super::bootstrap::BootstrapState;
+use super::handover::LeaveState;
+use super::local_copy::LocalCopy;
+use super::outbox::{Destination, Outbox, WriteCompletion};
+use crate::backup::BackupState;
+use crate::config::ReplicaConfig;
+use crate::election::Election;
+use crate::interface::{MemberStatus, Output, Record, RecoveredState};
+use crate::keyspace::Keyspace;
+use crate::message::Message;
+use crate::primary::PrimaryState;
+use crate::view::{Member, MemberId, Position, Term, View};
+use crate::witness::Witness;
+
+/// What this machine is in the view.
+#[derive(Clone, Debug)]
+pub(super) enum Role {
+    /// It follows a primary, or waits for one.
+    Backup,
+    /// It runs an election.
+    Candidate(Box<Election>),
+    /// It has won one.
+    Primary(Box<PrimaryState>),
+}
+
+/// When this machine last heard of a primary and what it may do about its silence. All times in milliseconds.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ElectionTimers {
+    /// When the primary was heard last, or a candidate that should get the time to win.
+    pub(super) primary_heard_at_ms: u64,
+    /// From when on this machine may start an election.
+    pub(super) not_candidate_before_ms: u64,
+    /// When this machine announced itself last.
+    pub(super) announced_at_ms: u64,
+}
+
+/// A time at which the primary of a term certainly was in contact with a majority. Ordered by term, then time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct VerifiedContact {
+    pub(super) term: Term,
+    /// By this machine's clock, milliseconds.
+    pub(super) at_ms: u64,
+}
+
+/// One machine's part in the replicated key space.
+#[derive(Clone, Debug)]
+pub struct Replica {
+    pub(super) config: ReplicaConfig,
+    pub(super) local_member: Member,
+    pub(super) started_at_ms: u64,
+    pub(super) witness: Witness,
+    pub(super) copy: LocalCopy,
+    /// The newest view known.
+    pub(super) view: Option<View>,
+    pub(super) role: Role,
+    pub(super) backup: BackupState,
+    pub(super) timers: ElectionTimers,
+    pub(super) verified_contact: Option<VerifiedContact>,
+    pub(super) bootstrap: BootstrapState,
+    /// Set once this machine is to leave for good.
+    pub(super) leave: Option<LeaveState>,
+    pub(super) outbox: Outbox,
+}
+
+impl Replica {
+    /// A replica that starts at `now_ms` with what its folder holds. What it must do at once is in its outputs.
+    #[must_use]
+    pub fn start(config: ReplicaConfig, recovered: RecoveredState, now_ms: u64) -> Self {
+        let is_new_folder = recovered.identity.is_none();
+        let id = recovered.identity.unwrap_or(MemberId(config.random | 1));
+        let local_member = Member {
+            id,
+            node_name: config.node_name.clone(),
+            peer_address: config.peer_address.clone(),
+            operator_address: config.operator_address.clone(),
+        };
+        let bootstrap_voter = if is_new_folder { config.bootstrap } else { recovered.bootstrap_voter };
+        let view = recovered.witness.accepted.as_ref().map(|accepted| accepted.view.clone());
+        let primary_heard_at_ms = if view.as_ref().is_some_and(|view| view.primary == id) {
+            // No other machine holds a lease while this one's may run, so it need not wait before it starts an election.
+            now_ms.saturating_sub(2 * config.lease_ms)
+        } else {
+            now_ms
+        };
+        let mut replica = Replica {
+            local_member,
+            started_at_ms: now_ms,
+            witness: Witness::new(recovered.witness.clone(), config.lease_ms, now_ms),
+            copy: LocalCopy::recovered(recovered),
+            view,
+            role: Role::Backup,
+            backup: BackupState::new(config.random),
+            timers: ElectionTimers { primary_heard_at_ms, not_candidate_before_ms: 0, announced_at_ms: 0 },
+            verified_contact: None,
+            bootstrap: BootstrapState::new(bootstrap_voter),
+            leave: None,
+            outbox: Outbox::default(),
+            config,
+        };
+        if is_new_folder {
+            let record = Record::Identity { id, bootstrap_voter };
+            replica.outbox.write(record, WriteCompletion::Nothing);
+        }
+        replica
+    }
+
+    /// This machine as a member.
+    #[must_use]
+    pub fn local_member(&self) -> &Member {
+        &self.local_member
+    }
+
+    /// The newest view known here.
+    #[must_use]
+    pub fn view(&self) -> Option<&View> {
+        self.view.as_ref()
+    }
+
+    /// This machine's replica of the key space.
+    #[must_use]
+    pub fn keyspace(&self) -> &Keyspace {
+        &self.copy.keyspace
+    }
+
+    /// How far this machine's replica of the key space is.
+    #[must_use]
+    pub fn position(&self) -> Position {
+        self.copy.position
+    }
+
+    /// Whether an unfinished repair has left the key space here between two states.
+    #[must_use]
+    pub fn has_incomplete_repair(&self) -> bool {
+        self.copy.repair_incomplete
+    }
+
+    /// The term, if this machine is primary and its lease is valid at `now_ms`.
+    ///
+    /// At most one machine has a term at any time: a lease needs a majority, and its holder stops before the witnesses do.
+    #[must_use]
+    pub fn active_term(&self, now_ms: u64) -> Option<Term> {
+        let Role::Primary(primary) = &self.role else { return None };
+        primary.holds_lease(self.config.lease_ms, now_ms).then_some(primary.view.term)
+    }
+
+    /// The primary, if this machine can prove that it was in contact with a majority less than a lease ago: only then may
+    /// clients be redirected to it.
+    #[must_use]
+    pub fn verified_primary(&self, now_ms: u64) -> Option<&Member> {
+        let view = self.view.as_ref()?;
+        if self.active_term(now_ms).is_some() {
+            return Some(&self.local_member);
+        }
+        let contact = self.verified_contact?;
+        let is_valid = contact.term == view.term && now_ms < contact.at_ms + self.config.lease_ms;
+        is_valid.then(|| view.member(view.primary)).flatten()
+    }
+
+    /// The sequence number of the last committed batch; 0 if this machine is not primary.
+    #[must_use]
+    pub fn committed_sequence(&self) -> u64 {
+        self.as_primary().map_or(0, |primary| primary.batches.committed)
+    }
+
+    /// The members as the primary sees them; none if this machine is not primary.
+    #[must_use]
+    pub fn member_statuses(&self) -> Vec<MemberStatus> {
+        let Some(primary) = self.as_primary() else { return Vec::new() };
+        let status = |member: &Member| {
+            let is_local = member.id == self.local_member.id;
+            let grant = primary.grants.of(member.id);
+            MemberStatus {
+                member: member.clone(),
+                durable_sequence: if is_local {
+                    Some(primary.batches.durable_locally)
+                } else {
+                    primary.acknowledged(member.id)
+                },
+                ineligible: if is_local {
+                    self.copy.ineligible
+                } else {
+                    grant.is_some_and(|grant| grant.ineligible)
+                },
+            }
+        };
+        primary.view.members.iter().map(status).collect()
+    }
+
+    /// What is to be done since this was last called.
+    pub fn take_outputs(&mut self) -> Vec<Output> {
+        self.outbox.take()
+    }
+
+    pub(super) fn as_primary(&self) -> Option<&PrimaryState> {
+        match &self.role {
+            Role::Primary(primary) => Some(primary),
+            Role::Backup | Role::Candidate(_) => None,
+        }
+    }
+
+    pub(super) fn as_primary_mut(&mut self) -> Option<&mut PrimaryState> {
+        match &mut self.role {
+            Role::Primary(primary) => Some(primary),
+            Role::Backup | Role::Candidate(_) => None,
+        }
+    }
+
+    /// The fewest votes that decide anything.
+    pub(super) fn min_quorum(&self) -> usize {
+        self.config.min_quorum()
+    }
+
+    pub(super) fn send(&mut self, to: Destination, message: Message) {
+        self.outbox.send(self.local_member.id, to, message);
+    }
+
+    pub(super) fn send_to(&mut self, member: &Member, message: Message) {
+        self.send(Destination::from(member), message);
+    }
+
+    /// Sends a message to each of these members but this machine.
+    pub(super) fn send_to_others(&mut self, members: &[Member], message: &Message) {
+        let local_id = self.local_member.id;
+        for member in members.iter().filter(|member| member.id != local_id) {
+            self.send_to(member, message.clone());
+        }
+    }
+
+    /// Writes the witness's record as it is now.
+    pub(super) fn write_witness(&mut self, completion: WriteCompletion) {
+        self.outbox.write(Record::Witness(self.witness.record.clone()), completion);
+    }
+}
--- /dev/null
+++ b/crates/cluster/replication/src/replica/witness.rs
@@ -0,0 +1,71 @@
+//! This machine as a witness: what it answers to candidates and primaries.
+use super::outbox::{Destination, WriteCompletion};
+use super::state::Replica;
+use crate::message::{Heartbeat, LeaseGrant, Message};
+use crate::view::{Ballot, Member, MemberId, View};
+use crate::witness::Vote;
+
+impl Replica {
+    pub(super) fn handle_pre_vote_request(&mut self, now_ms: u64, ballot: Ballot, candidate: &Member) {
+        let message = match self.witness.pre_vote(now_ms, ballot) {
+            Vote::Granted => Message::PreVoteGrant { ballot },
+            Vote::Rejected { retry_after_ms } => self.rejection(ballot, retry_after_ms),
+        };
+        self.send_to(candidate, message);
+    }
+
+    pub(super) fn handle_prepare(&mut self, now_ms: u64, ballot: Ballot, candidate: &Member) {
+        match self.witness.prepare(now_ms, ballot) {
+            Vote::Granted => {
+                // The candidate should get the time to win.
+                self.timers.primary_heard_at_ms = now_ms;
+                // After the promise nothing of an older term may be applied: the candidate counts on what it was told.
+                self.backup.end_session();
+                let accepted = self.witness.record.accepted.clone();
+                let message = Message::Promise { ballot, accepted };
+                self.write_witness(WriteCompletion::Send(Destination::from(candidate), message));
+            }
+            Vote::Rejected { retry_after_ms } => {
+                let message = self.rejection(ballot, retry_after_ms);
+                self.send_to(candidate, message);
+            }
+        }
+    }
+
+    pub(super) fn handle_accept(&mut self, now_ms: u64, ballot: Ballot, view: View, from: MemberId) {
+        let Some(sender) = view.member(from).map(Destination::from) else { return };
+        match self.witness.accept(ballot, &view) {
+            Vote::Granted => {
+                let epoch = view.epoch;
+                self.timers.primary_heard_at_ms = now_ms;
+                self.learn_view(view);
+                self.write_witness(WriteCompletion::Send(sender, Message::Accepted { ballot, epoch }));
+            }
+            Vote::Rejected { retry_after_ms } => {
+                let message = self.rejection(ballot, retry_after_ms);
+                self.send(sender, message);
+            }
+        }
+    }
+
+    /// Answers a heartbeat whose lease was granted. A witness that lacks the heartbeat's view accepts it first: after a
+    /// restart it must know whose lease it may have granted.
+    pub(super) fn answer_lease_request(&mut self, now_ms: u64, primary: &Member, heartbeat: &Heartbeat) {
+        let (ballot, view) = (heartbeat.ballot, &heartbeat.view);
+        let message = Message::LeaseGrant(LeaseGrant {
+            ballot,
+            sent_at_ms: heartbeat.sent_at_ms,
+            witness_clock_ms: now_ms,
+            ineligible: self.copy.ineligible,
+        });
+        if self.witness.has_accepted(ballot, view) {
+            self.send_to(primary, message);
+        } else if self.witness.accept(ballot, view) == Vote::Granted {
+            self.write_witness(WriteCompletion::Send(Destination::from(primary), message));
+        }
+    }
+
+    pub(super) fn rejection(&self, ballot: Ballot, retry_after_ms: u64) -> Message {
+        Message::Reject { ballot, promised: self.witness.record.promised, retry_after_ms }
+    }
+}
--- a/crates/cluster/replication/tests/departures.rs
+++ b/crates/cluster/replication/tests/departures.rs
@@ -1,59 +1,59 @@
 //! Members that leave for good, are replaced, or only stand still, and a second loss that comes right after.
 mod common;
-use common::{LEASE_MS, World};
+use common::{LEASE_MS, SimulatedCluster};
 
 const SEEDS: u64 = 15;
 /// By when service must be back after the second loss, milliseconds.
 const BACK_MS: u64 = 6_000;
 
-fn serves_again(world: &mut World) -> bool {
-    let before = world.committed.len();
+fn serves_again(world: &mut SimulatedCluster) -> bool {
+    let before = world.committed_keys.len();
     (0..BACK_MS / 50).any(|_| {
         world.run(50);
-        world.primary().is_some() && world.committed.len() > before + 5
+        world.primary().is_some() && world.committed_keys.len() > before + 5
     })
 }
 
-fn started(seed: u64, losses: usize) -> World {
-    let mut world = World::new(seed, losses);
+fn started(seed: u64, max_failures: usize) -> SimulatedCluster {
+    let mut world = SimulatedCluster::new(seed, max_failures);
     world.run(1_500);
     assert!(world.primary().is_some(), "seed {seed}: no start");
     world
 }
 
 /// A member that is no primary, or the primary.
-fn a_member(world: &World, seed: u64) -> usize {
+fn a_member(world: &SimulatedCluster, seed: u64) -> usize {
     let primary = world.primary().expect("serves");
     if seed.is_multiple_of(3) { primary } else { (primary + 1) % world.machines.len() }
 }
 
 /// Loses as many of the machines that are left as may be lost, the primary first.
-fn lose(world: &mut World, losses: usize) {
-    for _ in 0..losses {
+fn lose(world: &mut SimulatedCluster, max_failures: usize) {
+    for _ in 0..max_failures {
         let alive = |i: &usize| world.machines[*i].replica.is_some();
         let primary = world.primary();
         let next = primary.or_else(|| (0..world.machines.len()).find(alive)).expect("alive");
-        world.kill(next);
+        world.crash(next);
     }
 }
 
 /// A new machine stands by, and the old one is told to leave. Once it says that it may end, it is lost, and `after` ms
 /// later the second loss comes.
-fn planned(seed: u64, losses: usize, after: u64) {
-    let mut world = started(seed, losses);
+fn planned(seed: u64, max_failures: usize, after: u64) {
+    let mut world = started(seed, max_failures);
     let new = world.add_machine();
-    world.boot(new);
+    world.start(new);
     world.run(1_000);
     let old = a_member(&world, seed);
-    world.leave(old);
-    let asked_at = world.now;
-    while !world.machines[old].may_leave {
+    world.request_leave(old);
+    let asked_at = world.now_ms;
+    while !world.machines[old].leave_allowed {
         world.run(1);
-        assert!(world.now < asked_at + 2_000, "seed {seed}: not let go: {}", world.describe());
+        assert!(world.now_ms < asked_at + 2_000, "seed {seed}: not let go: {}", world.describe());
     }
-    world.wipe(old);
+    world.lose_disk(old);
     world.run(after);
-    lose(&mut world, losses);
+    lose(&mut world, max_failures);
     assert!(serves_again(&mut world), "seed {seed}, {after} ms after: {}", world.describe());
 }
 
@@ -66,15 +66,15 @@
 }
 
 /// A machine stands by, and a member is lost for good without a word.
-fn unplanned(seed: u64, losses: usize, after: u64) -> bool {
-    let mut world = started(seed, losses);
+fn unplanned(seed: u64, max_failures: usize, after: u64) -> bool {
+    let mut world = started(seed, max_failures);
     let new = world.add_machine();
-    world.boot(new);
+    world.start(new);
     world.run(1_000);
     let primary = world.primary().expect("serves");
-    world.wipe((primary + 1) % world.machines.len());
+    world.lose_disk((primary + 1) % world.machines.len());
     world.run(after);
-    lose(&mut world, losses);
+    lose(&mut world, max_failures);
     serves_again(&mut world)
 }
 
@@ -84,7 +84,7 @@
         let failed: Vec<u64> = (0..SEEDS).filter(|seed| !unplanned(*seed, 1, after)).collect();
         assert!(failed.is_empty(), "{after} ms after, seeds {failed:?}");
         let failed: Vec<u64> = (0..SEEDS / 3).filter(|seed| !unplanned(700 + *seed, 2, after)).collect();
-        assert!(failed.is_empty(), "two losses, {after} ms after, seeds {failed:?}");
+        assert!(failed.is_empty(), "two max_failures, {after} ms after, seeds {failed:?}");
     }
 }
 
@@ -92,10 +92,10 @@
 fn replaced_later(seed: u64, after: u64) -> bool {
     let mut world = started(seed, 1);
     let primary = world.primary().expect("serves");
-    world.wipe((primary + 1) % 3);
+    world.lose_disk((primary + 1) % 3);
     world.run(1_000);
     let new = world.add_machine();
-    world.boot(new);
+    world.start(new);
     world.run(after);
     lose(&mut world, 1);
     serves_again(&mut world)
@@ -115,9 +115,9 @@
         let mut world = started(seed, 1);
         let primary = world.primary().expect("serves");
         let wiped = (primary + 1) % 3;
-        world.wipe(wiped);
+        world.lose_disk(wiped);
         world.run(500);
-        world.boot(wiped);
+        world.start(wiped);
         world.run(50);
         lose(&mut world, 1);
         assert!(serves_again(&mut world), "seed {seed}: {}", world.describe());
@@ -129,16 +129,16 @@
     for seed in 0..SEEDS {
         let mut world = started(seed, 1);
         let new = world.add_machine();
-        world.boot(new);
+        world.start(new);
         world.run(1_000);
         let primary = world.primary().expect("serves");
         let still = (primary + 1) % 3;
-        world.freeze(still, 200 + seed * 150);
+        world.pause(still, 200 + seed * 150);
         world.run(200 + seed * 150 + 600);
         assert!(world.is_in_sync(still), "seed {seed}: {}", world.describe());
         assert!(!world.is_in_sync(new), "seed {seed}: {}", world.describe());
         // Whichever of them is lost next, service goes on.
-        world.wipe(still);
+        world.lose_disk(still);
         world.run(400);
         lose(&mut world, 1);
         assert!(serves_again(&mut world), "seed {seed}: {}", world.describe());
@@ -150,18 +150,18 @@
     for seed in 0..SEEDS {
         let mut world = started(seed, 1);
         let old = a_member(&world, seed);
-        world.leave(old);
+        world.request_leave(old);
         world.run(LEASE_MS + 200);
-        assert!(world.machines[old].may_leave, "seed {seed}: waits for nobody");
-        world.kill(old);
+        assert!(world.machines[old].leave_allowed, "seed {seed}: waits for nobody");
+        world.crash(old);
         world.run(500);
-        world.boot(old);
+        world.start(old);
         world.run(1_500);
         assert!(world.is_in_sync(old), "seed {seed}: {}", world.describe());
     }
 }
 
-/// While a member is exchanged, the network parts between the primary with the new machine and the two others. The new set
+/// While a member is exchanged, the network chunks between the primary with the new machine and the two others. The new set
 /// alone has a majority on the primary's side, the old set on the other: the exchange needs both, or two would act.
 #[test]
 fn a_cut_in_the_middle_of_an_exchange_leaves_one_primary() {
@@ -169,20 +169,20 @@
         for moment in 0..40 {
             let mut world = started(seed, 1);
             let new = world.add_machine();
-            world.boot(new);
+            world.start(new);
             world.run(1_000);
             let primary = world.primary().expect("serves");
             let (leaving, other) = ((primary + 1) % 3, (primary + 2) % 3);
-            world.leave(leaving);
+            world.request_leave(leaving);
             world.run(moment);
             for near in [primary, new] {
                 for far in [leaving, other] {
-                    world.cuts.extend([(near, far), (far, near)]);
+                    world.partitioned_links.extend([(near, far), (far, near)]);
                 }
             }
-            // `World` checks in each millisecond that nobody acts beside another, and that nothing committed is lost.
+            // `SimulatedCluster` checks in each millisecond that nobody acts beside another, and that nothing committed is lost.
             world.run(3_000);
-            world.cuts.clear();
+            world.partitioned_links.clear();
             assert!(serves_again(&mut world), "seed {seed}, {moment} ms: {}", world.describe());
         }
     }
--- a/crates/cluster/replication/tests/failovers.rs
+++ b/crates/cluster/replication/tests/failovers.rs
@@ -1,13 +1,13 @@
 //! How long the system is without a primary, measured over many failovers of each kind. `cargo test --release --test failovers
 //! -- --nocapture` prints the table of docs/measurements/system.md.
 mod common;
-use common::World;
+use common::SimulatedCluster;
 
 /// A way to lose the primary, for a world that serves and its primary.
-type Strike = fn(&mut World, usize);
+type Strike = fn(&mut SimulatedCluster, usize);
 
-fn started(seed: u64) -> World {
-    let mut world = World::new(seed, 1);
+fn started(seed: u64) -> SimulatedCluster {
+    let mut world = SimulatedCluster::new(seed, 1);
     world.run(1_500 + seed * 13 % 200);
     assert!(world.primary().is_some(), "seed {seed}: no start");
     world
@@ -18,14 +18,14 @@
     let mut world = started(seed);
     let primary = world.primary().expect("serves");
     strike(&mut world, primary);
-    let struck_at = world.now;
+    let struck_at = world.now_ms;
     let mut gap = 0;
     // The lease of the one that was struck may go on for a while: the time counts until somebody else acts.
     for _ in 0..8_000 {
         world.run(1);
-        let acts = world.active().into_iter().any(|i| i != primary || world.can_serve(i));
+        let acts = world.active_machines().into_iter().any(|i| i != primary || world.is_reachable(i));
         if acts {
-            gap = gap.max(world.now - struck_at);
+            gap = gap.max(world.now_ms - struck_at);
             break;
         }
     }
@@ -33,41 +33,41 @@
     gap
 }
 
-fn kill(world: &mut World, primary: usize) {
-    world.kill(primary);
+fn kill(world: &mut SimulatedCluster, primary: usize) {
+    world.crash(primary);
 }
 
-fn freeze(world: &mut World, primary: usize) {
-    world.freeze(primary, 5_000);
+fn freeze(world: &mut SimulatedCluster, primary: usize) {
+    world.pause(primary, 5_000);
 }
 
-fn cut_both_ways(world: &mut World, primary: usize) {
-    world.cut_off(primary, true, true);
+fn cut_both_ways(world: &mut SimulatedCluster, primary: usize) {
+    world.isolate(primary, true, true);
 }
 
-fn cut_what_it_sends(world: &mut World, primary: usize) {
-    world.cut_off(primary, true, false);
+fn cut_what_it_sends(world: &mut SimulatedCluster, primary: usize) {
+    world.isolate(primary, true, false);
 }
 
-fn cut_what_it_receives(world: &mut World, primary: usize) {
-    world.cut_off(primary, false, true);
+fn cut_what_it_receives(world: &mut SimulatedCluster, primary: usize) {
+    world.isolate(primary, false, true);
 }
 
-fn power_of_all(world: &mut World, _: usize) {
-    (0..3).for_each(|i| world.kill(i));
-    (0..3).for_each(|i| world.boot(i));
+fn power_of_all(world: &mut SimulatedCluster, _: usize) {
+    (0..3).for_each(|i| world.crash(i));
+    (0..3).for_each(|i| world.start(i));
 }
 
-fn lost_disk(world: &mut World, primary: usize) {
-    world.wipe(primary);
-    world.boot(primary);
+fn lost_disk(world: &mut SimulatedCluster, primary: usize) {
+    world.lose_disk(primary);
+    world.start(primary);
 }
 
-fn planned_departure(world: &mut World, primary: usize) {
+fn planned_departure(world: &mut SimulatedCluster, primary: usize) {
     let new = world.add_machine();
-    world.boot(new);
+    world.start(new);
     world.run(1_000);
-    world.leave(primary);
+    world.request_leave(primary);
 }
 
 /// Runs that are measured of each kind.
@@ -104,13 +104,13 @@
 }
 
 /// How long until all members are in sync again, milliseconds.
-fn until_all_in_sync(world: &mut World) -> u64 {
-    let began = world.now;
+fn until_all_in_sync(world: &mut SimulatedCluster) -> u64 {
+    let began = world.now_ms;
     while !(0..3).all(|i| world.is_in_sync(i)) {
         world.run(1);
-        assert!(world.now < began + 8_000, "never: {}", world.describe());
+        assert!(world.now_ms < began + 8_000, "never: {}", world.describe());
     }
-    world.now - began
+    world.now_ms - began
 }
 
 /// The windows in which the in-sync set has no more than f + 1 members, so that the next loss of a disk together with that
@@ -118,7 +118,7 @@
 #[test]
 fn the_in_sync_set_is_whole_again_soon() {
     let windows: [(&str, Strike, u64); 4] = [
-        ("after a planned change of primary", |world, primary| world.leave(primary), 400),
+        ("after a planned change of primary", |world, primary| world.request_leave(primary), 400),
         ("after a restart of 200 ms", |world, primary| restart(world, (primary + 1) % 3, 200), 150),
         ("after a freeze of 800 ms", |world, primary| still(world, (primary + 1) % 3, 800), 150),
         ("after a lost disk", |world, primary| lost_disk(world, (primary + 1) % 3), 150),
@@ -141,14 +141,14 @@
     }
 }
 
-fn restart(world: &mut World, i: usize, down: u64) {
-    world.kill(i);
+fn restart(world: &mut SimulatedCluster, i: usize, down: u64) {
+    world.crash(i);
     world.run(down);
-    world.boot(i);
+    world.start(i);
 }
 
-fn still(world: &mut World, i: usize, for_ms: u64) {
-    world.freeze(i, for_ms);
+fn still(world: &mut SimulatedCluster, i: usize, for_ms: u64) {
+    world.pause(i, for_ms);
     world.run(for_ms);
 }
 
@@ -158,20 +158,20 @@
 fn two_silent_replicas_of_five_hold_commits_up_for_less_than_a_second() {
     let mut gaps: Vec<u64> = (0..runs() / 4)
         .map(|seed| {
-            let mut world = World::new(900 + seed, 2);
+            let mut world = SimulatedCluster::new(900 + seed, 2);
             world.run(1_800);
             let primary = world.primary().expect("serves");
-            world.kill((primary + 1) % 5);
-            world.kill((primary + 2) % 5);
-            let (mut longest, mut last, mut committed) = (0, world.now, world.committed.len());
+            world.crash((primary + 1) % 5);
+            world.crash((primary + 2) % 5);
+            let (mut longest, mut last, mut committed) = (0, world.now_ms, world.committed_keys.len());
             for _ in 0..3_000 {
                 world.run(1);
-                if world.committed.len() > committed {
-                    longest = longest.max(world.now - last);
-                    (last, committed) = (world.now, world.committed.len());
+                if world.committed_keys.len() > committed {
+                    longest = longest.max(world.now_ms - last);
+                    (last, committed) = (world.now_ms, world.committed_keys.len());
                 }
             }
-            assert!(world.now - last < 500, "seed {seed}: commits stopped");
+            assert!(world.now_ms - last < 500, "seed {seed}: commits stopped");
             longest
         })
         .collect();
--- a/crates/cluster/replication/tests/model.rs
+++ b/crates/cluster/replication/tests/model.rs
@@ -1,8 +1,8 @@
 //! Every placement of two troubles at a set of moments, searched whole: three machines that serve, and one that joins. Each trouble may come at
-//! any of the moments of a heartbeat's period, the second at any moment after the first; the rules of [`common::World`] are
+//! any of the moments of a heartbeat's period, the second at any moment after the first; the rules of [`common::SimulatedCluster`] are
 //! checked in each millisecond, and service must return wherever no more is lost than the system bears.
 mod common;
-use common::World;
+use common::SimulatedCluster;
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -90,7 +90,7 @@
 
 #[derive(Clone)]
 struct State {
-    world: World,
+    world: SimulatedCluster,
     /// Moments since the beginning, or since the last trouble, and all that was done.
     waited: u64,
     done: Vec<(u64, Trouble)>,
@@ -133,7 +133,7 @@
 }
 
 impl Troubles {
-    fn strike(&self, world: &mut World, trouble: Trouble) {
+    fn strike(&self, world: &mut SimulatedCluster, trouble: Trouble) {
         let primary = world.primary().unwrap_or(0);
         let find = |who: Who| match who {
             Who::Primary => primary,
@@ -141,38 +141,38 @@
             Who::Second => (primary + 2) % 3,
         };
         match trouble {
-            Trouble::Crash(who) => world.kill(find(who)),
-            Trouble::Lose(who) => world.wipe(find(who)),
+            Trouble::Crash(who) => world.crash(find(who)),
+            Trouble::Lose(who) => world.lose_disk(find(who)),
             Trouble::Wipe(who) => {
-                world.wipe(find(who));
-                world.boot(find(who));
+                world.lose_disk(find(who));
+                world.start(find(who));
             }
-            Trouble::Freeze(who) => world.freeze(find(who), 800),
-            Trouble::Mute(who) => world.cut_off(find(who), true, false),
-            Trouble::Deafen(who) => world.cut_off(find(who), false, true),
+            Trouble::Freeze(who) => world.pause(find(who), 800),
+            Trouble::Mute(who) => world.isolate(find(who), true, false),
+            Trouble::Deafen(who) => world.isolate(find(who), false, true),
             Trouble::Delay(who) => {
                 let from = find(who);
-                (0..world.machines.len()).for_each(|to| world.hold((from, to), 400));
+                (0..world.machines.len()).for_each(|to| world.delay_link((from, to), 400));
             }
             Trouble::Leave(who) => self.let_go(world, find(who)),
             Trouble::Power => {
                 let running: Vec<usize> =
                     (0..world.machines.len()).filter(|i| world.machines[*i].replica.is_some()).collect();
-                running.iter().for_each(|i| world.kill(*i));
-                running.iter().for_each(|i| world.boot(*i));
+                running.iter().for_each(|i| world.crash(*i));
+                running.iter().for_each(|i| world.start(*i));
             }
         }
     }
 
-    fn let_go(&self, world: &mut World, i: usize) {
-        world.leave(i);
+    fn let_go(&self, world: &mut SimulatedCluster, i: usize) {
+        world.request_leave(i);
         for _ in 0..2_000 {
-            if world.machines[i].may_leave || world.machines[i].replica.is_none() {
+            if world.machines[i].leave_allowed || world.machines[i].replica.is_none() {
                 break;
             }
             world.run(1);
         }
-        if self.spare { world.wipe(i) } else { world.kill(i) }
+        if self.spare { world.lose_disk(i) } else { world.crash(i) }
     }
 
     /// Whether service must return: no two disks were lost closer together than the system bears, and no disk was lost
@@ -199,15 +199,15 @@
 
     fn end(&self, state: &mut State) {
         let world = &mut state.world;
-        world.cuts.clear();
-        let lost = |i: usize| world.machines[i].durable.identity.is_none();
+        world.partitioned_links.clear();
+        let lost = |i: usize| world.machines[i].disk.identity.is_none();
         let down: Vec<usize> =
             (0..world.machines.len()).filter(|i| world.machines[*i].replica.is_none() && !lost(*i)).collect();
-        down.into_iter().for_each(|i| world.boot(i));
-        let before = world.committed.len();
+        down.into_iter().for_each(|i| world.start(i));
+        let before = world.committed_keys.len();
         let serves = (0..RETURN_MS / 25).any(|_| {
             world.run(25);
-            world.primary().is_some() && world.committed.len() > before + 5
+            world.primary().is_some() && world.committed_keys.len() > before + 5
         });
         state.ended = true;
         if !serves && self.must_serve(&state.done) {
@@ -221,11 +221,11 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let mut world = World::new(self.seed, 1);
+        let mut world = SimulatedCluster::new(self.seed, 1);
         if self.spare {
             let spare = world.add_machine();
             world.run(800);
-            world.boot(spare);
+            world.start(spare);
         }
         world.run(1_200);
         assert!(world.primary().is_some(), "no start");
--- a/crates/cluster/runtime/src/frame.rs
+++ b/crates/cluster/runtime/src/frame.rs
@@ -5,7 +5,7 @@
 use rkyv::{Archive, Deserialize, Serialize};
 use spanlead_cluster_config::DataPlaneConfiguration;
 use spanlead_job_scheduler::JobSpec;
-use spanlead_replication::{Envelope, Lane};
+use spanlead_replication::{Envelope, TrafficClass};
 
 /// The largest frame that is read, bytes.
 pub const MAX_FRAME: usize = 64 << 20;
@@ -174,9 +174,9 @@
     #[must_use]
     pub fn kind(&self) -> FrameKind {
         match self {
-            Frame::Replication(envelope) => match envelope.message.lane() {
-                Lane::Control => FrameKind::ReplicationControl,
-                Lane::Data => FrameKind::ReplicationData,
+            Frame::Replication(envelope) => match envelope.message.traffic_class() {
+                TrafficClass::Control => FrameKind::ReplicationControl,
+                TrafficClass::Data => FrameKind::ReplicationData,
             },
             Frame::Hello { .. } => FrameKind::Hello,
             Frame::Directory(_) => FrameKind::Directory,
--- a/crates/cluster/runtime/src/link.rs
+++ b/crates/cluster/runtime/src/link.rs
@@ -6,7 +6,7 @@
 use async_std::net::TcpStream;
 use async_std::task;
 use futures_lite::future::or;
-use spanlead_replication::Lane;
+use spanlead_replication::TrafficClass;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -99,7 +99,7 @@
 }
 
 /// What waits for each address and lane.
-type Queues = HashMap<(String, Lane), Sender<Vec<u8>>>;
+type Queues = HashMap<(String, TrafficClass), Sender<Vec<u8>>>;
 
 /// Outgoing connections by address and lane, made when first needed.
 #[derive(Clone, Debug)]
@@ -117,14 +117,14 @@
 
     /// Sends a frame, as far as that goes. A data lane that is full counts as a lost connection: what is sent there may
     /// not have gaps.
-    pub fn send(&self, address: &str, lane: Lane, frame: &Frame) {
+    pub fn send(&self, address: &str, lane: TrafficClass, frame: &Frame) {
         let mut queues = self.queues.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         let place = (address.to_owned(), lane);
         let bytes = match queues.get(&place).map(|queue| queue.try_send(encode_to_send(frame))) {
             Some(Ok(())) => return,
             Some(Err(error)) if error.is_full() => {
                 log::debug!("{address}: the {lane:?} lane is full");
-                if lane == Lane::Data {
+                if lane == TrafficClass::Data {
                     let _ = self.events.try_send(LinkEvent::Down(address.to_owned()));
                 }
                 return;
--- a/crates/cluster/runtime/tests/links.rs
+++ b/crates/cluster/runtime/tests/links.rs
@@ -7,7 +7,7 @@
 use spanlead_cluster_runtime::accept;
 use spanlead_cluster_runtime::frame::{Frame, MAX_FRAME};
 use spanlead_cluster_runtime::link::{LinkEvent, Links};
-use spanlead_replication::Lane;
+use spanlead_replication::TrafficClass;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     let (events, inbox) = unbounded();
     let links = Links::new(events);
     for _ in 0..100 {
-        links.send(&address, Lane::Data, &Frame::Peers(vec!["x".to_owned()]));
+        links.send(&address, TrafficClass::Data, &Frame::Peers(vec!["x".to_owned()]));
         task::sleep(Duration::from_millis(25)).await;
     }
     let mut lost = 0;
@@ -67,7 +67,7 @@
     let (events, inbox) = unbounded();
     let links = Links::new(events);
     let large = "x".repeat(12 << 20);
-    links.send(&address, Lane::Data, &Frame::Peers(vec![large]));
+    links.send(&address, TrafficClass::Data, &Frame::Peers(vec![large]));
     let (mut stream, _) = listener.accept().await.expect("connected");
     let mut buffer = vec![0; 512 * 1024];
     let (mut read, began) = (0, std::time::Instant::now());
@@ -95,7 +95,7 @@
     let address = listener.local_addr().expect("bound").to_string();
     let (events, _inbox) = unbounded();
     let links = Links::new(events);
-    links.send(&address, Lane::Control, &Frame::Ping);
+    links.send(&address, TrafficClass::Control, &Frame::Ping);
     let (first, _) = listener.accept().await.expect("connected");
     // As usual it has lasted for a while.
     task::sleep(Duration::from_millis(150)).await;
