--- /dev/null
+++ b/crates/cluster/job-scheduler/src/calls/outstanding.rs
@@ -0,0 +1,99 @@
+//! Calls to workers: those to be made, those without response yet, and when starts time out.
+use crate::ids::RunId;
+use crate::protocol::{Effect, WorkerCall, WorkerRequest};
+use crate::workers::Worker;
+use std::collections::BTreeSet;
+
+/// When a start times out. The call itself goes on: a response that comes later still counts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct StartDeadline {
+    due_at_ms: u64,
+    run: RunId,
+}
+
+/// Calls to workers.
+///
+/// `in_flight` counts the calls whose result was not returned yet, also those that wait in
+/// `effects`; so a result must be returned for each call exactly once, which the embedder does.
+#[derive(Debug)]
+pub(crate) struct OutstandingCalls {
+    fencing_token: u64,
+    max_concurrent: usize,
+    effects: Vec<Effect>,
+    in_flight: usize,
+    starts_in_flight: usize,
+    start_deadlines: BTreeSet<StartDeadline>,
+}
+
+impl OutstandingCalls {
+    pub(crate) fn new(fencing_token: u64, max_concurrent: usize) -> Self {
+        OutstandingCalls {
+            fencing_token,
+            max_concurrent,
+            effects: Vec::new(),
+            in_flight: 0,
+            starts_in_flight: 0,
+            start_deadlines: BTreeSet::new(),
+        }
+    }
+
+    /// Has a worker called. One whose address is not known can't be, and is not.
+    pub(crate) fn send(&mut self, worker: &Worker, request: WorkerRequest, timeout_ms: u64) {
+        if worker.address().is_empty() {
+            return;
+        }
+        self.in_flight += 1;
+        self.starts_in_flight += usize::from(matches!(request, WorkerRequest::Start { .. }));
+        self.effects.push(Effect::CallWorker(WorkerCall {
+            worker_id: worker.id().clone(),
+            address: worker.address().clone(),
+            request,
+            timeout_ms,
+            fencing_token: self.fencing_token,
+        }));
+    }
+
+    /// The result of a call was returned.
+    pub(crate) fn complete(&mut self, request: &WorkerRequest) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        if matches!(request, WorkerRequest::Start { .. }) {
+            self.starts_in_flight = self.starts_in_flight.saturating_sub(1);
+        }
+    }
+
+    /// The effects since the last call.
+    pub(crate) fn drain_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects)
+    }
+
+    pub(crate) fn in_flight(&self) -> usize {
+        self.in_flight
+    }
+
+    pub(crate) fn starts_in_flight(&self) -> usize {
+        self.starts_in_flight
+    }
+
+    /// The largest number of calls in flight.
+    pub(crate) fn max_concurrent(&self) -> usize {
+        self.max_concurrent
+    }
+
+    /// Calls that may still be made now.
+    pub(crate) fn remaining(&self) -> usize {
+        self.max_concurrent.saturating_sub(self.in_flight)
+    }
+
+    /// Sets when a start times out.
+    pub(crate) fn set_start_deadline(&mut self, due_at_ms: u64, run: RunId) {
+        self.start_deadlines.insert(StartDeadline { due_at_ms, run });
+    }
+
+    /// Removes the earliest deadline that has passed, and returns its run.
+    pub(crate) fn pop_start_deadline(&mut self, now_ms: u64) -> Option<RunId> {
+        if now_ms < self.start_deadlines.first()?.due_at_ms {
+            return None;
+        }
+        self.start_deadlines.pop_first().map(|deadline| deadline.run)
+    }
+}
--- a/crates/cluster/job-scheduler/src/ids.rs
+++ b/crates/cluster/job-scheduler/src/ids.rs
@@ -71,6 +71,7 @@
     }
 }
 
-/// The position of a worker in the registry. Workers are never removed from it, so that the index of one stays valid.
+/// The position of a worker in the registry. Workers are never removed from it, so that the index
+/// of one stays valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct WorkerIndex(pub(crate) u32);
--- /dev/null
+++ b/crates/cluster/job-scheduler/src/jobs/job.rs
@@ -0,0 +1,229 @@
+//! A job: what was submitted, and how far it is.
+use super::occurrence::{Occurrence, StageProgress};
+use super::task::Task;
+use crate::ids::{JobId, QueueId, TaskId};
+use crate::pending::PendingKey;
+use crate::record::{ClosedRecord, JobOutcome, JobRecord, TaskRecord};
+use crate::spec::{JobSpec, Stage};
+use compact_str::CompactString;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// A job's state as clients see it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum JobState {
+    /// None of its tasks was ever started.
+    Queued,
+    /// At least one was.
+    Running,
+    /// It is over.
+    Closed(JobOutcome),
+}
+
+/// An occurrence that is to begin, if it is due.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct NextOccurrence {
+    pub(crate) number: u32,
+    /// Milliseconds since 1970; 0 for at once.
+    pub(crate) due_at_ms: u64,
+}
+
+/// A job. Its occurrences are made one after the other, when they are due.
+#[derive(Clone, Debug)]
+pub(crate) struct Job {
+    record: JobRecord,
+    /// The spec's payload in the form that starts share.
+    payload: Arc<str>,
+    /// The record's service in the form that workers have it.
+    service: CompactString,
+    closed: Option<ClosedRecord>,
+    occurrences: BTreeMap<u32, Occurrence>,
+    next_occurrence: u32,
+    /// Whether a run was ever assigned.
+    has_runs: bool,
+    /// Whether a worker is known to have begun a task of it.
+    has_begun: bool,
+    /// Since when no worker could run one of its stages, monotonic milliseconds.
+    infeasible_since_ms: Option<u64>,
+}
+
+impl Job {
+    pub(super) fn new(record: JobRecord) -> Self {
+        Job {
+            payload: record.spec.payload.as_str().into(),
+            service: record.service.as_str().into(),
+            record,
+            closed: None,
+            occurrences: BTreeMap::new(),
+            next_occurrence: 0,
+            has_runs: false,
+            has_begun: false,
+            infeasible_since_ms: None,
+        }
+    }
+
+    // What was submitted.
+
+    pub(crate) fn record(&self) -> &JobRecord {
+        &self.record
+    }
+
+    pub(crate) fn spec(&self) -> &JobSpec {
+        &self.record.spec
+    }
+
+    pub(crate) fn queue(&self) -> &QueueId {
+        &self.record.queue
+    }
+
+    pub(crate) fn payload(&self) -> &Arc<str> {
+        &self.payload
+    }
+
+    pub(crate) fn service(&self) -> &CompactString {
+        &self.service
+    }
+
+    pub(crate) fn max_attempts(&self) -> u32 {
+        self.record.max_attempts
+    }
+
+    pub(crate) fn stage(&self, number: u16) -> Option<&Stage> {
+        self.record.spec.stages.get(usize::from(number))
+    }
+
+    /// Where a task of this job waits among others.
+    pub(crate) fn pending_key(&self, task: TaskId) -> PendingKey {
+        let due_at_ms = self.record.spec.due_at_ms(task.occurrence).max(self.record.accepted_at_ms);
+        PendingKey { priority: self.record.priority, due_at_ms, task }
+    }
+
+    // Its state.
+
+    pub(crate) fn state(&self) -> JobState {
+        match self.closed {
+            Some(closed) => JobState::Closed(closed.outcome),
+            None if self.has_runs => JobState::Running,
+            None => JobState::Queued,
+        }
+    }
+
+    pub(crate) fn is_open(&self) -> bool {
+        self.closed.is_none()
+    }
+
+    pub(crate) fn closed(&self) -> Option<ClosedRecord> {
+        self.closed
+    }
+
+    pub(super) fn close(&mut self, closed: ClosedRecord) {
+        self.closed = Some(closed);
+    }
+
+    pub(super) fn has_begun(&self) -> bool {
+        self.has_begun
+    }
+
+    /// A worker has begun a task; `false` if one had before.
+    pub(super) fn mark_begun(&mut self) -> bool {
+        !std::mem::replace(&mut self.has_begun, true)
+    }
+
+    pub(super) fn mark_assigned(&mut self) {
+        self.has_runs = true;
+    }
+
+    /// The first time at which the job was found infeasible, now if that is the first.
+    pub(crate) fn infeasible_since_ms(&mut self, now_ms: u64) -> u64 {
+        *self.infeasible_since_ms.get_or_insert(now_ms)
+    }
+
+    // Occurrences and their tasks.
+
+    pub(crate) fn occurrence(&self, number: u32) -> Option<&Occurrence> {
+        self.occurrences.get(&number)
+    }
+
+    pub(super) fn stage_progress_mut(&mut self, task: TaskId) -> Option<&mut StageProgress> {
+        self.occurrences.get_mut(&task.occurrence)?.stage_mut(task.stage)
+    }
+
+    /// The next occurrence that has not begun; `None` if the job is closed or all have.
+    pub(crate) fn next_occurrence(&self) -> Option<NextOccurrence> {
+        let number = self.next_occurrence;
+        let exists = self.is_open() && number < self.record.spec.occurrence_count();
+        exists.then(|| NextOccurrence { number, due_at_ms: self.record.spec.due_at_ms(number) })
+    }
+
+    /// Begins the next occurrence.
+    pub(crate) fn begin_next_occurrence(&mut self) {
+        let number = self.next_occurrence;
+        self.next_occurrence += 1;
+        self.ensure_occurrence(number);
+    }
+
+    fn ensure_occurrence(&mut self, number: u32) -> &mut Occurrence {
+        let stages = &self.record.spec.stages;
+        self.occurrences.entry(number).or_insert_with(|| Occurrence::new(stages))
+    }
+
+    /// Begins all occurrences up to the last that a record names, and returns how many there are.
+    pub(crate) fn restore_occurrences(&mut self) -> u32 {
+        let begun = self.occurrences.keys().next_back().map_or(0, |last| last + 1);
+        self.next_occurrence = begun;
+        for number in 0..begun {
+            self.ensure_occurrence(number);
+        }
+        begun
+    }
+
+    /// Restores a task without its runs; `None` if the job has no such task.
+    pub(super) fn restore_task(&mut self, task: TaskId, record: &TaskRecord) -> Option<&mut Task> {
+        self.has_runs = true;
+        self.has_begun |= record.done || !record.failed_runs.is_empty() || !record.checkpoint.is_empty();
+        self.ensure_occurrence(task.occurrence).stage_mut(task.stage)?.restore_task(task.index, record)
+    }
+
+    /// Whether all occurrences that the job has are done.
+    pub(crate) fn is_done(&self) -> bool {
+        let done = self.occurrences.values().filter(|occurrence| occurrence.is_done()).count();
+        done as u32 >= self.record.spec.occurrence_count()
+    }
+
+    /// Opens the stages of an occurrence whose dependencies are done, and returns what is to be
+    /// queued: the tasks that are not done and have no run, or the first task of a gang.
+    pub(crate) fn open_ready_stages(&mut self, job: JobId, occurrence: u32) -> Vec<TaskId> {
+        let stages = &self.record.spec.stages;
+        let Some(progress) = self.occurrences.get_mut(&occurrence) else { return Vec::new() };
+        let mut units = Vec::new();
+        for number in progress.open_ready_stages(stages) {
+            let stage = &stages[usize::from(number)];
+            let tasks = progress.stages()[usize::from(number)].tasks();
+            let unit_count = if stage.gang { 1 } else { stage.count };
+            let is_pending = |index: &u32| {
+                let task = &tasks[*index as usize];
+                !task.is_done() && !task.has_active_runs()
+            };
+            let unit = |index| TaskId { job, occurrence, stage: number, index };
+            units.extend((0..unit_count).filter(is_pending).map(unit));
+        }
+        units
+    }
+
+    /// All tasks of the occurrences that have begun, in order.
+    pub(crate) fn tasks(&self, job: JobId) -> impl Iterator<Item = (TaskId, &Task)> {
+        self.occurrences.iter().flat_map(move |(occurrence, progress)| {
+            progress.stages().iter().enumerate().flat_map(move |(stage, progress)| {
+                progress.tasks().iter().enumerate().map(move |(index, task)| {
+                    let (stage, index) = (stage as u16, index as u32);
+                    (TaskId { job, occurrence: *occurrence, stage, index }, task)
+                })
+            })
+        })
+    }
+
+    pub(crate) fn has_active_runs(&self) -> bool {
+        let mut stages = self.occurrences.values().flat_map(Occurrence::stages);
+        stages.any(|stage| stage.tasks().iter().any(Task::has_active_runs))
+    }
+}
--- /dev/null
+++ b/crates/cluster/job-scheduler/src/jobs/run.rs
@@ -0,0 +1,247 @@
+//! A run of a task: one start whose end is not known yet.
+use crate::ids::WorkerIndex;
+use crate::protocol::RunningTask;
+use compact_str::CompactString;
+
+/// How often the interval between two stop requests is doubled at most.
+const MAX_STOP_DOUBLINGS: u32 = 4;
+
+/// What is known of a run's start.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RunPhase {
+    /// It is recorded; the start is sent when the record is durable.
+    Recorded,
+    /// The start was sent and has no response yet.
+    Sent,
+    /// The run is known to have begun.
+    Started,
+    /// The start may have been carried out.
+    Unknown,
+}
+
+/// A run whose end is not known.
+///
+/// A report of the worker says something of the run only if it was requested after the run's last
+/// known event: requests carry ascending serials, and the run keeps the serial from which on
+/// reports count.
+#[derive(Clone, Debug)]
+pub(crate) struct Run {
+    number: u32,
+    worker: WorkerIndex,
+    phase: RunPhase,
+    /// The start or stop was acknowledged at this serial: a report with a higher one shows whether
+    /// the run is there.
+    acknowledged_at_serial: Option<u64>,
+    /// The start timed out at this serial: a report with a higher one shows whether it was carried
+    /// out.
+    timed_out_at_serial: Option<u64>,
+    sent_at_ms: u64,
+    started_at_ms: u64,
+    /// Progress as last reported, 0 to 100.
+    progress_percent: f64,
+    /// When it last rose.
+    progressed_at_ms: u64,
+    /// When the worker last reported the run.
+    reported_at_ms: u64,
+    checkpoint: CompactString,
+    /// Whether it has been counted for its worker's speed.
+    is_sampled: bool,
+    /// Whether it takes far longer on its worker than it would elsewhere.
+    is_slow: bool,
+    is_stopping: bool,
+    stop_sent_at_ms: u64,
+    /// How often the interval between two stop requests was doubled.
+    stop_doublings: u32,
+}
+
+impl Run {
+    /// A run that was just assigned, or restored from its record.
+    pub(crate) fn new(number: u32, worker: WorkerIndex, phase: RunPhase, now_ms: u64) -> Self {
+        Run {
+            number,
+            worker,
+            phase,
+            acknowledged_at_serial: None,
+            timed_out_at_serial: None,
+            sent_at_ms: now_ms,
+            started_at_ms: now_ms,
+            progress_percent: 0.0,
+            progressed_at_ms: now_ms,
+            reported_at_ms: now_ms,
+            checkpoint: CompactString::default(),
+            is_sampled: false,
+            is_slow: false,
+            is_stopping: false,
+            stop_sent_at_ms: 0,
+            stop_doublings: 0,
+        }
+    }
+
+    pub(crate) fn number(&self) -> u32 {
+        self.number
+    }
+
+    pub(crate) fn worker(&self) -> WorkerIndex {
+        self.worker
+    }
+
+    pub(crate) fn phase(&self) -> RunPhase {
+        self.phase
+    }
+
+    pub(crate) fn progress_percent(&self) -> f64 {
+        self.progress_percent
+    }
+
+    pub(crate) fn checkpoint(&self) -> &CompactString {
+        &self.checkpoint
+    }
+
+    pub(crate) fn is_stopping(&self) -> bool {
+        self.is_stopping
+    }
+
+    pub(crate) fn is_slow(&self) -> bool {
+        self.is_slow
+    }
+
+    pub(crate) fn mark_slow(&mut self) {
+        self.is_slow = true;
+    }
+
+    /// Whether it may not run, or not for long, leaving its worker aside.
+    pub(crate) fn is_in_doubt(&self) -> bool {
+        self.phase == RunPhase::Unknown || self.is_slow || self.is_stopping
+    }
+
+    // The start.
+
+    pub(crate) fn mark_sent(&mut self, now_ms: u64) {
+        self.phase = RunPhase::Sent;
+        self.sent_at_ms = now_ms;
+    }
+
+    /// The time since the start was sent, milliseconds.
+    pub(crate) fn time_since_sent_ms(&self, now_ms: u64) -> u64 {
+        now_ms.saturating_sub(self.sent_at_ms)
+    }
+
+    /// The start has no response in time; `false` if it no longer waits for one.
+    pub(crate) fn time_out(&mut self, serial: u64) -> bool {
+        if self.phase != RunPhase::Sent {
+            return false;
+        }
+        self.phase = RunPhase::Unknown;
+        self.timed_out_at_serial = Some(serial);
+        true
+    }
+
+    /// The worker acknowledged the start; whether it had timed out here.
+    pub(crate) fn acknowledge_start(&mut self, now_ms: u64, serial: u64) -> bool {
+        let had_timed_out = self.timed_out_at_serial.take().is_some();
+        self.mark_started(now_ms);
+        self.acknowledged_at_serial.get_or_insert(serial);
+        had_timed_out
+    }
+
+    /// The run is known to have begun, at the latest now.
+    pub(crate) fn mark_started(&mut self, now_ms: u64) {
+        if self.phase != RunPhase::Started {
+            self.phase = RunPhase::Started;
+            self.started_at_ms = now_ms;
+            self.progressed_at_ms = now_ms;
+        }
+    }
+
+    // Reports.
+
+    /// Whether a report with this serial shows what came of a start that had timed out. It does so
+    /// only once.
+    pub(crate) fn take_timeout_resolved_by(&mut self, serial: u64) -> bool {
+        if self.timed_out_at_serial.is_none_or(|timed_out_at| timed_out_at >= serial) {
+            return false;
+        }
+        self.timed_out_at_serial = None;
+        true
+    }
+
+    /// Reports with a higher serial show whether the run is there; `false` if earlier ones did
+    /// already.
+    pub(crate) fn acknowledge_at(&mut self, serial: u64) -> bool {
+        let is_first = self.acknowledged_at_serial.is_none();
+        self.acknowledged_at_serial.get_or_insert(serial);
+        is_first
+    }
+
+    /// Whether a report with this serial that does not list the run means that it is not there.
+    pub(crate) fn is_observable_at(&self, serial: u64) -> bool {
+        self.acknowledged_at_serial.is_some_and(|acknowledged_at| acknowledged_at < serial)
+    }
+
+    /// Whether an earlier term may have sent the start.
+    pub(crate) fn may_be_of_earlier_term(&self, term_started_at_ms: u64) -> bool {
+        self.phase == RunPhase::Unknown && self.sent_at_ms <= term_started_at_ms
+    }
+
+    /// The worker reports that it runs.
+    pub(crate) fn report_running(&mut self, now_ms: u64, reported: &RunningTask) {
+        self.mark_started(now_ms);
+        if !reported.checkpoint.is_empty() {
+            self.checkpoint = reported.checkpoint.clone();
+        }
+        self.reported_at_ms = now_ms;
+        if reported.progress_percent > self.progress_percent {
+            self.progress_percent = reported.progress_percent;
+            self.progressed_at_ms = now_ms;
+        }
+    }
+
+    // Progress.
+
+    /// Whether the worker reported the run for a while without progress. Only reports count: a
+    /// worker that is silent is another matter.
+    pub(crate) fn is_stalled(&self, now_ms: u64, patience_ms: u64) -> bool {
+        now_ms > self.progressed_at_ms + patience_ms
+            && self.reported_at_ms > self.progressed_at_ms + patience_ms / 2
+    }
+
+    /// The time from the start to the last report, milliseconds.
+    pub(crate) fn reported_runtime_ms(&self) -> u64 {
+        self.reported_at_ms.saturating_sub(self.started_at_ms)
+    }
+
+    /// The running time that the progress extrapolates to, milliseconds; once for each run, and
+    /// only if it has come far enough. Runs that resumed from a checkpoint, or of which the start
+    /// was not seen, have run for longer than is known here.
+    pub(crate) fn take_runtime_sample(&mut self, now_ms: u64, done: bool, min_percent: f64) -> Option<f64> {
+        let progress = if done { 100.0 } else { self.progress_percent };
+        let start_was_seen =
+            self.number == 1 && self.phase == RunPhase::Started && self.sent_at_ms < self.started_at_ms;
+        if self.is_sampled || !start_was_seen || progress < min_percent {
+            return None;
+        }
+        self.is_sampled = true;
+        Some(now_ms.saturating_sub(self.started_at_ms) as f64 * 100.0 / progress)
+    }
+
+    // Stops.
+
+    /// The run is to end; `false` if it was to already.
+    pub(crate) fn begin_stop(&mut self) -> bool {
+        !std::mem::replace(&mut self.is_stopping, true)
+    }
+
+    pub(crate) fn mark_stop_sent(&mut self, now_ms: u64) {
+        self.stop_sent_at_ms = now_ms;
+    }
+
+    /// Whether the stop is to be sent again: each time after twice as long, within bounds.
+    pub(crate) fn is_stop_retry_due(&self, now_ms: u64, timeout_ms: u64) -> bool {
+        now_ms >= self.stop_sent_at_ms + (timeout_ms << self.stop_doublings)
+    }
+
+    pub(crate) fn mark_stop_retried(&mut self, now_ms: u64) {
+        self.stop_sent_at_ms = now_ms;
+        self.stop_doublings = (self.stop_doublings + 1).min(MAX_STOP_DOUBLINGS);
+    }
+}
--- a/crates/cluster/job-scheduler/src/lib.rs
+++ b/crates/cluster/job-scheduler/src/lib.rs
@@ -1,55 +1,66 @@
-//! Jobs and the tasks they consist of.
+//! Jobs and the tasks they consist of: accepted, placed on workers, watched, recovered.
 //!
-//! A [`Scheduler`] is fed what clients hand in, the platform's list of workers, the answers of workers and the time. It
-//! answers with records that must be durable and with calls to workers that go out once those are. Everything it knows
-//! of jobs follows from the records, so another machine goes on from them ([`Scheduler::recover`]); what runs where right
-//! now it learns from the workers.
+//! A [`Scheduler`] is a pure state machine without I/O or clock. Its embedder calls it with what
+//! clients submit, the platform's list of workers, the responses of workers, and the time. It
+//! replicates the [`RecordChange`]s that the scheduler makes, and carries out its [`Effect`]s:
+//! calls to workers, which are released once the records that they depend on are committed. All
+//! that must last about jobs is in the records, so another machine goes on from them
+//! ([`Scheduler::recover`]); what runs where at the moment it learns from the workers.
 //!
-//! - **Starts** are recorded before they are ordered. A start without an answer counts as running until the worker says
-//!   otherwise, a stop was acknowledged, or its time has run out there.
-//! - **Ends** are recorded before the worker may forget them.
-//! - **Room** is counted strictly: what was ordered counts until its end is known.
-//! - **Fencing**: every call carries the term; a worker that has seen a later one does nothing for it.
-mod answers;
-mod clock;
+//! Invariants:
+//! - **Starts** are recorded before they are sent. A start without response counts as running until
+//!   the worker reports otherwise, or its lease has expired: so a task never runs twice at once,
+//!   unless its stage allows hedged runs.
+//! - **Ends** are recorded before the worker may forget them: so none is lost or counted twice.
+//! - **Capacity** is reserved from the decision to start until the end is known: so no worker is
+//!   given more than it has.
+//! - **Fencing**: each call carries the term; a worker that has seen a later one rejects it. So
+//!   calls of an earlier term have no effect after a worker responded to this one.
+//!
+//! Parts, each with its own state and invariants: [`jobs`] (job table), [`workers`] (registry and
+//! leases), [`pending`] (queue), [`placement`], [`calls`] (in flight, time-outs, throttle),
+//! [`renewal`] (schedule of lease renewals), [`commit`] (write batches) and [`occurrence_timer`].
+//! [`scheduler`] coordinates them.
+#![warn(
+    missing_docs,
+    unreachable_pub,
+    clippy::wildcard_imports,
+    clippy::match_bool,
+    clippy::too_many_lines,
+    clippy::must_use_candidate,
+    clippy::explicit_iter_loop,
+    clippy::semicolon_if_nothing_returned
+)]
+#![allow(rustdoc::private_intra_doc_links, reason = "the crate's page names its parts for maintainers")]
+
+mod calls;
+mod commit;
 mod config;
-mod copies;
-mod deadlines;
+mod estimates;
 mod events;
-mod gangs;
-mod graphs;
-mod holds;
 mod ids;
-mod inspect;
-mod job;
-mod listing;
-mod lookup;
+mod jobs;
 mod metrics;
-mod pace;
+mod occurrence_timer;
+mod pending;
 mod placement;
 mod protocol;
-mod queue;
 mod record;
-mod recover;
-mod runs;
+mod renewal;
+mod resources;
 mod scheduler;
+mod smoothing;
 mod spec;
-mod stops;
-mod throttle;
-mod watch;
-mod worker;
-mod writing;
+mod workers;
 
 pub use config::{Admission, Now, QueuePolicy, SchedulerConfig};
 pub use ids::{JobId, QueueId, TaskId};
-pub use inspect::{JobView, RunView, TaskView, Usage, WorkerView};
-pub use job::{JobOutcome, JobState};
+pub use jobs::JobState;
 pub use metrics::{SchedulerCounts, SchedulerMetrics, TimeoutRange};
 pub use protocol::{
     Effect, FinishedTask, ListedWorker, ListedWorkerState, RunningTask, WorkerCall, WorkerReport,
     WorkerRequest, WorkerResponse,
 };
-pub use recover::is_readable_record;
-pub use scheduler::Scheduler;
+pub use record::{JobOutcome, RecordChange, is_readable_record};
+pub use scheduler::{JobView, RunView, Scheduler, TaskView, Usage, WorkerView};
 pub use spec::{JobSpec, SpecError, Stage};
-pub use writing::RecordChange;
--- /dev/null
+++ b/crates/cluster/job-scheduler/src/pending.rs
@@ -0,0 +1,97 @@
+//! Tasks and gangs that wait to be placed, in their order.
+use crate::ids::{JobId, TaskId};
+use std::collections::BTreeMap;
+
+/// The position of a unit in the queue: by priority, then by the time that its job was due.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct PendingKey {
+    /// 0 is the highest.
+    pub(crate) priority: u8,
+    /// Milliseconds since 1970.
+    pub(crate) due_at_ms: u64,
+    /// The task; for a gang its first.
+    pub(crate) task: TaskId,
+}
+
+/// A unit that waits, and since when.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PendingUnit {
+    pub(crate) key: PendingKey,
+    pub(crate) since_ms: u64,
+}
+
+/// The queue of units that wait to be placed, and whether a pass over it can place any.
+#[derive(Debug, Default)]
+pub(crate) struct PendingQueue {
+    /// With the monotonic time since when each waits.
+    units: BTreeMap<PendingKey, u64>,
+    /// Where the next pass goes on among the units behind many that do not fit.
+    resume_at: Option<PendingKey>,
+    /// Something changed since the last pass that may let a unit be placed.
+    needs_pass: bool,
+    /// A unit waits only for time to pass: the next tick starts a pass.
+    needs_pass_at_tick: bool,
+}
+
+impl PendingQueue {
+    pub(crate) fn len(&self) -> usize {
+        self.units.len()
+    }
+
+    /// Adds a unit that waits from now on.
+    pub(crate) fn push(&mut self, key: PendingKey, now_ms: u64) {
+        self.units.insert(key, now_ms);
+        self.needs_pass = true;
+    }
+
+    /// Adds a unit, which keeps its waiting time if it was there already.
+    pub(crate) fn requeue(&mut self, key: PendingKey, now_ms: u64) {
+        self.units.entry(key).or_insert(now_ms);
+        self.needs_pass = true;
+    }
+
+    pub(crate) fn remove(&mut self, key: &PendingKey) {
+        self.units.remove(key);
+    }
+
+    pub(crate) fn remove_job(&mut self, job: JobId) {
+        self.units.retain(|key, _| key.task.job != job);
+    }
+
+    /// The tasks that wait, and the first tasks of the gangs that do, in order.
+    pub(crate) fn tasks(&self) -> impl Iterator<Item = TaskId> {
+        self.units.keys().map(|key| key.task)
+    }
+
+    /// Capacity was freed or a worker changed: the next pass may place what did not fit before.
+    pub(crate) fn capacity_changed(&mut self) {
+        self.needs_pass = true;
+    }
+
+    /// Has the next tick start a pass.
+    pub(crate) fn retry_at_next_tick(&mut self) {
+        self.needs_pass_at_tick = true;
+    }
+
+    /// A tick: passes that waited for it are due.
+    pub(crate) fn tick(&mut self) {
+        self.needs_pass |= std::mem::take(&mut self.needs_pass_at_tick);
+    }
+
+    /// The units for a pass, in order; `None` if no pass is due.
+    pub(crate) fn begin_pass(&mut self) -> Option<Vec<PendingUnit>> {
+        let is_due = std::mem::take(&mut self.needs_pass) && !self.units.is_empty();
+        is_due.then(|| {
+            self.units.iter().map(|(key, since)| PendingUnit { key: *key, since_ms: *since }).collect()
+        })
+    }
+
+    /// Where the last pass stopped behind the units that do not fit; forgotten by this call.
+    pub(crate) fn take_resume_point(&mut self) -> Option<PendingKey> {
+        self.resume_at.take()
+    }
+
+    pub(crate) fn set_resume_point(&mut self, key: Option<PendingKey>) {
+        self.resume_at = key;
+    }
+}
--- /dev/null
+++ b/crates/cluster/job-scheduler/src/placement/gang.rs
@@ -0,0 +1,107 @@
+//! Gangs: tasks that are placed together or not at all.
+use super::placer::{Placement, Placer};
+use super::request::PlacementRequest;
+use crate::ids::{RunId, TaskId, WorkerIndex};
+use crate::jobs::JobTable;
+use crate::resources::Resources;
+use crate::workers::WorkerRegistry;
+use rustc_hash::FxHashMap;
+
+/// How long a gang waits for capacity on one rack, as a share of what it loses on several.
+const RACK_WAIT_SHARE: f64 = 0.5;
+
+impl Placer {
+    /// A worker for each member, in the members' order, with capacity for all together.
+    pub(crate) fn place_gang(
+        &mut self,
+        jobs: &JobTable,
+        workers: &mut WorkerRegistry,
+        request: &PlacementRequest,
+    ) -> Placement<Vec<WorkerIndex>> {
+        let members: Vec<TaskId> = jobs.tasks_of_stage(request.task).collect();
+        if request.stage.rack_local {
+            let placed = self.place_gang_on_one_rack(jobs, workers, request, &members);
+            if let Placement::On(_) = placed {
+                return placed;
+            }
+            let max_wait_ms = self.remote_loss_ms(request) * RACK_WAIT_SHARE;
+            if (request.waited_ms as f64) < max_wait_ms {
+                return Placement::WaitForRack;
+            }
+        }
+        self.place_members(jobs, workers, request, &members, None)
+    }
+
+    fn place_gang_on_one_rack(
+        &mut self,
+        jobs: &JobTable,
+        workers: &mut WorkerRegistry,
+        request: &PlacementRequest,
+        members: &[TaskId],
+    ) -> Placement<Vec<WorkerIndex>> {
+        let Some(rack) = self.rack_with_most_capacity(jobs, workers, request, members.len()) else {
+            return Placement::NoCapacity;
+        };
+        self.place_members(jobs, workers, request, members, Some(&rack))
+    }
+
+    /// The rack on which most tasks of the stage fit, if all members do.
+    fn rack_with_most_capacity(
+        &self,
+        jobs: &JobTable,
+        workers: &WorkerRegistry,
+        request: &PlacementRequest,
+        member_count: usize,
+    ) -> Option<String> {
+        let eligibility = self.eligibility(jobs, request, false);
+        let mut racks: FxHashMap<&str, u64> = FxHashMap::default();
+        for (index, worker) in workers.iter_indexed() {
+            if eligibility.admits(index, worker)
+                && let Some(rack) = worker.rack()
+            {
+                *racks.entry(rack).or_default() += Resources::tasks_that_fit(request.stage, worker.free());
+            }
+        }
+        let fitting = racks.into_iter().filter(|(_, tasks)| *tasks >= member_count as u64);
+        // Of racks with the same capacity the last by name, whatever the order of the map.
+        let largest = fitting.max_by_key(|(rack, tasks)| (*tasks, *rack));
+        largest.map(|(rack, _)| rack.to_owned())
+    }
+
+    /// Chooses workers one by one, each choice reserving its capacity until all are made.
+    fn place_members(
+        &mut self,
+        jobs: &JobTable,
+        workers: &mut WorkerRegistry,
+        request: &PlacementRequest,
+        members: &[TaskId],
+        rack: Option<&str>,
+    ) -> Placement<Vec<WorkerIndex>> {
+        let demand = Resources::demand_of(request.stage);
+        let mut chosen: Vec<WorkerIndex> = Vec::new();
+        let mut result = Placement::NoCapacity;
+        for member in members {
+            let member_request = PlacementRequest { task: *member, ..*request };
+            match self.choose(jobs, workers, &member_request, rack) {
+                Placement::On(worker) => {
+                    workers[worker].allocation.reserve(reservation(*member), demand);
+                    chosen.push(worker);
+                }
+                Placement::NoCapacity => break,
+                Placement::WaitForRack => {
+                    result = Placement::WaitForRack;
+                    break;
+                }
+            }
+        }
+        for (member, worker) in members.iter().zip(&chosen) {
+            workers[*worker].allocation.release(reservation(*member), demand);
+        }
+        if chosen.len() == members.len() { Placement::On(chosen) } else { result }
+    }
+}
+
+/// The run under which a member's capacity is reserved meanwhile: real runs are numbered from 1.
+fn reservation(member: TaskId) -> RunId {
+    RunId { task: member, run: 0 }
+}
--- a/crates/cluster/job-scheduler/src/protocol.rs
+++ b/crates/cluster/job-scheduler/src/protocol.rs
@@ -23,7 +23,8 @@
     pub request: WorkerRequest,
     /// The time-out of the call, milliseconds from now.
     pub timeout_ms: u64,
-    /// The fencing token: the term of the scheduler. A worker that has seen a higher one rejects the call.
+    /// The fencing token: the term of the scheduler. A worker that has seen a higher one rejects
+    /// the call.
     pub fencing_token: u64,
 }
 
@@ -38,7 +39,8 @@
         run: u32,
         /// The job's payload.
         payload: Arc<str>,
-        /// The end of the run's lease on the worker's clock, milliseconds. A start that arrives after it is rejected.
+        /// The end of the run's lease on the worker's clock, milliseconds. A start that arrives
+        /// after it is rejected.
         lease_expires_at_ms: u64,
         /// The checkpoint to resume from; empty for the beginning.
         checkpoint: CompactString,
@@ -50,7 +52,8 @@
         /// The number of the run.
         run: u32,
     },
-    /// Renew the lease on all that runs on the worker, and list what runs there and what ended (`hold` on the wire).
+    /// Renew the lease on all that runs on the worker, and list what runs there and what ended
+    /// (`hold` on the wire).
     RenewLease {
         /// A number of the scheduler's own, higher for each request; not sent.
         serial: u64,
@@ -82,7 +85,8 @@
     },
     /// Another incarnation of the worker is at that address.
     WrongIncarnation,
-    /// No response in time, or the connection broke. The request may have been carried out, or may be later.
+    /// No response in time, or the connection broke. The request may have been carried out, or may
+    /// be later.
     NoResponse,
 }
 
--- a/crates/cluster/job-scheduler/src/record.rs
+++ b/crates/cluster/job-scheduler/src/record.rs
@@ -1,62 +1,85 @@
-//! What is kept of jobs: keys and records of the replicated key space.
+//! The stored form of jobs: keys and records of the replicated key space.
+//!
+//! Records are serialised with rkyv by the order and types of their fields and variants: neither
+//! may change, names may.
 use crate::ids::{JobId, QueueId, TaskId};
-use crate::job::JobOutcome;
 use crate::spec::JobSpec;
 use rkyv::{Archive, Deserialize, Serialize};
 
+/// How a job ended.
+#[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
+pub enum JobOutcome {
+    /// All tasks are done.
+    Succeeded,
+    /// A task has failed too often, or can never run.
+    Failed,
+    /// The client cancelled it.
+    Cancelled,
+}
+
 /// A job as it was accepted.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub(crate) struct JobRecord {
-    pub queue: QueueId,
-    pub service: String,
-    pub priority: u8,
-    pub max_attempts: u32,
+    pub(crate) queue: QueueId,
+    pub(crate) service: String,
+    pub(crate) priority: u8,
+    pub(crate) max_attempts: u32,
     /// Milliseconds since 1970.
-    pub accepted_at: u64,
-    pub spec: JobSpec,
+    pub(crate) accepted_at_ms: u64,
+    pub(crate) spec: JobSpec,
 }
 
-/// How a job ended.
+/// The end of a job.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClosedRecord {
-    pub outcome: JobOutcome,
+    pub(crate) outcome: JobOutcome,
     /// Milliseconds since 1970.
-    pub at: u64,
+    pub(crate) closed_at_ms: u64,
 }
 
 /// A task that was ever started.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct TaskRecord {
-    /// The number of its last start.
-    pub run: u32,
-    /// The runs that ended `failed`.
-    pub failed: Vec<u32>,
-    pub done: bool,
+    /// The number of its last run.
+    pub(crate) last_run: u32,
+    /// The numbers of the runs that failed.
+    pub(crate) failed_runs: Vec<u32>,
+    pub(crate) done: bool,
     /// Its last checkpoint; empty for none.
-    pub saved: String,
-    /// Starts whose end is not known: number and worker.
-    pub active: Vec<(u32, String)>,
+    pub(crate) checkpoint: String,
+    /// Runs whose end is not known: number and worker.
+    pub(crate) active_runs: Vec<(u32, String)>,
+}
+
+/// A change of the key space.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RecordChange {
+    /// The key.
+    pub key: Vec<u8>,
+    /// Its new value; `None` removes the key.
+    pub value: Option<Vec<u8>>,
 }
 
-const JOB: u8 = b'j';
-const CLOSED: u8 = b's';
-const TASK: u8 = b't';
+const JOB_PREFIX: u8 = b'j';
+const CLOSED_PREFIX: u8 = b's';
+const TASK_PREFIX: u8 = b't';
 
 /// A key of the key space that belongs to jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) enum Key {
+pub(crate) enum RecordKey {
     Job(JobId),
     Closed(JobId),
     Task(TaskId),
 }
 
-impl Key {
-    pub fn encode(self) -> Vec<u8> {
+impl RecordKey {
+    /// A prefix byte, then the numbers in big-endian form, so that keys sort as identifiers do.
+    pub(crate) fn encode(self) -> Vec<u8> {
         match self {
-            Key::Job(job) => [&[JOB][..], &job.0.to_be_bytes()].concat(),
-            Key::Closed(job) => [&[CLOSED][..], &job.0.to_be_bytes()].concat(),
-            Key::Task(task) => [
-                &[TASK][..],
+            RecordKey::Job(job) => [&[JOB_PREFIX][..], &job.0.to_be_bytes()].concat(),
+            RecordKey::Closed(job) => [&[CLOSED_PREFIX][..], &job.0.to_be_bytes()].concat(),
+            RecordKey::Task(task) => [
+                &[TASK_PREFIX][..],
                 &task.job.0.to_be_bytes(),
                 &task.occurrence.to_be_bytes(),
                 &task.stage.to_be_bytes(),
@@ -66,13 +89,14 @@
         }
     }
 
-    pub fn decode(bytes: &[u8]) -> Option<Self> {
-        let (kind, rest) = bytes.split_first()?;
+    /// `None` for a key of another owner or another version.
+    pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
+        let (prefix, rest) = bytes.split_first()?;
         let job = JobId(u64::from_be_bytes(rest.get(..8)?.try_into().ok()?));
-        match (*kind, rest.len()) {
-            (JOB, 8) => Some(Key::Job(job)),
-            (CLOSED, 8) => Some(Key::Closed(job)),
-            (TASK, 18) => Some(Key::Task(TaskId {
+        match (*prefix, rest.len()) {
+            (JOB_PREFIX, 8) => Some(RecordKey::Job(job)),
+            (CLOSED_PREFIX, 8) => Some(RecordKey::Closed(job)),
+            (TASK_PREFIX, 18) => Some(RecordKey::Task(TaskId {
                 job,
                 occurrence: u32::from_be_bytes(rest[8..12].try_into().ok()?),
                 stage: u16::from_be_bytes(rest[12..14].try_into().ok()?),
@@ -83,19 +107,43 @@
     }
 }
 
-/// A record in the form of the key space.
-macro_rules! coded {
+/// Encodes records with rkyv; decoding checks the bytes.
+macro_rules! impl_codec {
     ($($record:ty),*) => {$(
         impl $record {
-            pub fn encode(&self) -> Vec<u8> {
+            pub(crate) fn encode(&self) -> Vec<u8> {
                 rkyv::to_bytes::<rkyv::rancor::Error>(self).map(|bytes| bytes.to_vec()).unwrap_or_default()
             }
 
-            pub fn decode(bytes: &[u8]) -> Option<Self> {
+            pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
                 rkyv::from_bytes::<$record, rkyv::rancor::Error>(bytes).ok()
             }
         }
     )*};
 }
 
-coded!(JobRecord, ClosedRecord, TaskRecord);
+impl_codec!(JobRecord, ClosedRecord, TaskRecord);
+
+/// A record with its key.
+pub(crate) enum StoredRecord {
+    Job(JobId, JobRecord),
+    Closed(JobId, ClosedRecord),
+    Task(TaskId, TaskRecord),
+}
+
+impl StoredRecord {
+    /// `None` for a record that this version can't read.
+    pub(crate) fn decode(key: &[u8], value: &[u8]) -> Option<Self> {
+        match RecordKey::decode(key)? {
+            RecordKey::Job(job) => Some(StoredRecord::Job(job, JobRecord::decode(value)?)),
+            RecordKey::Closed(job) => Some(StoredRecord::Closed(job, ClosedRecord::decode(value)?)),
+            RecordKey::Task(task) => Some(StoredRecord::Task(task, TaskRecord::decode(value)?)),
+        }
+    }
+}
+
+/// Whether this version can read a record of the key space.
+#[must_use]
+pub fn is_readable_record(key: &[u8], value: &[u8]) -> bool {
+    StoredRecord::decode(key, value).is_some()
+}
--- /dev/null
+++ b/crates/cluster/job-scheduler/src/resources.rs
@@ -0,0 +1,63 @@
+//! Processor, memory and accelerators: what tasks demand and workers have.
+use crate::spec::Stage;
+
+/// An amount of each resource.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) struct Resources {
+    pub(crate) cpu_millicores: u64,
+    pub(crate) memory_mb: u64,
+    pub(crate) gpus: u64,
+}
+
+impl Resources {
+    /// The demand of one task of a stage.
+    pub(crate) fn demand_of(stage: &Stage) -> Self {
+        Resources { cpu_millicores: stage.cpu_millicores, memory_mb: stage.memory_mb, gpus: stage.gpus }
+    }
+
+    pub(crate) fn fits_in(self, free: Resources) -> bool {
+        self.cpu_millicores <= free.cpu_millicores
+            && self.memory_mb <= free.memory_mb
+            && self.gpus <= free.gpus
+    }
+
+    pub(crate) fn plus(self, other: Resources) -> Resources {
+        Resources {
+            cpu_millicores: self.cpu_millicores + other.cpu_millicores,
+            memory_mb: self.memory_mb + other.memory_mb,
+            gpus: self.gpus + other.gpus,
+        }
+    }
+
+    /// The difference, 0 where the other amount is larger.
+    pub(crate) fn minus(self, other: Resources) -> Resources {
+        Resources {
+            cpu_millicores: self.cpu_millicores.saturating_sub(other.cpu_millicores),
+            memory_mb: self.memory_mb.saturating_sub(other.memory_mb),
+            gpus: self.gpus.saturating_sub(other.gpus),
+        }
+    }
+
+    /// How many times this demand fits; `u64::MAX` for a demand of nothing.
+    pub(crate) fn times_in(self, free: Resources) -> u64 {
+        let times = |demand: u64, free: u64| free.checked_div(demand).unwrap_or(u64::MAX);
+        times(self.cpu_millicores, free.cpu_millicores)
+            .min(times(self.memory_mb, free.memory_mb))
+            .min(times(self.gpus, free.gpus))
+    }
+
+    /// How many tasks of a stage fit, within the stage's bound for one worker.
+    pub(crate) fn tasks_that_fit(stage: &Stage, free: Resources) -> u64 {
+        let times = Resources::demand_of(stage).times_in(free);
+        if stage.anti_affinity == 0 { times } else { times.min(stage.anti_affinity.into()) }
+    }
+
+    /// The largest share of any resource in use, 0 to 1.
+    pub(crate) fn largest_share_of(self, capacity: Resources) -> f64 {
+        let share =
+            |used: u64, capacity: u64| if capacity == 0 { 0.0 } else { used as f64 / capacity as f64 };
+        share(self.cpu_millicores, capacity.cpu_millicores)
+            .max(share(self.memory_mb, capacity.memory_mb))
+            .max(share(self.gpus, capacity.gpus))
+    }
+}
--- /dev/null
+++ b/crates/cluster/job-scheduler/src/scheduler/apply.rs
@@ -0,0 +1,111 @@
+//! How state follows from events.
+use super::Scheduler;
+use crate::events::{Event, RunEnd};
+use crate::ids::{JobId, RunId, TaskId, WorkerIndex};
+use crate::jobs::{Run, RunPhase};
+use crate::record::{ClosedRecord, RecordKey};
+use compact_str::CompactString;
+
+impl Scheduler {
+    /// Applies an event, and has the records that it changes written.
+    pub(super) fn record(&mut self, now_ms: u64, event: Event) {
+        log::trace!("{event}");
+        self.apply(now_ms, &event);
+        self.events.append(event);
+    }
+
+    fn apply(&mut self, now_ms: u64, event: &Event) {
+        match event {
+            Event::JobAccepted { job, record } => {
+                self.jobs.accept(*job, (**record).clone());
+                self.commits.mark_dirty(RecordKey::Job(*job));
+            }
+            Event::JobClosed { job, outcome, closed_at_ms } => {
+                self.apply_closed(*job, ClosedRecord { outcome: *outcome, closed_at_ms: *closed_at_ms });
+            }
+            Event::JobForgotten { job } => {
+                self.jobs.remove(*job);
+                self.commits.mark_dirty(RecordKey::Job(*job));
+                self.commits.mark_dirty(RecordKey::Closed(*job));
+            }
+            Event::RunAssigned { run, worker } => self.apply_assigned(now_ms, *run, *worker),
+            Event::RunEnded { run, end, checkpoint } => self.apply_run_ended(*run, *end, checkpoint),
+        }
+    }
+
+    fn apply_closed(&mut self, id: JobId, closed: ClosedRecord) {
+        if !self.jobs.close(id, closed) {
+            return;
+        }
+        self.commits.mark_dirty(RecordKey::Closed(id));
+        // The records of its tasks are removed, or reduced to the runs that are still to be
+        // stopped.
+        let Some(job) = self.jobs.get(id) else { return };
+        for (task, _) in job.tasks(id).filter(|(_, task)| task.last_run() > 0) {
+            self.commits.mark_dirty(RecordKey::Task(task));
+        }
+    }
+
+    fn apply_assigned(&mut self, now_ms: u64, run: RunId, worker: WorkerIndex) {
+        let demand = self.jobs.demand(run.task);
+        if !self.jobs.add_run(run.task, Run::new(run.run, worker, RunPhase::Recorded, now_ms)) {
+            return;
+        }
+        self.workers[worker].allocation.reserve(run, demand);
+        self.commits.mark_dirty(RecordKey::Task(run.task));
+    }
+
+    fn apply_run_ended(&mut self, run: RunId, end: RunEnd, checkpoint: &CompactString) {
+        let Some(stage) = self.jobs.stage(run.task) else { return };
+        let (is_gang, is_long_running) = (stage.gang, stage.long_running);
+        if !self.remove_run(run, end, checkpoint) {
+            return;
+        }
+        self.commits.mark_dirty(RecordKey::Task(run.task));
+        if end != RunEnd::Interrupted {
+            self.jobs.mark_begun(run.task.job);
+        }
+        match end {
+            RunEnd::Done if is_long_running => {}
+            RunEnd::Done if is_gang => self.apply_gang_done(run.task),
+            RunEnd::Done => self.apply_task_done(run.task),
+            RunEnd::Failed if !is_long_running => self.apply_failed_attempt(run),
+            RunEnd::Failed | RunEnd::Interrupted => {}
+        }
+    }
+
+    /// Takes a run that ended out of its task and worker; `false` if there is no such task.
+    fn remove_run(&mut self, run: RunId, end: RunEnd, checkpoint: &CompactString) -> bool {
+        let demand = self.jobs.demand(run.task);
+        let Some(task) = self.jobs.task_mut(run.task) else { return false };
+        if let Some(ended) = task.remove_run(run.run, checkpoint) {
+            if end == RunEnd::Failed {
+                task.avoid_worker(ended.worker());
+            }
+            self.workers[ended.worker()].allocation.release(run, demand);
+            self.pending.capacity_changed();
+        }
+        true
+    }
+
+    fn apply_gang_done(&mut self, member: TaskId) {
+        for task in self.jobs.tasks_of_stage(member) {
+            self.apply_task_done(task);
+        }
+    }
+
+    fn apply_task_done(&mut self, task: TaskId) {
+        if self.jobs.mark_task_done(task) {
+            self.commits.mark_dirty(RecordKey::Task(task));
+        }
+    }
+
+    /// A gang fails as one: its first task keeps the failed runs for all.
+    fn apply_failed_attempt(&mut self, run: RunId) {
+        let counted = self.jobs.placement_unit(run.task);
+        if let Some(task) = self.jobs.task_mut(counted) {
+            task.add_failed_run(run.run);
+        }
+        self.commits.mark_dirty(RecordKey::Task(counted));
+    }
+}
--- /dev/null
+++ b/crates/cluster/job-scheduler/src/scheduler/feasibility.rs
@@ -0,0 +1,54 @@
+//! Jobs that can never be done, since a stage fits no worker of their service.
+use super::Scheduler;
+use crate::config::Now;
+use crate::ids::TaskId;
+use crate::jobs::Job;
+use crate::record::JobOutcome;
+use crate::resources::Resources;
+use crate::spec::Stage;
+
+/// How long a job must be infeasible before it fails, milliseconds.
+const MAX_INFEASIBLE_MS: u64 = 1_500;
+/// How long the term must last before jobs are judged infeasible, milliseconds: lists of workers
+/// may be incomplete first.
+const MIN_TERM_AGE_MS: u64 = 3_000;
+
+impl Scheduler {
+    /// Fails jobs of which a stage fits no worker that was ever listed.
+    pub(super) fn fail_infeasible_jobs(&mut self, now: Now) {
+        if !self.has_worker_list || now.monotonic_ms < self.term_started_at_ms + MIN_TERM_AGE_MS {
+            return;
+        }
+        let infeasible: Vec<TaskId> = self.pending.tasks().filter(|task| self.is_infeasible(*task)).collect();
+        for task in infeasible {
+            let Some(job) = self.jobs.get_mut(task.job) else { continue };
+            let since_ms = job.infeasible_since_ms(now.monotonic_ms);
+            if job.is_open() && now.monotonic_ms >= since_ms + MAX_INFEASIBLE_MS {
+                log::info!("job infeasible job={}", task.job);
+                self.close_job(now, task.job, JobOutcome::Failed);
+            }
+        }
+    }
+
+    fn is_infeasible(&self, task: TaskId) -> bool {
+        let Some(job) = self.jobs.get(task.job) else { return false };
+        job.spec().stages.iter().any(|stage| !self.could_ever_fit(job, stage))
+    }
+
+    /// Whether a task, or all tasks of a gang, would fit the workers of the service if nothing else
+    /// ran there.
+    fn could_ever_fit(&self, job: &Job, stage: &Stage) -> bool {
+        let needed = if stage.gang { u64::from(stage.count) } else { 1 };
+        let mut fitting = 0u64;
+        for worker in self.workers.iter() {
+            if worker.service() != job.service() || !worker.has_labels(&stage.constraints) {
+                continue;
+            }
+            fitting = fitting.saturating_add(Resources::tasks_that_fit(stage, worker.capacity()));
+            if fitting >= needed {
+                return true;
+            }
+        }
+        false
+    }
+}
--- /dev/null
+++ b/crates/cluster/job-scheduler/src/scheduler/mod.rs
@@ -0,0 +1,187 @@
+//! The scheduler: it coordinates the parts, each of which keeps its own state.
+//!
+//! The files beside this one each have the steps of one concern. Everything that must last goes
+//! through [`Scheduler::record`], which is the only way that jobs, tasks and runs change durably.
+mod apply;
+mod commits;
+mod feasibility;
+mod hedging;
+mod inspect;
+mod occurrences;
+mod placing;
+mod progress;
+mod recovery;
+mod renewals;
+mod reports;
+mod responses;
+mod run_ends;
+mod starts;
+mod stops;
+mod worker_list;
+
+pub use inspect::{JobView, RunView, TaskView, Usage, WorkerView};
+
+use crate::calls::{CallTimeouts, OutstandingCalls, StartThrottle};
+use crate::commit::CommitQueue;
+use crate::config::{Admission, Now, QueuePolicy, SchedulerConfig};
+use crate::estimates::RuntimeEstimates;
+use crate::events::{Event, EventLog};
+use crate::ids::{JobId, QueueId, RunId};
+use crate::jobs::{Job, JobState, JobTable};
+use crate::metrics::{SchedulerCounts, SchedulerMetrics};
+use crate::occurrence_timer::OccurrenceTimer;
+use crate::pending::PendingQueue;
+use crate::placement::Placer;
+use crate::record::{JobOutcome, JobRecord};
+use crate::renewal::RenewalSchedule;
+use crate::spec::JobSpec;
+use crate::workers::WorkerRegistry;
+use std::collections::BTreeSet;
+
+/// The largest number of jobs that are not closed.
+const MAX_OPEN_JOBS: usize = 30_000;
+/// How often progress, feasibility and retention are checked, milliseconds.
+const WATCH_INTERVAL_MS: u64 = 250;
+
+/// Jobs, workers, and what runs where, for one term.
+#[derive(Debug)]
+pub struct Scheduler {
+    config: SchedulerConfig,
+    /// Monotonic milliseconds.
+    term_started_at_ms: u64,
+    jobs: JobTable,
+    occurrence_timer: OccurrenceTimer,
+    pending: PendingQueue,
+    placer: Placer,
+    estimates: RuntimeEstimates,
+    workers: WorkerRegistry,
+    /// Whether the platform's list was read in this term.
+    has_worker_list: bool,
+    renewals: RenewalSchedule,
+    calls: OutstandingCalls,
+    timeouts: CallTimeouts,
+    throttle: StartThrottle,
+    /// Runs whose stop was sent and that have not ended yet.
+    stopping: BTreeSet<RunId>,
+    commits: CommitQueue,
+    events: EventLog,
+    metrics: SchedulerMetrics,
+    last_watch_ms: u64,
+}
+
+impl Scheduler {
+    /// A scheduler without jobs or workers, for the term whose fencing token this is. The seed is
+    /// that of its random choices.
+    #[must_use]
+    pub fn new(config: SchedulerConfig, fencing_token: u64, seed: u64, now: Now) -> Self {
+        Scheduler {
+            config,
+            term_started_at_ms: now.monotonic_ms,
+            jobs: JobTable::default(),
+            occurrence_timer: OccurrenceTimer::default(),
+            pending: PendingQueue::default(),
+            placer: Placer::new(config.remote_data_slowdown, seed),
+            estimates: RuntimeEstimates::default(),
+            workers: WorkerRegistry::default(),
+            has_worker_list: false,
+            renewals: RenewalSchedule::default(),
+            calls: OutstandingCalls::new(fencing_token, config.max_concurrent_calls),
+            timeouts: CallTimeouts::default(),
+            throttle: StartThrottle::default(),
+            stopping: BTreeSet::new(),
+            commits: CommitQueue::default(),
+            events: EventLog::default(),
+            metrics: SchedulerMetrics::default(),
+            last_watch_ms: 0,
+        }
+    }
+
+    // Clients.
+
+    /// Admits a job. A submission with the identifier of a known job changes nothing, so that
+    /// clients may retry.
+    pub fn submit(&mut self, now: Now, job: JobId, policy: QueuePolicy, spec: JobSpec) -> Admission {
+        if self.jobs.contains(job) {
+            return Admission::Accepted;
+        }
+        if self.jobs.open_count() >= MAX_OPEN_JOBS {
+            return Admission::TooManyJobs;
+        }
+        let record = JobRecord {
+            queue: policy.queue,
+            service: policy.service,
+            priority: policy.priority,
+            max_attempts: policy.max_attempts.max(1),
+            accepted_at_ms: now.unix_ms,
+            spec,
+        };
+        self.record(now.monotonic_ms, Event::JobAccepted { job, record: Box::new(record) });
+        self.begin_due_occurrences_of(now, job);
+        Admission::Accepted
+    }
+
+    /// A job's state; `None` if it is not known, or was forgotten after its retention.
+    #[must_use]
+    pub fn job_state(&self, job: JobId) -> Option<JobState> {
+        self.jobs.get(job).map(Job::state)
+    }
+
+    /// Cancels a job, unless it is closed already; `false` if it is not known.
+    pub fn cancel(&mut self, now: Now, job: JobId) -> bool {
+        if self.jobs.is_open(job) {
+            self.close_job(now, job, JobOutcome::Cancelled);
+        }
+        self.jobs.contains(job)
+    }
+
+    /// The number of open jobs of a queue of which no task is known to have begun.
+    #[must_use]
+    pub fn pending_jobs(&self, queue: &QueueId) -> u64 {
+        self.jobs.pending_count(queue)
+    }
+
+    /// What the scheduler holds at present.
+    #[must_use]
+    pub fn counts(&self) -> SchedulerCounts {
+        SchedulerCounts {
+            jobs: self.jobs.len(),
+            pending_units: self.pending.len(),
+            active_runs: self.workers.iter().map(|worker| worker.allocation.runs().len()).sum(),
+            events: self.events.count(),
+        }
+    }
+
+    /// Counts of this term so far.
+    #[must_use]
+    pub fn metrics(&self) -> SchedulerMetrics {
+        let max_starts_per_tick = self.throttle.limit() as u64;
+        SchedulerMetrics { call_timeouts: self.timeouts.range(), max_starts_per_tick, ..self.metrics }
+    }
+
+    // Time.
+
+    /// The next tick comes `late_ms` later than it should: an overloaded scheduler sends fewer
+    /// starts.
+    pub fn record_tick_lateness(&mut self, late_ms: u64) {
+        self.throttle.record_lateness(late_ms);
+    }
+
+    /// Does what is due. To be called every few tens of milliseconds.
+    pub fn tick(&mut self, now: Now) {
+        self.throttle.refill();
+        self.time_out_starts(now);
+        self.begin_due_occurrences(now);
+        self.expire_workers(now);
+        self.pending.tick();
+        self.placer.update_panic_mode(&self.workers, now.monotonic_ms);
+        self.place_ready_tasks(now);
+        self.retry_stops(now.monotonic_ms);
+        self.send_due_renewals(now.monotonic_ms);
+        if now.monotonic_ms >= self.last_watch_ms + WATCH_INTERVAL_MS {
+            self.last_watch_ms = now.monotonic_ms;
+            self.watch_progress(now);
+            self.fail_infeasible_jobs(now);
+            self.forget_closed_jobs(now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster/job-scheduler/src/scheduler/occurrences.rs
@@ -0,0 +1,76 @@
+//! Occurrences that come due, stages whose dependencies are done, and the end of a job.
+use super::Scheduler;
+use crate::config::Now;
+use crate::events::Event;
+use crate::ids::{JobId, TaskId};
+use crate::jobs::Job;
+use crate::record::JobOutcome;
+
+/// How much longer than configured a closed job is kept, milliseconds.
+const RETENTION_MARGIN_MS: u64 = 10_000;
+
+impl Scheduler {
+    /// Begins the occurrences of all jobs that are due.
+    pub(super) fn begin_due_occurrences(&mut self, now: Now) {
+        while let Some(job) = self.occurrence_timer.pop_due(now.unix_ms) {
+            self.begin_due_occurrences_of(now, job);
+        }
+    }
+
+    /// Begins the occurrences of a job that are due, and schedules the next.
+    pub(super) fn begin_due_occurrences_of(&mut self, now: Now, id: JobId) {
+        while let Some(job) = self.jobs.get_mut(id) {
+            let Some(next) = job.next_occurrence() else { return };
+            if next.due_at_ms > now.unix_ms {
+                self.occurrence_timer.schedule(next.due_at_ms, id, next.number);
+                return;
+            }
+            job.begin_next_occurrence();
+            self.open_ready_stages(now, id, next.number);
+        }
+    }
+
+    /// Queues the tasks of the stages whose dependencies are done.
+    pub(super) fn open_ready_stages(&mut self, now: Now, id: JobId, occurrence: u32) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        for unit in job.open_ready_stages(id, occurrence) {
+            self.pending.push(job.pending_key(unit), now.monotonic_ms);
+        }
+    }
+
+    /// Queues a task, or its gang, again.
+    pub(super) fn requeue(&mut self, now_ms: u64, task: TaskId) {
+        let Some(job) = self.jobs.get(task.job).filter(|job| job.is_open()) else { return };
+        let unit = self.jobs.placement_unit(task);
+        self.pending.requeue(job.pending_key(unit), now_ms);
+    }
+
+    /// Takes a task out of the queue: it is done.
+    pub(super) fn remove_pending(&mut self, task: TaskId) {
+        if let Some(job) = self.jobs.get(task.job) {
+            self.pending.remove(&job.pending_key(task));
+        }
+    }
+
+    /// Closes a job: nothing of it starts any more, and what runs is stopped.
+    pub(super) fn close_job(&mut self, now: Now, job: JobId, outcome: JobOutcome) {
+        self.record(now.monotonic_ms, Event::JobClosed { job, outcome, closed_at_ms: now.unix_ms });
+        self.jobs.note_closed(now.unix_ms, job);
+        self.pending.remove_job(job);
+        self.occurrence_timer.remove_job(job);
+        self.stop_job(now.monotonic_ms, job);
+    }
+
+    /// Forgets closed jobs whose retention is over. One that still has runs to be stopped is kept
+    /// as long again.
+    pub(super) fn forget_closed_jobs(&mut self, now: Now) {
+        let retention_ms = self.config.closed_job_retention_ms + RETENTION_MARGIN_MS;
+        while let Some(job) = self.jobs.pop_expired(now.unix_ms, retention_ms) {
+            match self.jobs.get(job).map(Job::has_active_runs) {
+                Some(false) => self.record(now.monotonic_ms, Event::JobForgotten { job }),
+                Some(true) => self.jobs.note_closed(now.unix_ms, job),
+                None => {}
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster/job-scheduler/src/scheduler/placing.rs
@@ -0,0 +1,152 @@
+//! A pass over the pending queue, in which units are assigned to workers as far as there is
+//! capacity.
+use super::Scheduler;
+use crate::commit::DeferredAction;
+use crate::config::Now;
+use crate::events::Event;
+use crate::ids::{RunId, TaskId, WorkerIndex};
+use crate::pending::{PendingKey, PendingUnit};
+use crate::placement::{Placement, PlacementMisses, PlacementRequest};
+
+/// Starts that may be waiting for a commit or a response at once.
+const MAX_STARTS_IN_FLIGHT: usize = 160;
+/// Units without capacity after which a pass goes on only behind them.
+const MAX_MISSES: usize = 200;
+/// Units without capacity that it then tries behind these.
+const MAX_MISSES_BEHIND: usize = 32;
+
+impl Scheduler {
+    /// Places what waits, as far as there is capacity. Called after each input, so that starts
+    /// share a batch with the events that they follow from.
+    pub fn place_ready_tasks(&mut self, now: Now) {
+        let Some(units) = self.pending.begin_pass() else { return };
+        let mut misses = PlacementMisses::default();
+        let Some(stopped_at) = self.place_units(now, &units, &mut misses, MAX_MISSES) else { return };
+        // Units behind so many without capacity would never be tried: a few of them are in each
+        // pass, in turn.
+        let resume_at = match self.pending.take_resume_point() {
+            Some(resume) => units.partition_point(|unit| unit.key < resume),
+            None => stopped_at,
+        };
+        let behind = &units[resume_at.max(stopped_at)..];
+        let behind = if behind.is_empty() { &units[stopped_at..] } else { behind };
+        let max_misses = misses.count() + MAX_MISSES_BEHIND;
+        let stopped_at = self.place_units(now, behind, &mut misses, max_misses);
+        self.pending.set_resume_point(stopped_at.map(|position| behind[position].key));
+        self.pending.retry_at_next_tick();
+    }
+
+    /// Places units in their order. Returns the position at which it stopped since too many had no
+    /// capacity.
+    fn place_units(
+        &mut self,
+        now: Now,
+        units: &[PendingUnit],
+        misses: &mut PlacementMisses,
+        max_misses: usize,
+    ) -> Option<usize> {
+        for (position, unit) in units.iter().enumerate() {
+            if misses.count() > max_misses {
+                return Some(position);
+            }
+            if self.available_starts() == 0 {
+                // What can't be started now waits here, where its priority counts.
+                self.pending.retry_at_next_tick();
+                return None;
+            }
+            self.place_unit(now, *unit, misses);
+        }
+        None
+    }
+
+    /// Starts that may still be decided. Those on their way to the disk or to workers are bounded.
+    fn available_starts(&self) -> usize {
+        let in_flight = self.commits.deferred_count() + self.calls.starts_in_flight();
+        MAX_STARTS_IN_FLIGHT
+            .saturating_sub(in_flight)
+            .min(self.throttle.remaining())
+            .min(self.calls.remaining())
+    }
+
+    /// Places a task or gang, if there is capacity.
+    fn place_unit(&mut self, now: Now, unit: PendingUnit, misses: &mut PlacementMisses) {
+        let task = unit.key.task;
+        let Some(job) = self.jobs.get(task.job) else { return };
+        let Some(stage) = job.stage(task.stage) else { return };
+        let service = job.service();
+        if stage.gang {
+            return self.place_gang(now, unit, misses);
+        }
+        if misses.cover(service, stage) {
+            return;
+        }
+        let is_running = self.jobs.task(task).is_some_and(|task| task.has_active_runs());
+        if is_running && !self.allows_hedged_run(task) {
+            // A hedged run was wanted while the run was in doubt, which it is no more.
+            return self.pending.remove(&unit.key);
+        }
+        let waited_ms = now.monotonic_ms.saturating_sub(unit.since_ms);
+        let request = PlacementRequest { task, stage, service, waited_ms, now_ms: now.monotonic_ms };
+        match self.placer.place_task(&self.jobs, &self.workers, &request) {
+            Placement::On(worker) => {
+                self.metrics.hedged_runs += u64::from(is_running);
+                let run = self.jobs.task(task).map_or(1, |task| task.last_run() + 1);
+                self.assign(now, RunId { task, run }, worker);
+                self.complete_unit(&unit.key, 1);
+            }
+            Placement::NoCapacity => misses.add(service, stage),
+            Placement::WaitForRack => {
+                misses.add(service, stage);
+                self.pending.retry_at_next_tick();
+            }
+        }
+    }
+
+    /// Places all members of a gang under the same run number, or none.
+    fn place_gang(&mut self, now: Now, unit: PendingUnit, misses: &mut PlacementMisses) {
+        let first = unit.key.task;
+        let Some(job) = self.jobs.get(first.job) else { return };
+        let Some(stage) = job.stage(first.stage) else { return };
+        let service = job.service();
+        let Some(run) = self.next_gang_run(first) else { return misses.add(service, stage) };
+        let waited_ms = now.monotonic_ms.saturating_sub(unit.since_ms);
+        let request = PlacementRequest { task: first, stage, service, waited_ms, now_ms: now.monotonic_ms };
+        match self.placer.place_gang(&self.jobs, &mut self.workers, &request) {
+            Placement::On(workers) => {
+                let starts = workers.len();
+                for (task, worker) in self.jobs.tasks_of_stage(first).zip(workers) {
+                    self.assign(now, RunId { task, run }, worker);
+                }
+                self.complete_unit(&unit.key, starts);
+            }
+            Placement::NoCapacity => misses.add(service, stage),
+            Placement::WaitForRack => {
+                misses.add(service, stage);
+                self.pending.retry_at_next_tick();
+            }
+        }
+    }
+
+    /// The number of a gang's next run, the same for all members; `None` while any member still has
+    /// a run.
+    fn next_gang_run(&self, first: TaskId) -> Option<u32> {
+        let mut last_run = 0;
+        for member in self.jobs.tasks_of_stage(first).filter_map(|member| self.jobs.task(member)) {
+            if member.has_active_runs() {
+                return None;
+            }
+            last_run = last_run.max(member.last_run());
+        }
+        Some(last_run + 1)
+    }
+
+    fn assign(&mut self, now: Now, run: RunId, worker: WorkerIndex) {
+        self.record(now.monotonic_ms, Event::RunAssigned { run, worker });
+        self.commits.defer(DeferredAction::SendStart(run));
+    }
+
+    fn complete_unit(&mut self, unit: &PendingKey, starts: usize) {
+        self.throttle.consume(starts);
+        self.pending.remove(unit);
+    }
+}
--- /dev/null
+++ b/crates/cluster/job-scheduler/src/scheduler/reports.rs
@@ -0,0 +1,155 @@
+//! What workers report: runs that ended, that go on, that are missing, and that nobody asked for.
+use super::Scheduler;
+use super::renewals::RENEWAL_TIMEOUT_MS;
+use crate::commit::DeferredAction;
+use crate::config::Now;
+use crate::events::RunEnd;
+use crate::ids::{RunId, WorkerIndex};
+use crate::protocol::{FinishedTask, WorkerReport, WorkerRequest};
+use crate::workers::Orphan;
+use std::collections::BTreeSet;
+
+/// How long the commit of ends may take before the renewal is sent without acknowledging them,
+/// milliseconds.
+const COMMIT_TIMEOUT_MS: u64 = 1_000;
+
+/// A worker's report with the serial of the request that it answers: it says nothing of what
+/// happened later.
+#[derive(Clone, Copy, Debug)]
+struct ReceivedReport<'a> {
+    now: Now,
+    worker: WorkerIndex,
+    serial: u64,
+    /// Whether it is the worker's first in this term.
+    is_first: bool,
+    report: &'a WorkerReport,
+}
+
+impl ReceivedReport<'_> {
+    fn has_ended(&self, run: RunId) -> bool {
+        self.report.finished.iter().any(|finished| run_id(finished) == run)
+    }
+}
+
+fn run_id(finished: &FinishedTask) -> RunId {
+    RunId { task: finished.task, run: finished.run }
+}
+
+impl Scheduler {
+    /// Takes a report in: first what ended, then what runs, so that what is missing is neither.
+    pub(super) fn handle_report(&mut self, now: Now, index: WorkerIndex, serial: u64, report: &WorkerReport) {
+        let worker = &mut self.workers[index];
+        let is_first = worker.mark_fenced();
+        if is_first {
+            log::debug!("worker responds worker={} running={}", worker.id(), report.running.len());
+            self.pending.capacity_changed();
+        }
+        if report.drain_remaining_ms.is_some() && worker.begin_draining() {
+            self.placer.update_workers(&self.workers, &[index]);
+        }
+        let running = report.running.iter().map(|running| RunId { task: running.task, run: running.run });
+        let running: BTreeSet<RunId> = running.collect();
+        let received = ReceivedReport { now, worker: index, serial, is_first, report };
+        self.resolve_timed_out_starts(&received, &running);
+        self.end_finished_runs(&received);
+        self.update_running(&received);
+        self.end_missing_runs(&received, &running);
+        self.stop_orphans(&received);
+        self.acknowledge_ends(now, index);
+    }
+
+    /// Starts that timed out and are reported were carried out; the others must not be any more.
+    fn resolve_timed_out_starts(&mut self, received: &ReceivedReport, running: &BTreeSet<RunId>) {
+        let mut not_carried_out = Vec::new();
+        for id in self.workers[received.worker].allocation.runs() {
+            let Some(run) = self.jobs.run_mut(*id) else { continue };
+            if !run.take_timeout_resolved_by(received.serial) {
+                continue;
+            }
+            if running.contains(id) || received.has_ended(*id) {
+                run.acknowledge_at(received.serial);
+            } else {
+                not_carried_out.push(*id);
+            }
+        }
+        for run in not_carried_out {
+            self.stop_run(received.now.monotonic_ms, run);
+        }
+    }
+
+    fn end_finished_runs(&mut self, received: &ReceivedReport) {
+        for finished in &received.report.finished {
+            if !self.workers[received.worker].lease.receive_end(finished.number) {
+                continue;
+            }
+            let run = run_id(finished);
+            let end = RunEnd::from_reported(&finished.outcome);
+            let is_active = self.jobs.is_run_on(run, received.worker);
+            log::trace!("run end reported {run} outcome={} active={is_active}", finished.outcome);
+            if is_active || self.is_new_end(run, end) {
+                self.end_run(received.now, run, end, &finished.checkpoint);
+            }
+        }
+    }
+
+    /// Whether the end of a run that is no longer active still counts: done once, failed once each.
+    fn is_new_end(&self, run: RunId, end: RunEnd) -> bool {
+        let Some(task) = self.jobs.task(run.task) else { return false };
+        let is_new = end != RunEnd::Interrupted && !task.is_done() && !task.has_failed_run(run.run);
+        is_new && self.jobs.is_open(run.task.job)
+    }
+
+    fn update_running(&mut self, received: &ReceivedReport) {
+        let now_ms = received.now.monotonic_ms;
+        for running in &received.report.running {
+            let id = RunId { task: running.task, run: running.run };
+            let Some(run) = self.jobs.run_on_mut(id, received.worker) else { continue };
+            run.report_running(now_ms, running);
+            self.jobs.mark_begun(id.task.job);
+            self.sample_speed(now_ms, id, false);
+        }
+    }
+
+    /// Ends runs that are neither reported as running nor as ended: they never began, or are over.
+    fn end_missing_runs(&mut self, received: &ReceivedReport, running: &BTreeSet<RunId>) {
+        let runs = self.workers[received.worker].allocation.runs();
+        let missing: Vec<RunId> = runs.difference(running).copied().collect();
+        for id in missing {
+            let Some(run) = self.jobs.run(id) else { continue };
+            // Starts of an earlier term have no effect once a renewal of this term was answered.
+            let is_fenced_off = received.is_first && run.may_be_of_earlier_term(self.term_started_at_ms);
+            if run.is_observable_at(received.serial) || is_fenced_off {
+                let checkpoint = run.checkpoint().clone();
+                log::debug!("run missing {id} worker={}", self.workers[received.worker].id());
+                self.end_run(received.now, id, RunEnd::Interrupted, &checkpoint);
+            }
+        }
+    }
+
+    /// Stops runs that no record names. They occupy capacity until they are no longer reported.
+    fn stop_orphans(&mut self, received: &ReceivedReport) {
+        let mut orphans = Vec::new();
+        for running in &received.report.running {
+            let run = RunId { task: running.task, run: running.run };
+            if !self.jobs.is_run_on(run, received.worker) {
+                orphans.push(Orphan { run, demand: self.jobs.demand(run.task) });
+            }
+        }
+        let worker = &mut self.workers[received.worker];
+        for orphan in &orphans {
+            let stop = WorkerRequest::Stop { task: orphan.run.task, run: orphan.run.run };
+            self.calls.send(worker, stop, RENEWAL_TIMEOUT_MS);
+        }
+        worker.allocation.set_orphans(orphans);
+    }
+
+    /// Has the ends received so far acknowledged once their records are durable.
+    fn acknowledge_ends(&mut self, now: Now, worker: WorkerIndex) {
+        let lease = &mut self.workers[worker].lease;
+        if lease.has_unacknowledged_ends() {
+            lease.await_commit(now.monotonic_ms, COMMIT_TIMEOUT_MS);
+            let up_to = lease.received_end();
+            self.commits.defer(DeferredAction::AcknowledgeEnds { worker, up_to });
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster/job-scheduler/src/scheduler/responses.rs
@@ -0,0 +1,66 @@
+//! The results of calls to workers.
+use super::Scheduler;
+use crate::config::Now;
+use crate::ids::{RunId, WorkerIndex};
+use crate::protocol::{WorkerRequest, WorkerResponse};
+
+impl Scheduler {
+    /// Takes the result of a call. Each call that was drained must have exactly one result.
+    pub fn handle_response(
+        &mut self,
+        now: Now,
+        worker_id: &str,
+        request: &WorkerRequest,
+        response: WorkerResponse,
+    ) {
+        self.calls.complete(request);
+        let Some(worker) = self.workers.find(worker_id) else { return };
+        if self.workers[worker].is_gone() {
+            return;
+        }
+        match &response {
+            WorkerResponse::WrongIncarnation => return self.lose_worker(now, worker),
+            WorkerResponse::NoResponse => self.handle_no_response(now, worker, request),
+            WorkerResponse::Acknowledged { clock_ms } => self.record_contact(now, worker, *clock_ms),
+            WorkerResponse::Report(report) => self.record_contact(now, worker, report.clock_ms),
+            WorkerResponse::Rejected { .. } => {}
+        }
+        match request {
+            WorkerRequest::Start { task, run, .. } => {
+                self.handle_start_response(now, worker, RunId { task: *task, run: *run }, &response);
+            }
+            WorkerRequest::Stop { task, run } => {
+                self.handle_stop_response(now, worker, RunId { task: *task, run: *run }, &response);
+            }
+            WorkerRequest::RenewLease { serial, .. } => {
+                self.handle_renewal_response(now, worker, *serial, &response);
+            }
+        }
+    }
+
+    fn handle_no_response(&mut self, now: Now, worker: WorkerIndex, request: &WorkerRequest) {
+        if let WorkerRequest::Start { task, run, .. } = request {
+            self.time_out_start(now, worker, RunId { task: *task, run: *run });
+        } else {
+            self.record_missed_call(now.monotonic_ms, worker);
+        }
+    }
+
+    /// The worker responded, with its clock.
+    fn record_contact(&mut self, now: Now, worker: WorkerIndex, worker_clock_ms: u64) {
+        let worker = &mut self.workers[worker];
+        worker.lease.clock_mut().observe(now.monotonic_ms, worker_clock_ms);
+        if worker.record_response() {
+            self.pending.capacity_changed();
+        }
+    }
+
+    /// A call had no response. Nothing is started there until the worker responds again.
+    pub(super) fn record_missed_call(&mut self, now_ms: u64, worker: WorkerIndex) {
+        if self.workers[worker].record_missed_call() {
+            self.hedge_all_on(now_ms, worker);
+        } else {
+            self.query_runs(now_ms, worker);
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster/job-scheduler/src/scheduler/run_ends.rs
@@ -0,0 +1,91 @@
+//! The ends of runs, and what follows from them.
+use super::Scheduler;
+use crate::config::Now;
+use crate::events::{Event, RunEnd};
+use crate::ids::{RunId, TaskId};
+use crate::jobs::Run;
+use crate::record::JobOutcome;
+
+impl Scheduler {
+    /// Records the end of a run, and does what follows from it.
+    pub(super) fn end_run(&mut self, now: Now, run: RunId, end: RunEnd, checkpoint: &str) {
+        let worker = self.jobs.run(run).map(Run::worker);
+        if let Some(worker) = worker.filter(|_| end != RunEnd::Interrupted) {
+            self.sample_speed(now.monotonic_ms, run, end == RunEnd::Done);
+            self.workers[worker].health.record_end(now.monotonic_ms, end == RunEnd::Failed);
+        }
+        self.record(now.monotonic_ms, Event::RunEnded { run, end, checkpoint: checkpoint.into() });
+        if !self.jobs.is_open(run.task.job) {
+            return;
+        }
+        if self.jobs.is_gang(run.task) {
+            self.after_member_end(now, run, end);
+        } else {
+            self.after_task_end(now, run.task, end);
+        }
+    }
+
+    fn after_task_end(&mut self, now: Now, id: TaskId, end: RunEnd) {
+        let Some(task) = self.jobs.task(id) else { return };
+        let is_idle = !task.has_active_runs();
+        if task.is_done() {
+            self.remove_pending(id);
+            self.stop_task(now.monotonic_ms, id);
+            if end == RunEnd::Done {
+                self.after_task_done(now, id);
+            }
+        } else if self.has_failed(id) {
+            self.close_job(now, id.job, JobOutcome::Failed);
+        } else if is_idle {
+            self.requeue(now.monotonic_ms, id);
+        }
+    }
+
+    /// A member's end is that of its whole gang: the others are stopped, and when all are gone the
+    /// gang starts again.
+    fn after_member_end(&mut self, now: Now, ended: RunId, end: RunEnd) {
+        let member = ended.task;
+        if self.jobs.task(member).is_some_and(|task| task.is_done()) {
+            if end == RunEnd::Done {
+                self.after_task_done(now, member);
+            }
+            return;
+        }
+        let mut is_running = false;
+        for task in self.jobs.tasks_of_stage(member) {
+            is_running |= self.jobs.task(task).is_some_and(|task| task.has_active_runs());
+            self.stop_run(now.monotonic_ms, RunId { task, run: ended.run });
+        }
+        if self.has_failed(member) {
+            self.close_job(now, member.job, JobOutcome::Failed);
+        } else if !is_running {
+            self.requeue(now.monotonic_ms, member);
+        }
+    }
+
+    /// Whether a task, or its gang, has failed too often.
+    fn has_failed(&self, id: TaskId) -> bool {
+        let Some(job) = self.jobs.get(id.job) else { return false };
+        let Some(stage) = job.stage(id.stage) else { return false };
+        let counted = if stage.gang { id.first_of_stage() } else { id };
+        let failed_runs = self.jobs.task(counted).map_or(0, |task| task.failed_runs().len());
+        !stage.long_running && failed_runs >= job.max_attempts() as usize
+    }
+
+    /// Stages that depend on this one may open, and the job may be done.
+    fn after_task_done(&mut self, now: Now, task: TaskId) {
+        let Some(job) = self.jobs.get(task.job) else { return };
+        let Some(occurrence) = job.occurrence(task.occurrence) else { return };
+        if !occurrence.stages()[usize::from(task.stage)].is_done() {
+            return;
+        }
+        if !occurrence.is_done() {
+            return self.open_ready_stages(now, task.job, task.occurrence);
+        }
+        // The ends of a gang's members come one by one, while the first counted for all:
+        // occurrences are counted anew.
+        if job.is_done() {
+            self.close_job(now, task.job, JobOutcome::Succeeded);
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster/job-scheduler/src/scheduler/starts.rs
@@ -0,0 +1,126 @@
+//! Starts: sent when their record is durable, timed out when there is no response.
+use super::Scheduler;
+use crate::calls::MAX_TIMEOUT_MS;
+use crate::config::Now;
+use crate::events::RunEnd;
+use crate::ids::{RunId, TaskId, WorkerIndex};
+use crate::protocol::{WorkerRequest, WorkerResponse};
+use compact_str::CompactString;
+
+/// How far ahead of the worker's clock a start may be carried out, milliseconds.
+const START_LEASE_MS: u64 = 1_500;
+/// How long a worker that rejected a start for want of capacity is ejected, milliseconds.
+const FULL_EJECTION_MS: u64 = 300;
+/// How long one that rejected it for another reason is ejected, milliseconds.
+const UNHEALTHY_EJECTION_MS: u64 = 1_000;
+/// The HTTP status of a start that conflicts with the worker's state.
+const STATUS_CONFLICT: u16 = 409;
+/// The reason that a worker gives with it for want of capacity.
+const REASON_NO_CAPACITY: &str = "room";
+
+impl Scheduler {
+    /// Sends the start of a run whose record is durable, unless it was cancelled meanwhile.
+    pub(super) fn send_start(&mut self, now: Now, id: RunId) {
+        let is_open = self.jobs.is_open(id.task.job);
+        let Some(run) = self.jobs.run_mut(id) else { return };
+        if !is_open || run.is_stopping() {
+            return self.end_run(now, id, RunEnd::Interrupted, "");
+        }
+        run.mark_sent(now.monotonic_ms);
+        let worker = run.worker();
+        let lease = &mut self.workers[worker].lease;
+        let Some(lease_expires_at_ms) = lease.clock_mut().grant_lease(now.monotonic_ms, START_LEASE_MS)
+        else {
+            return self.end_run(now, id, RunEnd::Interrupted, "");
+        };
+        let Some(payload) = self.jobs.get(id.task.job).map(|job| job.payload().clone()) else { return };
+        let checkpoint = self.checkpoint(id.task);
+        let RunId { task, run } = id;
+        let request = WorkerRequest::Start { task, run, payload, lease_expires_at_ms, checkpoint };
+        self.calls.set_start_deadline(now.monotonic_ms + self.call_timeout_ms(worker), id);
+        self.metrics.starts += 1;
+        self.calls.send(&self.workers[worker], request, MAX_TIMEOUT_MS);
+        self.renew_soon(now.monotonic_ms, worker);
+    }
+
+    /// The checkpoint that a task resumes from; that of its first task for all of a gang.
+    fn checkpoint(&self, task: TaskId) -> CompactString {
+        let source = match self.jobs.stage(task) {
+            Some(stage) if stage.checkpoints && stage.gang => task.first_of_stage(),
+            Some(stage) if stage.checkpoints => task,
+            _ => return CompactString::default(),
+        };
+        self.jobs.task(source).map(|task| task.checkpoint().clone()).unwrap_or_default()
+    }
+
+    /// The time-out of a call that a worker need not delay, milliseconds.
+    pub(super) fn call_timeout_ms(&self, worker: WorkerIndex) -> u64 {
+        self.timeouts.timeout_ms(self.workers[worker].zone())
+    }
+
+    /// Times out the starts whose deadline is over. Their calls go on: a response that still comes
+    /// says how long it took.
+    pub(super) fn time_out_starts(&mut self, now: Now) {
+        while let Some(id) = self.calls.pop_start_deadline(now.monotonic_ms) {
+            if let Some(worker) = self.jobs.run(id).map(|run| run.worker()) {
+                self.time_out_start(now, worker, id);
+            }
+        }
+    }
+
+    /// A start has no response in time. A later report shows whether it was carried out; only if
+    /// not, it is stopped.
+    pub(super) fn time_out_start(&mut self, now: Now, worker: WorkerIndex, id: RunId) {
+        let serial = self.renewals.serial();
+        let Some(run) = self.jobs.run_on_mut(id, worker) else { return };
+        if !run.time_out(serial) {
+            return;
+        }
+        log::debug!("start timed out {id} worker={}", self.workers[worker].id());
+        self.timeouts.record_timeout();
+        self.metrics.start_timeouts += 1;
+        self.hedge(now.monotonic_ms, id.task);
+        self.record_missed_call(now.monotonic_ms, worker);
+    }
+
+    pub(super) fn handle_start_response(
+        &mut self,
+        now: Now,
+        worker: WorkerIndex,
+        id: RunId,
+        response: &WorkerResponse,
+    ) {
+        let serial = self.renewals.next_serial();
+        let Some(run) = self.jobs.run_on_mut(id, worker) else { return };
+        match response {
+            WorkerResponse::Acknowledged { .. } => {
+                let round_trip_ms = run.time_since_sent_ms(now.monotonic_ms);
+                let had_timed_out = run.acknowledge_start(now.monotonic_ms, serial);
+                self.timeouts.record_round_trip(self.workers[worker].zone(), round_trip_ms);
+                if had_timed_out {
+                    self.timeouts.record_premature_timeout();
+                    self.metrics.premature_start_timeouts += 1;
+                }
+                self.jobs.mark_begun(id.task.job);
+            }
+            WorkerResponse::Rejected { status, reason } => {
+                log::debug!("start rejected {id} status={status} reason={reason}");
+                let ejection_ms = ejection_after_rejection_ms(*status, reason);
+                self.workers[worker].health.eject_at_least(now.monotonic_ms, ejection_ms);
+                self.end_run(now, id, RunEnd::Interrupted, "");
+            }
+            // It has timed out already.
+            _ => {}
+        }
+    }
+}
+
+/// How long a worker that rejected a start is ejected, milliseconds. Other conflicts concern only
+/// that start.
+fn ejection_after_rejection_ms(status: u16, reason: &str) -> u64 {
+    match (status, reason) {
+        (STATUS_CONFLICT, REASON_NO_CAPACITY) => FULL_EJECTION_MS,
+        (STATUS_CONFLICT, _) => 0,
+        _ => UNHEALTHY_EJECTION_MS,
+    }
+}
--- /dev/null
+++ b/crates/cluster/job-scheduler/src/scheduler/worker_list.rs
@@ -0,0 +1,75 @@
+//! The platform's list of workers, and workers that are no more.
+use super::Scheduler;
+use crate::config::Now;
+use crate::events::RunEnd;
+use crate::ids::{RunId, WorkerIndex};
+use crate::protocol::ListedWorker;
+use crate::workers::{Worker, WorkerClock};
+use std::collections::BTreeSet;
+
+impl Scheduler {
+    /// Takes the platform's list, which must be complete: workers that are not on it are gone.
+    pub fn update_workers(&mut self, now: Now, list: &[ListedWorker]) {
+        let is_first_list = !std::mem::replace(&mut self.has_worker_list, true);
+        let mut changed = Vec::new();
+        let mut listed = BTreeSet::new();
+        for entry in list {
+            let index = match self.workers.find(&entry.id) {
+                Some(index) => index,
+                None => self.add_listed_worker(now, entry, is_first_list),
+            };
+            listed.insert(index);
+            if self.workers[index].update_listing(entry) {
+                changed.push(index);
+            }
+        }
+        for index in self.workers.indices().filter(|index| !listed.contains(index)) {
+            if !self.workers[index].is_gone() {
+                changed.push(index);
+                self.lose_worker(now, index);
+            }
+        }
+        if !changed.is_empty() {
+            self.placer.update_workers(&self.workers, &changed);
+            self.pending.capacity_changed();
+        }
+    }
+
+    /// A worker that no record names. One of the first list may have a lease of an earlier term;
+    /// later ones are new.
+    fn add_listed_worker(&mut self, now: Now, entry: &ListedWorker, is_first_list: bool) -> WorkerIndex {
+        let clock = if is_first_list {
+            WorkerClock::unknown(self.term_started_at_ms, self.config.max_lease_ms)
+        } else {
+            WorkerClock::without_lease()
+        };
+        self.workers.add(Worker::new(&entry.id, clock, now.monotonic_ms))
+    }
+
+    /// This incarnation of a worker no longer exists: all that ran there is over.
+    pub(super) fn lose_worker(&mut self, now: Now, index: WorkerIndex) {
+        self.workers[index].mark_gone();
+        self.end_all_runs_on(now, index);
+    }
+
+    fn end_all_runs_on(&mut self, now: Now, index: WorkerIndex) {
+        let runs: Vec<RunId> = self.workers[index].allocation.runs().iter().copied().collect();
+        for id in runs {
+            let checkpoint = self.jobs.run(id).map(|run| run.checkpoint().clone()).unwrap_or_default();
+            self.end_run(now, id, RunEnd::Interrupted, &checkpoint);
+        }
+    }
+
+    /// Ends what ran on workers that do not respond and whose leases have all expired.
+    pub(super) fn expire_workers(&mut self, now: Now) {
+        for index in self.workers.indices() {
+            let worker = &mut self.workers[index];
+            let has_contact = worker.is_reachable() && worker.is_fenced();
+            if has_contact || worker.is_gone() || !worker.lease.is_expired(now.monotonic_ms) {
+                continue;
+            }
+            worker.allocation.clear_orphans();
+            self.end_all_runs_on(now, index);
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster/job-scheduler/src/workers/mod.rs
@@ -0,0 +1,75 @@
+//! The worker registry: all workers that the platform listed in this term, or that records name.
+mod allocation;
+mod clock;
+mod health;
+mod lease;
+mod worker;
+
+pub(crate) use allocation::Orphan;
+pub(crate) use clock::WorkerClock;
+pub(crate) use worker::{ListingState, Worker};
+
+use crate::ids::WorkerIndex;
+use rustc_hash::FxHashMap;
+use std::ops::{Index, IndexMut};
+use std::sync::Arc;
+
+/// All workers, by index and identifier. A worker is never removed; one that is gone keeps its
+/// index.
+#[derive(Debug, Default)]
+pub(crate) struct WorkerRegistry {
+    workers: Vec<Worker>,
+    by_id: FxHashMap<Arc<str>, WorkerIndex>,
+}
+
+impl WorkerRegistry {
+    pub(crate) fn add(&mut self, worker: Worker) -> WorkerIndex {
+        let index = WorkerIndex(self.workers.len() as u32);
+        self.by_id.insert(worker.id().clone(), index);
+        self.workers.push(worker);
+        index
+    }
+
+    pub(crate) fn find(&self, id: &str) -> Option<WorkerIndex> {
+        self.by_id.get(id).copied()
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.workers.len()
+    }
+
+    /// All workers, by index.
+    pub(crate) fn as_slice(&self) -> &[Worker] {
+        &self.workers
+    }
+
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &Worker> {
+        self.workers.iter()
+    }
+
+    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Worker> {
+        self.workers.iter_mut()
+    }
+
+    pub(crate) fn iter_indexed(&self) -> impl Iterator<Item = (WorkerIndex, &Worker)> {
+        self.indices().zip(&self.workers)
+    }
+
+    pub(crate) fn indices(&self) -> impl Iterator<Item = WorkerIndex> + use<> {
+        (0..self.workers.len() as u32).map(WorkerIndex)
+    }
+}
+
+impl Index<WorkerIndex> for WorkerRegistry {
+    type Output = Worker;
+
+    fn index(&self, index: WorkerIndex) -> &Worker {
+        &self.workers[index.0 as usize]
+    }
+}
+
+impl IndexMut<WorkerIndex> for WorkerRegistry {
+    fn index_mut(&mut self, index: WorkerIndex) -> &mut Worker {
+        &mut self.workers[index.0 as usize]
+    }
+}
