--- a/crates/cluster/cluster-config/src/data_plane.rs
+++ b/crates/cluster/cluster-config/src/data_plane.rs
@@ -1,45 +1,47 @@
-//! The part of a configuration that data planes use.
+//! The part of a configuration that data planes need.
 //!
-//! Data planes judge the form of requests; everything else is judged by the primary. So they are told the version and the
-//! limits, some hundred bytes, however many routes there are.
+//! Data planes check only the form of requests; everything else is decided by the primary. So they are
+//! sent the version and the limits, some hundred bytes however many routes there are.
 #![allow(missing_docs, reason = "the types that rkyv derives have undocumented fields")]
 use crate::{Configuration, Limits};
 use quick_error::quick_error;
-use rkyv::{Archive, Deserialize, Serialize};
+use rkyv::{Archive, Deserialize, Serialize, rancor};
 
 quick_error! {
-    /// Why bytes are no part of a configuration.
+    /// Why bytes can't be decoded.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-    pub enum DataPlaneError {
-        /// They are damaged, cut short, or of another version of the program.
-        Form {
+    pub enum DecodeError {
+        /// They are damaged, truncated, or of another version of the program.
+        Malformed {
             display("no part of a configuration of this form")
         }
     }
 }
 
-/// What data planes are told of a configuration.
+/// The part of a configuration that data planes need.
+///
+/// `rkyv` serialises it by the order and the types of the fields: they must stay.
 #[derive(Archive, Serialize, Deserialize, Clone, Default, Debug, PartialEq, Eq)]
 pub struct DataPlaneConfiguration {
-    /// The configuration's version.
+    /// The version of the configuration.
     pub version: u64,
-    /// What requests may be like.
+    /// Limits on clients' requests.
     pub limits: Limits,
 }
 
 impl DataPlaneConfiguration {
-    /// Its bytes, as data planes pass them on.
+    /// Encodes it as data planes forward it.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        rkyv::to_bytes::<rkyv::rancor::Error>(self).map(|bytes| bytes.to_vec()).unwrap_or_default()
+        rkyv::to_bytes::<rancor::Error>(self).map(|bytes| bytes.to_vec()).unwrap_or_default()
     }
 
-    /// Reads what [`encode`](Self::encode) made.
+    /// Decodes what [`encode`](Self::encode) returned.
     ///
     /// # Errors
     /// If the bytes are anything else.
-    pub fn decode(bytes: &[u8]) -> Result<Self, DataPlaneError> {
-        rkyv::from_bytes::<Self, rkyv::rancor::Error>(bytes).map_err(|_| DataPlaneError::Form)
+    pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
+        rkyv::from_bytes::<Self, rancor::Error>(bytes).map_err(|_| DecodeError::Malformed)
     }
 }
 
--- a/crates/cluster/cluster-config/src/form.rs
+++ b/crates/cluster/cluster-config/src/document.rs
@@ -1,61 +1,64 @@
-//! The form of a configuration on the wire.
+//! The JSON document of a configuration. The names of its fields belong to the operators.
 use miniserde::{Deserialize, Serialize};
 
-/// All of it.
+/// The whole document.
 #[derive(Deserialize)]
-pub(crate) struct Form {
-    pub version: u64,
-    pub routes: Vec<Route>,
-    pub services: Vec<Service>,
-    pub limits: Option<Limits>,
+pub(crate) struct Document {
+    pub(crate) version: u64,
+    pub(crate) routes: Vec<Route>,
+    pub(crate) services: Vec<Service>,
+    pub(crate) limits: Option<Limits>,
 }
 
-/// A queue.
+/// A route: the requests that belong to one queue, and the policy of the queue.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Route {
     /// Its name.
     pub name: String,
     /// The host of its requests.
     pub host: String,
-    /// How their paths begin.
+    /// The prefix of their paths.
     #[serde(rename = "pathPrefix")]
     pub path_prefix: String,
-    /// What kind of requests they are.
+    /// The kind of the requests.
     #[serde(rename = "routeType")]
     pub route_type: Option<String>,
     /// How long a request may take, milliseconds.
     #[serde(rename = "timeoutMs")]
     pub timeout_ms: u64,
-    /// What is added to the chain of a job's work for its objective, milliseconds.
+    /// Added to a job's critical path for its latency target, milliseconds.
     #[serde(rename = "targetLatencyMs")]
     pub target_latency_ms: Option<f64>,
-    /// 0 comes first.
+    /// The priority of its jobs; 0 is the highest.
     pub priority: Option<u8>,
-    /// Who runs its tasks.
+    /// The name of the service that runs its tasks.
     pub service: String,
-    /// Failed runs after which a task is given up.
+    /// Failed runs after which a task is not retried any more.
     #[serde(rename = "maxAttempts")]
     pub max_attempts: Option<u32>,
-    /// The objective in multiples of a job's chain of work.
+    /// The latency target in multiples of a job's critical path.
     pub extension: Option<f64>,
 }
 
-/// Who runs tasks.
+/// A service: the workers that run the tasks of its queues.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name, as the platform's list has it.
+    /// Its name, as in the platform's list of workers.
     pub name: String,
-    /// Where a worker tells its health.
+    /// The path of a worker's health check.
     #[serde(rename = "healthPath")]
     pub health_path: Option<String>,
-    /// Connections that a worker takes.
+    /// Connections that a worker accepts.
     #[serde(rename = "maxConns")]
     pub max_connections: Option<u32>,
-    /// Whether its workers turn away what does not fit.
+    /// Whether its workers reject tasks that exceed their capacity.
     pub guards: Option<bool>,
 }
 
-/// What requests may be like.
+/// Limits on clients' requests.
+///
+/// Part of [`DataPlaneConfiguration`](crate::DataPlaneConfiguration): the order and the types of its
+/// fields must stay.
 #[derive(
     Serialize,
     Deserialize,
@@ -69,16 +72,16 @@
     rkyv::Deserialize,
 )]
 pub struct Limits {
-    /// The head's size, bytes.
+    /// The size of a head, bytes.
     #[serde(rename = "maxHeaderBytes")]
     pub max_header_bytes: Option<u64>,
-    /// The body's size, bytes.
+    /// The size of a body, bytes.
     #[serde(rename = "maxBodyBytes")]
     pub max_body_bytes: Option<u64>,
-    /// How long a head may take to come, milliseconds.
+    /// How long a head may take to arrive, milliseconds.
     #[serde(rename = "headerTimeoutMs")]
     pub header_timeout_ms: Option<u64>,
-    /// How long a connection may rest, milliseconds.
+    /// How long a connection may be idle, milliseconds.
     #[serde(rename = "idleTimeoutMs")]
     pub idle_timeout_ms: Option<u64>,
 }
--- /dev/null
+++ b/crates/cluster/cluster-config/src/validation.rs
@@ -0,0 +1,90 @@
+//! The rules that a configuration must meet.
+use crate::Configuration;
+use quick_error::quick_error;
+use std::collections::BTreeSet;
+
+quick_error! {
+    /// One fault of a configuration. Operators read its text.
+    #[derive(Debug, Clone, PartialEq, Eq)]
+    pub enum ValidationError {
+        /// The service of a route is not defined.
+        UnknownService(route: String, service: String) {
+            display("route {}: service {} is not known", route, service)
+        }
+        /// Two routes match the same requests.
+        DuplicateRoute(route: String, host: String, prefix: String) {
+            display("route {}: {}{} has a route already", route, host, prefix)
+        }
+        /// A route leaves its requests no time.
+        ZeroTimeout(route: String) {
+            display("route {}: timeoutMs is 0", route)
+        }
+        /// Two services have one name.
+        DuplicateService(name: String) {
+            display("service {}: is there twice", name)
+        }
+        /// A path prefix that no path has.
+        InvalidPathPrefix(route: String, prefix: String) {
+            display("route {}: pathPrefix {:?} does not begin with /", route, prefix)
+        }
+        /// The version is zero, which stands for no configuration.
+        ZeroVersion {
+            display("version is 0")
+        }
+    }
+}
+
+quick_error! {
+    /// Why a configuration is refused. Operators read its text.
+    #[derive(Debug, Clone, PartialEq, Eq)]
+    pub enum ConfigurationError {
+        /// It is truncated, is no JSON, or lacks a field or has one of another type.
+        Malformed {
+            display("can't be read in full")
+        }
+        /// It contradicts itself: all faults.
+        Invalid(errors: Vec<ValidationError>) {
+            display("{}", errors.iter().map(ValidationError::to_string).collect::<Vec<_>>().join("; "))
+        }
+    }
+}
+
+/// All faults of a configuration.
+pub(crate) fn validate(configuration: &Configuration) -> Vec<ValidationError> {
+    let mut errors = Vec::new();
+    if configuration.version == 0 {
+        errors.push(ValidationError::ZeroVersion);
+    }
+    let mut services = BTreeSet::new();
+    for service in &configuration.services {
+        if !services.insert(service.name.as_str()) {
+            errors.push(ValidationError::DuplicateService(service.name.clone()));
+        }
+    }
+    validate_routes(configuration, &services, &mut errors);
+    errors
+}
+
+fn validate_routes(
+    configuration: &Configuration,
+    services: &BTreeSet<&str>,
+    errors: &mut Vec<ValidationError>,
+) {
+    let mut matched = BTreeSet::new();
+    for route in &configuration.routes {
+        let name = || route.name.clone();
+        let path_prefix = || route.path_prefix.clone();
+        if !services.contains(route.service.as_str()) {
+            errors.push(ValidationError::UnknownService(name(), route.service.clone()));
+        }
+        if !matched.insert((route.host.as_str(), route.path_prefix.as_str())) {
+            errors.push(ValidationError::DuplicateRoute(name(), route.host.clone(), path_prefix()));
+        }
+        if route.timeout_ms == 0 {
+            errors.push(ValidationError::ZeroTimeout(name()));
+        }
+        if !route.path_prefix.starts_with('/') {
+            errors.push(ValidationError::InvalidPathPrefix(name(), path_prefix()));
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster/control-plane/src/configuration_state.rs
@@ -0,0 +1,149 @@
+//! The configuration in the control state: which one is in force, and which ones were ever accepted.
+use quick_error::quick_error;
+use rkyv::{Archive, Deserialize, Serialize, rancor};
+use spanlead_cluster_config::{Configuration, ConfigurationError};
+use spanlead_replication::{Change, Keyspace};
+use xxhash_rust::xxh3::xxh3_128;
+
+/// The key of the configuration in force.
+const CURRENT_KEY: &[u8] = b"c";
+/// The first byte of the keys of the history: a version, big endian, with the digest of its text.
+const HISTORY_PREFIX: u8 = b'h';
+
+/// The configuration as it is stored. `rkyv` keeps the order and the types of its fields.
+#[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
+struct CurrentRecord {
+    version: u64,
+    text: String,
+}
+
+quick_error! {
+    /// Why a configuration can't come into force, whatever version it builds on.
+    #[derive(Clone, Debug, PartialEq)]
+    pub enum RejectedConfiguration {
+        /// It is malformed or contradicts itself.
+        Invalid(error: ConfigurationError) {
+            from()
+            display("{}", error)
+        }
+        /// Its version is not higher than the current one.
+        VersionNotHigher(current: u64) {
+            display("version: not above {}", current)
+        }
+    }
+}
+
+/// The outcome of an operator's request to replace the configuration.
+#[derive(Clone, Debug, PartialEq)]
+pub enum ReplaceOutcome {
+    /// It is in force once these changes are committed.
+    Accepted(Vec<Change>),
+    /// Exactly this text was accepted before: the request is a retry.
+    AlreadyAccepted,
+    /// It builds on another version than the current one.
+    VersionConflict,
+    /// It can't come into force.
+    Rejected(RejectedConfiguration),
+}
+
+#[derive(Clone, Debug)]
+struct CurrentConfiguration {
+    configuration: Configuration,
+    /// As the operator sent it.
+    text: String,
+}
+
+/// The configuration in force.
+#[derive(Clone, Debug, Default)]
+pub struct ConfigurationState {
+    current: Option<CurrentConfiguration>,
+}
+
+/// Whether the key of a record belongs to configurations.
+#[must_use]
+pub fn owns_key(key: &[u8]) -> bool {
+    key == CURRENT_KEY || key.first() == Some(&HISTORY_PREFIX)
+}
+
+/// The keys of configuration records that this version can't read.
+pub fn unreadable_keys(keyspace: &Keyspace) -> impl Iterator<Item = &[u8]> {
+    let records = keyspace.iter().filter(|(key, _)| owns_key(key));
+    records.filter(|(key, value)| !is_readable(key, value)).map(|(key, _)| key)
+}
+
+fn is_readable(key: &[u8], value: &[u8]) -> bool {
+    if key == CURRENT_KEY {
+        decode(value).is_some_and(|record| Configuration::parse(&record.text).is_ok())
+    } else {
+        key.len() == 1 + size_of::<u64>() && value.len() == size_of::<u128>()
+    }
+}
+
+impl ConfigurationState {
+    /// The state that the key space holds. Its records must be readable, see [`unreadable_keys`].
+    #[must_use]
+    pub fn load(keyspace: &Keyspace) -> Self {
+        let record = keyspace.get(CURRENT_KEY).and_then(decode);
+        let current = record.and_then(|CurrentRecord { text, .. }| {
+            let configuration = Configuration::parse(&text).ok()?;
+            Some(CurrentConfiguration { configuration, text })
+        });
+        ConfigurationState { current }
+    }
+
+    /// The configuration in force.
+    #[must_use]
+    pub fn current(&self) -> Option<&Configuration> {
+        self.current.as_ref().map(|current| &current.configuration)
+    }
+
+    /// Its text, as the operator sent it.
+    #[must_use]
+    pub fn text(&self) -> Option<&str> {
+        self.current.as_ref().map(|current| current.text.as_str())
+    }
+
+    /// Its version; 0 for none.
+    #[must_use]
+    pub fn version(&self) -> u64 {
+        self.current().map_or(0, |configuration| configuration.version)
+    }
+
+    /// Decides on a request to replace version `base_version`, and applies it if it is accepted.
+    ///
+    /// Whether it is a retry is decided before everything else: a configuration that was accepted is
+    /// never refused when it is sent again, even after a newer one.
+    pub fn replace(&mut self, keyspace: &Keyspace, base_version: u64, text: &str) -> ReplaceOutcome {
+        let configuration = match Configuration::parse(text) {
+            Ok(configuration) => configuration,
+            Err(error) => return ReplaceOutcome::Rejected(error.into()),
+        };
+        let version = configuration.version;
+        let digest = xxh3_128(text.as_bytes()).to_le_bytes();
+        if keyspace.get(&history_key(version)) == Some(&digest) {
+            return ReplaceOutcome::AlreadyAccepted;
+        }
+        let current = self.version();
+        if base_version != current {
+            return ReplaceOutcome::VersionConflict;
+        }
+        if !configuration.is_newer_than(current) {
+            return ReplaceOutcome::Rejected(RejectedConfiguration::VersionNotHigher(current));
+        }
+        let record = CurrentRecord { version, text: text.to_owned() };
+        self.current = Some(CurrentConfiguration { configuration, text: text.to_owned() });
+        let value = rkyv::to_bytes::<rancor::Error>(&record).map(|bytes| bytes.to_vec()).ok();
+        ReplaceOutcome::Accepted(vec![
+            Change { key: CURRENT_KEY.to_vec(), value },
+            Change { key: history_key(version), value: Some(digest.to_vec()) },
+        ])
+    }
+}
+
+fn decode(bytes: &[u8]) -> Option<CurrentRecord> {
+    rkyv::from_bytes::<CurrentRecord, rancor::Error>(bytes).ok()
+}
+
+fn history_key(version: u64) -> Vec<u8> {
+    [&[HISTORY_PREFIX][..], &version.to_be_bytes()].concat()
+}
--- /dev/null
+++ b/crates/cluster/control-plane/src/node/client_requests.rs
@@ -0,0 +1,110 @@
+//! Clients' requests, as data planes forward them.
+use super::Node;
+use super::pending_replies::{PendingReply, not_primary};
+use super::primary::PrimaryState;
+use crate::client_api::{job_state_name, parse_job_id};
+use async_std::channel::Sender;
+use spanlead_cluster_config::Route;
+use spanlead_cluster_runtime::frame::{ClientOperation, ClientRequest, ClientResponse, Frame};
+use spanlead_job_scheduler::{Admission, JobId, JobSpec, Now, QueueId, QueuePolicy};
+
+const DEFAULT_PRIORITY: u8 = 1;
+const DEFAULT_MAX_ATTEMPTS: u32 = 3;
+
+/// The status and body of a response.
+struct Response {
+    status: u16,
+    body: String,
+}
+
+impl Response {
+    fn new(status: u16, body: impl Into<String>) -> Self {
+        Response { status, body: body.into() }
+    }
+
+    fn empty_json() -> Self {
+        Response::new(200, "{}")
+    }
+
+    fn no_such_job() -> Self {
+        Response::new(410, "no such job")
+    }
+}
+
+impl Node {
+    pub(super) fn handle_client_request(&mut self, request: ClientRequest, replies: Sender<Frame>) {
+        let now = self.clock.now();
+        let is_active = self.replica.active_term(now.monotonic_ms).is_some();
+        let accepts = is_active && !self.shutdown.is_requested();
+        let Some(primary) = self.primary.as_mut().filter(|_| accepts) else {
+            let _ = replies.try_send(Frame::ClientResponse(not_primary(request.request_id)));
+            return;
+        };
+        let request_id = request.request_id;
+        let Response { status, body } = primary.respond(now, request);
+        let response = ClientResponse { request_id, status, body };
+        primary.replies.push(PendingReply::Client(replies, response));
+    }
+}
+
+impl PrimaryState {
+    /// Carries out a request by the configuration in force.
+    fn respond(&mut self, now: Now, request: ClientRequest) -> Response {
+        let ClientRequest { host, path, operation, .. } = request;
+        let Some(configuration) = self.configuration.current() else {
+            return Response::new(503, "no configuration");
+        };
+        let Some(route) = configuration.route(&host, &path) else {
+            return Response::new(404, "no such queue");
+        };
+        let job_name = &path[route.path_prefix.len()..];
+        if job_name.is_empty() {
+            let queue = QueueId { host, path_prefix: route.path_prefix.clone() };
+            return self.respond_for_queue(&queue, &operation);
+        }
+        let Some(id) = parse_job_id(job_name) else { return Response::new(400, "not 16 hex digits") };
+        match operation {
+            ClientOperation::Submit(spec) => {
+                let policy = queue_policy(host, route);
+                self.submit(now, id, policy, spec)
+            }
+            ClientOperation::Query => self.query(id),
+            ClientOperation::Cancel => self.cancel(now, id),
+        }
+    }
+
+    fn respond_for_queue(&self, queue: &QueueId, operation: &ClientOperation) -> Response {
+        if *operation == ClientOperation::Query {
+            Response::new(200, format!("{{\"pending\":{}}}", self.scheduler.pending_jobs(queue)))
+        } else {
+            Response::new(400, "no job is named")
+        }
+    }
+
+    fn submit(&mut self, now: Now, id: JobId, policy: QueuePolicy, spec: JobSpec) -> Response {
+        match self.scheduler.submit(now, id, policy, spec) {
+            Admission::Accepted => Response::empty_json(),
+            Admission::TooManyJobs => Response::new(429, "too many jobs"),
+        }
+    }
+
+    fn query(&self, id: JobId) -> Response {
+        match self.scheduler.job_state(id) {
+            Some(state) => Response::new(200, format!("{{\"state\":\"{}\"}}", job_state_name(state))),
+            None => Response::no_such_job(),
+        }
+    }
+
+    fn cancel(&mut self, now: Now, id: JobId) -> Response {
+        if self.scheduler.cancel(now, id) { Response::empty_json() } else { Response::no_such_job() }
+    }
+}
+
+fn queue_policy(host: String, route: &Route) -> QueuePolicy {
+    QueuePolicy {
+        queue: QueueId { host, path_prefix: route.path_prefix.clone() },
+        service: route.service.clone(),
+        priority: route.priority.unwrap_or(DEFAULT_PRIORITY),
+        max_attempts: route.max_attempts.unwrap_or(DEFAULT_MAX_ATTEMPTS),
+    }
+}
--- a/crates/cluster/control-plane/src/node/mod.rs
+++ b/crates/cluster/control-plane/src/node/mod.rs
@@ -1,442 +1,307 @@
-//! The node: replica, scheduler and configuration of one machine, and what goes between them and the outside.
-pub(super) mod clients;
+//! The node: the replica of one machine and, while it is primary, the scheduler and the configuration,
+//! and what passes between them and the outside.
+mod client_requests;
 mod data_planes;
-mod listing;
-mod operators;
-mod timing;
+mod operator_requests;
+mod pending_replies;
+mod primary;
+mod shutdown;
+mod worker_list_polling;
 
-use crate::configurations::{self, Configurations};
-use crate::disk::Writer;
-use crate::inbox::Inputs;
-use crate::platform::ListError;
-use crate::status::Question;
-use crate::workers::WorkerCalls;
+use crate::input::Input;
+use crate::input_queue::InputSender;
+use crate::store_writer::StoreWriter;
+use crate::unreadable_records::{log_unreadable, unreadable_keys};
+use crate::worker_client::WorkerClient;
 use async_std::channel::Sender;
-use clients::unable;
-use spanlead_cluster_runtime::frame::{ClientReply, Directory, Frame};
-use spanlead_cluster_runtime::link::Links;
+use data_planes::DataPlanes;
+use primary::{PrimaryState, UnreadableKeys};
+use shutdown::Shutdown;
+use spanlead_cluster_runtime::clock::Clock;
+use spanlead_cluster_runtime::frame::Frame;
+use spanlead_cluster_runtime::peer_links::PeerLinks;
 use spanlead_cluster_runtime::settings::Settings;
-use spanlead_cluster_runtime::time::Clock;
-use spanlead_job_scheduler::{Effect, ListedWorker, Scheduler, SchedulerConfig, WorkerCall, WorkerResponse};
+use spanlead_job_scheduler::{Effect, RecordChange, Scheduler, SchedulerConfig, WorkerCall, WorkerResponse};
 use spanlead_replication::{
-    self as replication, Change, Keyspace, Output, RecoveredState, Replica, ReplicaConfig, ReplicaEvent, View,
+    self as replication, Change, Member, Output, RecoveredState, Replica, ReplicaConfig, ReplicaEvent, Term,
+    View,
 };
-use std::collections::VecDeque;
 use std::sync::Arc;
-pub(crate) use timing::CommitTimes;
 
-/// How long a lease lasts, milliseconds.
+/// How long a lease is valid, milliseconds.
 const LEASE_MS: u64 = 500;
-/// How often it is asked for, milliseconds.
-const HEARTBEAT_MS: u64 = 100;
-/// How long a process that gave its role away stays to answer, milliseconds.
-const LINGER_MS: u64 = 500;
-/// How long a primary that is told to end waits for what it began, milliseconds.
-const FINISH_MS: u64 = 400;
-/// Of the time that a process has to end, what is left unused while it waits to be exchanged, milliseconds.
-const GRACE_MARGIN_MS: u64 = 2_000;
-/// Records that can't be read of which the log names this many.
-const NAMED: usize = 8;
+/// How often a lease is renewed, milliseconds.
+const HEARTBEAT_INTERVAL_MS: u64 = 100;
 
-/// The keys of records that this version can't read.
-#[must_use]
-pub fn unreadable(keyspace: &Keyspace) -> Vec<Vec<u8>> {
-    let readable = |key: &[u8], value: &[u8]| {
-        configurations::is_readable(key, value)
-            .unwrap_or_else(|| spanlead_job_scheduler::is_readable_record(key, value))
-    };
-    keyspace.iter().filter(|(key, value)| !readable(key, value)).map(|(key, _)| key.to_vec()).collect()
-}
-
-fn log_unreadable(keys: &[Vec<u8>]) {
-    for key in keys.iter().take(NAMED) {
-        let name: String = key.iter().map(|byte| format!("{byte:02x}")).collect();
-        log::error!("record {name} can't be read: damaged, or of a newer version");
-    }
-    log::error!("{} records can't be read; this machine does not lead until it is repaired", keys.len());
-}
-
-/// An answer to an operator.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Reply {
-    /// The status.
-    pub status: u16,
-    /// The body.
-    pub body: String,
-    /// Where to go instead, for a 307.
-    pub location: Option<String>,
-}
-
-/// What the node is fed.
-#[derive(Debug)]
-pub enum Input {
-    /// A frame, and where answers to it go.
-    Frame(Frame, Option<Sender<Frame>>),
-    /// Records up to this number are on disk.
-    Written(u64),
-    /// The connection to a peer was lost.
-    PeerDown(String),
-    /// What came of a call to a worker.
-    Answered(WorkerCall, WorkerResponse),
-    /// What came of reading the platform's list.
-    Listed(Result<Vec<ListedWorker>, ListError>),
-    /// An operator's configuration, with the version that it builds on.
-    Replace(u64, String, Sender<Reply>),
-    /// An operator asks for the configuration.
-    Read(Sender<Reply>),
-    /// An operator looks into this node.
-    Status(Question, Sender<Reply>),
-    /// The process is to end.
-    Terminate,
-}
-
-/// Where an answer goes once what it rests on lasts.
-#[derive(Debug)]
-enum Waiting {
-    Client(Sender<Frame>, ClientReply),
-    Operator(Sender<Reply>, Reply),
-}
-
-/// The part of a node that it has only as primary.
-#[derive(Debug)]
-struct Serving {
-    term: u64,
-    scheduler: Scheduler,
-    configurations: Configurations,
-    sequence: u64,
-    commits: CommitTimes,
-    /// Answers whose batch has not been made yet, and those that wait for their batch to last.
-    decided: Vec<Waiting>,
-    waiting: VecDeque<(u64, Waiting)>,
-    list_at: u64,
-    listing: bool,
-}
-
-/// A data plane that is connected.
+/// What a node uses to act on the outside.
 #[derive(Debug)]
-struct Listener {
-    peer: String,
-    frames: Sender<Frame>,
+pub struct NodeServices {
+    /// The clocks.
+    pub clock: Clock,
+    /// Links to other members.
+    pub links: PeerLinks,
+    /// Writes records to disk.
+    pub store_writer: StoreWriter,
+    /// Calls workers.
+    pub worker_client: WorkerClient,
+    /// Where responses and lists come back as inputs.
+    pub inputs: InputSender,
 }
 
 /// One machine of the control plane.
 #[derive(Debug)]
 pub struct Node {
     clock: Clock,
-    bounds: SchedulerConfig,
-    cloud: Option<Arc<str>>,
+    links: PeerLinks,
+    store_writer: StoreWriter,
+    worker_client: WorkerClient,
+    inputs: InputSender,
+    scheduler_config: SchedulerConfig,
+    worker_list_address: Option<Arc<str>>,
     replica: Replica,
-    links: Links,
-    writer: Writer,
-    workers: WorkerCalls,
-    inputs: Inputs,
-    serving: Option<Serving>,
-    /// Data planes that are connected here.
-    listeners: Vec<Listener>,
-    listeners_changed: bool,
-    announced: Directory,
-    announced_version: u64,
-    /// When the process was told to end, and whether it may.
-    terminate_at: Option<u64>,
-    may_leave: bool,
-    grace_ms: u64,
+    /// Present exactly from the replica's activation to its deactivation.
+    primary: Option<PrimaryState>,
+    data_planes: DataPlanes,
+    shutdown: Shutdown,
 }
 
 impl Node {
-    /// Starts a node with what its folder holds.
+    /// Starts a node with what its data folder holds.
     #[must_use]
-    pub fn start(
-        settings: &Settings,
-        restored: RecoveredState,
-        clock: Clock,
-        links: Links,
-        writer: Writer,
-        workers: WorkerCalls,
-        inputs: Inputs,
-    ) -> Self {
-        let options = ReplicaConfig {
+    pub fn start(settings: &Settings, recovered: RecoveredState, services: NodeServices) -> Self {
+        let NodeServices { clock, links, store_writer, worker_client, inputs } = services;
+        let config = ReplicaConfig {
             node_name: settings.node.clone(),
-            peer_address: settings.peer(),
-            operator_address: settings.listen.control.clone().unwrap_or_default(),
-            seeds: settings.seed_peers(),
+            peer_address: settings.peer_address(),
+            operator_address: settings.listen.operators.clone().unwrap_or_default(),
+            seeds: settings.seed_peer_addresses(),
             bootstrap: settings.bootstrap.unwrap_or(false),
-            max_failures: settings.losses(),
+            max_failures: settings.tolerated_losses(),
             lease_ms: LEASE_MS,
-            heartbeat_ms: HEARTBEAT_MS,
-            random: clock.random(&settings.node),
+            heartbeat_ms: HEARTBEAT_INTERVAL_MS,
+            random: clock.random_seed(&settings.node),
         };
-        let unreadable = unreadable(&restored.keyspace);
-        let mut replica = Replica::start(options, restored, clock.steady());
+        let unreadable = unreadable_keys(&recovered.keyspace);
+        let mut replica = Replica::start(config, recovered, clock.monotonic_ms());
         if !unreadable.is_empty() {
             log_unreadable(&unreadable);
-            replica.mark_ineligible(clock.steady());
+            replica.mark_ineligible(clock.monotonic_ms());
         }
-        log::info!("started as {:?} at {:?}", replica.local_member().id, replica.position());
+        log::info!("node started member={:?} position={:?}", replica.local_member().id, replica.position());
         Node {
             clock,
-            bounds: settings.job_bounds(),
-            cloud: settings.cloud.as_ref().map(|c| c.address.as_str().into()),
-            replica,
             links,
-            writer,
-            workers,
+            store_writer,
+            worker_client,
             inputs,
-            serving: None,
-            listeners: Vec::new(),
-            listeners_changed: false,
-            announced: Directory::default(),
-            announced_version: 0,
-            terminate_at: None,
-            may_leave: false,
-            grace_ms: settings.grace_ms(),
+            scheduler_config: settings.scheduler_config(),
+            worker_list_address: settings.cloud_api.as_ref().map(|cloud| cloud.address.as_str().into()),
+            replica,
+            primary: None,
+            data_planes: DataPlanes::default(),
+            shutdown: Shutdown::new(settings.grace_ms()),
         }
     }
 
-    /// Whether the process may end: what it began is answered, and it is exchanged if a machine stands by.
+    /// Whether the process may end.
     #[must_use]
-    pub fn ended(&self) -> bool {
-        let now = self.clock.steady();
-        self.terminate_at.is_some_and(|at| {
-            let finished = now >= at + FINISH_MS + LINGER_MS;
-            finished && (self.may_leave || now >= at + self.grace_ms.saturating_sub(GRACE_MARGIN_MS))
-        })
+    pub fn is_shut_down(&self) -> bool {
+        self.shutdown.is_complete(self.clock.monotonic_ms())
     }
 
-    /// Takes an input.
+    /// Handles an input. What follows from it is written and sent by [`Node::flush`].
     pub fn handle(&mut self, input: Input) {
-        let now = self.clock.now();
         match input {
-            Input::Frame(frame, answers) => self.frame(frame, answers),
-            Input::Written(token) => self.replicate(replication::Input::Written(token)),
-            Input::PeerDown(address) => self.replicate(replication::Input::PeerDown(address)),
-            Input::Answered(call, reply) => {
-                if let Some(serving) = self.serving.as_mut().filter(|s| s.term == call.fencing_token) {
-                    serving.scheduler.handle_response(now, &call.worker_id, &call.request, reply);
-                }
+            Input::Frame(frame, replies) => self.handle_frame(frame, replies),
+            Input::Written(token) => self.feed_replica(replication::Input::Written(token)),
+            Input::PeerDisconnected(address) => {
+                self.feed_replica(replication::Input::PeerDown(address));
             }
-            Input::Listed(list) => self.listed(list),
-            Input::Replace(base, text, answers) => self.replace(base, &text, answers),
-            Input::Read(answers) => self.read(answers),
-            Input::Status(question, answers) => self.status(&question, &answers),
+            Input::WorkerResponse(call, response) => self.handle_worker_response(&call, response),
+            Input::WorkerList(list) => self.handle_worker_list(list),
+            Input::ReplaceConfiguration(request, replies) => self.replace_configuration(&request, replies),
+            Input::ReadConfiguration(replies) => self.read_configuration(replies),
+            Input::QueryStatus(query, replies) => self.query_status(&query, &replies),
             Input::Terminate => {
-                log::info!("told to end");
-                self.terminate_at.get_or_insert(now.monotonic_ms);
+                log::info!("shutdown requested");
+                self.shutdown.request(self.clock.monotonic_ms());
             }
         }
     }
 
-    /// Lets time pass, `late_ms` later than it should.
+    /// Does what is due, `late_ms` later than it should.
     pub fn tick(&mut self, late_ms: u64) {
-        self.replicate(replication::Input::Tick);
+        self.feed_replica(replication::Input::Tick);
         let now = self.clock.now();
-        if let Some(serving) = &mut self.serving {
-            serving.scheduler.record_tick_lateness(late_ms);
-            serving.scheduler.tick(now);
+        if let Some(primary) = &mut self.primary {
+            primary.scheduler.record_tick_lateness(late_ms);
+            primary.scheduler.tick(now);
         }
-        self.ask_for_list(now.monotonic_ms);
-        let serves = self.serving.is_some();
-        if self.terminate_at.is_some_and(|at| !serves || now.monotonic_ms >= at + FINISH_MS) {
+        self.poll_worker_list(now.monotonic_ms);
+        if self.shutdown.should_leave(now.monotonic_ms, self.primary.is_some()) {
             self.replica.request_leave(now.monotonic_ms);
-            self.carry_out();
+            self.apply_replica_outputs();
         }
         self.announce();
     }
 
-    /// Writes what was decided, and does what no longer waits.
+    /// Writes what was decided, and sends what waits for nothing any more.
     pub fn flush(&mut self) {
         let now = self.clock.now();
-        if let Some(serving) = &mut self.serving {
-            serving.scheduler.place_ready_tasks(now);
+        if let Some(primary) = &mut self.primary {
+            primary.scheduler.place_ready_tasks(now);
         }
-        self.write();
-        self.answer();
-        self.act();
-        // What was done may have brought new records.
-        self.write();
-        self.act();
+        self.propose_scheduler_changes();
+        self.send_replies();
+        self.call_workers();
+        // A call that is not sent may bring new records.
+        self.propose_scheduler_changes();
+        self.call_workers();
     }
 
-    /// Answers what rests on nothing that is still to be written, and lets the rest wait.
-    fn answer(&mut self) {
-        let committed = self.replica.committed_sequence();
-        let Some(serving) = &mut self.serving else { return };
-        for waiting in std::mem::take(&mut serving.decided) {
-            if committed >= serving.sequence {
-                answer(waiting);
-            } else {
-                serving.waiting.push_back((serving.sequence, waiting));
+    fn handle_frame(&mut self, frame: Frame, replies: Option<Sender<Frame>>) {
+        match (frame, replies) {
+            (Frame::Replication(envelope), _) => self.feed_replica(replication::Input::Message(envelope)),
+            (Frame::Hello { node, peer, version }, Some(replies)) => {
+                log::debug!("data plane connected node={node} peer={peer}");
+                self.subscribe(peer, version, replies);
             }
+            (Frame::ClientRequest(request), Some(replies)) => self.handle_client_request(request, replies),
+            _ => {}
         }
     }
 
-    fn frame(&mut self, frame: Frame, answers: Option<Sender<Frame>>) {
-        match frame {
-            Frame::Replication(envelope) => self.replicate(replication::Input::Message(envelope)),
-            Frame::Hello { node, peer, version } => {
-                if let Some(answers) = answers {
-                    log::debug!("{node} is connected");
-                    let _ = answers.try_send(Frame::Directory(self.announced.clone()));
-                    self.bring_configuration(&answers, version);
-                    self.listeners.retain(|listener| listener.peer != peer);
-                    self.listeners.push(Listener { peer, frames: answers });
-                    self.listeners_changed = true;
-                }
-            }
-            Frame::Call(call) => {
-                if let Some(answers) = answers {
-                    self.call(call, answers);
-                }
-            }
-            _ => {}
+    fn handle_worker_response(&mut self, call: &WorkerCall, response: WorkerResponse) {
+        // Responses to calls of an earlier term are of no use to this term's scheduler.
+        let primary = self.primary.as_mut().filter(|primary| primary.term.0 == call.fencing_token);
+        if let Some(primary) = primary {
+            let now = self.clock.now();
+            primary.scheduler.handle_response(now, &call.worker_id, &call.request, response);
         }
     }
 
-    fn replicate(&mut self, input: replication::Input) {
-        self.replica.handle(self.clock.steady(), input);
-        self.carry_out();
+    fn feed_replica(&mut self, input: replication::Input) {
+        self.replica.handle(self.clock.monotonic_ms(), input);
+        self.apply_replica_outputs();
     }
 
-    fn carry_out(&mut self) {
+    fn apply_replica_outputs(&mut self) {
         for output in self.replica.take_outputs() {
             match output {
                 Output::Send { to, envelope } => {
-                    let lane = envelope.message.traffic_class();
-                    self.links.send(&to, lane, &Frame::Replication(envelope));
+                    let class = envelope.message.traffic_class();
+                    self.links.send(&to, class, &Frame::Replication(envelope));
                 }
-                Output::Write { token, record } => self.writer.write(token, record),
-                Output::Event(notice) => self.notice(notice),
+                Output::Write { token, record } => self.store_writer.write(token, record),
+                Output::Event(event) => self.handle_replica_event(event),
             }
         }
     }
 
-    fn notice(&mut self, notice: ReplicaEvent) {
-        match notice {
-            ReplicaEvent::Activated { term } => self.activate(term.0),
+    fn handle_replica_event(&mut self, event: ReplicaEvent) {
+        match event {
+            ReplicaEvent::Activated { term } => self.activate(term),
             ReplicaEvent::Deactivated => self.deactivate(),
-            ReplicaEvent::Committed { sequence } => self.committed(sequence),
-            ReplicaEvent::ViewChanged(view) => log::info!("view {}: {}", view.epoch, names(&view)),
-            ReplicaEvent::LeaveAllowed => self.may_leave = true,
+            ReplicaEvent::Committed { sequence } => self.handle_commit(sequence),
+            ReplicaEvent::ViewChanged(view) => {
+                log::info!("view changed epoch={} members={}", view.epoch, member_names(&view));
+            }
+            ReplicaEvent::LeaveAllowed => self.shutdown.set_replaced(),
         }
     }
 
-    fn activate(&mut self, term: u64) {
+    fn activate(&mut self, term: Term) {
         let now = self.clock.now();
+        let seed = self.clock.random_seed("scheduler");
+        let scheduler = Scheduler::new(self.scheduler_config, term.0, seed, now);
         let keyspace = self.replica.keyspace();
-        let mut scheduler = Scheduler::new(self.bounds, term, self.clock.random("scheduler"), now);
-        let mut unreadable = configurations::unreadable(keyspace);
-        let of_jobs = keyspace.iter().filter(|(key, _)| !configurations::owns(key));
-        unreadable.extend(scheduler.recover(now, of_jobs));
-        if !unreadable.is_empty() {
-            log_unreadable(&unreadable);
-            self.replica.mark_ineligible(now.monotonic_ms);
-            return;
+        match PrimaryState::recover(term, scheduler, now, keyspace, self.replica.position()) {
+            Ok(primary) => {
+                log::info!("primary activated term={term} keys={}", keyspace.len());
+                self.primary = Some(primary);
+                self.data_planes.renew_gossip_peers();
+                self.announce();
+            }
+            Err(UnreadableKeys(keys)) => {
+                log_unreadable(&keys);
+                self.replica.mark_ineligible(now.monotonic_ms);
+            }
         }
-        log::info!("serving term {term} with {} keys", keyspace.len());
-        self.serving = Some(Serving {
-            term,
-            scheduler,
-            configurations: Configurations::load(self.replica.keyspace()),
-            sequence: self.replica.position().sequence,
-            commits: CommitTimes::default(),
-            decided: Vec::new(),
-            waiting: VecDeque::new(),
-            list_at: 0,
-            listing: false,
-        });
-        self.listeners_changed = true;
-        self.announce();
     }
 
     fn deactivate(&mut self) {
-        let Some(serving) = self.serving.take() else { return };
-        log::info!("no longer serving term {}", serving.term);
-        let waiting = serving.waiting.into_iter().map(|(_, waiting)| waiting);
-        for waiting in waiting.chain(serving.decided) {
-            match waiting {
-                Waiting::Client(answers, reply) => {
-                    let _ = answers.try_send(Frame::Reply(unable(reply.serial)));
-                }
-                // Whether the order lasts is not known: no answer is the honest one.
-                Waiting::Operator(..) => {}
-            }
-        }
-        self.workers.forget();
+        let Some(primary) = self.primary.take() else { return };
+        log::info!("primary deactivated term={}", primary.term);
+        primary.replies.abandon();
+        self.worker_client.close_idle();
         self.announce();
     }
 
-    fn committed(&mut self, sequence: u64) {
+    fn handle_commit(&mut self, sequence: u64) {
         let now = self.clock.now();
-        let Some(serving) = &mut self.serving else { return };
-        serving.commits.committed(sequence, now.monotonic_ms);
-        serving.scheduler.handle_committed(now, sequence);
-        while serving.waiting.front().is_some_and(|(at, _)| *at <= sequence) {
-            let Some((_, waiting)) = serving.waiting.pop_front() else { break };
-            answer(waiting);
-        }
+        let Some(primary) = &mut self.primary else { return };
+        primary.commits.record_commit(sequence, now.monotonic_ms);
+        primary.scheduler.handle_committed(now, sequence);
+        primary.replies.commit(sequence);
     }
 
-    fn write(&mut self) {
-        let Some(serving) = &mut self.serving else { return };
-        let changes = serving.scheduler.take_changes();
+    fn propose_scheduler_changes(&mut self) {
+        let Some(primary) = &mut self.primary else { return };
+        let changes = primary.scheduler.take_changes();
         if !changes.is_empty() {
-            let changes =
-                changes.into_iter().map(|change| Change { key: change.key, value: change.value }).collect();
-            self.propose(changes);
+            let change = |record: RecordChange| Change { key: record.key, value: record.value };
+            self.propose(changes.into_iter().map(change).collect());
         }
-        if let Some(serving) = &mut self.serving {
-            serving.scheduler.assign_batch(serving.sequence);
+        if let Some(primary) = &mut self.primary {
+            primary.scheduler.assign_batch(primary.proposed_sequence);
         }
-        self.carry_out();
+        self.apply_replica_outputs();
     }
 
     fn propose(&mut self, changes: Vec<Change>) {
-        let now = self.clock.steady();
+        let now_ms = self.clock.monotonic_ms();
         let bytes = changes.iter().map(Change::size_bytes).sum();
-        let sequence = self.replica.propose(now, changes);
-        if let (Some(sequence), Some(serving)) = (sequence, &mut self.serving) {
-            serving.sequence = sequence;
-            serving.commits.proposed(sequence, now, bytes);
+        let sequence = self.replica.propose(now_ms, changes);
+        if let (Some(sequence), Some(primary)) = (sequence, &mut self.primary) {
+            primary.proposed_sequence = sequence;
+            primary.commits.record_proposal(sequence, now_ms, bytes);
+        }
+    }
+
+    fn send_replies(&mut self) {
+        let committed = self.replica.committed_sequence();
+        if let Some(primary) = &mut self.primary {
+            primary.replies.assign(primary.proposed_sequence, committed);
         }
     }
 
-    fn act(&mut self) {
+    fn call_workers(&mut self) {
         let committed = self.replica.committed_sequence();
-        let active = self.replica.active_term(self.clock.steady()).is_some();
-        let Some(serving) = &mut self.serving else { return };
-        // Staged by a pass that changed nothing that must be written.
-        serving.scheduler.handle_committed(self.clock.now(), committed);
-        for effect in serving.scheduler.drain_effects() {
+        let is_active = self.replica.active_term(self.clock.monotonic_ms()).is_some();
+        let Some(primary) = &mut self.primary else { return };
+        // Also effects of a pass that changed nothing which must be written.
+        primary.scheduler.handle_committed(self.clock.now(), committed);
+        for effect in primary.scheduler.drain_effects() {
             let Effect::CallWorker(call) = effect;
             let inputs = self.inputs.clone();
-            let answered = move |call, reply| {
-                inputs.put(Input::Answered(call, reply));
-            };
-            if active {
-                self.workers.spawn(call, answered);
+            let on_done = move |call, response| inputs.send(Input::WorkerResponse(call, response));
+            if is_active {
+                self.worker_client.spawn(call, on_done);
             } else {
-                // Not sent; to the scheduler as good as unanswered, should the lease be had again.
-                answered(call, WorkerResponse::NoResponse);
+                // Not sent without a valid lease. Should the lease be renewed, the scheduler takes it
+                // for unanswered.
+                on_done(call, WorkerResponse::NoResponse);
             }
         }
     }
 }
 
-fn answer(waiting: Waiting) {
-    match waiting {
-        Waiting::Client(answers, reply) => {
-            let _ = answers.try_send(Frame::Reply(reply));
-        }
-        Waiting::Operator(answers, reply) => {
-            let _ = answers.try_send(reply);
-        }
-    }
-}
-
-fn names(view: &View) -> String {
-    let name = |m: &replication::Member| {
-        let role = if m.id == view.primary { "*" } else { "" };
-        let sync = if view.in_sync.contains(&m.id) { "" } else { " (behind)" };
-        format!("{}{role}{sync}", m.node_name)
+/// The members of a view for the log, the primary with a `*`.
+fn member_names(view: &View) -> String {
+    let name = |member: &Member| {
+        let primary = if member.id == view.primary { "*" } else { "" };
+        let lag = if view.in_sync.contains(&member.id) { "" } else { " (behind)" };
+        format!("{}{primary}{lag}", member.node_name)
     };
     view.members.iter().map(name).collect::<Vec<_>>().join(", ")
 }
--- a/crates/cluster/control-plane/tests/disk.rs
+++ b/crates/cluster/control-plane/tests/disk.rs
@@ -1,7 +1,7 @@
 //! Power is cut at every operation of the disk: what was acknowledged is there, and a transaction is there whole or not.
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use spanlead_control_plane::disk::{DiskError, Store};
+use spanlead_control_plane::store::{Store, StoreError};
 use spanlead_replication::{Change, MemberId, Position, Record, Term};
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -116,7 +116,7 @@
 
 /// Writes batches until the disk fails; tells the last one that was acknowledged.
 fn write_all(disk: &Disk) -> u64 {
-    let Ok(store) = Store::on(disk.clone()) else { return 0 };
+    let Ok(store) = Store::open_on(disk.clone()) else { return 0 };
     let mut acknowledged = 0;
     for number in 1..=BATCHES {
         if store.write(&batch(number)).is_err() {
@@ -128,13 +128,13 @@
 }
 
 fn check(disk: Disk, acknowledged: u64, at: usize) {
-    let store = match Store::on(disk) {
+    let store = match Store::open_on(disk) {
         Ok(store) => store,
         // Power went before the file was ever whole: it is set aside, and nothing is lost by that.
-        Err(DiskError::Unreadable(_)) if acknowledged == 0 => return,
+        Err(StoreError::Corrupted(_)) if acknowledged == 0 => return,
         Err(error) => panic!("cut at {at}, {acknowledged} acknowledged: not opened: {error}"),
     };
-    let restored = store.restore().unwrap_or_else(|error| panic!("cut at {at}: not read: {error}"));
+    let restored = store.recover().unwrap_or_else(|error| panic!("cut at {at}: not read: {error}"));
     let found = restored.position.sequence;
     assert!(found >= acknowledged, "cut at {at}: {acknowledged} was acknowledged, {found} is there");
     assert!(found <= acknowledged + 1, "cut at {at}: {found} was never written");
@@ -171,7 +171,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("control.redb"), vec![7; 9_000]).expect("written");
     let store = Store::open(folder.path()).expect("opened anew");
-    assert_eq!(store.restore().expect("read").identity, None);
+    assert_eq!(store.recover().expect("read").identity, None);
     let names = std::fs::read_dir(folder.path()).expect("listed").map(|e| e.expect("read").file_name());
     assert!(names.into_iter().any(|name| name.to_string_lossy().ends_with("unreadable")));
 }
--- a/crates/cluster/control-plane/tests/inbox.rs
+++ b/crates/cluster/control-plane/tests/inbox.rs
@@ -1,22 +1,23 @@
 //! What a control plane takes first.
 use spanlead_cluster_runtime::frame::Frame;
-use spanlead_control_plane::{Input, inbox};
+use spanlead_control_plane::input::Input;
+use spanlead_control_plane::input_queue::input_queue;
 use spanlead_replication::{Envelope, MemberId, Message};
 
 /// A primary that is behind with the answers of workers must not lose its lease to them.
 #[async_std::test]
 async fn leases_and_batches_go_before_all_else() {
-    let (inputs, inbox) = inbox();
+    let (inputs, queue) = input_queue();
     for _ in 0..10_000 {
-        inputs.put(Input::Terminate);
+        inputs.send(Input::Terminate);
     }
     let message = Message::LeaveResponse { must_wait: false };
     let envelope = Envelope { from: MemberId(1), to: None, message };
-    inputs.put(Input::Frame(Frame::Replication(envelope), None));
-    inputs.put(Input::Written(7));
-    inputs.put(Input::PeerDown("a:1".to_owned()));
-    assert!(matches!(inbox.next().await, Some(Input::Frame(Frame::Replication(_), _))));
-    assert!(matches!(inbox.try_next(), Some(Input::Written(7))));
-    assert!(matches!(inbox.try_next(), Some(Input::PeerDown(_))));
-    assert!(matches!(inbox.next().await, Some(Input::Terminate)));
+    inputs.send(Input::Frame(Frame::Replication(envelope), None));
+    inputs.send(Input::Written(7));
+    inputs.send(Input::PeerDisconnected("a:1".to_owned()));
+    assert!(matches!(queue.next().await, Some(Input::Frame(Frame::Replication(_), _))));
+    assert!(matches!(queue.try_next(), Some(Input::Written(7))));
+    assert!(matches!(queue.try_next(), Some(Input::PeerDisconnected(_))));
+    assert!(matches!(queue.next().await, Some(Input::Terminate)));
 }
--- a/crates/cluster/control-plane/tests/many_workers.rs
+++ b/crates/cluster/control-plane/tests/many_workers.rs
@@ -3,7 +3,7 @@
 use async_std::io::{ReadExt, WriteExt};
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
-use spanlead_control_plane::workers::WorkerCalls;
+use spanlead_control_plane::worker_client::WorkerClient;
 use spanlead_job_scheduler::{WorkerCall, WorkerRequest, WorkerResponse};
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -59,7 +59,7 @@
 #[async_std::test]
 async fn all_workers_are_called_over_a_bounded_number_of_connections() {
     let (addresses, seen) = workers(Duration::from_millis(5)).await;
-    let calls = WorkerCalls::new(CONNECTIONS);
+    let calls = WorkerClient::new(CONNECTIONS);
     let (done, answers) = async_std::channel::unbounded();
     for worker in 0..WORKERS {
         let done = done.clone();
@@ -75,13 +75,13 @@
     let most = seen.most.load(Ordering::SeqCst);
     // What is closed here is seen as closed there a moment later.
     assert!(most <= CONNECTIONS + CONNECTIONS / 4, "{most} connections at once");
-    assert!(calls.connections().0 <= CONNECTIONS);
+    assert!(calls.connections().open <= CONNECTIONS);
 }
 
 #[async_std::test]
 async fn a_call_that_finds_no_connection_in_time_was_not_sent() {
     let (addresses, seen) = workers(Duration::from_millis(600)).await;
-    let calls = WorkerCalls::new(1);
+    let calls = WorkerClient::new(1);
     let (done, answers) = async_std::channel::unbounded();
     for worker in 0..2 {
         let done = done.clone();
@@ -102,7 +102,7 @@
 #[async_std::test]
 async fn with_few_workers_connections_are_kept() {
     let (addresses, seen) = workers(Duration::ZERO).await;
-    let calls = WorkerCalls::new(CONNECTIONS);
+    let calls = WorkerClient::new(CONNECTIONS);
     let (done, answers) = async_std::channel::unbounded();
     for round in 0..50 {
         for worker in 0..10 {
--- a/crates/cluster/control-plane/tests/operators.rs
+++ b/crates/cluster/control-plane/tests/operators.rs
@@ -9,7 +9,7 @@
 use common::SimulatedCluster;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use spanlead_control_plane::{Configurations, Taken};
+use spanlead_control_plane::configuration_state::{ConfigurationState, ReplaceOutcome};
 use spanlead_replication::ReplicaEvent;
 use std::collections::BTreeMap;
 
@@ -36,7 +36,7 @@
 
 /// What a machine has as primary, as the node has it: answers wait for what they rest on.
 struct Desk {
-    configurations: Configurations,
+    configurations: ConfigurationState,
     sequence: u64,
     waiting: Vec<(u64, usize, Answer)>,
 }
@@ -96,7 +96,7 @@
             match notice {
                 ReplicaEvent::Activated { .. } => {
                     let replica = self.world.machines[i].replica.as_ref().expect("runs");
-                    let configurations = Configurations::load(replica.keyspace());
+                    let configurations = ConfigurationState::load(replica.keyspace());
                     let sequence = replica.position().sequence;
                     self.desks.insert(i, Desk { configurations, sequence, waiting: Vec::new() });
                 }
@@ -203,7 +203,7 @@
         let keyspace = self.world.machines[machine].replica.as_ref().expect("serves").keyspace().clone();
         let desk = self.desks.get_mut(&machine).expect("serves");
         let answer = match desk.configurations.replace(&keyspace, change.base, &change.text) {
-            Taken::New(changes) => {
+            ReplaceOutcome::Accepted(changes) => {
                 let now = self.world.now_ms;
                 let mut sequence = None;
                 self.world.with_replica(machine, |replica| sequence = replica.propose(now, changes));
@@ -211,8 +211,8 @@
                 desk.sequence = sequence.expect("primary");
                 Answer::Confirmed
             }
-            Taken::Again => Answer::Confirmed,
-            Taken::Conflict | Taken::Invalid(_) => Answer::Refused,
+            ReplaceOutcome::AlreadyAccepted => Answer::Confirmed,
+            ReplaceOutcome::VersionConflict | ReplaceOutcome::Rejected(_) => Answer::Refused,
         };
         let committed = self.world.machines[machine].replica.as_ref().map_or(0, |r| r.committed_sequence());
         let desk = self.desks.get_mut(&machine).expect("serves");
--- a/crates/cluster/control-plane/tests/unreachable_worker.rs
+++ b/crates/cluster/control-plane/tests/unreachable_worker.rs
@@ -1,6 +1,6 @@
 //! A worker to which no connection can be made: it is silent, and a start that was never sent can go elsewhere at once.
 use async_std::channel::{Receiver, unbounded};
-use spanlead_control_plane::workers::WorkerCalls;
+use spanlead_control_plane::worker_client::WorkerClient;
 use spanlead_job_scheduler::{JobId, TaskId, WorkerCall, WorkerRequest, WorkerResponse};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
@@ -27,7 +27,7 @@
     let address = address.to_string().as_str().into();
     let call =
         WorkerCall { worker_id: "w".into(), address, request, timeout_ms: TIMEOUT_MS, fencing_token: 1 };
-    WorkerCalls::new(4).spawn(call, move |_, reply| {
+    WorkerClient::new(4).spawn(call, move |_, reply| {
         let _ = answers.try_send(reply);
     });
     answer
--- a/crates/cluster/control-plane/tests/unreadable.rs
+++ b/crates/cluster/control-plane/tests/unreadable.rs
@@ -1,6 +1,6 @@
 //! Records of a damaged or newer form keep a machine from leading; another primary repairs it.
-use spanlead_control_plane::disk::{DiskError, Store};
-use spanlead_control_plane::unreadable;
+use spanlead_control_plane::store::{Store, StoreError};
+use spanlead_control_plane::unreadable_records::unreadable_keys;
 use spanlead_replication::{
     Change, Input, Keyspace, MemberId, Output, Position, Record, RecoveredState, Replica, ReplicaConfig, Term,
 };
@@ -18,11 +18,11 @@
     let job = [b"j".as_slice(), &7u64.to_be_bytes()].concat();
     let history = [b"h".as_slice(), &3u64.to_be_bytes()].concat();
     let good = keyspace(&[(&history, &[1; 16])]);
-    assert!(unreadable(&good).is_empty());
+    assert!(unreadable_keys(&good).is_empty());
     let bad: [(&[u8], &[u8]); 4] =
         [(b"c", b"cut short"), (&job, b"\xff\x00"), (&history, &[1; 5]), (b"zzz", b"of a newer version")];
     for record in bad {
-        assert_eq!(unreadable(&keyspace(&[record])), [record.0.to_vec()], "{record:?}");
+        assert_eq!(unreadable_keys(&keyspace(&[record])), [record.0.to_vec()], "{record:?}");
     }
 }
 
@@ -81,18 +81,18 @@
     let folder = tempfile::tempdir().expect("a folder");
     let store = Store::open(folder.path()).expect("opened");
     store.write(&[Record::Identity { id: MemberId(5), bootstrap_voter: true }]).expect("written");
-    let restored = store.restore().expect("read");
+    let restored = store.recover().expect("read");
     assert_eq!(
         (restored.identity, restored.bootstrap_voter, restored.repair_incomplete),
         (Some(MemberId(5)), true, false)
     );
     store.write(&[Record::Repair { changes: Vec::new() }]).expect("written");
-    assert!(store.restore().expect("read").repair_incomplete, "a repair was begun");
+    assert!(store.recover().expect("read").repair_incomplete, "a repair was begun");
     let position = Position { term: Term(1), sequence: 2 };
     store.write(&[Record::Batch { position, changes: Vec::new() }]).expect("written");
-    assert!(!store.restore().expect("read").repair_incomplete, "and finished");
-    store.mark_format(99).expect("written");
+    assert!(!store.recover().expect("read").repair_incomplete, "and finished");
+    store.set_format(99).expect("written");
     drop(store);
-    let error = Store::open(folder.path()).expect("opened").restore().expect_err("newer");
-    assert!(matches!(error, DiskError::Newer(99)), "{error}");
+    let error = Store::open(folder.path()).expect("opened").recover().expect_err("newer");
+    assert!(matches!(error, StoreError::NewerFormat(99)), "{error}");
 }
--- /dev/null
+++ b/crates/cluster/data-plane/src/client_api.rs
@@ -0,0 +1,170 @@
+//! The HTTP interface for clients, and for the platform's readiness checks.
+use crate::control_plane_client::{ControlPlaneClient, RequestOutcome};
+use spanlead_cluster_config::DataPlaneConfiguration;
+use spanlead_cluster_runtime::clock::Clock;
+use spanlead_cluster_runtime::frame::ClientOperation;
+use spanlead_cluster_runtime::http::framing::MessageLimits;
+use spanlead_cluster_runtime::http::server::{self, ConnectionLimits};
+use spanlead_job_scheduler::JobSpec;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::time::Duration;
+use tide::http::Method;
+use tide::{Request, Response, StatusCode};
+
+/// The header with how long a client waits for a response, milliseconds.
+const DEADLINE_HEADER: &str = "Spanlead-Request-Deadline";
+/// The part of that time that is reserved for the way back, milliseconds.
+const RESPONSE_RESERVE_MS: u64 = 150;
+/// How long a client waits that does not say, milliseconds.
+const DEFAULT_DEADLINE_MS: u64 = 3_000;
+/// When a client whose request was refused may retry, seconds.
+const RETRY_AFTER_S: &str = "1";
+/// Open connections of the platform at most.
+const MAX_READINESS_CONNECTIONS: usize = 32;
+
+// The limits where the configuration gives none.
+const DEFAULT_MAX_BODY_BYTES: usize = 256 * 1024;
+const DEFAULT_MAX_HEAD_BYTES: usize = 16 * 1024;
+const DEFAULT_HEAD_TIMEOUT_MS: u64 = 3_000;
+const DEFAULT_IDLE_TIMEOUT_MS: u64 = 15_000;
+
+/// What the handlers share.
+#[derive(Clone, Debug)]
+pub struct ClientApi {
+    control_plane: ControlPlaneClient,
+    is_shutting_down: Arc<AtomicBool>,
+    clock: Clock,
+    open_requests: Arc<AtomicU64>,
+    last_request_ms: Arc<AtomicU64>,
+}
+
+impl ClientApi {
+    /// The interface of a process that starts. It is not ready any more once `is_shutting_down` is set.
+    #[must_use]
+    pub fn new(control_plane: ControlPlaneClient, is_shutting_down: Arc<AtomicBool>, clock: Clock) -> Self {
+        ClientApi {
+            control_plane,
+            is_shutting_down,
+            clock,
+            open_requests: Arc::default(),
+            last_request_ms: Arc::default(),
+        }
+    }
+
+    /// Whether no request is open and none has arrived for `idle_ms` milliseconds.
+    #[must_use]
+    pub fn is_idle(&self, idle_ms: u64) -> bool {
+        let last_ms = self.last_request_ms.load(Ordering::Relaxed);
+        let elapsed_ms = self.clock.monotonic_ms().saturating_sub(last_ms);
+        self.open_requests.load(Ordering::Relaxed) == 0 && elapsed_ms >= idle_ms
+    }
+
+    fn is_ready(&self) -> bool {
+        self.control_plane.is_ready() && !self.is_shutting_down.load(Ordering::Relaxed)
+    }
+}
+
+/// Serves clients at an address, up to `max_connections` at a time. Never returns.
+pub async fn serve(address: String, api: ClientApi, max_connections: usize) {
+    let control_plane = api.control_plane.clone();
+    let limits = move || connection_limits(control_plane.configuration().as_deref());
+    let mut app = tide::with_state(api);
+    app.at("/").all(handle_counted);
+    app.at("/*").all(handle_counted);
+    server::serve(address, app, Arc::new(limits), max_connections).await;
+}
+
+/// Serves the platform's readiness checks at an address. Never returns.
+pub async fn serve_readiness(address: String, api: ClientApi) {
+    let mut app = tide::with_state(api);
+    app.at("/readyz").get(|request: Request<ClientApi>| async move {
+        let is_ready = request.state().is_ready();
+        Ok(Response::new(if is_ready { StatusCode::Ok } else { StatusCode::ServiceUnavailable }))
+    });
+    let limits = || connection_limits(None);
+    server::serve(address, app, Arc::new(limits), MAX_READINESS_CONNECTIONS).await;
+}
+
+/// The limits on clients by the configuration in force.
+fn connection_limits(configuration: Option<&DataPlaneConfiguration>) -> ConnectionLimits {
+    let given = configuration.map(|configuration| &configuration.limits);
+    let bytes = |value: Option<u64>, default: usize| {
+        value.and_then(|value| usize::try_from(value).ok()).unwrap_or(default)
+    };
+    let time = |value: Option<u64>, default_ms: u64| Duration::from_millis(value.unwrap_or(default_ms));
+    ConnectionLimits {
+        message: MessageLimits {
+            max_head_bytes: bytes(given.and_then(|given| given.max_header_bytes), DEFAULT_MAX_HEAD_BYTES),
+            max_body_bytes: bytes(given.and_then(|given| given.max_body_bytes), DEFAULT_MAX_BODY_BYTES),
+        },
+        request_timeout: time(given.and_then(|given| given.header_timeout_ms), DEFAULT_HEAD_TIMEOUT_MS),
+        idle_timeout: time(given.and_then(|given| given.idle_timeout_ms), DEFAULT_IDLE_TIMEOUT_MS),
+    }
+}
+
+/// Handles a request, counted as open meanwhile.
+async fn handle_counted(request: Request<ClientApi>) -> tide::Result {
+    let api = request.state().clone();
+    api.open_requests.fetch_add(1, Ordering::Relaxed);
+    api.last_request_ms.store(api.clock.monotonic_ms(), Ordering::Relaxed);
+    let response = handle(request, &api).await;
+    api.open_requests.fetch_sub(1, Ordering::Relaxed);
+    let mut response = response?;
+    if api.is_shutting_down.load(Ordering::Relaxed) {
+        response.insert_header("Connection", "close");
+    }
+    Ok(response)
+}
+
+async fn handle(mut request: Request<ClientApi>, api: &ClientApi) -> tide::Result {
+    let deadline_ms = api.clock.monotonic_ms() + remaining_ms(&request);
+    let host = request.host().unwrap_or_default();
+    let host = host.split(':').next().unwrap_or_default().to_owned();
+    let path = request.url().path().to_owned();
+    let operation = match request.method() {
+        Method::Post => match JobSpec::from_json(&request.body_bytes().await?) {
+            Ok(spec) => ClientOperation::Submit(spec),
+            Err(error) => return Ok(plain_response(400, &error.to_string())),
+        },
+        Method::Get => ClientOperation::Query,
+        Method::Delete => ClientOperation::Cancel,
+        _ => return Ok(plain_response(405, "POST, GET or DELETE")),
+    };
+    let outcome = api.control_plane.request(&host, &path, &operation, deadline_ms).await;
+    Ok(response(outcome))
+}
+
+fn response(outcome: RequestOutcome) -> Response {
+    match outcome {
+        RequestOutcome::Responded { status, body } => {
+            let mut response = plain_response(status, &body);
+            if status == 200 {
+                response.set_content_type(tide::http::mime::JSON);
+            }
+            if matches!(status, 429 | 503) {
+                response.insert_header("Retry-After", RETRY_AFTER_S);
+            }
+            response
+        }
+        RequestOutcome::NotSent => {
+            let mut response = plain_response(503, "no primary");
+            response.insert_header("Retry-After", RETRY_AFTER_S);
+            response
+        }
+        RequestOutcome::Unknown => plain_response(504, "no answer in time"),
+    }
+}
+
+/// How long the request may take here, milliseconds.
+fn remaining_ms(request: &Request<ClientApi>) -> u64 {
+    let header = request.header(DEADLINE_HEADER);
+    let given = header.and_then(|value| value.as_str().trim().parse::<u64>().ok());
+    given.unwrap_or(DEFAULT_DEADLINE_MS).saturating_sub(RESPONSE_RESERVE_MS)
+}
+
+fn plain_response(status: u16, body: &str) -> Response {
+    let mut response = Response::new(StatusCode::try_from(status).unwrap_or(StatusCode::InternalServerError));
+    response.set_body(body);
+    response
+}
--- a/crates/cluster/data-plane/src/lib.rs
+++ b/crates/cluster/data-plane/src/lib.rs
@@ -1,71 +1,88 @@
-//! The data plane: takes clients' requests, and hands each to the primary of the control plane.
-pub mod core_links;
-mod front;
+//! The data plane: takes clients' requests and forwards each to the primary of the control plane.
+//!
+//! - [`client_api`]: the HTTP interface for clients and for readiness checks.
+//! - [`control_plane_client`]: who is primary, the configuration, and requests on their way.
+//!
+//! It keeps nothing that was acknowledged: whatever it loses, clients send again.
+#![warn(missing_docs, unreachable_pub)]
+#![warn(clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
+pub mod client_api;
+pub mod control_plane_client;
+mod pending_requests;
 
 use async_std::task;
-use core_links::CoreLinks;
+use client_api::ClientApi;
+use control_plane_client::ControlPlaneClient;
 use quick_error::quick_error;
-use spanlead_cluster_runtime::metrics;
+use spanlead_cluster_runtime::clock::Clock;
 use spanlead_cluster_runtime::settings::Settings;
-use spanlead_cluster_runtime::signals;
-use spanlead_cluster_runtime::time::Clock;
+use spanlead_cluster_runtime::{metrics, signals, traffic};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 quick_error! {
     /// Why a data plane can't run.
     #[derive(Debug)]
-    pub enum DataError {
-        /// Its settings lack something.
-        Settings(what: &'static str) {
-            display("settings: {}", what)
+    pub enum DataPlaneError {
+        /// A setting that it needs is missing.
+        MissingSetting(key: &'static str) {
+            display("settings: {}: missing", key)
         }
     }
 }
 
-/// How long a process that is told to end goes on taking requests at the least: until the platform has seen that it is
-/// not ready any more.
-const LEAVE: Duration = Duration::from_millis(2_500);
-/// Descriptors that clients' connections leave free: for files, the control plane and other data planes.
-const KEPT_DESCRIPTORS: usize = 512;
-/// How much of the time it has is left unused.
-const MARGIN: Duration = Duration::from_millis(1_000);
-/// How long nothing may have come in before it ends.
-const QUIET_MS: u64 = 500;
+/// How long a process that is told to shut down accepts requests at the least: until the platform has
+/// seen that it is not ready any more.
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(2_500);
+/// The part of the grace period that is left unused.
+const GRACE_MARGIN: Duration = Duration::from_millis(1_000);
+/// How long no request may have arrived before the process ends, milliseconds.
+const IDLE_BEFORE_EXIT_MS: u64 = 500;
+/// How often it is checked whether the process may end.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// File descriptors that are reserved for files, the control plane and other data planes.
+const RESERVED_DESCRIPTORS: usize = 512;
 
-/// Runs a data plane until it is told to end.
+/// Runs a data plane until it is told to shut down.
 ///
 /// # Errors
 /// If it can't start.
-pub fn run(settings: &Settings) -> Result<(), DataError> {
-    let front = settings.listen.front.clone().ok_or(DataError::Settings("listenAddrs.front: missing"))?;
-    let ready = settings.listen.readiness.clone();
-    let ending = Arc::new(AtomicBool::new(false));
-    let told = ending.clone();
-    signals::on_terminate(move || told.store(true, Ordering::Relaxed));
+pub fn run(settings: &Settings) -> Result<(), DataPlaneError> {
+    let clients = settings.listen.clients.clone();
+    let clients = clients.ok_or(DataPlaneError::MissingSetting("listenAddrs.front"))?;
+    let is_shutting_down = Arc::new(AtomicBool::new(false));
+    let terminated = is_shutting_down.clone();
+    signals::on_terminate(move || terminated.store(true, Ordering::Relaxed));
     let clock = Clock::start();
-    let grace = Duration::from_millis(settings.grace_ms());
-    let connections = settings.max_descriptors().saturating_sub(KEPT_DESCRIPTORS).max(KEPT_DESCRIPTORS);
     task::block_on(async {
-        let core = CoreLinks::start(settings, clock);
+        let control_plane = ControlPlaneClient::start(settings, clock);
         if let Some(endpoint) = settings.metrics_endpoint() {
-            metrics::start(endpoint, || async { metrics::traffic() });
+            metrics::spawn(endpoint, || async { traffic::metrics_text() });
         }
-        let state = front::State::new(core, ending.clone(), clock);
-        task::spawn(front::serve(front, state.clone(), connections));
-        if let Some(ready) = ready {
-            task::spawn(front::serve_readiness(ready, state.clone()));
+        let api = ClientApi::new(control_plane, is_shutting_down.clone(), clock);
+        task::spawn(client_api::serve(clients, api.clone(), max_client_connections(settings)));
+        if let Some(readiness) = settings.listen.readiness.clone() {
+            task::spawn(client_api::serve_readiness(readiness, api.clone()));
         }
-        while !ending.load(Ordering::Relaxed) {
-            task::sleep(Duration::from_millis(50)).await;
-        }
-        log::info!("told to end");
-        task::sleep(LEAVE.min(grace.saturating_sub(MARGIN))).await;
-        let until = std::time::Instant::now() + grace.saturating_sub(LEAVE + MARGIN);
-        while !state.quiet(QUIET_MS) && std::time::Instant::now() < until {
-            task::sleep(Duration::from_millis(50)).await;
+        while !is_shutting_down.load(Ordering::Relaxed) {
+            task::sleep(SHUTDOWN_POLL_INTERVAL).await;
         }
+        log::info!("shutdown requested");
+        drain(&api, Duration::from_millis(settings.grace_ms())).await;
     });
     Ok(())
 }
+
+fn max_client_connections(settings: &Settings) -> usize {
+    settings.max_descriptors().saturating_sub(RESERVED_DESCRIPTORS).max(RESERVED_DESCRIPTORS)
+}
+
+/// Waits until clients are served elsewhere and all requests are answered, within the grace period.
+async fn drain(api: &ClientApi, grace: Duration) {
+    task::sleep(MIN_DRAIN_TIME.min(grace.saturating_sub(GRACE_MARGIN))).await;
+    let until = Instant::now() + grace.saturating_sub(MIN_DRAIN_TIME + GRACE_MARGIN);
+    while !api.is_idle(IDLE_BEFORE_EXIT_MS) && Instant::now() < until {
+        task::sleep(SHUTDOWN_POLL_INTERVAL).await;
+    }
+}
--- a/crates/cluster/data-plane/tests/data_plane.rs
+++ b/crates/cluster/data-plane/tests/data_plane.rs
@@ -1,11 +1,11 @@
 //! What a data plane tells its clients when the primary is silent, refuses, or is replaced.
 use async_std::channel::Sender;
 use async_std::task;
-use spanlead_cluster_runtime::accept;
-use spanlead_cluster_runtime::frame::{Ask, ClientReply, Directory, Frame};
+use spanlead_cluster_runtime::clock::Clock;
+use spanlead_cluster_runtime::frame::{ClientOperation, ClientResponse, Directory, Frame};
+use spanlead_cluster_runtime::peer_server;
 use spanlead_cluster_runtime::settings::Settings;
-use spanlead_cluster_runtime::time::Clock;
-use spanlead_data_plane::core_links::{CoreLinks, Outcome};
+use spanlead_data_plane::control_plane_client::{ControlPlaneClient, RequestOutcome};
 use spanlead_job_scheduler::JobSpec;
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -25,20 +25,20 @@
             let directory = Directory { epoch: 1, primary: name.clone(), members: vec![name.clone()] };
             let _ = answers.try_send(Frame::Directory(directory));
         }
-        Frame::Call(call) => {
+        Frame::ClientRequest(request) => {
             let before = seen.fetch_add(1, Ordering::SeqCst);
             if let Some(status) = script(before) {
-                let reply = ClientReply { serial: call.serial, status, body: String::new() };
-                let _ = answers.try_send(Frame::Reply(reply));
+                let reply = ClientResponse { request_id: request.request_id, status, body: String::new() };
+                let _ = answers.try_send(Frame::ClientResponse(reply));
             }
         }
         _ => {}
     };
-    task::spawn(accept::serve(address, Arc::new(take)));
+    task::spawn(peer_server::serve(address, Arc::new(take)));
     calls
 }
 
-async fn submit(octet: u8, script: Script) -> (Outcome, usize) {
+async fn submit(octet: u8, script: Script) -> (RequestOutcome, usize) {
     let (own, other) = (format!("127.0.9.{octet}"), format!("127.0.8.{octet}"));
     let port = TcpListener::bind(format!("{own}:0")).expect("a port").local_addr().expect("bound").port();
     let calls = primary(&other, port, script);
@@ -49,17 +49,19 @@
     std::fs::write(file.path(), text).expect("written");
     let settings = Settings::read(&file.path().to_string_lossy()).expect("settings");
     let clock = Clock::start();
-    let core = CoreLinks::start(&settings, clock);
+    let core = ControlPlaneClient::start(&settings, clock);
     task::sleep(Duration::from_millis(300)).await;
     let spec = JobSpec::from_json(br#"{"spec":"x","stages":[{"count":1,"cpu":1}]}"#).expect("good");
-    let outcome = core.ask("h", "/p/00000000000000aa", &Ask::Submit(spec), clock.steady() + 5_000).await;
+    let outcome = core
+        .request("h", "/p/00000000000000aa", &ClientOperation::Submit(spec), clock.monotonic_ms() + 5_000)
+        .await;
     (outcome, calls.load(Ordering::SeqCst))
 }
 
 #[async_std::test]
 async fn a_refusal_is_passed_on() {
     let (outcome, calls) = submit(1, |_| Some(429)).await;
-    assert_eq!((outcome, calls), (Outcome::Answered(429, String::new()), 1));
+    assert_eq!((outcome, calls), (responded(429), 1));
 }
 
 /// The first try may have been taken by a primary that was then replaced: "not taken" would be a lie.
@@ -67,7 +69,7 @@
 async fn a_refusal_after_a_try_without_an_answer_leaves_open_whether_the_job_was_taken() {
     for (octet, script) in [(2, late_429 as Script), (3, late_404), (4, late_503)] {
         let (outcome, calls) = submit(octet, script).await;
-        assert_eq!((outcome, calls), (Outcome::Unknown, 2));
+        assert_eq!((outcome, calls), (RequestOutcome::Unknown, 2));
     }
 }
 
@@ -86,5 +88,9 @@
 #[async_std::test]
 async fn a_job_that_the_second_try_finds_is_accepted() {
     let (outcome, calls) = submit(5, |before| (before > 0).then_some(200)).await;
-    assert_eq!((outcome, calls), (Outcome::Answered(200, String::new()), 2));
+    assert_eq!((outcome, calls), (responded(200), 2));
+}
+
+fn responded(status: u16) -> RequestOutcome {
+    RequestOutcome::Responded { status, body: String::new() }
 }
--- a/crates/cluster/dissemination/src/disseminator.rs
+++ b/crates/cluster/dissemination/src/disseminator.rs
@@ -1,89 +1,63 @@
-//! One process's part in the spreading.
-use crate::rendezvous::pick;
-use rkyv::{Archive, Deserialize, Serialize};
+//! The state of one process in the dissemination.
+use crate::message::{Item, Message};
+use crate::peer_selection::{PEERS_PER_PROCESS, select_peers};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many peers a process tells and watches.
-pub const PEERS: usize = 3;
-/// How often they are told, milliseconds.
-const TELL_EVERY_MS: u64 = 500;
-/// Silence after which a peer counts as lost, milliseconds.
-const SILENT_MS: u64 = 2_500;
-
-/// What is spread.
-#[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq, Eq)]
-pub struct Item {
-    /// Higher ones replace lower ones, never the other way round.
-    pub version: u64,
-    /// Its content.
-    pub content: Vec<u8>,
-}
-
-/// What peers say to one another.
-#[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
-pub enum Message {
-    /// The sender has this version, and lives.
-    Have {
-        /// The version; 0 for none.
-        version: u64,
-    },
-    /// The answer of one who has the same: it lives.
-    Alive,
-    /// The sender is behind and wants the item.
-    Want {
-        /// The version that it has.
-        version: u64,
-    },
-    /// The item.
-    Bring {
-        /// It.
-        item: Item,
-    },
-}
+/// How often the version is advertised to the peers, milliseconds.
+const ADVERTISE_INTERVAL_MS: u64 = 500;
+/// A peer from which nothing was received for longer counts as failed, milliseconds.
+const PEER_TIMEOUT_MS: u64 = 2_500;
 
-/// What the embedder does.
+/// What the embedder has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Sends a message; it may get lost.
+    /// Send a message; it may get lost.
     Send {
-        /// The peer.
+        /// The name of the receiver.
         to: String,
         /// The message.
         message: Message,
     },
-    /// Takes note of a newer item.
+    /// Use this newer item.
     Updated(Item),
-    /// Takes note that a watched peer is silent, or is heard again.
-    Peer {
-        /// The peer.
+    /// A peer failed, or is alive again.
+    PeerStatus {
+        /// The name of the peer.
         name: String,
-        /// Whether it is heard.
+        /// Whether it is alive.
         alive: bool,
     },
 }
 
-/// One process.
+/// What is known of a peer.
+#[derive(Clone, Copy, Debug)]
+struct PeerState {
+    last_contact_ms: u64,
+    alive: bool,
+}
+
+/// One process. Times are milliseconds of any monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Disseminator {
-    me: String,
-    known: BTreeSet<String>,
-    /// The peers that it tells and watches, with when they were heard last and whether they count as lost.
-    peers: BTreeMap<String, (u64, bool)>,
+    name: String,
+    processes: BTreeSet<String>,
+    /// The peers that it advertises to and watches, a selection of `processes`.
+    peers: BTreeMap<String, PeerState>,
     item: Option<Item>,
-    tell_at: u64,
+    next_advertisement_ms: u64,
     outputs: Vec<Output>,
 }
 
 impl Disseminator {
-    /// A process of that name that knows nobody and has nothing.
+    /// A process of that name that knows no others and has no item.
     #[must_use]
-    pub fn new(me: &str) -> Self {
+    pub fn new(name: &str) -> Self {
         Disseminator {
-            me: me.to_owned(),
-            known: BTreeSet::new(),
+            name: name.to_owned(),
+            processes: BTreeSet::new(),
             peers: BTreeMap::new(),
             item: None,
-            tell_at: 0,
+            next_advertisement_ms: 0,
             outputs: Vec::new(),
         }
     }
@@ -94,86 +68,96 @@
         self.item.as_ref()
     }
 
-    /// The peers that it tells and watches.
-    pub fn peers(&self) -> impl Iterator<Item = &str> {
-        self.peers.keys().map(String::as_str)
+    /// The version of its item; 0 for none.
+    #[must_use]
+    pub fn version(&self) -> u64 {
+        self.item.as_ref().map_or(0, |item| item.version)
     }
 
-    fn version(&self) -> u64 {
-        self.item.as_ref().map_or(0, |item| item.version)
+    /// The names of the peers that it advertises to and watches.
+    pub fn peers(&self) -> impl Iterator<Item = &str> {
+        self.peers.keys().map(String::as_str)
     }
 
-    /// What is to be done since this was last asked.
-    pub fn drain(&mut self) -> Vec<Output> {
+    /// What is to be carried out since the last call.
+    pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Takes the names of all processes that are known; those that are not named any more are forgotten.
-    pub fn meet(&mut self, names: &[String], now: u64) {
-        self.known = names.iter().filter(|name| **name != self.me).cloned().collect();
-        let picked = pick(&self.me, self.known.iter().map(String::as_str), PEERS);
+    /// Replaces the names of all known processes, and selects the peers among them.
+    pub fn set_processes(&mut self, names: &[String], now_ms: u64) {
+        self.processes = names.iter().filter(|name| **name != self.name).cloned().collect();
+        let candidates = self.processes.iter().map(String::as_str);
+        let selected = select_peers(&self.name, candidates, PEERS_PER_PROCESS);
         let mut peers = BTreeMap::new();
-        for name in picked {
-            peers.insert(name.to_owned(), self.peers.get(name).copied().unwrap_or((now, true)));
+        for name in selected {
+            let new = PeerState { last_contact_ms: now_ms, alive: true };
+            peers.insert(name.to_owned(), self.peers.get(name).copied().unwrap_or(new));
         }
         self.peers = peers;
     }
 
-    /// Takes an item, if it is newer, and tells the peers at once.
-    pub fn offer(&mut self, item: Item, now: u64) {
+    /// Takes an item if it is newer, and advertises it to the peers at once.
+    pub fn update(&mut self, item: Item, now_ms: u64) {
         if item.version <= self.version() {
             return;
         }
         self.outputs.push(Output::Updated(item.clone()));
         self.item = Some(item);
-        self.tell_at = now;
-        self.tick(now);
+        self.next_advertisement_ms = now_ms;
+        self.tick(now_ms);
     }
 
-    /// Takes a message.
-    pub fn handle(&mut self, from: &str, message: Message, now: u64) {
-        self.hear(from, now);
-        let mine = self.version();
+    /// Handles a message from the process of that name.
+    pub fn handle(&mut self, from: &str, message: Message, now_ms: u64) {
+        self.record_contact(from, now_ms);
+        let own = self.version();
         match message {
-            Message::Have { version } if version > mine => self.send(from, Message::Want { version: mine }),
-            // Who is behind is helped at once.
-            Message::Have { version } | Message::Want { version } if version < mine => {
+            Message::Advertise { version } if version > own => {
+                self.send(from, Message::Request { version: own });
+            }
+            // A process with an older version is sent the item at once.
+            Message::Advertise { version } | Message::Request { version } if version < own => {
                 if let Some(item) = self.item.clone() {
-                    self.send(from, Message::Bring { item });
+                    self.send(from, Message::Deliver { item });
                 }
             }
-            Message::Have { .. } => self.send(from, Message::Alive),
-            Message::Want { .. } | Message::Alive => {}
-            Message::Bring { item } => self.offer(item, now),
+            Message::Advertise { .. } => self.send(from, Message::Acknowledge),
+            Message::Request { .. } | Message::Acknowledge => {}
+            Message::Deliver { item } => self.update(item, now_ms),
         }
     }
 
-    /// Lets time pass.
-    pub fn tick(&mut self, now: u64) {
-        if now < self.tell_at {
+    /// Advertises the version and checks the peers, if that is due.
+    pub fn tick(&mut self, now_ms: u64) {
+        if now_ms < self.next_advertisement_ms {
             return;
         }
-        self.tell_at = now + TELL_EVERY_MS;
+        self.next_advertisement_ms = now_ms + ADVERTISE_INTERVAL_MS;
         let version = self.version();
         for name in self.peers.keys().cloned().collect::<Vec<_>>() {
-            self.send(&name, Message::Have { version });
-        }
-        let silent = self.peers.iter_mut().filter(|(_, (heard, alive))| *alive && now > *heard + SILENT_MS);
-        for (name, (_, alive)) in silent {
-            *alive = false;
-            self.outputs.push(Output::Peer { name: name.clone(), alive: false });
+            self.send(&name, Message::Advertise { version });
         }
+        self.report_failed_peers(now_ms);
     }
 
-    fn hear(&mut self, from: &str, now: u64) {
-        if let Some((heard, alive)) = self.peers.get_mut(from) {
-            *heard = now;
-            if !std::mem::replace(alive, true) {
-                self.outputs.push(Output::Peer { name: from.to_owned(), alive: true });
+    fn report_failed_peers(&mut self, now_ms: u64) {
+        for (name, peer) in &mut self.peers {
+            if peer.alive && now_ms > peer.last_contact_ms + PEER_TIMEOUT_MS {
+                peer.alive = false;
+                self.outputs.push(Output::PeerStatus { name: name.clone(), alive: false });
             }
         }
     }
 
+    fn record_contact(&mut self, from: &str, now_ms: u64) {
+        let Some(peer) = self.peers.get_mut(from) else { return };
+        peer.last_contact_ms = now_ms;
+        if !std::mem::replace(&mut peer.alive, true) {
+            self.outputs.push(Output::PeerStatus { name: from.to_owned(), alive: true });
+        }
+    }
+
     fn send(&mut self, to: &str, message: Message) {
         self.outputs.push(Output::Send { to: to.to_owned(), message });
     }
--- a/crates/cluster/dissemination/src/lib.rs
+++ b/crates/cluster/dissemination/src/lib.rs
@@ -1,35 +1,41 @@
-//! Epidemic dissemination of one versioned item.
+//! Epidemic dissemination (gossip) of one versioned item. No I/O, no clock.
 //!
-//! Every process has a few peers, picked by rendezvous hashing among all that it knows, so that each is picked by about as
-//! many. It tells them the version that it has, all the time and at once when it has a new one; whoever is behind asks,
-//! and is sent the item. The same exchange is the heartbeat by which peers watch one another.
+//! Every process has a few peers, selected by rendezvous hashing among all that it knows, so that each is
+//! selected by about as many. It advertises its version to them, periodically and at once when it has a
+//! new one; whoever has an older one requests the item, and is sent it. The same exchange is the
+//! heartbeat by which peers detect one another's failure.
 //!
 //! ```
 //! use spanlead_dissemination::{Disseminator, Item, Message, Output};
 //! let mut a = Disseminator::new("a");
 //! let mut b = Disseminator::new("b");
-//! a.meet(&["b".into()], 0);
-//! b.meet(&["a".into()], 0);
-//! a.offer(Item { version: 3, content: b"three".to_vec() }, 0);
-//! // A tells B that it has version 3, B asks, A sends it.
-//! let mut mail: Vec<(String, String, Message)> = Vec::new();
-//! for now in (0..2_000).step_by(100) {
-//!     for (name, node) in [("a", &mut a), ("b", &mut b)] {
-//!         node.tick(now);
-//!         for output in node.drain() {
+//! a.set_processes(&["b".into()], 0);
+//! b.set_processes(&["a".into()], 0);
+//! a.update(Item { version: 3, content: b"three".to_vec() }, 0);
+//! // A advertises version 3, B requests it, A sends it.
+//! let mut in_flight: Vec<(String, String, Message)> = Vec::new();
+//! for now_ms in (0..2_000).step_by(100) {
+//!     for (name, process) in [("a", &mut a), ("b", &mut b)] {
+//!         process.tick(now_ms);
+//!         for output in process.take_outputs() {
 //!             if let Output::Send { to, message } = output {
-//!                 mail.push((name.into(), to, message));
+//!                 in_flight.push((name.into(), to, message));
 //!             }
 //!         }
 //!     }
-//!     for (from, to, message) in std::mem::take(&mut mail) {
-//!         if to == "a" { a.handle(&from, message, now) } else { b.handle(&from, message, now) }
+//!     for (from, to, message) in std::mem::take(&mut in_flight) {
+//!         let receiver = if to == "a" { &mut a } else { &mut b };
+//!         receiver.handle(&from, message, now_ms);
 //!     }
 //! }
 //! assert_eq!(b.item().map(|item| item.version), Some(3));
 //! ```
+#![warn(missing_docs, unreachable_pub)]
+#![warn(clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
 mod disseminator;
-mod rendezvous;
+mod message;
+mod peer_selection;
 
-pub use disseminator::{Disseminator, Item, Message, Output, PEERS};
-pub use rendezvous::pick;
+pub use disseminator::{Disseminator, Output};
+pub use message::{Item, Message};
+pub use peer_selection::{PEERS_PER_PROCESS, select_peers};
--- a/crates/cluster/runtime/src/frame.rs
+++ b/crates/cluster/runtime/src/frame.rs
@@ -1,78 +1,61 @@
-//! What processes of the system say to one another.
+//! The messages between processes of the system.
+//!
+//! `rkyv` serialises them by the order and the types of variants and fields, so those must stay while
+//! processes of two versions run side by side. Names may change.
 #![allow(missing_docs, reason = "the types that rkyv derives from these have undocumented fields")]
-use crate::metrics;
-use quick_error::quick_error;
 use rkyv::{Archive, Deserialize, Serialize};
 use spanlead_cluster_config::DataPlaneConfiguration;
 use spanlead_job_scheduler::JobSpec;
 use spanlead_replication::{Envelope, TrafficClass};
 
-/// The largest frame that is read, bytes.
-pub const MAX_FRAME: usize = 64 << 20;
-
-quick_error! {
-    /// Why a frame can't be read.
-    #[derive(Debug)]
-    pub enum FrameError {
-        /// The connection.
-        Io(error: std::io::Error) {
-            from()
-            display("{}", error)
-        }
-        /// The other side said nothing for too long.
-        Silent {
-            display("silent")
-        }
-        /// Not a frame of this version.
-        Form {
-            display("no frame of this version")
-        }
-    }
-}
-
-/// What a client wants of a job or queue.
+/// What a client asks of a job or queue.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub enum Ask {
-    /// To hand in a job.
+pub enum ClientOperation {
+    /// Submit a job.
     Submit(JobSpec),
-    /// Its state.
-    State,
-    /// To cancel it.
+    /// Query the state of a job, or the number of pending jobs of a queue.
+    Query,
+    /// Cancel a job.
     Cancel,
 }
 
 /// A client's request on its way to the primary.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct ClientCall {
-    /// Returned with the answer.
-    pub serial: u64,
-    /// The host that was asked.
+pub struct ClientRequest {
+    /// Returned with the response. Unique within the data plane's process.
+    pub request_id: u64,
+    /// The host that the client addressed, without the port.
     pub host: String,
-    /// The path.
+    /// The path that the client addressed: the queue's prefix and the job's ID.
     pub path: String,
-    /// What is wanted.
-    pub ask: Ask,
+    /// What is asked.
+    pub operation: ClientOperation,
 }
 
-/// The primary's answer.
+/// The control plane's response to a [`ClientRequest`].
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct ClientReply {
+pub struct ClientResponse {
     /// Of the request.
-    pub serial: u64,
-    /// The status, or 0 if this machine can't answer: another try elsewhere is due.
+    pub request_id: u64,
+    /// The HTTP status, or [`ClientResponse::NOT_PRIMARY`].
     pub status: u16,
     /// The body.
     pub body: String,
 }
 
-/// Who serves, as a control plane's node knows.
+impl ClientResponse {
+    /// The status of a node that can't answer as it is not primary: a retry elsewhere is due.
+    pub const NOT_PRIMARY: u16 = 0;
+}
+
+/// Which node is primary, as a node of the control plane knows.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 pub struct Directory {
-    /// The view's number.
+    /// The epoch of the view. A directory of a higher epoch replaces one of a lower.
     pub epoch: u64,
     /// The primary's peer address.
     pub primary: String,
-    /// All members' peer addresses.
+    /// The peer addresses of all members.
     pub members: Vec<String>,
 }
 
@@ -81,77 +64,77 @@
 pub enum Frame {
     /// Between members of the control plane.
     Replication(Envelope),
-    /// A data plane's process shows itself.
+    /// A data plane subscribes to the directory and the configuration.
     Hello {
-        /// Its name.
+        /// The name of its machine.
         node: String,
-        /// Where other data planes reach it.
+        /// The address at which other data planes reach it.
         peer: String,
-        /// The version of the configuration that it has.
+        /// The version of the configuration that it has; 0 for none.
         version: u64,
     },
-    /// Who serves.
+    /// Which node is primary.
     Directory(Directory),
-    /// What data planes need of the configuration that is in force.
+    /// The part of the configuration in force that data planes need.
     Configuration(DataPlaneConfiguration),
     /// A client's request.
-    Call(ClientCall),
-    /// Its answer.
-    Reply(ClientReply),
-    /// The data planes that one should tell and watch.
-    Peers(Vec<String>),
+    ClientRequest(ClientRequest),
+    /// The response to one.
+    ClientResponse(ClientResponse),
+    /// Peer addresses of the data planes with which the receiver exchanges gossip.
+    GossipPeers(Vec<String>),
     /// Between data planes.
     Gossip {
         /// The sender's peer address.
         from: String,
-        /// What it says.
+        /// The message.
         message: spanlead_dissemination::Message,
     },
-    /// Nothing; the connection is alive.
+    /// Shows that the connection is alive; answered with the same.
     Ping,
 }
 
-/// What a frame is about, as the metrics name it.
+/// The kind of a frame, as the metrics name it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
-    /// Leases, votes and all else that is small between members of the control plane.
+    /// Leases, votes and everything else that is small between members of the control plane.
     ReplicationControl,
     /// Batches and repairs.
     ReplicationData,
-    /// A data plane's process shows itself.
+    /// [`Frame::Hello`].
     Hello,
-    /// Who serves.
+    /// [`Frame::Directory`].
     Directory,
-    /// What data planes need of a configuration.
+    /// [`Frame::Configuration`].
     Configuration,
-    /// A client's request.
-    Call,
-    /// Its answer.
-    Reply,
-    /// The data planes that one should tell and watch.
-    Peers,
-    /// Between data planes.
+    /// [`Frame::ClientRequest`].
+    ClientRequest,
+    /// [`Frame::ClientResponse`].
+    ClientResponse,
+    /// [`Frame::GossipPeers`].
+    GossipPeers,
+    /// [`Frame::Gossip`].
     Gossip,
-    /// Nothing.
+    /// [`Frame::Ping`].
     Ping,
 }
 
 impl FrameKind {
-    /// All kinds, in the order of their numbers.
+    /// All kinds, in the order of their discriminants.
     pub const ALL: [FrameKind; 10] = [
         FrameKind::ReplicationControl,
         FrameKind::ReplicationData,
         FrameKind::Hello,
         FrameKind::Directory,
         FrameKind::Configuration,
-        FrameKind::Call,
-        FrameKind::Reply,
-        FrameKind::Peers,
+        FrameKind::ClientRequest,
+        FrameKind::ClientResponse,
+        FrameKind::GossipPeers,
         FrameKind::Gossip,
         FrameKind::Ping,
     ];
 
-    /// Its name in the metrics.
+    /// The value of the label `kind` in the metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -160,9 +143,9 @@
             FrameKind::Hello => "hello",
             FrameKind::Directory => "directory",
             FrameKind::Configuration => "configuration",
-            FrameKind::Call => "call",
-            FrameKind::Reply => "reply",
-            FrameKind::Peers => "peers",
+            FrameKind::ClientRequest => "call",
+            FrameKind::ClientResponse => "reply",
+            FrameKind::GossipPeers => "peers",
             FrameKind::Gossip => "gossip",
             FrameKind::Ping => "ping",
         }
@@ -170,7 +153,7 @@
 }
 
 impl Frame {
-    /// What it is about.
+    /// The kind under which the frame is counted.
     #[must_use]
     pub fn kind(&self) -> FrameKind {
         match self {
@@ -181,37 +164,11 @@
             Frame::Hello { .. } => FrameKind::Hello,
             Frame::Directory(_) => FrameKind::Directory,
             Frame::Configuration(_) => FrameKind::Configuration,
-            Frame::Call(_) => FrameKind::Call,
-            Frame::Reply(_) => FrameKind::Reply,
-            Frame::Peers(_) => FrameKind::Peers,
+            Frame::ClientRequest(_) => FrameKind::ClientRequest,
+            Frame::ClientResponse(_) => FrameKind::ClientResponse,
+            Frame::GossipPeers(_) => FrameKind::GossipPeers,
             Frame::Gossip { .. } => FrameKind::Gossip,
             Frame::Ping => FrameKind::Ping,
         }
     }
 }
-
-/// A frame's bytes on their way: its length and itself, counted as sent.
-#[must_use]
-pub fn encode_to_send(frame: &Frame) -> Vec<u8> {
-    let bytes = encode(frame);
-    metrics::count_sent(frame, bytes.len());
-    bytes
-}
-
-/// A frame's bytes: its length and itself.
-#[must_use]
-pub fn encode(frame: &Frame) -> Vec<u8> {
-    let body = rkyv::to_bytes::<rkyv::rancor::Error>(frame).map(|b| b.to_vec()).unwrap_or_default();
-    let mut bytes = Vec::with_capacity(body.len() + 4);
-    bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
-    bytes.extend_from_slice(&body);
-    bytes
-}
-
-/// Reads a frame's body.
-///
-/// # Errors
-/// If it is none.
-pub fn decode(body: &[u8]) -> Result<Frame, FrameError> {
-    rkyv::from_bytes::<Frame, rkyv::rancor::Error>(body).map_err(|_| FrameError::Form)
-}
--- a/crates/cluster/runtime/src/http/client.rs
+++ b/crates/cluster/runtime/src/http/client.rs
@@ -1,7 +1,9 @@
-//! Calls over kept connections. A connection carries one call at a time; it is kept only after exactly one whole answer
-//! came, and used again only if it is open and nothing has come since.
-use super::framing::{Answer, AnswerReader, Bounds, Progress, Violation};
-use crate::link::write_steadily;
+//! Calls over kept connections.
+//!
+//! A connection carries one call at a time. It is kept only after exactly one complete response was
+//! received, and used again only if it is open and nothing was received since.
+use super::framing::{FramingError, MessageLimits, Progress, ReceivedResponse, ResponseReader};
+use crate::socket::write_all_with_timeout;
 use async_std::io::ReadExt;
 use async_std::net::TcpStream;
 use futures_lite::future::poll_once;
@@ -9,41 +11,42 @@
 use quick_error::quick_error;
 use std::time::Duration;
 
-/// What an answer may be at most.
-const BOUNDS: Bounds = Bounds { head: 16 * 1024, body: 16 << 20 };
+/// The largest response that is read.
+const RESPONSE_LIMITS: MessageLimits =
+    MessageLimits { max_head_bytes: 16 * 1024, max_body_bytes: 16 * 1024 * 1024 };
 /// Bytes read at a time.
 const READ_BYTES: usize = 2 * 1024;
-/// How long a write may go without progress.
-const WRITE: Duration = Duration::from_millis(1_000);
+/// How long a write may make no progress.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 quick_error! {
-    /// Why a call has no answer. Whether it was carried out is not known.
+    /// Why a call has no response. Whether it was carried out is not known.
     #[derive(Debug)]
     pub enum CallError {
-        /// The connection.
+        /// The connection failed.
         Io(error: std::io::Error) {
             from()
             display("{}", error)
         }
-        /// What came is no answer.
-        Form(violation: Violation) {
+        /// What was received is no response.
+        Framing(error: FramingError) {
             from()
-            display("{}", violation)
+            display("{}", error)
         }
-        /// The connection ended within the answer.
-        Cut {
-            display("cut")
+        /// The connection ended within the response.
+        Truncated {
+            display("connection ended within the response")
         }
     }
 }
 
-/// Whether an idle connection can carry a call: it is open, and nothing has come without a question.
+/// Whether an idle connection can carry a call: it is open, and nothing was received unasked.
 pub async fn is_idle(stream: &TcpStream) -> bool {
     let mut byte = [0];
     poll_once(stream.peek(&mut byte)).await.is_none()
 }
 
-/// A request's bytes.
+/// The bytes of a request.
 ///
 /// # Errors
 /// If its body can't be read.
@@ -53,22 +56,22 @@
     Ok(bytes)
 }
 
-/// Sends a request, given as bytes, and reads its answer.
+/// Sends the bytes of a request and reads the response.
 ///
 /// # Errors
-/// If no whole answer comes.
-pub async fn call(stream: &mut TcpStream, request: &[u8]) -> Result<Answer, CallError> {
-    write_steadily(stream, request, WRITE).await?;
-    let mut reader = AnswerReader::default();
+/// If no complete response is received.
+pub async fn call(stream: &mut TcpStream, request: &[u8]) -> Result<ReceivedResponse, CallError> {
+    write_all_with_timeout(stream, request, WRITE_TIMEOUT).await?;
+    let mut reader = ResponseReader::default();
     let mut buffer = vec![0; READ_BYTES];
     loop {
         let count = stream.read(&mut buffer).await?;
         if count == 0 {
-            return reader.end().ok_or(CallError::Cut);
+            return reader.end().ok_or(CallError::Truncated);
         }
         reader.push(&buffer[..count]);
-        if let Progress::Whole(answer) = reader.next(BOUNDS)? {
-            return Ok(answer);
+        if let Progress::Complete(response) = reader.next(RESPONSE_LIMITS)? {
+            return Ok(response);
         }
     }
 }
--- a/crates/cluster/runtime/src/http/server.rs
+++ b/crates/cluster/runtime/src/http/server.rs
@@ -1,79 +1,98 @@
-//! Serving HTTP connections with a `tide` application.
-use super::framing::{Bounds, Progress, Received, RequestReader, Violation};
-use crate::link::write_steadily;
-use crate::listen::listen;
+//! Serves HTTP connections with a `tide` application.
+use super::framing::{FramingError, MessageLimits, Progress, ReceivedRequest, RequestReader};
+use crate::socket::{listen, write_all_with_timeout};
 use async_std::future::timeout;
 use async_std::io::ReadExt;
-use async_std::net::TcpStream;
+use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
 use http_types::headers::CONNECTION;
 use http_types::{Method, Response, StatusCode};
+use std::net::Shutdown;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// Bytes read at a time.
 const READ_BYTES: usize = 4 * 1024;
-/// Between two tries to listen.
-const RETRY: Duration = Duration::from_millis(100);
-/// How long a client may take to read what it was answered before its connection is closed.
-const LINGER: Duration = Duration::from_millis(500);
-/// Bytes that are read and dropped after an answer that closes the connection.
-const DROPPED_BYTES: usize = 1 << 20;
-/// Sent where a client waits for it before it sends a body.
+/// Wait before listening or accepting is tried again.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a client may take to read the last response before its connection is closed.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Bytes that are read and dropped after a response that closes the connection.
+const MAX_LINGER_BYTES: usize = 1024 * 1024;
+/// Sent to a client that waits for it before it sends a body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
+const REQUEST_TIMEOUT_STATUS: u16 = 408;
+const OVERLOADED_STATUS: u16 = 503;
+
 /// What a connection may take.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// Bytes of a message.
-    pub bounds: Bounds,
-    /// How long a head may take to come from its first byte, and each part of a body after the one before.
-    pub request: Duration,
+pub struct ConnectionLimits {
+    /// The largest request.
+    pub message: MessageLimits,
+    /// How long a head may take from its first byte, and each part of a body after the previous one.
+    pub request_timeout: Duration,
     /// How long a connection may be idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
-/// The limits at this moment.
-pub type CurrentLimits = Arc<dyn Fn() -> Limits + Send + Sync>;
+/// Returns the limits that are in force now: they change with the configuration.
+pub type CurrentLimits = Arc<dyn Fn() -> ConnectionLimits + Send + Sync>;
 
-/// Listens at an address and serves all connections, at most so many at a time: one more is told so and closed.
-pub async fn serve<S>(address: String, app: tide::Server<S>, limits: CurrentLimits, connections: usize)
+/// Listens at an address and serves up to `max_connections` at a time: one more is answered with
+/// 503 and closed. Never returns.
+pub async fn serve<S>(address: String, app: tide::Server<S>, limits: CurrentLimits, max_connections: usize)
 where
     S: Clone + Send + Sync + 'static,
 {
-    let open = Arc::new(());
+    let server = Server { app, limits, max_connections, open: Arc::new(()) };
     loop {
-        let listener = match listen(&address) {
-            Ok(listener) => listener,
-            Err(error) => {
-                log::error!("{address}: {error}");
-                task::sleep(RETRY).await;
-                continue;
-            }
-        };
+        match listen(&address) {
+            Ok(listener) => server.accept_all(&address, &listener).await,
+            Err(error) => log::error!("http listener failed address={address} error={error}"),
+        }
+        task::sleep(RETRY_INTERVAL).await;
+    }
+}
+
+struct Server<S> {
+    app: tide::Server<S>,
+    limits: CurrentLimits,
+    max_connections: usize,
+    /// Counts open connections: each owns a clone.
+    open: Arc<()>,
+}
+
+impl<S> Server<S>
+where
+    S: Clone + Send + Sync + 'static,
+{
+    async fn accept_all(&self, address: &str, listener: &TcpListener) {
         loop {
-            let stream = match listener.accept().await {
-                Ok((stream, _)) => stream,
+            match listener.accept().await {
+                Ok((stream, _)) => self.spawn_connection(stream),
                 Err(error) => {
-                    log::warn!("{address}: accept: {error}");
-                    task::sleep(RETRY).await;
-                    continue;
+                    log::warn!("http accept failed address={address} error={error}");
+                    task::sleep(RETRY_INTERVAL).await;
                 }
-            };
-            let _ = stream.set_nodelay(true);
-            let full = Arc::strong_count(&open) > connections;
-            let (app, limits, open) = (app.clone(), limits.clone(), open.clone());
-            task::spawn(async move {
-                let mut connection = Connection { stream, reader: RequestReader::default() };
-                if full {
-                    connection.end_with(503, "too many connections").await;
-                } else if let Err(error) = connection.serve(&app, &limits).await {
-                    log::debug!("a client's connection ends: {error}");
-                }
-                drop(open);
-            });
+            }
         }
     }
+
+    fn spawn_connection(&self, stream: TcpStream) {
+        let _ = stream.set_nodelay(true);
+        let is_full = Arc::strong_count(&self.open) > self.max_connections;
+        let (app, limits, open) = (self.app.clone(), self.limits.clone(), self.open.clone());
+        task::spawn(async move {
+            let mut connection = Connection { stream, reader: RequestReader::default() };
+            if is_full {
+                connection.respond_and_close(OVERLOADED_STATUS, "too many connections").await;
+            } else if let Err(error) = connection.serve(&app, &limits).await {
+                log::debug!("client connection ended error={error}");
+            }
+            drop(open);
+        });
+    }
 }
 
 struct Connection {
@@ -81,14 +100,14 @@
     reader: RequestReader,
 }
 
-/// What came of waiting for a request.
-enum Awaited {
-    Request(Box<Received>),
-    Violation(Violation),
-    /// It began and did not come in time.
-    Late,
+/// How waiting for a request ended.
+enum NextRequest {
+    Received(Box<ReceivedRequest>),
+    Refused(FramingError),
+    /// It began and was not complete in time.
+    TimedOut,
     /// The connection ended, or was idle for too long.
-    End,
+    ConnectionEnded,
 }
 
 impl Connection {
@@ -98,85 +117,110 @@
     {
         loop {
             let limits = limits();
-            let received = match self.await_request(limits).await? {
-                Awaited::Request(received) => received,
-                Awaited::Violation(violation) => {
-                    self.end_with(violation.status(), &violation.to_string()).await;
+            match self.next_request(limits).await? {
+                NextRequest::Received(received) => {
+                    if self.respond(app, *received, limits.idle_timeout).await? {
+                        return Ok(());
+                    }
+                }
+                NextRequest::Refused(error) => {
+                    self.respond_and_close(error.status(), &error.to_string()).await;
                     return Ok(());
                 }
-                Awaited::Late => {
-                    self.end_with(408, "request not complete in time").await;
+                NextRequest::TimedOut => {
+                    self.respond_and_close(REQUEST_TIMEOUT_STATUS, "request not complete in time").await;
                     return Ok(());
                 }
-                Awaited::End => return Ok(()),
-            };
-            let method = received.request.method();
-            let mut response: Response = app.respond(received.request).await?;
-            if received.close {
-                response.insert_header(CONNECTION, "close");
-            }
-            let close = response.header(CONNECTION).is_some_and(|value| value.as_str() == "close");
-            self.write(response, method, limits.idle).await?;
-            if close {
-                self.linger().await;
-                return Ok(());
+                NextRequest::ConnectionEnded => return Ok(()),
             }
         }
     }
 
-    async fn await_request(&mut self, limits: Limits) -> std::io::Result<Awaited> {
-        let mut began = None;
+    /// Responds to a request. Returns whether the connection was closed after it.
+    async fn respond<S>(
+        &mut self,
+        app: &tide::Server<S>,
+        received: ReceivedRequest,
+        write_timeout: Duration,
+    ) -> http_types::Result<bool>
+    where
+        S: Clone + Send + Sync + 'static,
+    {
+        let method = received.request.method();
+        let mut response: Response = app.respond(received.request).await?;
+        if received.close {
+            response.insert_header(CONNECTION, "close");
+        }
+        let close = response.header(CONNECTION).is_some_and(|value| value.as_str() == "close");
+        self.write(response, method, write_timeout).await?;
+        if close {
+            self.linger().await;
+        }
+        Ok(close)
+    }
+
+    async fn next_request(&mut self, limits: ConnectionLimits) -> std::io::Result<NextRequest> {
+        let mut head_began = None;
         let mut buffer = [0; READ_BYTES];
         loop {
-            match self.reader.next(limits.bounds) {
-                Ok(Progress::Whole(received)) => return Ok(Awaited::Request(Box::new(received))),
-                Ok(Progress::Continue) => write_steadily(&mut self.stream, CONTINUE, limits.idle).await?,
-                Ok(Progress::Partial) => {}
-                Err(violation) => return Ok(Awaited::Violation(violation)),
+            match self.reader.next(limits.message) {
+                Ok(Progress::Complete(received)) => return Ok(NextRequest::Received(Box::new(received))),
+                Ok(Progress::ExpectsContinue) => {
+                    write_all_with_timeout(&mut self.stream, CONTINUE, limits.idle_timeout).await?;
+                }
+                Ok(Progress::Incomplete) => {}
+                Err(error) => return Ok(NextRequest::Refused(error)),
             }
-            let patience = if self.reader.in_head() {
-                let began = *began.get_or_insert_with(Instant::now);
-                limits.request.saturating_sub(began.elapsed())
+            let read_timeout = if self.reader.in_head() {
+                let head_began = *head_began.get_or_insert_with(Instant::now);
+                limits.request_timeout.saturating_sub(head_began.elapsed())
             } else if self.reader.in_body() {
-                limits.request
+                limits.request_timeout
             } else {
-                limits.idle
+                limits.idle_timeout
             };
-            match timeout(patience, self.stream.read(&mut buffer)).await {
-                Ok(Ok(0)) => return Ok(Awaited::End),
+            match timeout(read_timeout, self.stream.read(&mut buffer)).await {
+                Ok(Ok(0)) => return Ok(NextRequest::ConnectionEnded),
                 Ok(Ok(count)) => self.reader.push(&buffer[..count]),
                 Ok(Err(error)) => return Err(error),
-                Err(_) if self.reader.in_head() || self.reader.in_body() => return Ok(Awaited::Late),
-                Err(_) => return Ok(Awaited::End),
+                Err(_) if self.reader.in_head() || self.reader.in_body() => {
+                    return Ok(NextRequest::TimedOut);
+                }
+                Err(_) => return Ok(NextRequest::ConnectionEnded),
             }
         }
     }
 
-    async fn write(&mut self, response: Response, method: Method, patience: Duration) -> std::io::Result<()> {
+    async fn write(
+        &mut self,
+        response: Response,
+        method: Method,
+        write_timeout: Duration,
+    ) -> std::io::Result<()> {
         let mut bytes = Vec::new();
         async_h1::server::Encoder::new(response, method).read_to_end(&mut bytes).await?;
-        write_steadily(&mut self.stream, &bytes, patience).await
+        write_all_with_timeout(&mut self.stream, &bytes, write_timeout).await
     }
 
-    /// Answers and closes the connection.
-    async fn end_with(&mut self, status: u16, why: &str) {
+    async fn respond_and_close(&mut self, status: u16, reason: &str) {
         let mut response = Response::new(StatusCode::try_from(status).unwrap_or(StatusCode::BadRequest));
-        response.set_body(why);
+        response.set_body(reason);
         response.insert_header(CONNECTION, "close");
-        if self.write(response, Method::Get, LINGER).await.is_ok() {
+        if self.write(response, Method::Get, LINGER_TIMEOUT).await.is_ok() {
             self.linger().await;
         }
     }
 
-    /// Lets the client read the last answer: a connection that is closed with bytes unread would be reset.
+    /// Lets the client read the last response: a connection that is closed with unread bytes would be
+    /// reset, and the response lost with it.
     async fn linger(&mut self) {
-        let _ = self.stream.shutdown(std::net::Shutdown::Write);
+        let _ = self.stream.shutdown(Shutdown::Write);
         let mut buffer = [0; READ_BYTES];
         let mut dropped = 0;
-        let until = Instant::now() + LINGER;
-        while dropped < DROPPED_BYTES {
-            let patience = until.saturating_duration_since(Instant::now());
-            match timeout(patience, self.stream.read(&mut buffer)).await {
+        let until = Instant::now() + LINGER_TIMEOUT;
+        while dropped < MAX_LINGER_BYTES {
+            let remaining = until.saturating_duration_since(Instant::now());
+            match timeout(remaining, self.stream.read(&mut buffer)).await {
                 Ok(Ok(count)) if count > 0 => dropped += count,
                 _ => return,
             }
--- a/crates/cluster/runtime/src/lib.rs
+++ b/crates/cluster/runtime/src/lib.rs
@@ -1,16 +1,26 @@
-//! What the control plane's and the data plane's program share: sockets, time, settings, logs and metrics.
+//! What the control plane's and the data plane's program share: sockets, time, settings, logs, metrics.
 //!
-//! The decisions live in crates without I/O: `spanlead-replication` (who is primary, what is committed),
-//! `spanlead-job-scheduler` (jobs and where their tasks go), `spanlead-cluster-config` and `spanlead-dissemination`. The
-//! two programs, `spanlead-control-plane` and `spanlead-data-plane`, are the shells round them; what both need is here.
-pub mod accept;
+//! The decisions are made in crates without I/O: `spanlead-replication` (who is primary, what is
+//! committed), `spanlead-job-scheduler` (jobs, and where their tasks run), `spanlead-cluster-config`
+//! and `spanlead-dissemination`. The two programs, `spanlead-control-plane` and `spanlead-data-plane`,
+//! connect those to sockets, disks and clocks.
+//!
+//! - Between processes: [`frame`] and [`frame_codec`] (messages and their bytes), [`peer_links`]
+//!   (outgoing connections), [`peer_server`] (incoming ones), [`traffic`] (counters).
+//! - To clients, operators, workers and the platform: [`http`].
+//! - The process itself: [`program`], [`settings`], [`signals`], [`clock`], [`logs`], [`metrics`].
+#![warn(missing_docs, unreachable_pub)]
+#![warn(clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
+pub mod clock;
 pub mod frame;
+pub mod frame_codec;
 pub mod http;
-pub mod link;
-pub mod listen;
 pub mod logs;
 pub mod metrics;
+pub mod peer_links;
+pub mod peer_server;
 pub mod program;
 pub mod settings;
 pub mod signals;
-pub mod time;
+pub mod socket;
+pub mod traffic;
--- a/crates/cluster/runtime/src/logs.rs
+++ b/crates/cluster/runtime/src/logs.rs
@@ -1,27 +1,39 @@
-//! Logs on standard error.
+//! Logs on standard error, one record a line: level, node, module, message.
 use log::LevelFilter;
 
-/// Starts logging for a process of that name.
+/// The crates whose records are logged at the level that was asked for; others log warnings and errors.
+const OWN_CRATES: [&str; 5] = [
+    "spanlead_cluster_runtime",
+    "spanlead_control_plane",
+    "spanlead_data_plane",
+    "spanlead_job_scheduler",
+    "spanlead_replication",
+];
+/// The exit status after a panic, as after one of the main thread.
+const PANIC_EXIT_STATUS: i32 = 101;
+
+/// Starts logging for the process of a node.
 pub fn start(node: &str, level: LevelFilter) {
     let node = node.to_owned();
-    let started = fern::Dispatch::new()
+    let mut dispatch = fern::Dispatch::new()
         .format(move |out, message, record| {
             out.finish(format_args!("{} {} {} {message}", record.level(), node, record.target()));
         })
-        .level(LevelFilter::Warn)
-        .level_for("spanlead_cluster_runtime", level)
-        .level_for("spanlead_control_plane", level)
-        .level_for("spanlead_data_plane", level)
-        .level_for("spanlead_job_scheduler", level)
-        .level_for("spanlead_replication", level)
-        .chain(std::io::stderr())
-        .apply();
-    if let Err(error) = started {
-        eprintln!("no logs: {error}");
+        .level(LevelFilter::Warn);
+    for name in OWN_CRATES {
+        dispatch = dispatch.level_for(name, level);
+    }
+    if let Err(error) = dispatch.chain(std::io::stderr()).apply() {
+        eprintln!("logging can't be started: {error}");
     }
-    let usual = std::panic::take_hook();
+}
+
+/// Ends the process at a panic in any thread: a process that has lost one of its tasks must not go on
+/// half alive.
+pub fn exit_on_panic() {
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
-        usual(panic);
-        std::process::exit(101);
+        default_hook(panic);
+        std::process::exit(PANIC_EXIT_STATUS);
     }));
 }
--- a/crates/cluster/runtime/src/program.rs
+++ b/crates/cluster/runtime/src/program.rs
@@ -1,4 +1,4 @@
-//! What both programs do first: arguments, settings, logs.
+//! The start that both programs share: arguments, settings, logs.
 use crate::logs;
 use crate::settings::Settings;
 use clap::{CommandFactory, FromArgMatches, Parser};
@@ -6,8 +6,8 @@
 use std::fmt::Display;
 use std::process::ExitCode;
 
-/// The status of a process that can't run as it is set up.
-const UNUSABLE: u8 = 2;
+/// The exit status of a process that can't run with its settings.
+const UNUSABLE_SETTINGS_STATUS: u8 = 2;
 
 #[derive(Parser)]
 #[command(version)]
@@ -20,7 +20,9 @@
     check: bool,
 }
 
-/// Runs a program of that name and purpose.
+/// Runs a program of this name until it ends.
+///
+/// `about` is the first line of its help.
 pub fn run<E: Display>(
     name: &'static str,
     about: &'static str,
@@ -32,7 +34,7 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("{error}");
-            return ExitCode::from(UNUSABLE);
+            return ExitCode::from(UNUSABLE_SETTINGS_STATUS);
         }
     };
     if arguments.check {
@@ -40,11 +42,12 @@
         return ExitCode::SUCCESS;
     }
     logs::start(&settings.node, arguments.log);
+    logs::exit_on_panic();
     match program(&settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             log::error!("{error}");
-            ExitCode::from(UNUSABLE)
+            ExitCode::from(UNUSABLE_SETTINGS_STATUS)
         }
     }
 }
--- a/crates/cluster/runtime/tests/http.rs
+++ b/crates/cluster/runtime/tests/http.rs
@@ -3,23 +3,25 @@
 use async_std::io::{ReadExt, WriteExt};
 use async_std::net::{TcpListener, TcpStream};
 use async_std::task;
-use spanlead_cluster_runtime::http::framing::{AnswerReader, Bounds, Progress, RequestReader, Violation};
-use spanlead_cluster_runtime::http::server::{self, Limits};
+use spanlead_cluster_runtime::http::framing::{
+    FramingError, MessageLimits, Progress, RequestReader, ResponseReader,
+};
+use spanlead_cluster_runtime::http::server::{self, ConnectionLimits};
 use spanlead_cluster_runtime::http::{client, client::CallError};
 use std::sync::Arc;
 use std::time::Duration;
 
-const BOUNDS: Bounds = Bounds { head: 512, body: 64 };
+const LIMITS: MessageLimits = MessageLimits { max_head_bytes: 512, max_body_bytes: 64 };
 
 /// The requests in these bytes, pushed in pieces of `piece` bytes, as `METHOD path body`; and the violation at the end.
-fn requests(bytes: &[u8], piece: usize) -> (Vec<String>, Option<Violation>) {
+fn requests(bytes: &[u8], piece: usize) -> (Vec<String>, Option<FramingError>) {
     let mut reader = RequestReader::default();
     let mut found = Vec::new();
     for chunk in bytes.chunks(piece) {
         reader.push(chunk);
         loop {
-            match reader.next(BOUNDS) {
-                Ok(Progress::Whole(mut received)) => {
+            match reader.next(LIMITS) {
+                Ok(Progress::Complete(mut received)) => {
                     let body = task::block_on(received.request.body_string()).expect("text");
                     let path = received.request.url().path().to_owned();
                     found.push(format!("{} {path} {body}", received.request.method()));
@@ -36,7 +38,7 @@
     for piece in [1, 2, 3, 7, 64, bytes.len().max(1)] {
         let (found, ended) = requests(bytes.as_bytes(), piece);
         assert_eq!(found, expected, "in pieces of {piece}: {bytes:?}");
-        assert_eq!(ended.map(Violation::status), violation, "in pieces of {piece}: {bytes:?}");
+        assert_eq!(ended.map(FramingError::status), violation, "in pieces of {piece}: {bytes:?}");
     }
 }
 
@@ -97,10 +99,10 @@
         let length = request.body_bytes().await?.len();
         Ok(format!("{} {} {length}", request.method(), request.url().path()))
     });
-    let limits = || Limits {
-        bounds: Bounds { head: 2_048, body: 4_096 },
-        request: Duration::from_millis(300),
-        idle: Duration::from_millis(600),
+    let limits = || ConnectionLimits {
+        message: MessageLimits { max_head_bytes: 2_048, max_body_bytes: 4_096 },
+        request_timeout: Duration::from_millis(300),
+        idle_timeout: Duration::from_millis(600),
     };
     task::spawn(server::serve(address.to_string(), app, Arc::new(limits), 4));
     address.to_string()
@@ -247,13 +249,13 @@
 fn answer(bytes: &[u8]) -> Option<(u16, String, bool)> {
     let mut last = None;
     for piece in [1, 5, bytes.len()] {
-        let mut reader = AnswerReader::default();
+        let mut reader = ResponseReader::default();
         let mut found = None;
         // All bytes are there when the answer is looked at, as they are when they come in one packet.
         for chunk in bytes.chunks(piece) {
             reader.push(chunk);
         }
-        if let Ok(Progress::Whole(answer)) = reader.next(BOUNDS) {
+        if let Ok(Progress::Complete(answer)) = reader.next(LIMITS) {
             found = Some(answer);
         } else {
             found = found.or(reader.end());
@@ -339,5 +341,5 @@
     .await;
     let mut stream = connect(&cutting).await;
     let error = client::call(&mut stream, b"POST /x HTTP/1.1\r\n\r\n").await.expect_err("cut");
-    assert!(matches!(error, CallError::Cut | CallError::Io(_)), "{error}");
+    assert!(matches!(error, CallError::Truncated | CallError::Io(_)), "{error}");
 }
--- a/crates/cluster/runtime/tests/links.rs
+++ b/crates/cluster/runtime/tests/links.rs
@@ -4,9 +4,10 @@
 use async_std::io::{ReadExt, WriteExt};
 use async_std::net::TcpStream;
 use async_std::task;
-use spanlead_cluster_runtime::accept;
-use spanlead_cluster_runtime::frame::{Frame, MAX_FRAME};
-use spanlead_cluster_runtime::link::{LinkEvent, Links};
+use spanlead_cluster_runtime::frame::Frame;
+use spanlead_cluster_runtime::frame_codec::{MAX_FRAME_BYTES, encode};
+use spanlead_cluster_runtime::peer_links::{LinkEvent, PeerLinks};
+use spanlead_cluster_runtime::peer_server;
 use spanlead_replication::TrafficClass;
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,16 +20,16 @@
 #[async_std::test]
 async fn a_connection_that_is_always_busy_stays() {
     let address = free_address();
-    task::spawn(accept::serve(address.clone(), Arc::new(|_, _| {})));
+    task::spawn(peer_server::serve(address.clone(), Arc::new(|_, _| {})));
     let (events, inbox) = unbounded();
-    let links = Links::new(events);
+    let links = PeerLinks::new(events);
     for _ in 0..100 {
-        links.send(&address, TrafficClass::Data, &Frame::Peers(vec!["x".to_owned()]));
+        links.send(&address, TrafficClass::Data, &Frame::GossipPeers(vec!["x".to_owned()]));
         task::sleep(Duration::from_millis(25)).await;
     }
     let mut lost = 0;
     while let Ok(event) = inbox.try_recv() {
-        lost += usize::from(matches!(event, LinkEvent::Down(_)));
+        lost += usize::from(matches!(event, LinkEvent::Disconnected(_)));
     }
     assert_eq!(lost, 0, "the connection was lost");
 }
@@ -36,13 +37,13 @@
 #[async_std::test]
 async fn a_frame_that_is_announced_and_does_not_come_takes_no_memory_and_ends_the_connection() {
     let address = free_address();
-    task::spawn(accept::serve(address.clone(), Arc::new(|_, _| {})));
+    task::spawn(peer_server::serve(address.clone(), Arc::new(|_, _| {})));
     task::sleep(Duration::from_millis(50)).await;
     let before = resident_kb();
     let mut held = Vec::new();
     for _ in 0..50 {
         let mut stream = TcpStream::connect(&address).await.expect("connected");
-        stream.write_all(&(MAX_FRAME as u32).to_le_bytes()).await.expect("written");
+        stream.write_all(&(MAX_FRAME_BYTES as u32).to_le_bytes()).await.expect("written");
         held.push(stream);
     }
     task::sleep(Duration::from_millis(200)).await;
@@ -65,9 +66,9 @@
     let listener = async_std::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound").to_string();
     let (events, inbox) = unbounded();
-    let links = Links::new(events);
+    let links = PeerLinks::new(events);
     let large = "x".repeat(12 << 20);
-    links.send(&address, TrafficClass::Data, &Frame::Peers(vec![large]));
+    links.send(&address, TrafficClass::Data, &Frame::GossipPeers(vec![large]));
     let (mut stream, _) = listener.accept().await.expect("connected");
     let mut buffer = vec![0; 512 * 1024];
     let (mut read, began) = (0, std::time::Instant::now());
@@ -77,13 +78,13 @@
         assert!(count > 0, "ended after {read} bytes");
         read += count;
         // An answer to pings, and the time that a slow link takes.
-        stream.write_all(&spanlead_cluster_runtime::frame::encode(&Frame::Ping)).await.expect("open");
+        stream.write_all(&encode(&Frame::Ping)).await.expect("open");
         task::sleep(Duration::from_millis(130)).await;
     }
     assert!(began.elapsed() > Duration::from_millis(2_600), "too fast to show anything");
     let mut lost = 0;
     while let Ok(event) = inbox.try_recv() {
-        lost += usize::from(matches!(event, LinkEvent::Down(_)));
+        lost += usize::from(matches!(event, LinkEvent::Disconnected(_)));
     }
     assert_eq!(lost, 0, "the connection was lost");
 }
@@ -94,7 +95,7 @@
     let listener = async_std::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound").to_string();
     let (events, _inbox) = unbounded();
-    let links = Links::new(events);
+    let links = PeerLinks::new(events);
     links.send(&address, TrafficClass::Control, &Frame::Ping);
     let (first, _) = listener.accept().await.expect("connected");
     // As usual it has lasted for a while.
--- a/crates/service/deployment-settings/src/options.rs
+++ b/crates/service/deployment-settings/src/options.rs
@@ -1,13 +1,13 @@
 //! The settings object as it is written, under the operators' names.
 //!
 //! Unknown fields are skipped, absent ones get their documented meaning. Times are nanoseconds. The containers
-//! keep their names in the messages of the reader.
+//! keep the names that they have in messages of the reader.
 
 use serde::Deserialize;
 
 /// The settings object.
 #[derive(Deserialize)]
-#[serde(expecting = "struct Options", rename_all = "camelCase")]
+#[serde(rename = "Options", rename_all = "camelCase")]
 pub struct DeploymentOptions {
     /// The zone of this dispatcher, an index into the zones.
     #[serde(rename = "az", default)]
@@ -61,7 +61,7 @@
 
 /// What is special to the deployment's family of workers. The lists have an entry for each request class.
 #[derive(Deserialize, Default)]
-#[serde(expecting = "struct FamilyInfo", rename_all = "camelCase", default)]
+#[serde(rename = "FamilyInfo", rename_all = "camelCase", default)]
 pub struct FamilyOptions {
     /// The machine kinds that classes need; a negative one means any.
     pub class_kind: Vec<i64>,
@@ -87,7 +87,7 @@
 
 /// A request class.
 #[derive(Deserialize)]
-#[serde(expecting = "struct Grade", rename_all = "camelCase")]
+#[serde(rename = "Grade", rename_all = "camelCase")]
 pub struct ClassOptions {
     /// Its name.
     pub name: String,
@@ -119,7 +119,7 @@
 
 /// The operations that are permitted, and their bounds.
 #[derive(Deserialize, Default)]
-#[serde(expecting = "struct Limits", rename_all = "camelCase", default)]
+#[serde(rename = "Limits", rename_all = "camelCase", default)]
 pub struct LimitOptions {
     /// Attempts may be cancelled.
     #[serde(rename = "cancel")]
@@ -152,7 +152,7 @@
 
 /// What operations cost.
 #[derive(Deserialize, Default)]
-#[serde(expecting = "struct Prices", rename_all = "camelCase", default)]
+#[serde(rename = "Prices", rename_all = "camelCase", default)]
 pub struct PriceOptions {
     /// Open connections.
     #[serde(rename = "connection")]
@@ -180,7 +180,7 @@
 
 /// How load reports travel.
 #[derive(Deserialize, Default)]
-#[serde(expecting = "struct ReportForm", default)]
+#[serde(rename = "ReportForm", default)]
 pub struct ReportOptions {
     /// `answers`, `probe` or `none`.
     pub via: Option<String>,
@@ -188,7 +188,7 @@
 
 /// The figures of the safety rules.
 #[derive(Deserialize, Default)]
-#[serde(expecting = "struct Rules", rename_all = "camelCase", default)]
+#[serde(rename = "Rules", rename_all = "camelCase", default)]
 pub struct RuleOptions {
     /// The longest gap between two requests for the endpoint list.
     #[serde(rename = "askEvery")]
@@ -211,7 +211,7 @@
 
 /// A tenant.
 #[derive(Deserialize)]
-#[serde(expecting = "struct Tenant", rename_all = "camelCase")]
+#[serde(rename = "Tenant", rename_all = "camelCase")]
 pub struct TenantOptions {
     /// Its name.
     #[serde(default)]
--- a/crates/tools/cluster-testbed/src/bin/cluster.rs
+++ b/crates/tools/cluster-testbed/src/bin/cluster.rs
@@ -2,7 +2,7 @@
 use async_std::task;
 use clap::{Parser, Subcommand};
 use http_types::Method;
-use spanlead_cluster_config::{Configuration, ReadError};
+use spanlead_cluster_config::{Configuration, ConfigurationError};
 use spanlead_cluster_testbed::operate::control;
 use spanlead_cluster_testbed::run::{TrialOptions, run};
 use std::path::PathBuf;
@@ -111,12 +111,12 @@
         Ok(text) => text,
         Err(error) => return fault(&format!("{}: {error}", file.display())),
     };
-    match Configuration::read(&text) {
+    match Configuration::parse(&text) {
         Ok(configuration) => {
             println!("version {}: {} routes are good", configuration.version, configuration.routes.len());
             ExitCode::SUCCESS
         }
-        Err(ReadError::Faulty(faults)) => {
+        Err(ConfigurationError::Invalid(faults)) => {
             faults.iter().for_each(|fault| eprintln!("{}: {fault}", file.display()));
             ExitCode::from(2)
         }
--- a/crates/tools/simulator-adapter/src/wire.rs
+++ b/crates/tools/simulator-adapter/src/wire.rs
@@ -86,7 +86,7 @@
 
 /// What an update of the endpoint list covers.
 #[derive(Deserialize)]
-#[serde(expecting = "enum ListScope", rename_all = "lowercase")]
+#[serde(rename = "ListScope", rename_all = "lowercase")]
 pub(crate) enum UpdateScope {
     Update,
     Replace,
