--- a/crates/service/balancing-policy/examples/members.rs
+++ b/crates/service/balancing-policy/examples/members.rs
@@ -1,7 +1,9 @@
-//! What the list of workers costs the module: `cargo run --release -p spanlead-balancing-policy --example members`.
+//! What the list of workers costs the module: `cargo run --release -p spanlead-balancing-policy
+//! --example members`.
 //!
-//! For each size: a first whole list, the same list again, and one in which every worker's weight, zone and cell have
-//! changed; then one change alone. Microseconds of the event, the median of some rounds, each on a new dispatcher.
+//! For each size: a first whole list, the same list again, and one in which every worker's weight,
+//! zone and cell have changed; then one change alone. Microseconds of the event, the median of some
+//! rounds, each on a new dispatcher.
 use spanlead_balancing_policy::{
     Dispatcher, Endpoint, EndpointUpdate, Event, RequestClass, Settings, WorkerState,
 };
--- a/crates/service/balancing-policy/src/admission_limiter.rs
+++ b/crates/service/balancing-policy/src/admission_limiter.rs
@@ -1,25 +1,28 @@
-//! The fraction of new requests that is admitted when the fleet cannot serve all, and of which classes.
+//! The fraction of new requests that is admitted when the fleet cannot serve all, and of which
+//! classes.
 //!
-//! How much is admitted in all follows signals of free capacity. Which request groups it is made of follows
-//! the value that a second of a worker earns with each group: of the work that can be admitted, a group gets a
-//! share in proportion to the square root of that value, never more than arrives of it. So a group of short,
-//! valuable requests is admitted nearly complete and the others share the rest. The square root is taken
-//! because the worst-served class counts too: in proportion to the value itself, the total value is a little
-//! higher and the worst class fares worse.
+//! How much is admitted in all follows signals of free capacity. Which request groups it is made of
+//! follows the value that a second of a worker earns with each group: of the work that can be
+//! admitted, a group gets a share in proportion to the square root of that value, never more than
+//! arrives of it. So a group of short, valuable requests is admitted nearly complete and the others
+//! share the rest. The square root is taken because the worst-served class counts too: in
+//! proportion to the value itself, the total value is a little higher and the worst class fares
+//! worse.
 //!
-//! A request group is the requests of one class that can still be answered in time, or those that cannot.
+//! A request group is the requests of one class that can still be answered in time, or those that
+//! cannot.
 
-/// The step of the admitted fraction for one capacity signal, on a logarithmic scale. The signals are compared
-/// with a target share: of probed workers that report a free slot, and of attempts that start within half of
-/// their latency target.
+/// The step of the admitted fraction for one capacity signal, on a logarithmic scale. The signals
+/// are compared with a target share: of probed workers that report a free slot, and of attempts
+/// that start within half of their latency target.
 const SIGNAL_GAIN: f64 = 0.03;
 
-/// The admitted fraction never falls below this: a dispatcher that admits little learns little, and must find
-/// out that capacity is back.
+/// The admitted fraction never falls below this: a dispatcher that admits little learns little, and
+/// must find out that capacity is back.
 const MIN_ADMITTED: f64 = 0.05;
 
-/// The admitted fraction grows by this part with each request. Growth by the clock instead would let many
-/// quiet dispatchers flood the fleet.
+/// The admitted fraction grows by this part with each request. Growth by the clock instead would
+/// let many quiet dispatchers flood the fleet.
 const GROWTH_PER_REQUEST: f64 = 0.002;
 
 /// The part of the counted arrivals that each request lets fade.
@@ -90,8 +93,9 @@
         self.arrivals[group] += 1.0;
     }
 
-    /// Takes one signal of whether the fleet has free capacity and moves the admitted fraction towards the
-    /// target share of such signals. The signals are shares over many workers, so their age matters little.
+    /// Takes one signal of whether the fleet has free capacity and moves the admitted fraction
+    /// towards the target share of such signals. The signals are shares over many workers, so their
+    /// age matters little.
     pub fn record_capacity_signal(&mut self, has_capacity: bool, target_share: f64) {
         let error = f64::from(u8::from(has_capacity)) - target_share;
         self.admitted = (self.admitted * (SIGNAL_GAIN * error).exp()).clamp(MIN_ADMITTED, 1.0);
@@ -116,8 +120,8 @@
     }
 }
 
-/// The fraction of a group's work that is admitted. Groups whose share would be more than arrives of them are
-/// admitted complete; the others share what is left.
+/// The fraction of a group's work that is admitted. Groups whose share would be more than arrives
+/// of them are admitted complete; the others share what is left.
 ///
 /// Ends, since each round removes at least one group or returns.
 fn share_of_group(group: usize, admitted: f64, demands: Vec<Demand>) -> f64 {
--- a/crates/service/balancing-policy/src/api/event.rs
+++ b/crates/service/balancing-policy/src/api/event.rs
@@ -18,7 +18,8 @@
     },
     /// A request arrived and must get exactly one final answer.
     RequestArrived(Request),
-    /// A request that another process of this dispatcher accepted; its one final answer is now due here.
+    /// A request that another process of this dispatcher accepted; its one final answer is now due
+    /// here.
     RequestAdopted {
         /// The request.
         request: Request,
@@ -71,8 +72,8 @@
         /// The worker's load, if it came along.
         report: Option<LoadReport>,
     },
-    /// Operators have changed the settings. What was learned stays; requests that are open keep their class
-    /// and their attempts.
+    /// Operators have changed the settings. What was learned stays; requests that are open keep
+    /// their class and their attempts.
     SettingsChanged {
         /// The new settings. Their classes are numbered after all earlier ones.
         settings: Box<Settings>,
--- a/crates/service/balancing-policy/src/api/settings_error.rs
+++ b/crates/service/balancing-policy/src/api/settings_error.rs
@@ -11,7 +11,8 @@
     Prices,
     /// [`Settings::rules`](crate::Settings::rules).
     Rules,
-    /// [`Settings::tenants`](crate::Settings::tenants) and what requests past their quota are worth.
+    /// [`Settings::tenants`](crate::Settings::tenants) and what requests past their quota are
+    /// worth.
     Tenants,
 }
 
--- a/crates/service/balancing-policy/src/dispatcher/admission.rs
+++ b/crates/service/balancing-policy/src/dispatcher/admission.rs
@@ -9,7 +9,8 @@
 /// The advice of a rejection when to retry, unless clients follow only shorter ones.
 const RETRY_AFTER: Nanos = 300 * MILLISECOND;
 
-/// The least fraction of its value that a late answer is reckoned with, so that late requests are not starved.
+/// The least fraction of its value that a late answer is reckoned with, so that late requests are
+/// not starved.
 const MIN_LATE_VALUE_FRACTION: f64 = 0.01;
 
 /// A job may wait for at least its latency target divided by this.
@@ -43,9 +44,9 @@
         GroupFigures { value_rate, run_time }
     }
 
-    /// How long a request may still wait for its start and end in time, at the class's typical running time,
-    /// in nanoseconds. A client's later attempts come with what is left of the first one's time, from which
-    /// the latency target counts.
+    /// How long a request may still wait for its start and end in time, at the class's typical
+    /// running time, in nanoseconds. A client's later attempts come with what is left of the first
+    /// one's time, from which the latency target counts.
     pub(super) fn slack(&self, request: &Request) -> Nanos {
         let class = &self.settings.classes[request.class as usize];
         let statistics = &self.classes[request.class as usize];
@@ -58,17 +59,18 @@
         total.saturating_sub(waited)
     }
 
-    /// Whether a pending job has waited in vain: no walker has found room for as long as it could wait and
-    /// still end in time, so the fleet is overloaded. Joining a queue now would make this job late and the
-    /// next ones too.
+    /// Whether a pending job has waited in vain: no walker has found room for as long as it could
+    /// wait and still end in time, so the fleet is overloaded. Joining a queue now would make this
+    /// job late and the next ones too.
     pub(super) fn has_waited_in_vain(&self, now: Nanos, job: &Job) -> bool {
         let latency_target = self.settings.classes[job.request.class as usize].latency_target;
         let longest_wait = self.slack(&job.request).max(latency_target / MIN_WAIT_DIVISOR);
         now >= job.arrived_at + longest_wait
     }
 
-    /// Whether a job needs more memory than any worker has reported free since it started, all having
-    /// reported: it would be pending in vain, and its sends would make one worker after the other look full.
+    /// Whether a job needs more memory than any worker has reported free since it started, all
+    /// having reported: it would be pending in vain, and its sends would make one worker after the
+    /// other look full.
     pub(super) fn is_too_large(&self, job: &Job, machine_kind: Option<u32>) -> bool {
         let memory = job.request.memory;
         let mut ready = self
@@ -81,8 +83,8 @@
             && !ready.any(|worker| worker.reported.max_free_memory.is_none_or(|max| memory <= max))
     }
 
-    /// Gives the final answer when no attempt can serve any more: a rejection while that is harmless, else a
-    /// failure. While an attempt is in flight, its end answers the request.
+    /// Gives the final answer when no attempt can serve any more: a rejection while that is
+    /// harmless, else a failure. While an attempt is in flight, its end answers the request.
     pub(super) fn give_up(&mut self, number: JobNumber, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(number) else { return };
         if job.is_in_flight() {
--- a/crates/service/balancing-policy/src/dispatcher/affinity.rs
+++ b/crates/service/balancing-policy/src/dispatcher/affinity.rs
@@ -50,7 +50,8 @@
         *mean += (elapsed as f64 - *mean) * sample_weight;
     }
 
-    /// What fetching a key delays, in jobs. It is measured, so keys that cost nothing to move, move freely.
+    /// What fetching a key delays, in jobs. It is measured, so keys that cost nothing to move, move
+    /// freely.
     pub(super) fn fetch_cost(&self) -> f64 {
         if self.mean_time_kept == 0.0 || self.mean_time_fetched == 0.0 {
             return DEFAULT_FETCH_COST;
--- a/crates/service/balancing-policy/src/dispatcher/attempts.rs
+++ b/crates/service/balancing-policy/src/dispatcher/attempts.rs
@@ -6,8 +6,8 @@
 use crate::api::{Action, Idempotency, LoadReport, Nanos, Outcome, RequestId};
 use crate::state::{AttemptState, JobNumber, Phase, RunTimeSample, WorkerIndex};
 
-/// The share of attempts that start within half of their latency target at which the admitted fraction stays
-/// as it is.
+/// The share of attempts that start within half of their latency target at which the admitted
+/// fraction stays as it is.
 const TIMELY_START_TARGET: f64 = 0.5;
 
 /// A rejection counts as this many signals of no free capacity.
@@ -58,8 +58,8 @@
         }
     }
 
-    /// An attempt has left its worker's queue, by starting or by ending unstarted. Returns when it was sent,
-    /// unless it had left the queue before.
+    /// An attempt has left its worker's queue, by starting or by ending unstarted. Returns when it
+    /// was sent, unless it had left the queue before.
     fn leave_queue(&mut self, number: JobNumber, attempt: usize) -> Option<Nanos> {
         let job = self.jobs.get_mut(number)?;
         let attempt = job.attempts.get_mut(attempt).filter(|attempt| !attempt.has_started)?;
@@ -154,7 +154,8 @@
         }
     }
 
-    /// Closes a job that is finished; otherwise retries it, or gives it up, unless it waits for another attempt.
+    /// Closes a job that is finished; otherwise retries it, or gives it up, unless it waits for
+    /// another attempt.
     fn retry_or_close(
         &mut self,
         now: Nanos,
--- a/crates/service/balancing-policy/src/dispatcher/candidates.rs
+++ b/crates/service/balancing-policy/src/dispatcher/candidates.rs
@@ -1,7 +1,7 @@
 //! Which workers are looked at for a job.
 //!
-//! A job with an affinity key looks at the first workers of a walk that follows from the key. Any other job
-//! looks at the workers that last ended an attempt, and at the positions of the walkers.
+//! A job with an affinity key looks at the first workers of a walk that follows from the key. Any
+//! other job looks at the workers that last ended an attempt, and at the positions of the walkers.
 
 use super::Dispatcher;
 use super::permit::Permit;
@@ -18,11 +18,12 @@
 /// How often a walker on an ineligible worker steps on before its position is left out.
 const MAX_EXTRA_STEPS: usize = 4;
 
-/// Workers on a key's own walk that are looked at in the first round; each later round looks at one more.
+/// Workers on a key's own walk that are looked at in the first round; each later round looks at one
+/// more.
 const KEY_CANDIDATES: usize = 2;
 
-/// Workers that last ended an attempt, connection still open, that are looked at beside the walkers'. This is
-/// the memory that the paper names among the variants of its scheme.
+/// Workers that last ended an attempt, connection still open, that are looked at beside the
+/// walkers'. This is the memory that the paper names among the variants of its scheme.
 const RECENTLY_USED_CANDIDATES: usize = 4;
 
 /// The search for a job's candidates.
@@ -105,8 +106,9 @@
         self.drawn
     }
 
-    /// Draws workers that keep what a key needs. The walk starts at the key's home and its steps follow from
-    /// the key, so all dispatchers look for it at the same few workers; later rounds walk further.
+    /// Draws workers that keep what a key needs. The walk starts at the key's home and its steps
+    /// follow from the key, so all dispatchers look for it at the same few workers; later rounds
+    /// walk further.
     fn draw_by_key(&mut self, key: u64) {
         // Seeded past the cycles, so that the home is independent of the workers' positions.
         let home = cycle_position(&key.to_le_bytes(), CYCLE_COUNT);
@@ -127,21 +129,23 @@
         }
     }
 
-    /// Whether a key's walk may stop at a worker: in the first round it keeps to its own zone if crossing
-    /// zones has a price.
+    /// Whether a key's walk may stop at a worker: in the first round it keeps to its own zone if
+    /// crossing zones has a price.
     fn may_cross_to(&self, worker: WorkerIndex) -> bool {
         let is_own_zone = self.workers[worker.as_usize()].zone == self.settings.zone;
         is_own_zone || self.job.rounds > 0 || self.settings.prices.cross_zone == 0.0
     }
 
-    /// Divides the own share of workers in slow start by the chance that a worker is looked at in a window.
+    /// Divides the own share of workers in slow start by the chance that a worker is looked at in a
+    /// window.
     ///
-    /// Walkers may be anywhere, so the share of the windows in which nobody looks would be lost, and with few
-    /// requests to a dispatcher those are nearly all. A key's own workers are looked at far more often, so
-    /// there the share is not raised.
+    /// Walkers may be anywhere, so the share of the windows in which nobody looks would be lost,
+    /// and with few requests to a dispatcher those are nearly all. A key's own workers are looked
+    /// at far more often, so there the share is not raised.
     ///
-    /// Guards the sum after a rest: what is looked at for this job counts as looked at. Otherwise the share of
-    /// a dispatcher that has rested is raised without bound, and many jobs at once take all these shares.
+    /// Guards the sum after a rest: what is looked at for this job counts as looked at. Otherwise
+    /// the share of a dispatcher that has rested is raised without bound, and many jobs at once
+    /// take all these shares.
     fn raise_slow_start_share(&mut self) {
         let own_looks = (WALKERS + RECENTLY_USED_CANDIDATES) as f64 / Rate::SPAN_SECONDS;
         let looks_per_second = self.looks.per_second(self.now).max(own_looks);
@@ -150,7 +154,8 @@
         self.slow_start.own_fraction /= 1.0 - (-looks_per_second * window_seconds / worker_count).exp();
     }
 
-    /// Draws workers that last ended an attempt: a slot is just free there and a connection is open.
+    /// Draws workers that last ended an attempt: a slot is just free there and a connection is
+    /// open.
     fn draw_recently_used(&mut self) {
         for &worker in self.recently_used.iter().rev() {
             let connections = &self.workers[worker.as_usize()].connections;
@@ -165,7 +170,8 @@
         }
     }
 
-    /// Draws the positions of the walkers, each stepped on past ineligible workers; then every walker steps.
+    /// Draws the positions of the walkers, each stepped on past ineligible workers; then every
+    /// walker steps.
     fn draw_from_walkers(&mut self) {
         self.graph.start_walkers(WALKERS, self.rng);
         let mut walkers = std::mem::take(&mut self.graph.walkers);
@@ -201,7 +207,8 @@
         }
     }
 
-    /// Whether a worker may get the job: by the job's class, the worker's health and its slow start.
+    /// Whether a worker may get the job: by the job's class, the worker's health and its slow
+    /// start.
     fn is_eligible(&mut self, index: WorkerIndex) -> bool {
         self.looks.add(self.now, 1.0);
         if self.job.was_sent_to(index) {
--- a/crates/service/balancing-policy/src/dispatcher/capacity.rs
+++ b/crates/service/balancing-policy/src/dispatcher/capacity.rs
@@ -22,7 +22,8 @@
     mean_run_time: f64,
     /// The slots of a worker, by those that reported; 0 while unknown.
     slots_per_worker: f64,
-    /// Slots a second that this dispatcher's traffic brought a warm worker of weight 1; 0 while unknown.
+    /// Slots a second that this dispatcher's traffic brought a warm worker of weight 1; 0 while
+    /// unknown.
     own_rate_per_weight: f64,
     /// When the workers were last counted; 0 asks for a count.
     counted_at: Nanos,
@@ -47,8 +48,8 @@
         self.counted_at = 0;
     }
 
-    /// Counts slots that a warm worker served. Workers in slow start do not count: what they get goes by this
-    /// estimate, and it would sink with them.
+    /// Counts slots that a warm worker served. Workers in slow start do not count: what they get
+    /// goes by this estimate, and it would sink with them.
     pub(super) fn record_served(&mut self, now: Nanos, slots: f64) {
         self.serve_rate.add(now, slots);
     }
@@ -99,8 +100,9 @@
 
     /// The slots that a warm worker of weight 1 serves in a budget window, as far as that is known.
     ///
-    /// It goes by the slots of a worker. Where they are unknown, it is what the worker would serve if all
-    /// dispatchers had the traffic of this one; with one slot while there was no warm worker.
+    /// It goes by the slots of a worker. Where they are unknown, it is what the worker would serve
+    /// if all dispatchers had the traffic of this one; with one slot while there was no warm
+    /// worker.
     pub(super) fn slots_per_window(&self, window_seconds: f64, mean_weight: f64, instances: f64) -> f64 {
         let uses_slots = self.slots_per_worker > 0.0 || self.own_rate_per_weight == 0.0;
         let slots_per_second = if uses_slots {
--- a/crates/service/balancing-policy/src/dispatcher/discovery.rs
+++ b/crates/service/balancing-policy/src/dispatcher/discovery.rs
@@ -5,13 +5,13 @@
 use crate::state::TimerToken;
 use spanlead_expander_walk::uniform_unit;
 
-/// A change counts as notified 6 s after service discovery had it and could be reached, whatever failed
-/// before. So dispatchers that start make their first call within this time ...
+/// A change counts as notified 6 s after service discovery had it and could be reached, whatever
+/// failed before. So dispatchers that start make their first call within this time ...
 const MAX_FIRST_CALL_DELAY: Nanos = 15 * SECOND / 4;
 
-/// ... and after failed calls the longest backoff ends here: a call that was in flight when service discovery
-/// came back takes 2 s, and the one that follows 1 s. The delays are as long as that allows, since service
-/// discovery handles its calls one by one.
+/// ... and after failed calls the longest backoff ends here: a call that was in flight when service
+/// discovery came back takes 2 s, and the one that follows 1 s. The delays are as long as that
+/// allows, since service discovery handles its calls one by one.
 const MAX_BACKOFF: Nanos = 11 * SECOND / 4;
 
 /// The backoff before its first doubling.
--- a/crates/service/balancing-policy/src/dispatcher/mod.rs
+++ b/crates/service/balancing-policy/src/dispatcher/mod.rs
@@ -1,7 +1,8 @@
 //! All decisions of a dispatcher, one file for each kind.
 //!
-//! The ordinary path is NBRW-PoD: walkers move over a shared expander graph of workers, and a job goes to the
-//! worker among the walkers' positions that has the fewest of this dispatcher's own slots in flight.
+//! The ordinary path is NBRW-PoD: walkers move over a shared expander graph of workers, and a job
+//! goes to the worker among the walkers' positions that has the fewest of this dispatcher's own
+//! slots in flight.
 //!
 //! | file | decision |
 //! | --- | --- |
@@ -50,8 +51,8 @@
 
 /// The decisions of one dispatcher.
 ///
-/// It performs no I/O and reads no clock. All chance comes from a generator seeded at the start, so the same
-/// events give the same actions.
+/// It performs no I/O and reads no clock. All chance comes from a generator seeded at the start, so
+/// the same events give the same actions.
 pub struct Dispatcher {
     settings: Settings,
     rng: Pcg64Mcg,
@@ -136,8 +137,9 @@
         }
     }
 
-    /// The workers that a walker may step to from `worker`, one for each edge of the graph of all machine
-    /// kinds: what operators and tests need to see that all dispatchers hold the same graph.
+    /// The workers that a walker may step to from `worker`, one for each edge of the graph of all
+    /// machine kinds: what operators and tests need to see that all dispatchers hold the same
+    /// graph.
     pub fn neighbours(&self, worker: &str) -> Vec<WorkerId> {
         let Some(worker) = self.fleet.find(worker) else { return Vec::new() };
         let graph = self.fleet.main_graph();
--- a/crates/service/balancing-policy/src/dispatcher/outlier_detection.rs
+++ b/crates/service/balancing-policy/src/dispatcher/outlier_detection.rs
@@ -10,7 +10,8 @@
 /// Failures beyond this number do not lengthen the ejection.
 const MAX_FAILURES: u32 = 4;
 
-/// The first ejection after a failure to connect, or a connection that dropped. It doubles with each failure.
+/// The first ejection after a failure to connect, or a connection that dropped. It doubles with
+/// each failure.
 pub(super) const CONNECTION_EJECTION: Nanos = 2 * SECOND;
 
 /// The first ejection after an error or a time-out. It doubles with each failure.
@@ -41,7 +42,8 @@
 const MAX_FULL_DOUBLINGS: u32 = 5;
 
 impl Dispatcher {
-    /// Counts a failure of a worker and ejects it; `first_ejection` is how long one failure ejects for.
+    /// Counts a failure of a worker and ejects it; `first_ejection` is how long one failure ejects
+    /// for.
     pub(super) fn record_failure(&mut self, worker: WorkerIndex, now: Nanos, first_ejection: Nanos) {
         let health = &mut self.fleet.worker_mut(worker).health;
         if now > health.last_failure_at + FAILURE_MEMORY {
@@ -53,18 +55,19 @@
         self.fleet.eject(worker, now, duration);
     }
 
-    /// Counts a rejection. A worker that rejects everything looks idle by its reports and by own slots, and
-    /// would be chosen for ever.
+    /// Counts a rejection. A worker that rejects everything looks idle by its reports and by own
+    /// slots, and would be chosen for ever.
     pub(super) fn record_rejection(&mut self, worker: WorkerIndex, now: Nanos) {
         let health = &mut self.fleet.worker_mut(worker).health;
         health.full_until = now + (FULL_UNIT << health.rejections.min(MAX_FULL_DOUBLINGS));
         health.rejections += 1;
     }
 
-    /// Takes the running time of a served attempt: compared with its class, it tells how slow the worker is.
+    /// Takes the running time of a served attempt: compared with its class, it tells how slow the
+    /// worker is.
     ///
-    /// A worker that answers but is several times slower than the others is ejected: its free slots are not
-    /// worth taking.
+    /// A worker that answers but is several times slower than the others is ejected: its free slots
+    /// are not worth taking.
     pub(super) fn record_run_time(
         &mut self,
         worker: WorkerIndex,
--- a/crates/service/balancing-policy/src/dispatcher/permit.rs
+++ b/crates/service/balancing-policy/src/dispatcher/permit.rs
@@ -3,8 +3,8 @@
 use crate::api::{DeduplicationScope, Idempotency, Nanos, Settings, WorkerState};
 use crate::state::{Attempt, Job, Phase, Worker, WorkerIndex};
 
-/// Proof that one more attempt at a worker keeps to the request's class. Only [`Permit::for_attempt`] makes
-/// one, and the only place that sends takes it.
+/// Proof that one more attempt at a worker keeps to the request's class. Only
+/// [`Permit::for_attempt`] makes one, and the only place that sends takes it.
 pub(super) struct Permit(WorkerIndex);
 
 impl Permit {
@@ -41,7 +41,8 @@
         Idempotency::Idempotent => true,
         Idempotency::AtMostOnce => job.never_ran(),
         Idempotency::Deduplicated { scope, window } => {
-            // Guards the window's end: the connection may take its whole time to come up before the send.
+            // Guards the window's end: the connection may take its whole time to come up before the
+            // send.
             let latest_send = now + settings.limits.connect_timeout;
             let is_deduplicated = |attempt: &Attempt| {
                 let first = &workers[attempt.worker.as_usize()];
--- a/crates/service/balancing-policy/src/dispatcher/probes.rs
+++ b/crates/service/balancing-policy/src/dispatcher/probes.rs
@@ -18,8 +18,8 @@
 const CONFIDENCE_LOSS: f64 = 0.8;
 const MIN_CONFIDENCE: f64 = 0.1;
 
-/// The fraction of chances at a probed free slot that is taken. Other dispatchers see the same free slot: one
-/// that is often rejected takes only some of its chances.
+/// The fraction of chances at a probed free slot that is taken. Other dispatchers see the same free
+/// slot: one that is often rejected takes only some of its chances.
 pub(super) struct ProbeConfidence(f64);
 
 impl Default for ProbeConfidence {
@@ -30,8 +30,8 @@
 }
 
 impl ProbeConfidence {
-    /// Counts a served attempt. Served, not sent: when the fleet is full most sends are rejected, whatever the
-    /// workers can do.
+    /// Counts a served attempt. Served, not sent: when the fleet is full most sends are rejected,
+    /// whatever the workers can do.
     pub(super) fn record_served(&mut self) {
         self.0 = (self.0 * CONFIDENCE_GAIN).min(1.0);
     }
@@ -70,7 +70,8 @@
 
     /// Schedules the binding of the pending jobs that wait for a worker that has room for them.
     ///
-    /// Answers that were sent together come within a tick of each other, so the jobs are bound on the next one.
+    /// Answers that were sent together come within a tick of each other, so the jobs are bound on
+    /// the next one.
     fn schedule_bindings(&mut self, now: Nanos, worker: WorkerIndex, actions: &mut Vec<Action>) {
         let pending = self.jobs.pending().iter().copied();
         let ready: Vec<JobNumber> = pending.filter(|number| self.waits_for(now, *number, worker)).collect();
@@ -103,8 +104,8 @@
         }
     }
 
-    /// Takes what is known of drawn workers as signals of free capacity. Walkers may be anywhere, so their
-    /// positions are a fair sample of the fleet; recently used workers are not.
+    /// Takes what is known of drawn workers as signals of free capacity. Walkers may be anywhere,
+    /// so their positions are a fair sample of the fleet; recently used workers are not.
     pub(super) fn observe_capacity(&mut self, now: Nanos, drawn: &[WorkerIndex]) {
         for &index in drawn {
             let worker = self.fleet.worker(index);
--- a/crates/service/balancing-policy/src/dispatcher/retry_budget.rs
+++ b/crates/service/balancing-policy/src/dispatcher/retry_budget.rs
@@ -6,8 +6,8 @@
 /// The most tokens that are saved.
 const MAX_TOKENS: f64 = 10.0;
 
-/// A token bucket for retries: it bounds them to a fraction of the requests, so retries cannot multiply the
-/// load on a failing fleet.
+/// A token bucket for retries: it bounds them to a fraction of the requests, so retries cannot
+/// multiply the load on a failing fleet.
 pub(super) struct RetryBudget {
     tokens: f64,
 }
--- a/crates/service/balancing-policy/src/dispatcher/rounds.rs
+++ b/crates/service/balancing-policy/src/dispatcher/rounds.rs
@@ -25,11 +25,11 @@
 /// Probes are sent if at least this many can be paid for.
 const MIN_PROBES: f64 = 2.0;
 
-/// The order in which candidates are probed: those that did not just report first, then by own slots in flight,
-/// then by cost.
+/// The order in which candidates are probed: those that did not just report first, then by own
+/// slots in flight, then by cost.
 ///
-/// Probing the workers that reported last would ask busy workers again and again, while a free slot elsewhere
-/// stays unknown.
+/// Probing the workers that reported last would ask busy workers again and again, while a free slot
+/// elsewhere stays unknown.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct ProbeRank {
     is_freshly_reported: bool,
@@ -109,7 +109,8 @@
         attempts
     }
 
-    /// Begins a round of a pending job: draws candidates, then sends at once or waits for their probes.
+    /// Begins a round of a pending job: draws candidates, then sends at once or waits for their
+    /// probes.
     pub(super) fn begin_round(&mut self, now: Nanos, number: JobNumber, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(number) else { return };
         let machine_kind = self.settings.classes[job.request.class as usize].machine_kind;
@@ -133,7 +134,8 @@
         self.bind_or_probe(now, number, drawn, actions);
     }
 
-    /// Whether load shedding rejects a job, by chance, in its first round; any other job stays admitted.
+    /// Whether load shedding rejects a job, by chance, in its first round; any other job stays
+    /// admitted.
     fn is_shed(&mut self, number: JobNumber) -> bool {
         let Some(job) = self.jobs.get(number) else { return false };
         if job.rounds > 0 || !job.attempts.is_empty() {
@@ -164,8 +166,8 @@
         self.wait_for_next_round(now, number, actions);
     }
 
-    /// Probes workers in the order of their rank, `max_probes` at most; those with a probe in flight are not
-    /// probed again.
+    /// Probes workers in the order of their rank, `max_probes` at most; those with a probe in
+    /// flight are not probed again.
     fn probe(
         &mut self,
         now: Nanos,
--- a/crates/service/balancing-policy/src/dispatcher/selection.rs
+++ b/crates/service/balancing-policy/src/dispatcher/selection.rs
@@ -8,8 +8,8 @@
 /// A report that came with a response within this time spares a probe.
 const FRESH_REPORT_AGE: Nanos = 400 * MILLISECOND;
 
-/// How many times its price a send across zones counts among workers with equally few own slots: at the price
-/// alone, a second free slot in a stale report went before it.
+/// How many times its price a send across zones counts among workers with equally few own slots: at
+/// the price alone, a second free slot in a stale report went before it.
 const CROSS_ZONE_FACTOR: f64 = 8.0;
 
 /// What a missing free slot counts, as a fraction of a request's value.
@@ -33,9 +33,10 @@
 /// A worker has room if its free slots fall short of a job's slots by this much at most.
 const SLOT_TOLERANCE: f64 = 0.5;
 
-/// The further shortfall that is accepted where the job would be the first to be queued. Slots come back
-/// sooner than reports show it, so the job starts earlier there than if it were pending until a free slot is
-/// seen. Only where reports tell the queue: otherwise every dispatcher would add to one that none of them sees.
+/// The further shortfall that is accepted where the job would be the first to be queued. Slots come
+/// back sooner than reports show it, so the job starts earlier there than if it were pending until
+/// a free slot is seen. Only where reports tell the queue: otherwise every dispatcher would add to
+/// one that none of them sees.
 const FIRST_IN_QUEUE_TOLERANCE: f64 = 0.5;
 
 /// Without reports, a worker counts as having room for this many ticks after an own attempt.
@@ -52,8 +53,8 @@
     FreshlyReportedOrProbed,
 }
 
-/// The order in which candidates are preferred: by own slots in flight, the cost of a fetch added, then by
-/// cost.
+/// The order in which candidates are preferred: by own slots in flight, the cost of a fetch added,
+/// then by cost.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct Rank {
     load: f64,
@@ -80,7 +81,8 @@
 
 impl RoomTest {
     /// Whether a worker seems to have room: by its report, own sends since then counted, or by this
-    /// dispatcher's own attempts, where workers report starts: none may still be queued there before the job.
+    /// dispatcher's own attempts, where workers report starts: none may still be queued there
+    /// before the job.
     pub(super) fn passes(&self, worker: &Worker) -> bool {
         let unreported = || worker.own_load.unreported_slots(self.now, self.report_age);
         match (worker.reported.last.free_slots, worker.reported.last.queue_depth) {
@@ -130,7 +132,8 @@
         if worker.health.is_ejected(now) && !self.fleet.is_panicking() {
             return None;
         }
-        // Guards a worker in slow start: many jobs may have drawn it before the first of them went there.
+        // Guards a worker in slow start: many jobs may have drawn it before the first of them went
+        // there.
         if !worker.is_within_budget(&self.settings.rules, now) {
             return None;
         }
@@ -185,7 +188,8 @@
         self.settings.classes[job.request.class as usize].priority == self.top_priority
     }
 
-    /// What a send to a worker costs beside its own slots, as a fraction of a request's value: the tie-break.
+    /// What a send to a worker costs beside its own slots, as a fraction of a request's value: the
+    /// tie-break.
     pub(super) fn cost(&self, worker: &Worker, now: Nanos) -> f64 {
         let prices = &self.settings.prices;
         let mut cost = 0.0;
--- a/crates/service/balancing-policy/src/dispatcher/settings_change.rs
+++ b/crates/service/balancing-policy/src/dispatcher/settings_change.rs
@@ -6,8 +6,9 @@
 impl Dispatcher {
     /// Takes new settings and keeps what was learned.
     ///
-    /// Open jobs keep the class that they arrived under: numbers never shift, the new classes follow all old
-    /// ones. `continues` names for each new class the old one whose statistics it takes over.
+    /// Open jobs keep the class that they arrived under: numbers never shift, the new classes
+    /// follow all old ones. `continues` names for each new class the old one whose statistics it
+    /// takes over.
     pub(super) fn change_settings(&mut self, mut settings: Settings, continues: &[Option<u32>]) {
         let old_classes = std::mem::take(&mut self.settings.classes);
         let new_classes = std::mem::replace(&mut settings.classes, old_classes);
--- a/crates/service/balancing-policy/src/state/class_statistics.rs
+++ b/crates/service/balancing-policy/src/state/class_statistics.rs
@@ -30,14 +30,14 @@
     pub(crate) deviation: f64,
     /// How many samples were taken.
     pub(crate) samples: f64,
-    /// The most time that a request of the class arrived with, in nanoseconds: that of first attempts, which
-    /// clients may give less than the class's deadline.
+    /// The most time that a request of the class arrived with, in nanoseconds: that of first
+    /// attempts, which clients may give less than the class's deadline.
     pub(crate) longest_time_left: Nanos,
 }
 
 impl ClassStatistics {
-    /// The typical running time, as a multiple of the expected work or else in nanoseconds. Without samples
-    /// it is 1.
+    /// The typical running time, as a multiple of the expected work or else in nanoseconds. Without
+    /// samples it is 1.
     pub(crate) fn typical_run_time(&self) -> f64 {
         self.mean_log_run_time.exp()
     }
--- a/crates/service/balancing-policy/src/state/fleet.rs
+++ b/crates/service/balancing-policy/src/state/fleet.rs
@@ -6,7 +6,8 @@
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// How long a send counts against a report that may not show it yet, until the reports' age is known.
+/// How long a send counts against a report that may not show it yet, until the reports' age is
+/// known.
 const INITIAL_REPORT_AGE: Nanos = 500 * MILLISECOND;
 
 /// The weight of a new sample in the mean age of reports.
@@ -17,8 +18,9 @@
 
 /// All workers that the endpoint list has ever named.
 ///
-/// Invariants: workers are never removed, so a [`WorkerIndex`] stays valid; `index` names each of them; the
-/// first graph is that of all machine kinds; each graph holds the ready workers of its kind.
+/// Invariants: workers are never removed, so a [`WorkerIndex`] stays valid; `index` names each of
+/// them; the first graph is that of all machine kinds; each graph holds the ready workers of its
+/// kind.
 pub(crate) struct Fleet {
     workers: Vec<Worker>,
     index: FxHashMap<Arc<str>, WorkerIndex>,
--- a/crates/service/balancing-policy/src/state/mod.rs
+++ b/crates/service/balancing-policy/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! What a dispatcher knows: of workers, of its own jobs, of request classes. Nothing is decided here.
+//! What a dispatcher knows: of workers, of its own jobs, of request classes. Nothing is decided
+//! here.
 
 mod class_statistics;
 mod fleet;
--- a/crates/service/balancing-policy/src/state/rate.rs
+++ b/crates/service/balancing-policy/src/state/rate.rs
@@ -2,8 +2,8 @@
 
 use crate::api::{NANOS_PER_SECOND, Nanos};
 
-/// A decaying rate: exponential smoothing with a span of [`Rate::SPAN_SECONDS`] over events at any times. Its
-/// mean is the true rate however seldom the events are.
+/// A decaying rate: exponential smoothing with a span of [`Rate::SPAN_SECONDS`] over events at any
+/// times. Its mean is the true rate however seldom the events are.
 #[derive(Default)]
 pub(crate) struct Rate {
     /// Events a second at the time of the last update.
--- a/crates/service/balancing-policy/src/state/worker.rs
+++ b/crates/service/balancing-policy/src/state/worker.rs
@@ -1,4 +1,5 @@
-//! What is known of a worker: from the endpoint list, from its reports, from this dispatcher's own attempts.
+//! What is known of a worker: from the endpoint list, from its reports, from this dispatcher's own
+//! attempts.
 
 use crate::api::{Endpoint, Limits, LoadReport, Nanos, SafetyRules, WorkerId, WorkerState};
 use spanlead_expander_walk::{CyclePositions, cycle_positions};
@@ -37,8 +38,8 @@
 }
 
 impl OwnLoad {
-    /// Own slots that a report of this age (in nanoseconds) does not show yet; negative for slots that it
-    /// still shows though they are free again.
+    /// Own slots that a report of this age (in nanoseconds) does not show yet; negative for slots
+    /// that it still shows though they are free again.
     pub(crate) fn unreported_slots(&self, now: Nanos, report_age: f64) -> f64 {
         (self.slots - self.smoothed_slots) * (-((now - self.smoothed_at) as f64) / report_age).exp()
     }
@@ -116,8 +117,8 @@
 }
 
 impl ReportedLoad {
-    /// Takes a report. Returns for how long the one before it was repeated, in nanoseconds, if it was: that
-    /// tells how long the worker keeps a report.
+    /// Takes a report. Returns for how long the one before it was repeated, in nanoseconds, if it
+    /// was: that tells how long the worker keeps a report.
     pub(crate) fn record(&mut self, now: Nanos, report: LoadReport) -> Option<f64> {
         let mut repeated_for = None;
         if report == self.last {
@@ -160,7 +161,8 @@
     pub(crate) full_until: Nanos,
     /// Rejections in a row.
     pub(crate) rejections: u32,
-    /// How much slower than the others it runs: the logarithm of its running time relative to its class.
+    /// How much slower than the others it runs: the logarithm of its running time relative to its
+    /// class.
     pub(crate) slowness: f64,
     /// How many samples stand behind that.
     pub(crate) slowness_samples: f64,
@@ -204,7 +206,8 @@
 }
 
 impl Worker {
-    /// A worker that was just named; its state and start are still to be taken from the endpoint list.
+    /// A worker that was just named; its state and start are still to be taken from the endpoint
+    /// list.
     pub(crate) fn new(id: Arc<str>, endpoint: &Endpoint<'_>) -> Self {
         Worker {
             cycle_positions: cycle_positions(id.as_bytes()),
@@ -237,7 +240,8 @@
         self.budget = SlowStartBudget::default();
     }
 
-    /// The fraction of its capacity that it surely has by now: it grows linearly over the slow start.
+    /// The fraction of its capacity that it surely has by now: it grows linearly over the slow
+    /// start.
     pub(crate) fn capacity_fraction(&self, rules: &SafetyRules, now: Nanos) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let elapsed = (now - started_at.min(now)) as f64 / rules.slow_start_duration.max(1) as f64;
--- a/crates/service/balancing-policy/src/state/worker_graph.rs
+++ b/crates/service/balancing-policy/src/state/worker_graph.rs
@@ -1,4 +1,5 @@
-//! The graph over the ready workers of one machine kind. The graph itself is the crate `spanlead-expander-walk`.
+//! The graph over the ready workers of one machine kind. The graph itself is the crate
+//! `spanlead-expander-walk`.
 
 use super::worker::Worker;
 use crate::api::WorkerState;
@@ -26,7 +27,8 @@
         WorkerGraph { machine_kind, expander: Expander::default() }
     }
 
-    /// Adds the changed workers that are ready and of the graph's kind and removes the others of them.
+    /// Adds the changed workers that are ready and of the graph's kind and removes the others of
+    /// them.
     pub(crate) fn update_members(&mut self, workers: &[Worker], changed: &[WorkerIndex]) {
         let machine_kind = self.machine_kind;
         let belongs = |worker: &Worker| {
--- a/crates/service/balancing-policy/tests/rules.rs
+++ b/crates/service/balancing-policy/tests/safety_rules.rs
@@ -1,98 +1,107 @@
 //! The four rules under long random but legal event sequences, checked by an independent checker.
+
 mod common;
-use common::*;
+
+use common::{MS, SEC, TestRng, World, default_settings};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use spanlead_balancing_policy::*;
+use spanlead_balancing_policy::{
+    Action, DeduplicationScope, Endpoint, EndpointUpdate, Event, Idempotency, LoadReport, LoadReporting,
+    Nanos, Outcome, Request, RequestClass, RequestId, Settings, WorkerId, WorkerState,
+};
 
-fn random_settings(dice: &mut Dice) -> Settings {
-    let effects = [
+fn random_settings(rng: &mut TestRng) -> Settings {
+    let idempotencies = [
         Idempotency::Idempotent,
         Idempotency::AtMostOnce,
         Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 3 * SEC },
         Idempotency::Deduplicated { scope: DeduplicationScope::Zone, window: SEC },
         Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 500 * MS },
     ];
-    let mut set = settings(effects[dice.below(5) as usize]);
-    let second = effects[dice.below(5) as usize];
-    let machine_kind = dice.chance(30).then_some(1);
-    set.classes.push(RequestClass {
+    let mut settings = default_settings(idempotencies[rng.below(5) as usize]);
+    let second = idempotencies[rng.below(5) as usize];
+    let machine_kind = rng.chance(30).then_some(1);
+    settings.classes.push(RequestClass {
         idempotency: second,
         priority: 1,
         machine_kind,
         ..RequestClass::new(50 * MS, SEC)
     });
-    set.machine_kind_count = 2;
-    set.limits.can_probe = dice.chance(60);
-    set.limits.can_hedge = dice.chance(50);
-    set.limits.max_attempts = 1 + dice.below(4) as u32;
-    set.load_reporting = if dice.chance(50) { LoadReporting::InResponses } else { LoadReporting::Disabled };
-    set.must_request_endpoints = dice.chance(50);
-    set.reports_attempt_start = dice.chance(50);
-    set.prices.probe = 0.002;
-    set.prices.cross_zone = if dice.chance(50) { 0.02 } else { 0.0 };
-    set
+    settings.machine_kind_count = 2;
+    settings.limits.can_probe = rng.chance(60);
+    settings.limits.can_hedge = rng.chance(50);
+    settings.limits.max_attempts = 1 + rng.below(4) as u32;
+    settings.load_reporting =
+        if rng.chance(50) { LoadReporting::InResponses } else { LoadReporting::Disabled };
+    settings.must_request_endpoints = rng.chance(50);
+    settings.reports_attempt_start = rng.chance(50);
+    settings.prices.probe = 0.002;
+    settings.prices.cross_zone = if rng.chance(50) { 0.02 } else { 0.0 };
+    settings
 }
 
-fn entry(name: &str, n: u64, state: WorkerState, started: Option<Nanos>) -> Endpoint<'_> {
+fn endpoint(name: &str, n: u64, state: WorkerState, started: Option<Nanos>) -> Endpoint<'_> {
     let (machine_kind, zone, cell) = ((n % 2) as u32, (n % 3) as u32, (n / 3) as u32);
     Endpoint { machine_kind, zone, cell, started_at: started, ..Endpoint::new(name, state) }
 }
 
 fn play(seed: u64, steps: usize) -> Vec<Action> {
-    let mut dice = Dice(seed);
-    let mut world = World::new(random_settings(&mut dice), dice.next());
+    let mut rng = TestRng(seed);
+    let mut world = World::new(random_settings(&mut rng), rng.next());
     let names: Vec<String> = (0..12).map(|i| format!("w{i}")).collect();
-    let all: Vec<_> = (0..12u64).map(|n| entry(&names[n as usize], n, WorkerState::Ready, None)).collect();
-    world.list(EndpointUpdate::CachedSnapshot, &all);
+    let all: Vec<_> = (0..12u64).map(|n| endpoint(&names[n as usize], n, WorkerState::Ready, None)).collect();
+    world.update_endpoints(EndpointUpdate::CachedSnapshot, &all);
     let mut id = 0;
     for _ in 0..steps {
-        match dice.below(12) {
+        match rng.below(12) {
             0..=3 => {
                 id += 1;
-                let left = (50 + dice.below(2_000)) * MS;
-                let mut request = Request::new(RequestId(id), dice.below(2) as u32, left);
-                request.affinity_key = dice.chance(30).then(|| dice.below(5));
-                world.ask(request);
+                let left = (50 + rng.below(2_000)) * MS;
+                let mut request = Request::new(RequestId(id), rng.below(2) as u32, left);
+                request.affinity_key = rng.chance(30).then(|| rng.below(5));
+                world.submit(request);
             }
             4 => {
-                let n = dice.below(12);
-                let state = match dice.below(3) {
+                let n = rng.below(12);
+                let state = match rng.below(3) {
                     0 => WorkerState::Draining,
                     1 => WorkerState::Removed,
                     _ => WorkerState::Ready,
                 };
-                let started = dice.chance(50).then_some(world.now);
-                world.list(EndpointUpdate::Delta, &[entry(&names[n as usize], n, state, started)]);
+                let started = rng.chance(50).then_some(world.now);
+                world.update_endpoints(
+                    EndpointUpdate::Delta,
+                    &[endpoint(&names[n as usize], n, state, started)],
+                );
             }
-            5 if dice.chance(20) => {
-                let part = &all[..dice.below(12) as usize];
-                world.list(EndpointUpdate::Snapshot, part);
+            5 if rng.chance(20) => {
+                let part = &all[..rng.below(12) as usize];
+                world.update_endpoints(EndpointUpdate::Snapshot, part);
             }
             5 => drop(
-                world.give(Event::EndpointsChanged { update: EndpointUpdate::Unavailable, endpoints: &[] }),
+                world.handle(Event::EndpointsChanged { update: EndpointUpdate::Unavailable, endpoints: &[] }),
             ),
             6 => {
                 if let Some(worker) = world.probes.pop() {
-                    let ok = dice.chance(80);
+                    let ok = rng.chance(80);
                     let outcome = if ok { Outcome::Ok } else { Outcome::ConnectFailed };
                     let report =
-                        Some(LoadReport { free_slots: Some(dice.below(4) as f64), ..LoadReport::default() });
-                    world.give(Event::ProbeEnded { worker: &worker, outcome, elapsed: MS, report });
+                        Some(LoadReport { free_slots: Some(rng.below(4) as f64), ..LoadReport::default() });
+                    world.handle(Event::ProbeEnded { worker: &worker, outcome, elapsed: MS, report });
                 }
             }
-            7 | 8 => end_one(&mut world, &mut dice),
+            7 | 8 => end_one(&mut world, &mut rng),
             9 => {
                 let open: Vec<u64> = open_ids(&world);
                 if let Some(&id) =
-                    open.get(dice.below(open.len().max(1) as u64) as usize).filter(|_| dice.chance(20))
+                    open.get(rng.below(open.len().max(1) as u64) as usize).filter(|_| rng.chance(20))
                 {
                     world.checker.requests.get_mut(&id).expect("open").closed = true;
-                    world.give(Event::ClientGone(RequestId(id)));
+                    world.handle(Event::ClientGone(RequestId(id)));
                 }
-                world.give(Event::ClientGone(RequestId(u64::MAX)));
+                world.handle(Event::ClientGone(RequestId(u64::MAX)));
             }
-            _ => advance(&mut world, dice.below(60) * MS),
+            _ => advance(&mut world, rng.below(60) * MS),
         }
     }
     for _ in 0..60 {
@@ -107,17 +116,17 @@
     world.checker.requests.iter().filter(|(_, r)| !r.closed).map(|(id, _)| *id).collect()
 }
 
-fn end_one(world: &mut World, dice: &mut Dice) {
-    let out = outstanding(world);
+fn end_one(world: &mut World, rng: &mut TestRng) {
+    let out = attempts_in_flight(world);
     if out.is_empty() {
         return;
     }
-    let (id, attempt) = out[dice.below(out.len() as u64) as usize];
+    let (id, attempt) = out[rng.below(out.len() as u64) as usize];
     let outcomes = [Outcome::Ok, Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed, Outcome::Reset];
-    world.end(id, attempt, outcomes[dice.below(5) as usize]);
+    world.end_attempt(id, attempt, outcomes[rng.below(5) as usize]);
 }
 
-fn outstanding(world: &World) -> Vec<(u64, u32)> {
+fn attempts_in_flight(world: &World) -> Vec<(u64, u32)> {
     let attempts = world.checker.requests.iter().flat_map(|(id, r)| {
         let out = r.attempts.iter().enumerate().filter(|(_, a)| a.outcome.is_none());
         out.map(|(i, _)| (*id, i as u32))
@@ -125,19 +134,21 @@
     attempts.collect()
 }
 
-/// Time passes as on the wire: an attempt still out at its request's deadline times out there.
+/// Time passes as on the wire: an attempt in flight at its request's deadline times out there.
 fn advance(world: &mut World, span: Nanos) {
     let until = world.now + span;
     loop {
-        let due =
-            outstanding(world).into_iter().map(|(id, a)| (world.checker.requests[&id].due, id, a)).min();
+        let due = attempts_in_flight(world)
+            .into_iter()
+            .map(|(id, a)| (world.checker.requests[&id].deadline, id, a))
+            .min();
         let ring = world.timers.first_key_value().map_or(Nanos::MAX, |((at, _), _)| *at);
         match due {
             Some((at, id, attempt)) if at <= until && at <= ring => {
                 world.now = world.now.max(at);
-                world.end(id, attempt, Outcome::Timeout);
+                world.end_attempt(id, attempt, Outcome::Timeout);
             }
-            _ if ring <= until => world.pass(ring.saturating_sub(world.now), false),
+            _ if ring <= until => world.advance(ring.saturating_sub(world.now), false),
             _ => break,
         }
     }
@@ -154,37 +165,38 @@
     })]
 
     #[test]
-    fn rules_hold_whatever_happens(seed in any::<u64>()) {
+    fn rules_hold_under_random_events(seed in any::<u64>()) {
         play(seed, 400);
     }
 
     #[test]
-    fn same_events_same_actions(seed in any::<u64>()) {
+    fn same_events_give_the_same_actions(seed in any::<u64>()) {
         prop_assert_eq!(play(seed, 120), play(seed, 120));
     }
 }
 
 /// The checker itself must notice each rule broken.
 #[test]
-fn the_checker_notices_broken_rules() {
-    let mut world = World::new(settings(Idempotency::AtMostOnce), 1);
-    world.ready(3);
-    world.ask(Request::new(RequestId(1), 0, SEC));
-    assert_eq!(world.sends(1).len(), 1);
+fn checker_notices_broken_rules() {
+    let mut world = World::new(default_settings(Idempotency::AtMostOnce), 1);
+    world.list_ready_workers(3);
+    world.submit(Request::new(RequestId(1), 0, SEC));
+    assert_eq!(world.workers_of(1).len(), 1);
     let send = |w: &str| Action::Send { id: RequestId(1), worker: WorkerId(w.into()), timeout: None };
     let now = world.now;
-    let check = |world: &mut World, action| world.checker.action(now, &action).expect_err("must be noticed");
-    world.checker.set.limits.can_hedge = true;
+    let check = |world: &mut World, action| world.checker.check(now, &action).expect_err("must be noticed");
+    world.checker.settings.limits.can_hedge = true;
     assert!(check(&mut world, send("w0")).contains("rule 2"));
     let refuse = Action::Reject { id: RequestId(1), retry_after: None };
     assert!(check(&mut world, refuse).contains("rule 2"));
     assert!(check(&mut world, Action::Fail { id: RequestId(1) }).contains("rule 1"));
     assert!(check(&mut world, send("w0")).contains("rule 1"));
-    world.checker.members.get_mut("w0").expect("listed").state = WorkerState::Draining;
+    world.checker.workers.get_mut("w0").expect("listed").state = WorkerState::Draining;
     assert!(check(&mut world, send("w0")).contains("rule 3"));
 }
 
-/// The actions in the form in which the figure of the recorded runs was taken: with the names that their types had then.
+/// The actions in the form in which the figure of the recorded runs was taken: with the names that
+/// their types had then.
 fn recorded_form(actions: &[Action]) -> String {
     let actions: Vec<String> = actions.iter().map(recorded_action).collect();
     format!("[{}]", actions.join(", "))
@@ -202,9 +214,10 @@
     }
 }
 
-/// What a refactoring of the module must not change: the actions of recorded runs. A change of decisions brings a new figure.
+/// What a refactoring of the policy must not change: the actions of recorded runs. A change of
+/// decisions brings a new figure.
 #[test]
-fn recorded_runs_act_as_they_did() {
+fn recorded_runs_give_the_recorded_actions() {
     let text: String = (0..100).map(|seed| format!("{}\n", recorded_form(&play(seed, 400)))).collect();
     assert_eq!(
         xxhash_rust::xxh3::xxh3_64(text.as_bytes()),
--- a/crates/service/balancing-policy/tests/graph.rs
+++ b/crates/service/balancing-policy/tests/worker_graph.rs
@@ -1,11 +1,17 @@
-//! The shared graph: regular, connected, the same at all dispatchers, changed only locally, an expander.
+//! The shared graph: regular, connected, the same at all dispatchers, changed only locally, an
+//! expander.
+
 mod common;
-use common::*;
-use spanlead_balancing_policy::*;
+
+use common::{MS, SEC, TestRng, World, default_settings};
+use spanlead_balancing_policy::{
+    Action, Dispatcher, Endpoint, EndpointUpdate, Event, Idempotency, Outcome, Request, RequestId,
+    WorkerState,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn dispatcher(names: &[String], seed: u64) -> Dispatcher {
-    let mut dispatcher = Dispatcher::new(settings(Idempotency::Idempotent), seed).expect("legal");
+    let mut dispatcher = Dispatcher::new(default_settings(Idempotency::Idempotent), seed).expect("legal");
     let entries: Vec<Endpoint<'_>> = names.iter().map(|w| Endpoint::new(w, WorkerState::Ready)).collect();
     dispatcher.handle(
         0,
@@ -25,7 +31,7 @@
 }
 
 #[test]
-fn regular_and_connected() {
+fn graph_is_regular_and_connected() {
     for n in [2, 3, 8, 40, 200] {
         let names = names(n);
         let graph = edges(&dispatcher(&names, 1), &names);
@@ -44,7 +50,7 @@
 }
 
 #[test]
-fn the_same_at_all_dispatchers() {
+fn graph_is_the_same_at_all_dispatchers() {
     let forward = names(50);
     let mut backward = forward.clone();
     backward.reverse();
@@ -52,7 +58,7 @@
 }
 
 #[test]
-fn a_join_or_leave_changes_only_its_neighbours() {
+fn joining_worker_changes_only_its_neighbours() {
     let all = names(101);
     let before = edges(&dispatcher(&all[..100], 1), &all[..100]);
     let after = edges(&dispatcher(&all, 1), &all[..100]);
@@ -60,17 +66,18 @@
     assert!((1..=6).contains(&changed), "{changed} workers have other neighbours");
 }
 
-/// The second eigenvalue by power iteration on the space without the constant vector, as a share of k.
+/// The second eigenvalue, by power iteration on the space without the constant vector, as a
+/// fraction of the degree.
 #[test]
-fn an_expander_at_several_sizes() {
+fn graph_is_an_expander_at_several_sizes() {
     for n in [30, 100, 400, 1_000] {
         let names = names(n);
         let graph = edges(&dispatcher(&names, 1), &names);
         let place: BTreeMap<&str, usize> = names.iter().enumerate().map(|(i, w)| (w.as_str(), i)).collect();
         let to: Vec<Vec<usize>> =
             names.iter().map(|w| graph[w].iter().map(|v| place[v.as_str()]).collect()).collect();
-        let mut dice = Dice(7);
-        let mut x: Vec<f64> = (0..n).map(|_| dice.below(1_000) as f64).collect();
+        let mut rng = TestRng(7);
+        let mut x: Vec<f64> = (0..n).map(|_| rng.below(1_000) as f64).collect();
         let mut lambda = 0.0;
         for _ in 0..300 {
             let mean = x.iter().sum::<f64>() / n as f64;
@@ -84,19 +91,19 @@
     }
 }
 
-/// Without reports, probes or load, jobs lie where walkers stand: near uniform over time.
+/// Without reports, probes or load, jobs go to the walkers' positions: near uniform over time.
 #[test]
 fn walkers_visit_all_workers_alike() {
     let names = names(24);
-    let mut world = World::new(settings(Idempotency::Idempotent), 11);
+    let mut world = World::new(default_settings(Idempotency::Idempotent), 11);
     let entries: Vec<Endpoint<'_>> = names.iter().map(|w| Endpoint::new(w, WorkerState::Ready)).collect();
-    world.list(EndpointUpdate::Snapshot, &entries);
+    world.update_endpoints(EndpointUpdate::Snapshot, &entries);
     let mut visits: BTreeMap<String, usize> = BTreeMap::new();
     let jobs = 4_800;
     for id in 0..jobs {
-        world.ask(Request::new(RequestId(id), 0, SEC));
-        *visits.entry(world.sends(id)[0].clone()).or_default() += 1;
-        world.end(id, 0, Outcome::Ok);
+        world.submit(Request::new(RequestId(id), 0, SEC));
+        *visits.entry(world.workers_of(id)[0].clone()).or_default() += 1;
+        world.end_attempt(id, 0, Outcome::Ok);
         world.now += 100 * MS;
         world.checker.requests.clear();
     }
@@ -105,42 +112,43 @@
     assert!(visits.values().all(|v| (fair / 3..fair * 3).contains(v)), "{visits:?}");
 }
 
-// Guards the one pass over a list: whatever came before, and in whatever order, the graph is that of the ready workers.
+/// Guards the one pass over a list: whatever came before, and in whatever order, the graph is that
+/// of the ready workers.
 #[test]
-fn a_list_in_one_go_gives_the_graph_of_its_workers_one_by_one() {
+fn list_in_one_update_gives_the_graph_of_its_workers_one_by_one() {
     let all = names(300);
-    let mut dice = Dice(7);
+    let mut rng = TestRng(7);
     let mut state: BTreeMap<&String, WorkerState> = BTreeMap::new();
-    let (mut whole, mut single) = (dispatcher(&[], 1), dispatcher(&[], 2));
+    let (mut in_one_update, mut one_by_one) = (dispatcher(&[], 1), dispatcher(&[], 2));
     for round in 0..40 {
         let states = [WorkerState::Ready, WorkerState::Ready, WorkerState::Draining, WorkerState::Removed];
-        let count = if round % 2 == 0 { 300 } else { 1 + dice.below(20) };
+        let count = if round % 2 == 0 { 300 } else { 1 + rng.below(20) };
         let drawn: Vec<(&String, WorkerState)> =
-            (0..count).map(|_| (&all[dice.below(300) as usize], states[dice.below(4) as usize])).collect();
-        // A list may name a worker twice: the last word holds, as it does one by one.
+            (0..count).map(|_| (&all[rng.below(300) as usize], states[rng.below(4) as usize])).collect();
+        // A list may name a worker twice: the last entry counts, as it does one by one.
         state.extend(drawn.iter().copied());
         let entries: Vec<Endpoint<'_>> = drawn.iter().map(|(w, s)| Endpoint::new(w, *s)).collect();
-        let hear = |d: &mut Dispatcher, entries: &[Endpoint<'_>]| {
+        let update = |d: &mut Dispatcher, entries: &[Endpoint<'_>]| {
             d.handle(
                 1,
                 Event::EndpointsChanged { update: EndpointUpdate::Delta, endpoints: entries },
                 &mut Vec::new(),
             );
         };
-        hear(&mut whole, &entries);
-        entries.iter().for_each(|e| hear(&mut single, std::slice::from_ref(e)));
+        update(&mut in_one_update, &entries);
+        entries.iter().for_each(|e| update(&mut one_by_one, std::slice::from_ref(e)));
         let ready: Vec<String> =
             state.iter().filter(|(_, s)| **s == WorkerState::Ready).map(|(w, _)| (*w).clone()).collect();
         let fresh = edges(&dispatcher(&ready, 3), &ready);
-        assert_eq!(edges(&whole, &ready), fresh, "round {round}");
-        assert_eq!(edges(&single, &ready), fresh, "round {round}");
+        assert_eq!(edges(&in_one_update, &ready), fresh, "round {round}");
+        assert_eq!(edges(&one_by_one, &ready), fresh, "round {round}");
     }
 }
 
-// Guards facts that change under a worker that runs on: its kind, where its repeats are dropped.
+/// Guards attributes that change under a worker that runs on, such as its machine kind.
 #[test]
-fn a_listed_worker_may_change_its_kind() {
-    let mut settings = settings(Idempotency::Idempotent);
+fn listed_worker_may_change_its_machine_kind() {
+    let mut settings = default_settings(Idempotency::Idempotent);
     settings.machine_kind_count = 2;
     settings.classes[0].machine_kind = Some(1);
     let mut dispatcher = Dispatcher::new(settings, 1).expect("legal");
@@ -158,10 +166,10 @@
     assert_eq!([send(0, 1), send(1, 2), send(0, 3), send(1, 4)], [false, true, false, true]);
 }
 
-// Guards against a cost that grows with the square: that a list twenty times as long is gone may take a hundred times as
-// long at the most.
+/// Guards against a cost that grows with the square: the removal of a list twenty times as long may
+/// take a hundred times as long at the most.
 #[test]
-fn a_large_list_costs_little_more_than_its_length() {
+fn cost_of_a_list_grows_little_more_than_its_length() {
     let time = |n| {
         let names = names(n);
         let round = |seed| {
--- a/crates/service/deployment-settings/src/deployment.rs
+++ b/crates/service/deployment-settings/src/deployment.rs
@@ -46,7 +46,8 @@
         Ok(Deployment { settings, names, report_mapping })
     }
 
-    /// These settings in place of those that `earlier` belongs to: every number in use keeps its meaning.
+    /// These settings in place of those that `earlier` belongs to: every number in use keeps its
+    /// meaning.
     #[must_use]
     pub fn succeed(self, earlier: &Names) -> Successor {
         let Deployment { mut settings, mut names, report_mapping } = self;
--- a/crates/service/deployment-settings/src/load_report.rs
+++ b/crates/service/deployment-settings/src/load_report.rs
@@ -42,7 +42,7 @@
 
 /// The figures of a load report. On sockets most have a shorter name than in the simulator.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq)]
-#[serde(default, rename = "Figures")]
+#[serde(default, expecting = "struct Figures")]
 pub struct ReportedFigures {
     /// The busy fraction of the worker's CPU.
     #[serde(alias = "util")]
--- a/crates/service/deployment-settings/src/names.rs
+++ b/crates/service/deployment-settings/src/names.rs
@@ -1,10 +1,11 @@
 //! The names behind the policy's numbers.
 
-/// The names behind the numbers by which the policy refers to classes, tenants, zones and machine kinds: each
-/// number is an index into the list of names here.
+/// The names behind the numbers by which the policy refers to classes, tenants, zones and machine
+/// kinds: each number is an index into the list of names here.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// The request classes. Those of earlier settings, which requests may still be open under, come first.
+    /// The request classes. Those of earlier settings, which requests may still be open under, come
+    /// first.
     pub classes: Vec<String>,
     /// The number of the first class that clients may name.
     pub first_current_class: usize,
@@ -31,7 +32,8 @@
     names.iter().position(|known| known == name).map(|index| index as u32)
 }
 
-/// Names after a change of settings: the earlier ones first, then the new ones that were not among them.
+/// Names after a change of settings: the earlier ones first, then the new ones that were not among
+/// them.
 pub(crate) struct MergedNames {
     pub(crate) names: Vec<String>,
     /// For each of the new names, its number among all.
--- a/crates/service/deployment-settings/src/options.rs
+++ b/crates/service/deployment-settings/src/options.rs
@@ -1,13 +1,13 @@
 //! The settings object as it is written, under the operators' names.
 //!
-//! Unknown fields are skipped, absent ones get their documented meaning. Times are nanoseconds. The containers
-//! keep the names that they have in messages of the reader.
+//! Unknown fields are skipped, absent ones get their documented meaning. Times are nanoseconds. The
+//! containers keep their names in the messages of the reader.
 
 use serde::Deserialize;
 
 /// The settings object.
 #[derive(Deserialize)]
-#[serde(rename = "Options", rename_all = "camelCase")]
+#[serde(expecting = "struct Options", rename_all = "camelCase")]
 pub struct DeploymentOptions {
     /// The zone of this dispatcher, an index into the zones.
     #[serde(rename = "az", default)]
@@ -59,9 +59,10 @@
     pub tenants: Vec<TenantOptions>,
 }
 
-/// What is special to the deployment's family of workers. The lists have an entry for each request class.
+/// What is special to the deployment's family of workers. The lists have an entry for each request
+/// class.
 #[derive(Deserialize, Default)]
-#[serde(rename = "FamilyInfo", rename_all = "camelCase", default)]
+#[serde(expecting = "struct FamilyInfo", rename_all = "camelCase", default)]
 pub struct FamilyOptions {
     /// The machine kinds that classes need; a negative one means any.
     pub class_kind: Vec<i64>,
@@ -87,7 +88,7 @@
 
 /// A request class.
 #[derive(Deserialize)]
-#[serde(rename = "Grade", rename_all = "camelCase")]
+#[serde(expecting = "struct Grade", rename_all = "camelCase")]
 pub struct ClassOptions {
     /// Its name.
     pub name: String,
@@ -119,7 +120,7 @@
 
 /// The operations that are permitted, and their bounds.
 #[derive(Deserialize, Default)]
-#[serde(rename = "Limits", rename_all = "camelCase", default)]
+#[serde(expecting = "struct Limits", rename_all = "camelCase", default)]
 pub struct LimitOptions {
     /// Attempts may be cancelled.
     #[serde(rename = "cancel")]
@@ -152,7 +153,7 @@
 
 /// What operations cost.
 #[derive(Deserialize, Default)]
-#[serde(rename = "Prices", rename_all = "camelCase", default)]
+#[serde(expecting = "struct Prices", rename_all = "camelCase", default)]
 pub struct PriceOptions {
     /// Open connections.
     #[serde(rename = "connection")]
@@ -180,7 +181,7 @@
 
 /// How load reports travel.
 #[derive(Deserialize, Default)]
-#[serde(rename = "ReportForm", default)]
+#[serde(expecting = "struct ReportForm", default)]
 pub struct ReportOptions {
     /// `answers`, `probe` or `none`.
     pub via: Option<String>,
@@ -188,7 +189,7 @@
 
 /// The figures of the safety rules.
 #[derive(Deserialize, Default)]
-#[serde(rename = "Rules", rename_all = "camelCase", default)]
+#[serde(expecting = "struct Rules", rename_all = "camelCase", default)]
 pub struct RuleOptions {
     /// The longest gap between two requests for the endpoint list.
     #[serde(rename = "askEvery")]
@@ -211,7 +212,7 @@
 
 /// A tenant.
 #[derive(Deserialize)]
-#[serde(rename = "Tenant", rename_all = "camelCase")]
+#[serde(expecting = "struct Tenant", rename_all = "camelCase")]
 pub struct TenantOptions {
     /// Its name.
     #[serde(default)]
--- a/crates/shared/expander-walk/src/expander.rs
+++ b/crates/shared/expander-walk/src/expander.rs
@@ -8,7 +8,8 @@
 /// The edges of a server: one to its successor and one to its predecessor in each cycle.
 const DEGREE: usize = 2 * CYCLE_COUNT;
 
-/// A server's entry in a cycle. The derived order, by position and then by index, is the order of the cycle.
+/// A server's entry in a cycle. The derived order, by position and then by index, is the order of
+/// the cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CycleEntry {
     position: u64,
@@ -17,8 +18,9 @@
 
 /// The graph and the walkers that move on it.
 ///
-/// The graph keeps only the order of its servers; the servers themselves stay with the caller, who passes the
-/// same slice of vertices to each call. All cycles hold the same servers, each of them once.
+/// The graph keeps only the order of its servers; the servers themselves stay with the caller, who
+/// passes the same slice of vertices to each call. All cycles hold the same servers, each of them
+/// once.
 #[derive(Clone, Debug, Default)]
 pub struct Expander {
     /// The servers in the order of each cycle.
@@ -45,7 +47,8 @@
 
     /// Adds the `changed` servers that `belongs` accepts and removes the others of them.
     ///
-    /// All changes are made in one pass: one by one, a large list would cost the square of its length.
+    /// All changes are made in one pass: one by one, a large list would cost the square of its
+    /// length.
     pub fn update<V: Vertex>(
         &mut self,
         vertices: &[V],
@@ -77,8 +80,8 @@
 
     /// The server across an edge, numbered below [`Expander::DEGREE`].
     ///
-    /// For a server that has left the graph these are its former neighbours, so walkers keep their position.
-    /// The graph must not be empty.
+    /// For a server that has left the graph these are its former neighbours, so walkers keep their
+    /// position. The graph must not be empty.
     pub fn neighbour<V: Vertex>(&self, vertices: &[V], vertex: VertexIndex, edge: usize) -> VertexIndex {
         let cycle_number = edge / 2;
         let cycle = &self.cycles[cycle_number];
@@ -92,8 +95,8 @@
         cycle[neighbour % length].vertex
     }
 
-    /// One step to a uniformly chosen neighbour, never back along the edge by which the walker came, except
-    /// in a graph of two servers.
+    /// One step to a uniformly chosen neighbour, never back along the edge by which the walker
+    /// came, except in a graph of two servers.
     pub fn step<V: Vertex>(&self, vertices: &[V], walker: Walker, rng: &mut Pcg64Mcg) -> Walker {
         let mut options = [walker.current; DEGREE];
         let mut option_count = 0;
@@ -127,7 +130,8 @@
         cycle.get(index).or(cycle.first()).map(|entry| entry.vertex)
     }
 
-    /// The `index`-th server in the order of the first cycle, counted on from its start after its end.
+    /// The `index`-th server in the order of the first cycle, counted on from its start after its
+    /// end.
     ///
     /// The graph must not be empty.
     #[must_use]
--- a/crates/shared/expander-walk/src/random.rs
+++ b/crates/shared/expander-walk/src/random.rs
@@ -1,4 +1,5 @@
-//! Uniform random numbers. Both functions draw exactly one 32-bit number, so runs with the same seed repeat.
+//! Uniform random numbers. Both functions draw exactly one 32-bit number, so runs with the same
+//! seed repeat.
 
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
--- a/crates/shared/expander-walk/src/vertex.rs
+++ b/crates/shared/expander-walk/src/vertex.rs
@@ -5,7 +5,8 @@
 /// Hamiltonian cycles whose union is the graph: its degree is twice this number.
 pub const CYCLE_COUNT: usize = 3;
 
-/// A server's position in each cycle: a hash of its identifier, seeded with the number of the cycle.
+/// A server's position in each cycle: a hash of its identifier, seeded with the number of the
+/// cycle.
 pub type CyclePositions = [u64; CYCLE_COUNT];
 
 /// A server's index in the slice of vertices that the caller keeps.
@@ -28,8 +29,8 @@
 
 /// The position of an identifier in one cycle.
 ///
-/// `cycle` may be [`CYCLE_COUNT`] or more: such a hash is independent of the positions in the graph's own
-/// cycles.
+/// `cycle` may be [`CYCLE_COUNT`] or more: such a hash is independent of the positions in the
+/// graph's own cycles.
 #[must_use]
 pub fn cycle_position(identifier: &[u8], cycle: usize) -> u64 {
     xxh3_64_with_seed(identifier, cycle as u64)
--- a/crates/tools/simulator-adapter/src/main.rs
+++ b/crates/tools/simulator-adapter/src/main.rs
@@ -1,8 +1,9 @@
-//! Hosts the balancing policy's dispatchers behind the simulator's wire: one line of events in, one line of
-//! actions out.
+//! Hosts the balancing policy's dispatchers behind the simulator's wire: one line of events in, one
+//! line of actions out.
 //!
-//! The simulator starts the adapter as a child process and talks to it over its standard input and output. The
-//! adapter translates and decides nothing; a line that it cannot read ends it, with one line on standard error.
+//! The simulator starts the adapter as a child process and talks to it over its standard input and
+//! output. The adapter translates and decides nothing; a line that it cannot read ends it, with one
+//! line on standard error.
 #![warn(missing_docs, unreachable_pub, clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
 
 mod decode;
--- a/crates/tools/simulator-adapter/src/wire.rs
+++ b/crates/tools/simulator-adapter/src/wire.rs
@@ -1,8 +1,8 @@
 //! The wire's messages as they are read.
 //!
-//! Unknown fields are skipped, absent ones get their documented meaning. Times are nanoseconds of the
-//! simulator's clock. Where a name in the code differs from the wire's, the wire's stands in `rename`; containers
-//! keep the names that they have in messages of the reader.
+//! Unknown fields are skipped, absent ones get their documented meaning. Times are nanoseconds of
+//! the simulator's clock. Where a name in the code differs from the wire's, the wire's stands in
+//! `rename`; containers keep the names that they have in messages of the reader.
 
 use serde::Deserialize;
 use spanlead_deployment_settings::{DeploymentOptions, ReportedFigures};
@@ -86,7 +86,7 @@
 
 /// What an update of the endpoint list covers.
 #[derive(Deserialize)]
-#[serde(rename = "ListScope", rename_all = "lowercase")]
+#[serde(expecting = "enum ListScope", rename_all = "lowercase")]
 pub(crate) enum UpdateScope {
     Update,
     Replace,
--- a/crates/tools/simulator-adapter/tests/wire.rs
+++ b/crates/tools/simulator-adapter/tests/wire.rs
@@ -144,3 +144,32 @@
         assert!(output.stdout.is_empty(), "{line}");
     }
 }
+
+/// The text of a rejected line is read by others: it names containers by the words that it always
+/// had, whatever the types are called.
+#[test]
+fn messages_of_rejected_lines_keep_their_names() {
+    let options = |field: &str| {
+        let options = format!(r#"{{"grades":[],{field}}}"#);
+        batch(4, 1, &[&format!(r#"{{"CONFIGURE":{{"who":3,"salt":9,"options":{options}}}}}"#)])
+    };
+    let cases = [
+        (batch(4, 1, &[r#"{"CONFIGURE":{"who":3,"salt":9,"options":5}}"#]), "struct Options"),
+        (options(r#""familyInfo":3"#), "struct FamilyInfo"),
+        (options(r#""limits":3"#), "struct Limits"),
+        (options(r#""prices":3"#), "struct Prices"),
+        (options(r#""report":3"#), "struct ReportForm"),
+        (options(r#""rules":3"#), "struct Rules"),
+        (options(r#""tenants":[3]"#), "struct Tenant"),
+        (batch(4, 1, &[&configure(false).replace(r#""grades":["#, r#""grades":[3,"#)]), "struct Grade"),
+        (
+            batch(4, 1, &[r#"{"ENDED":{"who":3,"msgId":1,"how":"Ok","roundNo":0,"telemetry":3}}"#]),
+            "struct Figures",
+        ),
+    ];
+    for (line, expected) in cases {
+        let output = run(std::slice::from_ref(&line));
+        let message = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(message.contains(&format!("expected {expected} at ")), "{expected}: {message}");
+    }
+}
