--- a/bench/engines/src/main.rs
+++ b/bench/engines/src/main.rs
@@ -1,15 +1,15 @@
 //! Groups of records, each group durable before the next: the log, redb and fjall in turn, in one run.
 //! `cargo run --release [GROUPS] [RECORDS A GROUP]`, in a folder on the disk that is meant.
-use spanlead_wal::{Disk, Log, Options};
+use spanlead_wal::{DiskDirectory, LogOptions, WriteAheadLog};
 use std::path::Path;
 use std::time::Instant;
 
 type Failure = Box<dyn std::error::Error>;
 
 fn log(folder: &Path, groups: u64, size: u64, record: &[u8]) -> Result<(), Failure> {
-    let disk = Disk::take(folder)?.ok_or("held")?;
-    let options = Options { segment: 16 << 20, sync: true };
-    let (mut log, _) = Log::open(Box::new(disk), options, |_, _| Ok(()))?;
+    let disk = DiskDirectory::lock(folder)?.ok_or("held")?;
+    let options = LogOptions { max_segment_bytes: 16 << 20, sync_on_commit: true };
+    let (mut log, _) = WriteAheadLog::open(Box::new(disk), options, |_, _| Ok(()))?;
     let group: Vec<&[u8]> = (0..size).map(|_| record).collect();
     for _ in 0..groups {
         log.append(&group)?;
--- a/crates/service/durable-jobs/src/record.rs
+++ b/crates/service/durable-jobs/src/record.rs
@@ -1,259 +1,162 @@
-//! What is written down. The form on disk is postcard's (a published, compact serde format); new kinds of record go to the
-//! end of [`Record`], and any other change of form is a new version of the log.
-use crate::state::Job;
-use crate::{JobNo, Nanos, Token};
-use bytes::Bytes;
+//! Records of the log. Their form on disk is postcard's (a published, compact serde format): new kinds of record go to
+//! the end of [`Record`], and any other change of form is a new version of the log. Names are not part of that form;
+//! the serde names are those of the JSON that `spanlead ledger export` writes.
+use crate::error::RecordCodecError;
+use crate::ids::{FencingToken, JobNumber};
+use crate::job::{AcceptedJob, Job, JobOutcome};
+use crate::lease::WorkerLocation;
+use crate::session::Session;
 use serde::{Deserialize, Serialize};
-use std::net::SocketAddr;
-use std::sync::Arc;
+use spanlead_balancing_policy::Nanos;
 
-/// What a repeat of a job does, as its class said when it was taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Repeats {
-    /// It is harmless.
-    Harmless,
-    /// Some workers drop it for so long, counted from the first send that may have run.
-    Dropped(Nanos),
-    /// It must not be.
-    Never,
-}
-
-/// Under what a client's repeat is recognised: the same key of the same owner and class. Its spelling is the client's.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Key {
-    /// The tenant's name.
-    pub owner: Arc<str>,
-    /// The class's name.
-    pub class: Arc<str>,
-    /// The `Idempotency-Key`.
-    pub key: Arc<str>,
-}
-
-/// A worker as it was when an attempt went to it: by the time of a recovery the list may not name it any more.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
-    /// Its name.
-    pub worker: Arc<str>,
-    /// Where it was reached.
-    pub addr: SocketAddr,
-    /// The name of its zone.
-    pub zone: Arc<str>,
-    /// The number of its cell.
-    pub cell: u32,
-}
-
-/// An attempt that is over.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Past {
-    /// Its worker.
-    pub place: Place,
-    /// When it was sent.
-    pub sent: Nanos,
-    /// Whether it may have run.
-    pub ran: bool,
-    /// The lease that it had.
-    pub token: Token,
-}
-
-/// How a job ended.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
-    /// With this result.
-    Served(Arc<str>),
-    /// Turned away; trying again is harmless.
-    Refused,
-    /// It failed, and may have run.
-    Failed,
-    /// No worker can use it.
-    Unusable,
-}
-
-/// One process's hold of the ledger, and how its clock reads against the machine's: jobs' times are in the clock of the
-/// session that wrote them.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Session {
-    /// How its clock reads.
-    pub anchor: Anchor,
-    /// Numbers below these were given before; they outlive the records that gave them.
-    pub next_job: u64,
-    /// The same for tokens.
-    pub next_token: u64,
-}
-
-/// A reading of two clocks at one moment. While the machine is not restarted, the difference of two `up` readings is
-/// true whatever was done to the wall clock in between.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Anchor {
-    /// The machine's start, as the system names it.
-    pub boot: Arc<str>,
-    /// Time since the machine's start, sleep included.
-    pub up: Nanos,
-    /// The process's own clock, which started at the wall clock's reading.
-    pub clock: Nanos,
-}
-
-/// A job as it was taken.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Taken {
-    /// Its number.
-    pub job: JobNo,
-    /// The id under which workers know it.
-    pub id: Arc<str>,
-    /// What a repeat is recognised by, if it has a key.
-    pub key: Option<Arc<str>>,
-    /// The class's name.
-    pub class: Arc<str>,
-    /// The tenant's name.
-    pub owner: Arc<str>,
-    /// A digest of what the client asked for.
-    pub fingerprint: [u8; 16],
-    /// What repeats do.
-    pub repeats: Repeats,
-    /// When it was taken.
-    pub at: Nanos,
-    /// When its client gives up.
-    pub due: Nanos,
-    /// Slots that it takes.
-    pub slots: f64,
-    /// Memory units that it takes.
-    pub memory: f64,
-    /// What it concerns.
-    pub subject: Option<u64>,
-    /// The request, as it goes to a worker.
-    pub text: Bytes,
-    /// What an earlier job of this key left open, which this one goes on from.
-    pub before: Vec<Past>,
-}
-
-/// A line of the ledger.
+/// A record of the log: one change of one job's state, or the begin of a process's session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// A process has begun.
+    /// A process has begun to write the log.
     Session(Session),
-    /// A job was taken.
-    Taken(Taken),
-    /// An attempt is about to go out.
+    /// A job was accepted.
+    #[serde(rename = "Taken")]
+    Accepted(AcceptedJob),
+    /// An attempt is about to be sent, under a new lease.
     Leased {
-        /// Its job.
-        job: JobNo,
-        /// The lease.
-        token: Token,
-        /// Its worker.
-        place: Place,
+        /// The job.
+        job: JobNumber,
+        /// The lease's fencing token.
+        token: FencingToken,
+        /// The worker.
+        #[serde(rename = "place")]
+        location: WorkerLocation,
         /// When.
-        sent: Nanos,
-        /// The latest moment to which its worker may believe in the lease, by our clock.
-        until: Nanos,
+        #[serde(rename = "sent")]
+        sent_at: Nanos,
+        /// The latest moment, by this scheduler's clock, until which the worker may believe that it has the lease.
+        #[serde(rename = "until")]
+        expires_at: Nanos,
     },
-    /// The worker has said that it has the job.
-    Held {
+    /// The worker has acknowledged the job.
+    #[serde(rename = "Held")]
+    Acknowledged {
         /// The job.
-        job: JobNo,
-        /// The lease.
-        token: Token,
-        /// Whether it goes by the lease.
-        aware: bool,
+        job: JobNumber,
+        /// The lease's fencing token.
+        token: FencingToken,
+        /// Whether the worker obeys the lease.
+        #[serde(rename = "aware")]
+        lease_aware: bool,
     },
-    /// The worker was told that it may go on.
+    /// The lease was renewed.
     Renewed {
         /// The job.
-        job: JobNo,
-        /// The lease.
-        token: Token,
-        /// The latest moment to which its worker may believe in the lease.
-        until: Nanos,
+        job: JobNumber,
+        /// The lease's fencing token.
+        token: FencingToken,
+        /// The latest moment until which the worker may believe that it has the lease.
+        #[serde(rename = "until")]
+        expires_at: Nanos,
     },
-    /// The worker has begun to run it.
+    /// The worker has begun to run the job.
     Started {
         /// The job.
-        job: JobNo,
-        /// The lease.
-        token: Token,
+        job: JobNumber,
+        /// The lease's fencing token.
+        token: FencingToken,
     },
     /// The attempt is over without a result.
     Released {
         /// The job.
-        job: JobNo,
-        /// The lease.
-        token: Token,
-        /// Whether it may have run.
-        ran: bool,
+        job: JobNumber,
+        /// The lease's fencing token.
+        token: FencingToken,
+        /// Whether the worker may have run the job.
+        #[serde(rename = "ran")]
+        may_have_run: bool,
     },
-    /// The job has its end.
-    Ended {
+    /// The job has its outcome.
+    #[serde(rename = "Ended")]
+    Finished {
         /// The job.
-        job: JobNo,
+        job: JobNumber,
         /// When.
-        at: Nanos,
+        #[serde(rename = "at")]
+        finished_at: Nanos,
         /// How.
-        end: End,
+        #[serde(rename = "end")]
+        outcome: JobOutcome,
     },
-    /// A client was handed the answer.
-    Answered {
+    /// A client received the outcome.
+    #[serde(rename = "Answered")]
+    Delivered {
         /// The job.
-        job: JobNo,
+        job: JobNumber,
     },
-    /// A job's whole state, written anew so that older records can go.
-    Carried(Box<Job>),
+    /// The whole state of a job, written again so that segments with its older records can be removed.
+    #[serde(rename = "Carried")]
+    Snapshot(Box<Job>),
 }
 
 impl Record {
-    /// What kind it is, for people.
+    /// The record's kind as operators are shown it.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
             Record::Session(_) => "session",
-            Record::Taken(_) => "taken",
+            Record::Accepted(_) => "taken",
             Record::Leased { .. } => "leased",
-            Record::Held { .. } => "held",
+            Record::Acknowledged { .. } => "held",
             Record::Renewed { .. } => "renewed",
             Record::Started { .. } => "started",
             Record::Released { .. } => "released",
-            Record::Ended { .. } => "ended",
-            Record::Answered { .. } => "answered",
-            Record::Carried(_) => "carried",
+            Record::Finished { .. } => "ended",
+            Record::Delivered { .. } => "answered",
+            Record::Snapshot(_) => "carried",
         }
     }
 
-    /// Whether nothing that is seen waits for it: a crash that loses it costs a recovered job time, or a figure.
+    /// Whether no effect waits for the record to be durable: a crash that loses it costs a recovered job time, or a
+    /// counter its accuracy, and nothing else.
     #[must_use]
-    pub fn can_wait(&self) -> bool {
-        matches!(self, Record::Held { .. } | Record::Answered { .. })
+    pub fn is_deferrable(&self) -> bool {
+        matches!(self, Record::Acknowledged { .. } | Record::Delivered { .. })
     }
 
-    /// The job that it is about.
+    /// The job that the record concerns.
     #[must_use]
-    pub fn job(&self) -> Option<JobNo> {
+    pub fn job(&self) -> Option<JobNumber> {
         match self {
             Record::Session(_) => None,
-            Record::Taken(taken) => Some(taken.job),
-            Record::Carried(job) => Some(job.taken.job),
+            Record::Accepted(accepted) => Some(accepted.number),
+            Record::Snapshot(job) => Some(job.accepted.number),
             Record::Leased { job, .. }
-            | Record::Held { job, .. }
+            | Record::Acknowledged { job, .. }
             | Record::Renewed { job, .. }
             | Record::Started { job, .. }
             | Record::Released { job, .. }
-            | Record::Ended { job, .. }
-            | Record::Answered { job } => Some(*job),
+            | Record::Finished { job, .. }
+            | Record::Delivered { job } => Some(*job),
         }
     }
+
+    /// Whether the record needs no earlier record to be understood.
+    pub(crate) fn is_self_contained(&self) -> bool {
+        matches!(self, Record::Session(_) | Record::Accepted(_) | Record::Snapshot(_))
+    }
 }
 
-/// A record as bytes.
+/// Writes a record as bytes.
 ///
 /// # Errors
-/// Never for records that this crate makes; the format's own word otherwise.
-pub fn encode(record: &Record) -> Result<Vec<u8>, postcard::Error> {
-    postcard::to_stdvec(record)
+/// Never for records that this crate makes; else what postcard reports.
+pub fn encode(record: &Record) -> Result<Vec<u8>, RecordCodecError> {
+    Ok(postcard::to_stdvec(record)?)
 }
 
-/// A record from its bytes, all of which it must need.
+/// Reads a record from bytes, all of which must belong to it.
 ///
 /// # Errors
-/// If they are no record.
-pub fn decode(bytes: &[u8]) -> Result<Record, postcard::Error> {
+/// If the bytes are not a record.
+pub fn decode(bytes: &[u8]) -> Result<Record, RecordCodecError> {
     match postcard::take_from_bytes(bytes)? {
         (record, []) => Ok(record),
-        _ => Err(postcard::Error::DeserializeBadEncoding),
+        _ => Err(postcard::Error::DeserializeBadEncoding.into()),
     }
 }
--- /dev/null
+++ b/crates/service/durable-jobs/src/table/apply.rs
@@ -0,0 +1,240 @@
+//! How a record changes the table: the transitions of the state machine that the crate's page shows.
+use super::JobTable;
+use crate::error::{ApplyError, RejectReason};
+use crate::ids::{FencingToken, JobNumber, Lsn};
+use crate::job::{AcceptedJob, Job, JobOutcome, JobState, RetrySafety};
+use crate::lease::{Lease, WorkerLocation};
+use crate::record::Record;
+use crate::session::Session;
+use spanlead_balancing_policy::Nanos;
+
+impl JobTable {
+    /// Applies one record, the next in number. Nothing else but [`JobTable::expire`] changes a job.
+    ///
+    /// # Errors
+    /// If the record does not fit the state; then nothing has changed, except that jobs whose retention had ended by the
+    /// time of the record may be forgotten.
+    pub fn apply(&mut self, record: &Record) -> Result<(), ApplyError> {
+        let lsn = self.last_lsn + 1;
+        self.apply_at(lsn, record).map_err(|reason| ApplyError {
+            record_kind: record.kind(),
+            job: record.job().unwrap_or(JobNumber(0)),
+            reason,
+        })?;
+        self.last_lsn = lsn;
+        Ok(())
+    }
+
+    fn apply_at(&mut self, lsn: Lsn, record: &Record) -> Result<(), RejectReason> {
+        match record {
+            Record::Session(session) => {
+                self.begin_session(session, lsn);
+                Ok(())
+            }
+            Record::Accepted(accepted) => self.accept(accepted, lsn),
+            Record::Leased { job, token, location, sent_at, expires_at } => {
+                self.grant_lease(*job, new_lease(*token, location.clone(), *sent_at, *expires_at))
+            }
+            Record::Acknowledged { job, token, lease_aware } => {
+                self.update(*job, |job| acknowledge(job, *token, *lease_aware))
+            }
+            Record::Renewed { job, token, expires_at } => {
+                self.update(*job, |job| renew_lease(job, *token, *expires_at))
+            }
+            Record::Started { job, token } => self.update(*job, |job| start(job, *token)),
+            Record::Released { job, token, may_have_run } => {
+                self.update(*job, |job| release_lease(job, *token, *may_have_run))
+            }
+            Record::Finished { job, finished_at, outcome } => self.finish(*job, *finished_at, outcome),
+            // The job may have expired before its client was reached.
+            Record::Delivered { job } if self.job(*job).is_none() => Ok(()),
+            Record::Delivered { job } => self.update(*job, deliver),
+            Record::Snapshot(job) => self.restore_snapshot(job, lsn),
+        }
+    }
+
+    /// Replays the record `lsn` as it is read from the log.
+    ///
+    /// # Errors
+    /// As [`JobTable::apply`]; but where the log lacks its beginning, records of jobs that only the missing part knew are
+    /// passed over: the part was dropped since those jobs were not needed any more.
+    pub fn replay(&mut self, lsn: Lsn, record: &Record) -> Result<(), ApplyError> {
+        self.skip_to(lsn);
+        let is_unknown = record.job().is_some_and(|number| self.job(number).is_none());
+        if self.log_truncated && is_unknown && !record.is_self_contained() {
+            self.last_lsn = lsn;
+            return Ok(());
+        }
+        self.apply(record)
+    }
+
+    /// The next record will be `next_lsn`: what precedes it and was not read is not needed.
+    pub fn skip_to(&mut self, next_lsn: Lsn) {
+        if self.last_lsn + 1 != next_lsn {
+            self.last_lsn = next_lsn.saturating_sub(1);
+            self.log_truncated = true;
+        }
+    }
+
+    /// Another process continues: all times are read in its clock from here.
+    fn begin_session(&mut self, session: &Session, lsn: Lsn) {
+        if let Some(previous) = self.session.take() {
+            let shift = previous.anchor.shift_to(&session.anchor);
+            if shift != 0 {
+                self.shift_times(shift);
+            }
+        }
+        self.next_job = self.next_job.max(session.next_job);
+        self.next_token = self.next_token.max(session.next_token);
+        self.session_lsns = self.session_lsns.split_off(&self.oldest_needed_lsn());
+        self.session_lsns.insert(lsn);
+        self.session = Some(session.clone());
+    }
+
+    fn accept(&mut self, accepted: &AcceptedJob, lsn: Lsn) -> Result<(), RejectReason> {
+        if accepted.number < self.next_job {
+            return Err(RejectReason::JobNumberReused);
+        }
+        // The process that accepted the job had forgotten by then what had expired.
+        self.expire(accepted.accepted_at);
+        let job = Job::new(accepted.clone());
+        let previous = job.key().and_then(|key| self.by_key.get(&key).copied());
+        if let Some(previous) = previous.and_then(|number| self.job(number)) {
+            check_continues(accepted, previous)?;
+            let number = previous.accepted.number;
+            self.remove(number);
+        }
+        if self.job_by_id(&accepted.id).is_some_and(Job::is_open) {
+            return Err(RejectReason::IdOpen);
+        }
+        self.next_job = accepted.number.next();
+        self.insert(job, lsn);
+        Ok(())
+    }
+
+    fn grant_lease(&mut self, job: JobNumber, lease: Lease) -> Result<(), RejectReason> {
+        if lease.token < self.next_token {
+            return Err(RejectReason::TokenReused);
+        }
+        let next_token = lease.token.next();
+        self.update(job, |job| match &job.state {
+            JobState::Accepted => {
+                job.state = JobState::Leased(lease);
+                Ok(())
+            }
+            JobState::Leased(_) | JobState::Running(_) => Err(RejectReason::AttemptInFlight),
+            JobState::Finished { .. } | JobState::Delivered { .. } => Err(RejectReason::AlreadyFinished),
+        })?;
+        self.next_token = next_token;
+        Ok(())
+    }
+
+    fn finish(
+        &mut self,
+        number: JobNumber,
+        finished_at: Nanos,
+        outcome: &JobOutcome,
+    ) -> Result<(), RejectReason> {
+        self.update(number, |job| {
+            match &job.state {
+                JobState::Finished { .. } | JobState::Delivered { .. } => {
+                    return Err(RejectReason::AlreadyFinished);
+                }
+                // Whatever the outcome says, an attempt in flight may run.
+                JobState::Leased(lease) | JobState::Running(lease) => {
+                    job.past_attempts.push(lease.clone().into_past_attempt(true));
+                }
+                JobState::Accepted => {}
+            }
+            job.state = JobState::Finished { finished_at, outcome: outcome.clone() };
+            Ok(())
+        })?;
+        self.remove_if_unneeded(number);
+        Ok(())
+    }
+
+    fn restore_snapshot(&mut self, job: &Job, lsn: Lsn) -> Result<(), RejectReason> {
+        let number = job.accepted.number;
+        let key_owner = job.key().and_then(|key| self.by_key.get(&key).copied());
+        if key_owner.is_some_and(|owner| owner != number) {
+            return Err(RejectReason::KeyOfAnotherJob);
+        }
+        self.remove(number);
+        self.next_job = self.next_job.max(number.next());
+        let lease_token = job.lease().map(|lease| lease.token);
+        let past_tokens = job.past_attempts.iter().map(|attempt| attempt.token);
+        let tokens = lease_token.into_iter().chain(past_tokens);
+        self.next_token = tokens.map(FencingToken::next).fold(self.next_token, Ord::max);
+        self.insert(job.clone(), lsn);
+        Ok(())
+    }
+}
+
+/// Whether a job may take the key of `previous`: that one must not be final, and the attempts of it that may have run
+/// must go on in the new job, or a second run would not be seen as one.
+fn check_continues(accepted: &AcceptedJob, previous: &Job) -> Result<(), RejectReason> {
+    let inherits_all =
+        previous.possibly_executed_attempts().all(|attempt| accepted.inherited_attempts.contains(attempt));
+    let second_run_is_harmless = previous.accepted.retry_safety == RetrySafety::Idempotent;
+    match previous.outcome() {
+        None => Err(RejectReason::KeyOpen),
+        Some(JobOutcome::Succeeded(_) | JobOutcome::Unschedulable) => Err(RejectReason::KeyFinished),
+        Some(JobOutcome::Rejected | JobOutcome::Failed) if inherits_all || second_run_is_harmless => Ok(()),
+        Some(JobOutcome::Rejected | JobOutcome::Failed) => Err(RejectReason::InheritedAttemptsMissing),
+    }
+}
+
+fn new_lease(token: FencingToken, location: WorkerLocation, sent_at: Nanos, expires_at: Nanos) -> Lease {
+    Lease { token, location, sent_at, expires_at, acknowledged: false, lease_aware: false }
+}
+
+fn acknowledge(job: &mut Job, token: FencingToken, lease_aware: bool) -> Result<(), RejectReason> {
+    let lease = current_lease(job, token)?;
+    lease.acknowledged = true;
+    lease.lease_aware |= lease_aware;
+    Ok(())
+}
+
+fn renew_lease(job: &mut Job, token: FencingToken, expires_at: Nanos) -> Result<(), RejectReason> {
+    let lease = current_lease(job, token)?;
+    // A worker that was granted a later moment before obeys that one.
+    lease.expires_at = lease.expires_at.max(expires_at);
+    lease.acknowledged = true;
+    lease.lease_aware = true;
+    Ok(())
+}
+
+fn start(job: &mut Job, token: FencingToken) -> Result<(), RejectReason> {
+    let mut lease = current_lease(job, token)?.clone();
+    lease.acknowledged = true;
+    job.state = JobState::Running(lease);
+    Ok(())
+}
+
+fn release_lease(job: &mut Job, token: FencingToken, may_have_run: bool) -> Result<(), RejectReason> {
+    let lease = current_lease(job, token)?.clone();
+    job.past_attempts.push(lease.into_past_attempt(may_have_run));
+    job.state = JobState::Accepted;
+    Ok(())
+}
+
+fn deliver(job: &mut Job) -> Result<(), RejectReason> {
+    match &job.state {
+        JobState::Finished { finished_at, outcome } => {
+            job.state = JobState::Delivered { finished_at: *finished_at, outcome: outcome.clone() };
+            Ok(())
+        }
+        JobState::Delivered { .. } => Ok(()),
+        JobState::Accepted | JobState::Leased(_) | JobState::Running(_) => Err(RejectReason::NotFinished),
+    }
+}
+
+/// The job's lease, if `token` is its fencing token.
+fn current_lease(job: &mut Job, token: FencingToken) -> Result<&mut Lease, RejectReason> {
+    match &mut job.state {
+        JobState::Leased(lease) | JobState::Running(lease) if lease.token == token => Ok(lease),
+        JobState::Leased(_) | JobState::Running(_) => Err(RejectReason::StaleToken),
+        JobState::Accepted => Err(RejectReason::NotLeased),
+        JobState::Finished { .. } | JobState::Delivered { .. } => Err(RejectReason::AlreadyFinished),
+    }
+}
--- a/crates/service/engine/examples/recovery.rs
+++ b/crates/service/engine/examples/recovery.rs
@@ -4,50 +4,60 @@
     DeduplicationScope, Idempotency, Nanos, RequestClass, Settings, WorkerState,
 };
 use spanlead_deployment_settings::Names;
-use spanlead_durable_jobs::*;
+use spanlead_durable_jobs::{
+    AcceptedJob, ClockAnchor, FencingToken, JobNumber, JobOutcome, JobTable, JobTableLimits, Record,
+    RetrySafety, Session, WorkerLocation, decode, encode,
+};
 use spanlead_engine::{DurableSetup, Engine, Input, WorkerEndpoint};
-use spanlead_wal::{Disk, Log, Options};
+use spanlead_wal::{DiskDirectory, LogOptions, RecordRejected, WriteAheadLog};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Instant;
 
 const SEC: Nanos = 1_000_000_000;
-const OPTIONS: Options = Options { segment: 16 << 20, sync: false };
+const OPTIONS: LogOptions = LogOptions { max_segment_bytes: 16 << 20, sync_on_commit: false };
 
-fn place(i: u64) -> Place {
+fn location(i: u64) -> WorkerLocation {
     let addr = SocketAddr::from(([127, 0, 0, 1], 9));
-    Place { worker: format!("w{:02}", i % 20).into(), addr, zone: "kista".into(), cell: (i % 5) as u32 }
+    WorkerLocation {
+        worker: format!("w{:02}", i % 20).into(),
+        addr,
+        zone: "kista".into(),
+        cell: (i % 5) as u32,
+    }
 }
 
 /// The records of one job, and whether it stays open.
 fn job(no: u64, open: bool) -> Vec<Record> {
-    let (job, token) = (JobNo(no), Token(no));
-    let taken = Taken {
-        job,
+    let (job, token) = (JobNumber(no), FencingToken(no));
+    let accepted = AcceptedJob {
+        number: job,
         id: format!("9b1f03aa5c7e2d41-{no}").into(),
         key: Some(format!("5c0f6e1a2b3d4c59a8b7c6d5e4f30211-{no}").into()),
         class: "guest-visit".into(),
         owner: "kraftverket".into(),
         fingerprint: [3; 16],
-        repeats: Repeats::Dropped(25 * SEC),
-        at: 1000 * SEC,
-        due: 1015 * SEC,
+        retry_safety: RetrySafety::Deduplicated(25 * SEC),
+        accepted_at: 1000 * SEC,
+        deadline: 1015 * SEC,
         slots: 1.0,
         memory: 0.0,
         subject: Some(no),
-        text: vec![b'x'; 250].into(),
-        before: Vec::new(),
+        request_body: vec![b'x'; 250].into(),
+        inherited_attempts: Vec::new(),
     };
-    let leased = Record::Leased { job, token, place: place(no), sent: 1000 * SEC, until: 1011 * SEC };
+    let leased =
+        Record::Leased { job, token, location: location(no), sent_at: 1000 * SEC, expires_at: 1011 * SEC };
     let mut records = vec![
-        Record::Taken(taken),
+        Record::Accepted(accepted),
         leased,
-        Record::Held { job, token, aware: true },
+        Record::Acknowledged { job, token, lease_aware: true },
         Record::Started { job, token },
     ];
     if !open {
-        let end = End::Served("y".repeat(100).into());
-        records.extend([Record::Ended { job, at: 1001 * SEC, end }, Record::Answered { job }]);
+        let outcome = JobOutcome::Succeeded("y".repeat(100).into());
+        let finished = Record::Finished { job, finished_at: 1001 * SEC, outcome };
+        records.extend([finished, Record::Delivered { job }]);
     }
     records
 }
@@ -63,12 +73,16 @@
     for n in [10_000u64, 100_000, 1_000_000] {
         let folder = tempfile::tempdir()?;
         let open = n / 10;
-        let anchor = Anchor { boot: "b".into(), up: 0, clock: 1000 * SEC };
+        let anchor = ClockAnchor { boot_id: "b".into(), uptime: 0, process_clock: 1000 * SEC };
         let (mut written, mut jobs) = (0, 0);
         {
-            let disk = Disk::take(folder.path())?.ok_or("held")?;
-            let (mut log, _) = Log::open(Box::new(disk), OPTIONS, |_, _| Ok(()))?;
-            let session = Record::Session(Session { anchor: anchor.clone(), next_job: 1, next_token: 1 });
+            let disk = DiskDirectory::lock(folder.path())?.ok_or("held")?;
+            let (mut log, _) = WriteAheadLog::open(Box::new(disk), OPTIONS, |_, _| Ok(()))?;
+            let session = Record::Session(Session {
+                anchor: anchor.clone(),
+                next_job: JobNumber(1),
+                next_token: FencingToken(1),
+            });
             let mut group: Vec<Vec<u8>> = vec![encode(&session)?];
             while written < n {
                 jobs += 1;
@@ -87,13 +101,13 @@
             log.close()?;
         }
         let begun = Instant::now();
-        let mut ledger = Ledger::new(Limits { keep: 120 * SEC, jobs: 10_000_000 });
-        let disk = Disk::take(folder.path())?.ok_or("held")?;
-        let (log, opened) = Log::open(Box::new(disk), OPTIONS, |lsn, bytes| {
-            let record = decode(bytes).map_err(|e| e.to_string())?;
-            ledger.replay(lsn, &record).map_err(|e| e.to_string())
+        let mut ledger = JobTable::new(JobTableLimits { retention: 120 * SEC, max_jobs: 10_000_000 });
+        let disk = DiskDirectory::lock(folder.path())?.ok_or("held")?;
+        let (log, opened) = WriteAheadLog::open(Box::new(disk), OPTIONS, |lsn, bytes| {
+            let record = decode(bytes).map_err(RecordRejected::new)?;
+            ledger.replay(lsn, &record).map_err(RecordRejected::new)
         })?;
-        ledger.seek(log.next());
+        ledger.skip_to(log.next_lsn());
         let read = begun.elapsed();
 
         let class = RequestClass {
@@ -111,7 +125,7 @@
             Engine::new(settings, Arc::new(names), 1, 1 << 20, ([127, 0, 0, 1], 9).into(), true)?;
         let (now, mut effects) = (1002 * SEC, Vec::new());
         let host = |i| {
-            let Place { worker: name, addr, cell, .. } = place(i);
+            let WorkerLocation { worker: name, addr, cell, .. } = location(i);
             WorkerEndpoint {
                 name,
                 addr,
@@ -134,7 +148,7 @@
             &mut effects,
         );
         let begun = Instant::now();
-        let anchor = Anchor { up: 2 * SEC, clock: now, ..anchor };
+        let anchor = ClockAnchor { uptime: 2 * SEC, process_clock: now, ..anchor };
         let (lease, clock_bound, disk, segment) = (10 * SEC, SEC / 4, 1 << 40, 16 << 20);
         let durability = DurableSetup { ledger, anchor, all: false, lease, clock_bound, disk, segment };
         engine.step(now, Input::DurableJobsOpened(Box::new(durability)), &mut effects);
--- a/crates/service/engine/src/durable.rs
+++ b/crates/service/engine/src/durable.rs
@@ -13,8 +13,8 @@
 };
 use spanlead_deployment_settings::index_of;
 use spanlead_durable_jobs::{
-    Anchor, End, Found, JobNo, Key, Ledger, Lsn, Past, Place, Record, Repeats, Stage as JobStage, Taken,
-    Token,
+    AcceptedJob, ClockAnchor, FencingToken, IdempotencyKey, JobNumber, JobOutcome, JobState, JobTable,
+    KeyLookup, Lsn, PastAttempt, Record, RetrySafety, WorkerLocation,
 };
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -34,9 +34,9 @@
 /// A ledger that was read, and how it is kept.
 #[derive(Debug)]
 pub struct DurableSetup {
-    pub ledger: Ledger,
+    pub ledger: JobTable,
     /// How this process's clock reads.
-    pub anchor: Anchor,
+    pub anchor: ClockAnchor,
     /// Whether jobs are kept that nobody can come back for and whose repeats are harmless.
     pub all: bool,
     /// How long a worker may hold a job without being heard of.
@@ -49,10 +49,10 @@
 }
 
 pub(crate) struct Durable {
-    pub ledger: Ledger,
+    pub ledger: JobTable,
     pub failed: bool,
     /// The open request of each job.
-    pub request_ids: HashMap<JobNo, RequestId>,
+    pub request_ids: HashMap<JobNumber, RequestId>,
     all: bool,
     lease: Nanos,
     clock_bound: Nanos,
@@ -64,29 +64,29 @@
 
 impl Durable {
     pub fn figures(&self) -> DurableJobStats {
-        let now = self.ledger.figures();
-        let (open, kept, live_bytes) = (now.open, now.kept, now.live_bytes);
+        let now = self.ledger.stats();
+        let (open, kept, live_bytes) = (now.open, now.retained, now.live_bytes);
         DurableJobStats { open, kept, live_bytes, failed: self.failed, ..self.figures }
     }
 
     /// Whether the job of this id is kept with its end.
     pub fn has_end(&self, id: &str) -> bool {
-        self.ledger.by_id(id).is_some_and(|job| job.end().is_some())
+        self.ledger.job_by_id(id).is_some_and(|job| !job.is_open())
     }
 
     fn full(&self) -> bool {
-        !self.ledger.has_room() || self.figures.disk_bytes >= self.disk
+        !self.ledger.has_capacity() || self.figures.disk_bytes >= self.disk
     }
 }
 
 /// What a request is to the ledger.
 pub(crate) enum Known {
     /// It is new, and goes on from these attempts of an earlier one.
-    No(Vec<Past>),
+    No(Vec<PastAttempt>),
     /// It repeats one that is open.
     Open(RequestId),
     /// It has its answer.
-    Over(Answer, Option<JobNo>),
+    Over(Answer, Option<JobNumber>),
 }
 
 /// An effect that waits for all records before it.
@@ -96,34 +96,39 @@
 
 /// An answer to a client. A result waits until it is written down; whatever else is said of a job claims nothing that a
 /// crash could make untrue.
-pub(crate) fn as_recorded(request_id: RequestId, answer: Answer, job: Option<JobNo>, due: Nanos) -> Effect {
+pub(crate) fn as_recorded(
+    request_id: RequestId,
+    answer: Answer,
+    job: Option<JobNumber>,
+    due: Nanos,
+) -> Effect {
     let waits = job.is_some() && matches!(answer, Answer::Served(_));
     let effect = Effect::Answer { request_id, answer, job };
     if waits { durably(effect, due) } else { effect }
 }
 
-fn end_of(answer: &Answer) -> End {
+fn end_of(answer: &Answer) -> JobOutcome {
     match answer {
-        Answer::Served(result) => End::Served(Arc::from(result.as_str())),
-        Answer::Rejected { .. } => End::Refused,
-        Answer::Unprocessable => End::Unusable,
-        Answer::Failed | Answer::DuplicateId | Answer::KeyMismatch => End::Failed,
+        Answer::Served(result) => JobOutcome::Succeeded(Arc::from(result.as_str())),
+        Answer::Rejected { .. } => JobOutcome::Rejected,
+        Answer::Unprocessable => JobOutcome::Unschedulable,
+        Answer::Failed | Answer::DuplicateId | Answer::KeyMismatch => JobOutcome::Failed,
     }
 }
 
-fn answer_of(end: &End) -> Answer {
+fn answer_of(end: &JobOutcome) -> Answer {
     match end {
-        End::Served(result) => Answer::Served(result.to_string()),
-        End::Refused => Answer::Rejected { retry_after: Some(RETRY_AFTER) },
-        End::Failed => Answer::Failed,
-        End::Unusable => Answer::Unprocessable,
+        JobOutcome::Succeeded(result) => Answer::Served(result.to_string()),
+        JobOutcome::Rejected => Answer::Rejected { retry_after: Some(RETRY_AFTER) },
+        JobOutcome::Failed => Answer::Failed,
+        JobOutcome::Unschedulable => Answer::Unprocessable,
     }
 }
 
 impl Engine {
     /// The number of the last record, if there is a ledger.
     pub(crate) fn recorded(&self) -> Lsn {
-        self.durable.as_ref().map_or(0, |d| d.ledger.last())
+        self.durable.as_ref().map_or(0, |d| d.ledger.last_lsn())
     }
 
     /// The one place where a record is made: it changes the ledger and goes to the store.
@@ -147,10 +152,10 @@
         job.durable_request.as_ref().is_some_and(|logged| all || never || logged.key.is_some())
     }
 
-    fn key(&self, job: &Job) -> Option<Key> {
+    fn key(&self, job: &Job) -> Option<IdempotencyKey> {
         let key = job.durable_request.as_ref()?.key.clone()?;
         let (owner, class) = self.owner_and_class(job);
-        Some(Key { owner, class, key })
+        Some(IdempotencyKey { owner, class, key })
     }
 
     fn owner_and_class(&self, job: &Job) -> (Arc<str>, Arc<str>) {
@@ -161,7 +166,10 @@
     /// Gives a client of the process before its place again. Its request is open here since the ledger was read, or has had
     /// its end since; it is not taken anew.
     pub(crate) fn take_over(&mut self, now: Nanos, request_id: RequestId, job: Job, out: &mut Vec<Effect>) {
-        let here = self.durable.as_ref().and_then(|d| d.request_ids.get(&d.ledger.by_id(&job.id)?.taken.job));
+        let here = self
+            .durable
+            .as_ref()
+            .and_then(|d| d.request_ids.get(&d.ledger.job_by_id(&job.id)?.accepted.number));
         if let Some(first) = here.copied() {
             return self.join(request_id, first, job, out);
         }
@@ -184,18 +192,18 @@
         let Some(d) = &mut self.durable else { return Known::No(Vec::new()) };
         d.ledger.expire(now);
         let (Some(key), Some(logged)) = (key, &job.durable_request) else { return Known::No(Vec::new()) };
-        match d.ledger.find(&key, &logged.fingerprint) {
-            Found::New => Known::No(Vec::new()),
-            Found::Unsettled(before) => Known::No(before),
-            Found::Mismatch => {
+        match d.ledger.lookup(&key, &logged.fingerprint) {
+            KeyLookup::New => Known::No(Vec::new()),
+            KeyLookup::Retryable(before) => Known::No(before),
+            KeyLookup::RequestMismatch => {
                 d.figures.mismatched += 1;
                 Known::Over(Answer::KeyMismatch, None)
             }
-            Found::Over(no, end) => {
+            KeyLookup::Finished(no, end) => {
                 d.figures.replayed += 1;
                 Known::Over(answer_of(&end), Some(no))
             }
-            Found::Running(no) => match d.request_ids.get(&no) {
+            KeyLookup::InProgress(no) => match d.request_ids.get(&no) {
                 Some(first) => Known::Open(*first),
                 // It is on its way to another process.
                 None => Known::Over(Answer::Rejected { retry_after: Some(RETRY_AFTER) }, None),
@@ -223,36 +231,36 @@
         &mut self,
         now: Nanos,
         job: &Job,
-        before: Vec<Past>,
+        before: Vec<PastAttempt>,
         out: &mut Vec<Effect>,
-    ) -> Option<JobNo> {
+    ) -> Option<JobNumber> {
         if !self.keeps(job) {
             return None;
         }
         let (owner, class) = self.owner_and_class(job);
         let repeats = match self.effects.get(job.class as usize)? {
-            Idempotency::Idempotent => Repeats::Harmless,
-            Idempotency::Deduplicated { window, .. } => Repeats::Dropped(*window),
-            Idempotency::AtMostOnce => Repeats::Never,
+            Idempotency::Idempotent => RetrySafety::Idempotent,
+            Idempotency::Deduplicated { window, .. } => RetrySafety::Deduplicated(*window),
+            Idempotency::AtMostOnce => RetrySafety::NonIdempotent,
         };
         let (no, logged) = (self.durable.as_ref()?.ledger.next_job(), job.durable_request.as_ref()?);
-        let taken = Taken {
-            job: no,
+        let taken = AcceptedJob {
+            number: no,
             id: job.id.clone(),
             key: logged.key.clone(),
             class,
             owner,
             fingerprint: logged.fingerprint,
-            repeats,
-            at: now,
-            due: job.due,
+            retry_safety: repeats,
+            accepted_at: now,
+            deadline: job.due,
             slots: job.slots,
             memory: job.memory,
             subject: job.affinity_key,
-            text: logged.text.clone(),
-            before,
+            request_body: logged.text.clone(),
+            inherited_attempts: before,
         };
-        self.record(Record::Taken(taken), out);
+        self.record(Record::Accepted(taken), out);
         Some(no)
     }
 
@@ -296,7 +304,7 @@
         }
         let Some(request) = self.requests.get_mut(&request_id).filter(|r| !r.answered) else { return false };
         let job = request.durable.and_then(|no| self.durable.as_ref()?.ledger.job(no));
-        let stays = !request.joined.is_empty() || job.is_some_and(|job| job.taken.key.is_some());
+        let stays = !request.joined.is_empty() || job.is_some_and(|job| job.accepted.key.is_some());
         if stays && request.first {
             request.first = false;
             let class = request.class;
@@ -310,18 +318,18 @@
     pub(crate) fn record_end(
         &mut self,
         now: Nanos,
-        durable: Option<JobNo>,
+        durable: Option<JobNumber>,
         answer: &Answer,
         out: &mut Vec<Effect>,
     ) {
         if let Some(job) = durable {
-            self.record(Record::Ended { job, at: now, end: end_of(answer) }, out);
+            self.record(Record::Finished { job, finished_at: now, outcome: end_of(answer) }, out);
         }
     }
 
     /// The request as it goes to a worker.
-    pub(crate) fn text(&self, no: JobNo) -> Option<Bytes> {
-        Some(self.durable.as_ref()?.ledger.job(no)?.taken.text.clone())
+    pub(crate) fn text(&self, no: JobNumber) -> Option<Bytes> {
+        Some(self.durable.as_ref()?.ledger.job(no)?.accepted.request_body.clone())
     }
 
     // ------------------------------------------------------------ leases
@@ -330,7 +338,7 @@
     pub(crate) fn lease(
         &mut self,
         now: Nanos,
-        job: JobNo,
+        job: JobNumber,
         attempt: AttemptId,
         out: &mut Vec<Effect>,
     ) -> Option<LeaseGrant> {
@@ -340,14 +348,15 @@
         this.token = Some(token);
         let told = self.workers.get(&this.worker)?.told?;
         let zone = Arc::from(self.names.zones.get(told.zone as usize).map_or("", String::as_str));
-        let place = Place { worker: this.worker.clone(), addr: this.addr, zone, cell: told.lasting_cell() };
+        let location =
+            WorkerLocation { worker: this.worker.clone(), addr: this.addr, zone, cell: told.lasting_cell() };
         // Its worker counts from when it came there, which is before we hear that it has.
         let until = now + ACCEPT_TIMEOUT + length;
-        self.record(Record::Leased { job, token, place, sent: now, until }, out);
+        self.record(Record::Leased { job, token, location, sent_at: now, expires_at: until }, out);
         Some(LeaseGrant { token: token.0, length })
     }
 
-    fn leased(&self, attempt: AttemptId) -> Option<(JobNo, Token)> {
+    fn leased(&self, attempt: AttemptId) -> Option<(JobNumber, FencingToken)> {
         let request = self.requests.get(&attempt.request)?;
         Some((request.durable?, request.attempts.get(attempt.number as usize)?.token?))
     }
@@ -355,7 +364,7 @@
     /// The worker has the job; `aware` tells whether it goes by the lease.
     pub(crate) fn held(&mut self, attempt: AttemptId, aware: bool, out: &mut Vec<Effect>) {
         let Some((job, token)) = self.leased(attempt) else { return };
-        self.record(Record::Held { job, token, aware }, out);
+        self.record(Record::Acknowledged { job, token, lease_aware: aware }, out);
         if aware {
             self.watch_lease(attempt);
         }
@@ -365,7 +374,7 @@
     fn watch_lease(&mut self, attempt: AttemptId) {
         let Some((job, _)) = self.leased(attempt) else { return };
         let Some(d) = &self.durable else { return };
-        let Some(until) = d.ledger.job(job).and_then(|j| j.lease()).map(|l| l.until) else { return };
+        let Some(until) = d.ledger.job(job).and_then(|j| j.lease()).map(|l| l.expires_at) else { return };
         let ends = until + d.clock_bound;
         let this =
             self.requests.get_mut(&attempt.request).and_then(|r| r.attempts.get_mut(attempt.number as usize));
@@ -391,12 +400,12 @@
         let d = self.durable.as_ref().filter(|d| !d.failed)?;
         let length = d.lease;
         let lease = d.ledger.job(job)?.lease()?;
-        let (told, aware) = (lease.until, lease.aware);
+        let (told, aware) = (lease.expires_at, lease.lease_aware);
         if !aware || now + length > told + length / 4 {
-            self.record(Record::Renewed { job, token, until: now + length }, out);
+            self.record(Record::Renewed { job, token, expires_at: now + length }, out);
         }
         self.watch_lease(attempt);
-        let until = self.durable.as_ref()?.ledger.job(job)?.lease()?.until;
+        let until = self.durable.as_ref()?.ledger.job(job)?.lease()?.expires_at;
         // Never beyond what is written down, nor what a lease is long.
         Some(until.saturating_sub(now).min(length))
     }
@@ -404,8 +413,8 @@
     /// The worker has begun to run the job.
     pub(crate) fn started(&mut self, attempt: AttemptId, out: &mut Vec<Effect>) {
         let Some((job, token)) = self.leased(attempt) else { return };
-        let stage = self.durable.as_ref().and_then(|d| d.ledger.job(job)).map(|j| &j.stage);
-        if matches!(stage, Some(JobStage::Leased(_))) {
+        let stage = self.durable.as_ref().and_then(|d| d.ledger.job(job)).map(|j| &j.state);
+        if matches!(stage, Some(JobState::Leased(_))) {
             self.record(Record::Started { job, token }, out);
         }
     }
@@ -413,15 +422,15 @@
     /// The attempt is over; if the job is too, its end said so.
     pub(crate) fn released(
         &mut self,
-        durable: Option<JobNo>,
-        token: Option<Token>,
+        durable: Option<JobNumber>,
+        token: Option<FencingToken>,
         ran: bool,
         out: &mut Vec<Effect>,
     ) {
         let (Some(job), Some(token)) = (durable, token) else { return };
         let lease = self.durable.as_ref().and_then(|d| d.ledger.job(job)?.lease());
         if lease.is_some_and(|l| l.token == token) {
-            self.record(Record::Released { job, token, ran }, out);
+            self.record(Record::Released { job, token, may_have_run: ran }, out);
         }
     }
 
@@ -456,8 +465,9 @@
         let heard = NoticeReply::Acknowledged { lease: None };
         let (Some(token), Some(d)) = (token, &mut self.durable) else { return heard };
         // It repeats the notice that ended the job.
-        let last = d.ledger.by_id(id).filter(|job| matches!(job.end(), Some((_, End::Served(_)))));
-        if last.and_then(|job| job.past.last()).is_some_and(|past| past.token.0 == token) {
+        let last =
+            d.ledger.job_by_id(id).filter(|job| matches!(job.outcome(), Some(JobOutcome::Succeeded(_))));
+        if last.and_then(|job| job.past_attempts.last()).is_some_and(|past| past.token.0 == token) {
             return heard;
         }
         d.figures.fenced += 1;
@@ -480,14 +490,14 @@
         d.figures.disk_bytes = bytes;
         // What a few old jobs keep from going is written anew when it is more than what lives. `live` is reckoned high, so
         // that comes to an end.
-        let live = d.ledger.figures().live_bytes as u64;
+        let live = d.ledger.stats().live_bytes as u64;
         if bytes > 2 * (live + d.segment) {
-            for record in d.ledger.carry(MAX_REWRITTEN_JOBS) {
+            for record in d.ledger.snapshot_records(MAX_REWRITTEN_JOBS) {
                 self.record(record, out);
             }
         }
         let Some(d) = &mut self.durable else { return };
-        let oldest = d.ledger.oldest();
+        let oldest = d.ledger.oldest_needed_lsn();
         if oldest >= d.trimmed + TRUNCATE_INTERVAL_RECORDS {
             d.trimmed = oldest;
             out.push(Effect::TruncateLog { oldest });
@@ -497,7 +507,7 @@
     pub(crate) fn store_failed(&mut self, out: &mut Vec<Effect>) {
         let Some(d) = self.durable.as_mut().filter(|d| !d.failed) else { return };
         d.failed = true;
-        let open = d.ledger.figures().open;
+        let open = d.ledger.stats().open;
         out.push(Effect::Log(format!(
             "the ledger can't be written to any more: new durable jobs are refused, {open} open ones end; restart when the \
              disk is mended"
@@ -509,7 +519,7 @@
     /// Goes on with all that the ledger holds open.
     pub(crate) fn opened(&mut self, now: Nanos, durability: DurableSetup, out: &mut Vec<Effect>) {
         let DurableSetup { ledger, anchor, all, lease, clock_bound, disk, segment } = durability;
-        let session = ledger.session(anchor);
+        let session = ledger.session_record(anchor);
         self.durable = Some(Durable {
             ledger,
             failed: false,
@@ -525,27 +535,27 @@
         self.record(session, out);
         let Some(d) = &mut self.durable else { return };
         d.ledger.expire(now);
-        let open = d.ledger.open();
+        let open = d.ledger.open_jobs();
         for no in open {
             self.recover(now, no, out);
         }
     }
 
-    fn recover(&mut self, now: Nanos, no: JobNo, out: &mut Vec<Effect>) {
+    fn recover(&mut self, now: Nanos, no: JobNumber, out: &mut Vec<Effect>) {
         let Some(d) = &mut self.durable else { return };
         let Some(job) = d.ledger.job(no).cloned() else { return };
         d.figures.recovered += 1;
-        let (taken, lease) = (&job.taken, job.lease());
+        let (taken, lease) = (&job.accepted, job.lease());
         let class = self.names.class_index(&taken.class);
         let tenant = match self.names.tenants.is_empty() {
             true => Some(0),
             false => index_of(&self.names.tenants, &taken.owner),
         };
-        let (Some(class), Some(tenant), true) = (class, tenant, now < taken.due) else {
+        let (Some(class), Some(tenant), true) = (class, tenant, now < taken.deadline) else {
             // Its client has given up, or nothing is known any more of how to go on.
             if let Some(lease) = lease {
                 let attempt = AttemptId { request: RequestId(RECOVERED_REQUEST_BIT | no.0), number: 0 };
-                let (addr, id, until) = (lease.place.addr, taken.id.clone(), now + CANCEL_TIMEOUT);
+                let (addr, id, until) = (lease.location.addr, taken.id.clone(), now + CANCEL_TIMEOUT);
                 out.push(Effect::CancelAttempt { attempt, addr, job_id: id, accepted: true, until });
             }
             return self.record_end(now, Some(no), &Answer::Failed, out);
@@ -557,12 +567,18 @@
             slots: taken.slots,
             memory: taken.memory,
             affinity_key: taken.subject,
-            due: taken.due,
+            due: taken.deadline,
             durable_request: None,
         };
-        let mut past: Vec<Past> = taken.before.iter().chain(&job.past).cloned().collect();
-        let out_there = lease.map(|l| (l.held, l.aware));
-        past.extend(lease.map(|l| Past { place: l.place.clone(), sent: l.sent, ran: true, token: l.token }));
+        let mut past: Vec<PastAttempt> =
+            taken.inherited_attempts.iter().chain(&job.past_attempts).cloned().collect();
+        let out_there = lease.map(|l| (l.acknowledged, l.lease_aware));
+        past.extend(lease.map(|l| PastAttempt {
+            location: l.location.clone(),
+            sent_at: l.sent_at,
+            may_have_run: true,
+            token: l.token,
+        }));
         let request_id = RequestId(RECOVERED_REQUEST_BIT | no.0);
         self.resume(now, request_id, this, Some(no), past, out_there, out);
     }
@@ -575,21 +591,29 @@
         now: Nanos,
         request_id: RequestId,
         job: Job,
-        durable: Option<JobNo>,
-        past: Vec<Past>,
+        durable: Option<JobNumber>,
+        past: Vec<PastAttempt>,
         out_there: Option<(bool, bool)>,
         out: &mut Vec<Effect>,
     ) {
         self.introduce(now, &past, out);
         let last = past.len().checked_sub(1);
-        let attempt = |(i, p): (usize, &Past)| {
+        let attempt = |(i, p): (usize, &PastAttempt)| {
             let stage = match out_there.filter(|_| Some(i) == last) {
                 None => Stage::Ended,
                 Some((true, _)) => Stage::Accepted,
                 Some((false, _)) => Stage::Dispatched,
             };
-            let (worker, addr, token) = (p.place.worker.clone(), p.place.addr, Some(p.token));
-            Attempt { worker, addr, sent: p.sent, stage, may_have_run: p.ran, token, leased: None }
+            let (worker, addr, token) = (p.location.worker.clone(), p.location.addr, Some(p.token));
+            Attempt {
+                worker,
+                addr,
+                sent: p.sent_at,
+                stage,
+                may_have_run: p.may_have_run,
+                token,
+                leased: None,
+            }
         };
         let attempts = past.iter().enumerate().map(attempt).collect();
         let (class, due) = (job.class, job.due);
@@ -598,14 +622,14 @@
         // A class that must never run twice can't go on from an attempt that may have run; the module decides that where an
         // attempt ends, so it is told that the last one does so now.
         let never = self.effects.get(class as usize) == Some(&Idempotency::AtMostOnce);
-        let exposed = past.iter().rposition(|p| p.ran).filter(|_| never && out_there.is_none());
+        let exposed = past.iter().rposition(|p| p.may_have_run).filter(|_| never && out_there.is_none());
         let tries: Vec<PriorAttempt> = past
             .iter()
             .enumerate()
             .map(|(i, p)| {
                 let open = Some(i) == exposed || Some(i) == last && out_there.is_some();
-                let may_have_run = if open { None } else { Some(p.ran) };
-                PriorAttempt { worker: WorkerId(p.place.worker.clone()), sent_at: p.sent, may_have_run }
+                let may_have_run = if open { None } else { Some(p.may_have_run) };
+                PriorAttempt { worker: WorkerId(p.location.worker.clone()), sent_at: p.sent_at, may_have_run }
             })
             .collect();
         if let (Some(last), Some((held, aware))) = (last, out_there) {
@@ -634,8 +658,8 @@
 
     /// Tells the module of workers that the list does not name (any more), as gone: it must know where an attempt was to
     /// know where the next one may go.
-    fn introduce(&mut self, now: Nanos, past: &[Past], out: &mut Vec<Effect>) {
-        for Past { place, .. } in past {
+    fn introduce(&mut self, now: Nanos, past: &[PastAttempt], out: &mut Vec<Effect>) {
+        for PastAttempt { location: place, .. } in past {
             if self.workers.contains_key(&place.worker) {
                 continue;
             }
--- a/crates/service/engine/src/duties.rs
+++ b/crates/service/engine/src/duties.rs
@@ -3,7 +3,9 @@
 use crate::{Effect, Engine, MS, Timer};
 use serde::Serialize;
 use spanlead_balancing_policy::Nanos;
-use spanlead_singleton_roles::{Duties, Figures, MAX_ITEMS, Out, Settings, Term, decode};
+use spanlead_singleton_roles::{
+    Action, ClockReading, MAX_MESSAGES, RoleConfig, RoleIndex, RoleManager, RoleStats, Term, decode,
+};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -11,7 +13,7 @@
 pub(crate) const KIND: u8 = 1;
 /// How long a call may take.
 const ROLE_CALL_TIMEOUT: Nanos = 2_000 * MS;
-const _: () = assert!(MAX_ITEMS * 36 <= spanlead_membership::MAX_CARRIED);
+const _: () = assert!(MAX_MESSAGES * 36 <= spanlead_membership::MAX_PAYLOAD_BYTES);
 
 /// What the holder of a duty does: it calls this address, so often.
 #[derive(Clone, Debug)]
@@ -35,7 +37,7 @@
 
 /// The duties, and what they are.
 pub(crate) struct Held {
-    duties: Duties,
+    duties: RoleManager,
     /// What they are, in their order.
     work: Vec<Work>,
     every: Nanos,
@@ -62,24 +64,29 @@
     /// Calls that this scheduler has made for it.
     pub calls: u64,
     #[serde(flatten)]
-    pub figures: Figures,
+    pub figures: RoleStats,
+}
+
+/// The time as the leases of duties are measured by. This clock starts at the wall clock's time, so it stands for both.
+fn clock_reading(now: Nanos) -> ClockReading {
+    ClockReading { monotonic: now / MS, wall: now / MS }
 }
 
 impl Engine {
     pub(crate) fn take_duties(
         &mut self,
         now: Nanos,
-        settings: Settings,
+        settings: RoleConfig,
         tasks: Vec<RoleTask>,
         out: &mut Vec<Effect>,
     ) {
         let names: Vec<String> = tasks.iter().map(|t| t.name.clone()).collect();
-        let every = settings.patience.max(2) / 2 * MS;
+        let every = settings.reply_timeout.max(2) / 2 * MS;
         for (at, task) in tasks.iter().enumerate() {
             self.set_timer(now + task.every, Timer::Duty(at));
         }
         let work = tasks.into_iter().map(|task| Work { task, calling: false, calls: 0 }).collect();
-        self.duties = Some(Held { duties: Duties::new(settings, &names, now / MS), work, every });
+        self.duties = Some(Held { duties: RoleManager::new(settings, &names, now / MS), work, every });
         self.tend_duties(now, out);
     }
 
@@ -89,8 +96,8 @@
         let Some(membership) = &self.membership else { return };
         let mut said = Vec::new();
         // One that serves nobody does not ask for duties; what it held it has given back.
-        held.duties.rest(self.stopping.is_some() || self.draining.is_some());
-        held.duties.tick(now / MS, now / MS, |n| membership.members.serves(n), &mut said);
+        held.duties.set_passive(self.stopping.is_some() || self.draining.is_some());
+        held.duties.tick(clock_reading(now), |n| membership.members.is_serving(n), &mut said);
         let every = held.every;
         self.duty_effects(said, out);
         self.set_timer(now + every, Timer::Duties);
@@ -100,8 +107,8 @@
     pub(crate) fn release_duties(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         let Some(held) = &mut self.duties else { return };
         let mut said = Vec::new();
-        held.duties.rest(true);
-        (0..held.work.len()).for_each(|at| held.duties.release(now / MS, at, &mut said));
+        held.duties.set_passive(true);
+        (0..held.work.len()).for_each(|at| held.duties.release(now / MS, RoleIndex(at), &mut said));
         self.duty_effects(said, out);
     }
 
@@ -110,7 +117,7 @@
         let Some(held) = &mut self.duties else { return };
         let Some(at) = held.work.iter().position(|w| w.task.name == name) else { return };
         let mut said = Vec::new();
-        held.duties.release(now / MS, at, &mut said);
+        held.duties.release(now / MS, RoleIndex(at), &mut said);
         self.duty_effects(said, out);
     }
 
@@ -118,7 +125,8 @@
         let (Some(held), Some(membership)) = (&mut self.duties, &self.membership) else { return };
         let Some(items) = decode(bytes) else { return };
         let mut said = Vec::new();
-        held.duties.hear(now / MS, now / MS, from, &items, |n| membership.members.serves(n), &mut said);
+        let serves = |number| membership.members.is_serving(number);
+        held.duties.receive(clock_reading(now), from, &items, serves, &mut said);
         self.duty_effects(said, out);
     }
 
@@ -126,7 +134,7 @@
     pub(crate) fn do_duty(&mut self, now: Nanos, at: usize, out: &mut Vec<Effect>) {
         let Some(held) = &mut self.duties else { return };
         let Some(work) = held.work.get_mut(at) else { return };
-        if let Some(term) = held.duties.may_act(now / MS, at).filter(|_| !work.calling) {
+        if let Some(term) = held.duties.term_to_act_under(now / MS, RoleIndex(at)).filter(|_| !work.calling) {
             (work.calling, work.calls) = (true, work.calls + 1);
             let (addr, path) = (work.task.addr, work.task.path.clone());
             out.push(Effect::CallRole { role: at, term, addr, path, until: now + ROLE_CALL_TIMEOUT });
@@ -141,7 +149,7 @@
         work.calling = false;
         if let RoleCallResult::Fenced(highest) = how {
             let mut said = Vec::new();
-            held.duties.fenced(now / MS, at, highest, &mut said);
+            held.duties.fence(now / MS, RoleIndex(at), highest, &mut said);
             self.duty_effects(said, out);
         }
     }
@@ -149,19 +157,19 @@
     /// The duties as operators are shown them; `None` where there are none.
     pub fn roles_view(&self, now: Nanos) -> Option<Vec<RoleView>> {
         let held = self.duties.as_ref()?;
-        let views = held.duties.duties().enumerate().map(|(at, (duty, figures))| {
-            let mine = held.duties.may_act(now / MS, at);
-            let granted = held.duties.holder(now / MS, at);
+        let views = held.duties.roles().enumerate().map(|(at, (duty, figures))| {
+            let mine = held.duties.term_to_act_under(now / MS, RoleIndex(at));
+            let granted = held.duties.known_grant(now / MS, RoleIndex(at));
             RoleView {
                 name: duty.name.clone(),
-                holder: granted.map(|(holder, ..)| holder),
-                term: mine.or(granted.map(|(_, term, _)| term)),
+                holder: granted.map(|grant| grant.holder),
+                term: mine.or(granted.map(|grant| grant.term)),
                 state: match (mine, granted) {
                     (Some(_), _) => "held",
                     (None, Some(_)) => "granted",
                     (None, None) => "vacant",
                 },
-                left_ms: granted.map_or(0, |(.., left)| left),
+                left_ms: granted.map_or(0, |grant| grant.remaining),
                 calls: held.work[at].calls,
                 figures,
             }
@@ -169,11 +177,11 @@
         Some(views.collect())
     }
 
-    fn duty_effects(&mut self, said: Vec<Out>, out: &mut Vec<Effect>) {
+    fn duty_effects(&mut self, said: Vec<Action>, out: &mut Vec<Effect>) {
         for said in said {
             match said {
-                Out::Send(to, bytes) => self.carry(to, KIND, bytes, out),
-                Out::Changed(at, change) => {
+                Action::Send { to, payload: bytes } => self.carry(to, KIND, bytes, out),
+                Action::LeaseChanged { role: RoleIndex(at), change } => {
                     let name = self.duties.as_ref().and_then(|h| h.work.get(at)).map(|w| w.task.name.clone());
                     out.push(Effect::RoleChanged { name: name.unwrap_or_default(), change });
                 }
--- a/crates/service/engine/src/effect.rs
+++ b/crates/service/engine/src/effect.rs
@@ -3,7 +3,7 @@
 use crate::snapshot::RequestSnapshot;
 use bytes::Bytes;
 use spanlead_balancing_policy::{Nanos, RequestId};
-use spanlead_durable_jobs::{JobNo, Record};
+use spanlead_durable_jobs::{JobNumber, Record};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -65,7 +65,7 @@
         /// The answer.
         answer: Answer,
         /// The durable job whose answer it is, if its delivery is to be recorded.
-        job: Option<JobNo>,
+        job: Option<JobNumber>,
     },
     /// Dispatches an attempt to a worker.
     SendAttempt {
@@ -153,10 +153,10 @@
         /// The role's name.
         name: String,
         /// What happened.
-        change: spanlead_singleton_roles::Change,
+        change: spanlead_singleton_roles::LeaseChange,
     },
     /// The state of another scheduler has changed.
-    MemberChanged(spanlead_membership::Change),
+    MemberChanged(spanlead_membership::MemberStateChange),
     /// Watches discovery for versions of the endpoint list after this one, in place of any watch under way.
     WatchEndpoints {
         /// The address of discovery.
--- a/crates/service/engine/src/input.rs
+++ b/crates/service/engine/src/input.rs
@@ -6,7 +6,7 @@
     EndpointUpdate, LoadReport, Nanos, Outcome, RequestId, Settings, WorkerState,
 };
 use spanlead_deployment_settings::Names;
-use spanlead_durable_jobs::JobNo;
+use spanlead_durable_jobs::JobNumber;
 use spanlead_worker_attributes::Sheet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -213,14 +213,14 @@
     /// This scheduler joins the membership.
     JoinMembership {
         /// How it takes part.
-        settings: Box<spanlead_membership::Settings>,
+        settings: Box<spanlead_membership::MembershipConfig>,
         /// The span between two heartbeats.
         heartbeat_interval: Nanos,
     },
     /// Singleton roles that one of the schedulers holds at a time.
     SingletonRoles {
         /// How leases on roles are granted.
-        settings: spanlead_singleton_roles::Settings,
+        settings: spanlead_singleton_roles::RoleConfig,
         /// The roles, in the order of their numbers.
         tasks: Vec<RoleTask>,
     },
@@ -281,7 +281,7 @@
     /// A client was handed this job's answer.
     AnswerDelivered {
         /// The job.
-        job: JobNo,
+        job: JobNumber,
     },
     /// Inventories state other attributes of workers.
     InventoryUpdated(InventoryUpdate),
--- a/crates/service/engine/src/lib.rs
+++ b/crates/service/engine/src/lib.rs
@@ -32,7 +32,7 @@
     Action, Dispatcher, Event, Idempotency, Nanos, Outcome, RequestId, Settings, SettingsError, WorkerState,
 };
 use spanlead_deployment_settings::Names;
-use spanlead_durable_jobs::{JobNo, Record, Token};
+use spanlead_durable_jobs::{FencingToken, JobNumber, Record};
 pub use stats::{DurableJobStats, EngineStats, HostView, InventoryStats, RequestCounts};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -71,7 +71,7 @@
     /// Known once it is over.
     may_have_run: bool,
     /// Its lease, if the job is durable.
-    token: Option<Token>,
+    token: Option<FencingToken>,
     /// The worker goes by the lease, and may believe in it until then at the latest.
     leased: Option<Nanos>,
 }
@@ -83,7 +83,7 @@
     answered: bool,
     attempts: Vec<Attempt>,
     /// Its number in the ledger.
-    durable: Option<JobNo>,
+    durable: Option<JobNumber>,
     /// The client that brought it still waits.
     first: bool,
     /// Clients whose repeats of it wait too, and the ids of these.
@@ -259,7 +259,7 @@
             bad_input: self.bad_input.clone(),
             ledger: self.durable.as_ref().map(Durable::figures),
             facts: self.fact_figures(now),
-            membership: self.membership.as_ref().map(|m| m.members.figures()),
+            membership: self.membership.as_ref().map(|m| m.members.stats()),
         }
     }
 
@@ -302,7 +302,7 @@
     /// When [`Input::Tick`] is next wanted.
     pub fn next_timer(&self, now: Nanos) -> Option<Nanos> {
         let stop = self.stopping.map(|t| t + REDIRECT_GRACE).filter(|t| *t > now && self.requests.is_empty());
-        let expiry = self.durable.as_ref().and_then(|d| d.ledger.next_expiry());
+        let expiry = self.durable.as_ref().and_then(|d| d.ledger.next_expiration());
         self.timers.first_key_value().map(|((at, _), _)| *at).into_iter().chain(stop).chain(expiry).min()
     }
 
@@ -355,7 +355,7 @@
             Input::SingletonRoles { settings, tasks } => self.take_duties(now, settings, tasks, out),
             Input::ReleaseRole { name } => self.release_duty(now, &name, out),
             Input::RoleCallFinished { role: duty, result: how } => self.called(now, duty, how, out),
-            Input::LeaveMembership => self.say_stage(spanlead_membership::Stage::Left, out),
+            Input::LeaveMembership => self.say_stage(spanlead_membership::LifecyclePhase::Left, out),
             Input::Tick => self.run_timers(now, out),
             Input::Shutdown => {
                 self.stopping = self.stopping.or(Some(now));
@@ -382,7 +382,7 @@
             Input::StorageFailed => self.store_failed(out),
             Input::DurableJobsReleased => self.durable = None,
             Input::InventoryUpdated(offered) => self.offered(now, offered, out),
-            Input::AnswerDelivered { job } => self.record(Record::Answered { job }, out),
+            Input::AnswerDelivered { job } => self.record(Record::Delivered { job }, out),
         }
     }
 
--- a/crates/service/engine/src/membership.rs
+++ b/crates/service/engine/src/membership.rs
@@ -3,11 +3,11 @@
 use crate::{Effect, Engine, MS, Timer};
 use serde::Serialize;
 use spanlead_balancing_policy::Nanos;
-use spanlead_membership::{Members, Out, Settings, Stage, State};
+use spanlead_membership::{Action, GossipMembership, LifecyclePhase, MemberState, MembershipConfig};
 
 /// The members, and the span between two heartbeats.
 pub(crate) struct Membership {
-    pub members: Members,
+    pub members: GossipMembership,
     every: Nanos,
 }
 
@@ -31,14 +31,20 @@
     pub incarnation: String,
     /// Of its program, once it was told.
     pub version: Option<String>,
-    pub state: State,
+    pub state: MemberState,
     /// How long it has been that, by the time that this scheduler has lived through.
     pub since_ms: u64,
 }
 
 impl Engine {
-    pub(crate) fn enter(&mut self, now: Nanos, settings: Settings, every: Nanos, out: &mut Vec<Effect>) {
-        self.membership = Some(Membership { members: Members::new(settings), every });
+    pub(crate) fn enter(
+        &mut self,
+        now: Nanos,
+        settings: MembershipConfig,
+        every: Nanos,
+        out: &mut Vec<Effect>,
+    ) {
+        self.membership = Some(Membership { members: GossipMembership::new(settings), every });
         self.beat(now, out);
     }
 
@@ -58,17 +64,17 @@
     /// Tells the others what this scheduler does, if that has changed.
     pub(crate) fn say(&mut self, out: &mut Vec<Effect>) {
         let stage = match (self.is_closing(), self.is_serving()) {
-            (true, _) => Stage::Draining,
-            (false, true) => Stage::Serving,
-            (false, false) => Stage::Starting,
+            (true, _) => LifecyclePhase::Draining,
+            (false, true) => LifecyclePhase::Serving,
+            (false, false) => LifecyclePhase::Starting,
         };
         self.say_stage(stage, out);
     }
 
-    pub(crate) fn say_stage(&mut self, stage: Stage, out: &mut Vec<Effect>) {
+    pub(crate) fn say_stage(&mut self, stage: LifecyclePhase, out: &mut Vec<Effect>) {
         let Some(membership) = &mut self.membership else { return };
         let mut said = Vec::new();
-        membership.members.say(stage, &mut said);
+        membership.members.set_phase(stage, &mut said);
         effects(said, out);
     }
 
@@ -76,7 +82,7 @@
     pub(crate) fn carry(&mut self, to: u16, kind: u8, bytes: Vec<u8>, out: &mut Vec<Effect>) {
         let Some(membership) = &mut self.membership else { return };
         let mut said = Vec::new();
-        membership.members.carry(to, kind, bytes, &mut said);
+        membership.members.send_payload(to, kind, bytes, &mut said);
         effects(said, out);
     }
 
@@ -84,10 +90,10 @@
     pub(crate) fn peer(&mut self, now: Nanos, from: u32, data: &[u8], out: &mut Vec<Effect>) -> bool {
         let Some(membership) = &mut self.membership else { return false };
         let mut said = Vec::new();
-        membership.members.hear(from.try_into().unwrap_or(u16::MAX), data, &mut said);
+        membership.members.receive(from.try_into().unwrap_or(u16::MAX), data, &mut said);
         for said in said {
             match said {
-                Out::Carried { from, kind: KIND, bytes } => self.hear_duties(now, from, &bytes, out),
+                Action::Payload { from, protocol: KIND, bytes } => self.hear_duties(now, from, &bytes, out),
                 said => effects(vec![said], out),
             }
         }
@@ -103,18 +109,18 @@
             incarnation: m.incarnation.to_string(),
             version: m.version,
             state: m.state,
-            since_ms: m.since * every / MS,
+            since_ms: m.periods_in_state * every / MS,
         };
         let list = members.members().map(of).collect();
-        Some(MembersView { me: members.me(), view: members.figures().view, members: list })
+        Some(MembersView { me: members.own_number(), view: members.stats().view, members: list })
     }
 }
 
-fn effects(said: Vec<Out>, out: &mut Vec<Effect>) {
+fn effects(said: Vec<Action>, out: &mut Vec<Effect>) {
     out.extend(said.into_iter().filter_map(|said| match said {
-        Out::Send(to, data) => Some(Effect::SendPeerMessage { peer: Some(to.into()), data }),
-        Out::Changed(change) => Some(Effect::MemberChanged(change)),
+        Action::Send { to, datagram: data } => Some(Effect::SendPeerMessage { peer: Some(to.into()), data }),
+        Action::StateChanged(change) => Some(Effect::MemberChanged(change)),
         // Of a protocol that this program does not know.
-        Out::Carried { .. } => None,
+        Action::Payload { .. } => None,
     }));
 }
--- a/crates/service/engine/src/requests.rs
+++ b/crates/service/engine/src/requests.rs
@@ -5,7 +5,7 @@
     Timer,
 };
 use spanlead_balancing_policy::{Event, Nanos, PriorAttempt, RequestId, WorkerId};
-use spanlead_durable_jobs::JobNo;
+use spanlead_durable_jobs::JobNumber;
 
 impl Engine {
     pub(crate) fn request(
@@ -83,7 +83,7 @@
         request_id: RequestId,
         job: &Job,
         attempts: Vec<Attempt>,
-        durable: Option<JobNo>,
+        durable: Option<JobNumber>,
         first: bool,
     ) -> spanlead_balancing_policy::Request {
         self.by_id.insert(job.id.clone(), request_id);
--- a/crates/service/engine/src/stats.rs
+++ b/crates/service/engine/src/stats.rs
@@ -43,7 +43,7 @@
     pub facts: Option<InventoryStats>,
     /// The membership, where it is switched on.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub membership: Option<spanlead_membership::Figures>,
+    pub membership: Option<spanlead_membership::MembershipStats>,
 }
 
 /// Figures of the worker attributes that come from inventories.
--- a/crates/service/engine/tests/bounds.rs
+++ b/crates/service/engine/tests/bounds.rs
@@ -3,10 +3,10 @@
     EndpointUpdate, Idempotency, Nanos, RequestClass, RequestId, Settings, WorkerState,
 };
 use spanlead_deployment_settings::Names;
-use spanlead_durable_jobs::{Anchor, Ledger, Limits, decode, encode};
+use spanlead_durable_jobs::{ClockAnchor, JobTable, JobTableLimits, decode, encode};
 use spanlead_engine::*;
-use spanlead_wal::sim::SimFolder;
-use spanlead_wal::{Log, Options};
+use spanlead_wal::simulated::SimulatedDirectory;
+use spanlead_wal::{LogOptions, RecordRejected, WriteAheadLog};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -15,27 +15,27 @@
 
 struct World {
     engine: Engine,
-    log: Log,
+    log: WriteAheadLog,
     now: Nanos,
     asks: u64,
     most: u64,
 }
 
 impl World {
-    fn new(folder: &SimFolder, jobs: usize, disk: u64, now: Nanos) -> Self {
+    fn new(folder: &SimulatedDirectory, jobs: usize, disk: u64, now: Nanos) -> Self {
         let class = RequestClass { idempotency: Idempotency::AtMostOnce, ..RequestClass::new(SEC, 15 * SEC) };
         let settings = Settings { classes: vec![class], ..Settings::default() };
         let names = Names { classes: vec!["once".into()], zones: vec!["kista".into()], ..Names::default() };
         let addr: SocketAddr = ([127, 0, 0, 1], 9).into();
         let engine = Engine::new(settings, Arc::new(names), 1, 1000, addr, true).expect("good settings");
-        let mut ledger = Ledger::new(Limits { keep: 60 * SEC, jobs });
-        let options = Options { segment: SEGMENT, sync: true };
-        let (log, _) = Log::open(Box::new(folder.clone()), options, |lsn, bytes| {
-            let record = decode(bytes).map_err(|e| e.to_string())?;
-            ledger.replay(lsn, &record).map_err(|e| e.to_string())
+        let mut ledger = JobTable::new(JobTableLimits { retention: 60 * SEC, max_jobs: jobs });
+        let options = LogOptions { max_segment_bytes: SEGMENT, sync_on_commit: true };
+        let (log, _) = WriteAheadLog::open(Box::new(folder.clone()), options, |lsn, bytes| {
+            let record = decode(bytes).map_err(RecordRejected::new)?;
+            ledger.replay(lsn, &record).map_err(RecordRejected::new)
         })
         .expect("good");
-        ledger.seek(log.next());
+        ledger.skip_to(log.next_lsn());
         let mut world = World { engine, log, now, asks: 0, most: 0 };
         let name: Arc<str> = "s-a".into();
         let state = WorkerState::Ready;
@@ -50,7 +50,7 @@
             weight: None,
         };
         world.step(Input::EndpointList { scope: EndpointUpdate::Snapshot, version: 1, hosts: vec![host] });
-        let anchor = Anchor { boot: "b".into(), up: now, clock: now };
+        let anchor = ClockAnchor { boot_id: "b".into(), uptime: now, process_clock: now };
         let (lease, clock_bound, segment) = (10 * SEC, SEC, SEGMENT);
         let durability = DurableSetup { ledger, anchor, all: false, lease, clock_bound, disk, segment };
         world.step(Input::DurableJobsOpened(Box::new(durability)));
@@ -77,9 +77,9 @@
         let wrote = !records.is_empty();
         self.log.append(&records).expect("a good disk");
         let trimmed = trim.is_some_and(|oldest| self.log.trim(oldest).expect("a good disk"));
-        self.most = self.most.max(self.log.bytes());
+        self.most = self.most.max(self.log.size_bytes());
         if wrote || trimmed {
-            self.step(Input::RecordsDurable { bytes: self.log.bytes() });
+            self.step(Input::RecordsDurable { bytes: self.log.size_bytes() });
         }
         answer
     }
@@ -125,7 +125,7 @@
 // Guards the disk: one job that stays open must not keep every segment behind it, and the log forgets what has expired.
 #[test]
 fn the_log_stays_bounded_while_an_old_job_lives() {
-    let folder = SimFolder::new();
+    let folder = SimulatedDirectory::new();
     let mut world = World::new(&folder, 100_000, 1 << 30, 1000 * SEC);
     // It is renewed for ever by whoever asks again; it just never ends.
     world.ask("old", 300);
@@ -161,7 +161,7 @@
 #[test]
 fn a_full_ledger_refuses_and_forgets_nothing() {
     for (jobs, disk) in [(50, 1 << 30), (100_000, 32 << 10)] {
-        let folder = SimFolder::new();
+        let folder = SimulatedDirectory::new();
         let mut world = World::new(&folder, jobs, disk, 1000 * SEC);
         let mut taken = 0;
         let refused = loop {
--- a/crates/service/engine/tests/crash.rs
+++ b/crates/service/engine/tests/crash.rs
@@ -10,10 +10,10 @@
     Settings, WorkerState,
 };
 use spanlead_deployment_settings::Names;
-use spanlead_durable_jobs::{Anchor, Ledger, Limits, decode, encode};
+use spanlead_durable_jobs::{ClockAnchor, JobTable, JobTableLimits, decode, encode};
 use spanlead_engine::*;
-use spanlead_wal::sim::SimFolder;
-use spanlead_wal::{Log, Options};
+use spanlead_wal::simulated::SimulatedDirectory;
+use spanlead_wal::{LogOptions, RecordRejected, WriteAheadLog};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -149,9 +149,9 @@
     serial: u64,
     queue: BinaryHeap<Reverse<(Nanos, u64)>>,
     happenings: HashMap<u64, Happening>,
-    folder: SimFolder,
+    folder: SimulatedDirectory,
     /// The running process; `epoch` counts them.
-    process: Option<(Engine, DurabilityBarrier, Log)>,
+    process: Option<(Engine, DurabilityBarrier, WriteAheadLog)>,
     epoch: u64,
     /// Attempts whose worker's answer the process waits for, on a connection each.
     offers: HashSet<AttemptId>,
@@ -189,7 +189,7 @@
             serial: 0,
             queue: BinaryHeap::new(),
             happenings: HashMap::new(),
-            folder: SimFolder::new(),
+            folder: SimulatedDirectory::new(),
             process: None,
             epoch: 0,
             offers: HashSet::new(),
@@ -284,25 +284,25 @@
         if self.process.is_some() {
             return;
         }
-        self.folder.mend();
-        let mut ledger = Ledger::new(Limits { keep: 60 * SEC, jobs: 1000 });
-        let options = Options { segment: 700, sync: true };
-        let opened = Log::open(Box::new(self.folder.clone()), options, |lsn, bytes| {
-            let record = decode(bytes).map_err(|e| e.to_string())?;
-            ledger.replay(lsn, &record).map_err(|e| e.to_string())
+        self.folder.repair_disk();
+        let mut ledger = JobTable::new(JobTableLimits { retention: 60 * SEC, max_jobs: 1000 });
+        let options = LogOptions { max_segment_bytes: 700, sync_on_commit: true };
+        let opened = WriteAheadLog::open(Box::new(self.folder.clone()), options, |lsn, bytes| {
+            let record = decode(bytes).map_err(RecordRejected::new)?;
+            ledger.replay(lsn, &record).map_err(RecordRejected::new)
         });
         let (log, _) = match opened {
             Ok(opened) => opened,
             Err(error) => return self.must(false, &format!("the log can't be read: {error}")),
         };
-        ledger.seek(log.next());
+        ledger.skip_to(log.next_lsn());
         if self.disk_fails && self.rng.random_bool(0.3) {
             self.folder.fail_sync_after(self.rng.random_range(0..40));
         }
         self.epoch += 1;
         let engine = Engine::new(settings(), Arc::new(names()), self.seed ^ self.epoch, 100, addr(9), true);
         let mut barrier = DurabilityBarrier::default();
-        barrier.open(ledger.last());
+        barrier.open(ledger.last_lsn());
         self.process = Some((engine.expect("good settings"), barrier, log));
         let host = |(i, w): (usize, &Worker)| WorkerEndpoint {
             name: name(i),
@@ -316,7 +316,7 @@
         };
         let hosts = self.workers.iter().enumerate().map(host).collect();
         self.step(Input::EndpointList { scope: EndpointUpdate::CachedSnapshot, version: 1, hosts });
-        let anchor = Anchor { boot: "b".into(), up: self.now, clock: self.now };
+        let anchor = ClockAnchor { boot_id: "b".into(), uptime: self.now, process_clock: self.now };
         let (lease, clock_bound, disk, segment) = (LEASE, BOUND, 1 << 30, 700);
         let durability = DurableSetup { ledger, anchor, all: false, lease, clock_bound, disk, segment };
         self.step(Input::DurableJobsOpened(Box::new(durability)));
@@ -379,7 +379,7 @@
         match effect {
             Effect::AppendRecord(record) => {
                 self.unwritten.push(encode(&record).expect("it has a form").into());
-                barrier.record_appended(log.next() + self.unwritten.len() as u64 - 1);
+                barrier.record_appended(log.next_lsn() + self.unwritten.len() as u64 - 1);
                 if self.unwritten.len() == 1 {
                     // Now and then the disk stalls.
                     let stalls = self.rng.random_bool(0.01);
@@ -511,8 +511,8 @@
                 let Some((_, barrier, log)) = &mut self.process else { return };
                 let group = std::mem::take(&mut self.unwritten);
                 if log.append(&group).is_ok() {
-                    let bytes = log.bytes();
-                    let passed = barrier.records_durable(log.next() - 1);
+                    let bytes = log.size_bytes();
+                    let passed = barrier.records_durable(log.next_lsn() - 1);
                     self.through(passed);
                     self.step(Input::RecordsDurable { bytes });
                 } else {
--- a/crates/service/membership/examples/soak.rs
+++ b/crates/service/membership/examples/soak.rs
@@ -8,7 +8,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use spanlead_membership::State;
+use spanlead_membership::MemberState;
 use world::World;
 
 /// Periods of 100 ms in a second.
@@ -46,8 +46,8 @@
         (number(0, 30.0) as usize, number(1, 30.0) / 100.0, number(2, 1.0), number(3, 1.0) as u64);
     let mut world = World::new(count, loss, seed);
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x50a5);
-    let bounds = world.bounds();
-    while !(0..count).all(|m| world.all_see(m, State::Alive)) {
+    let bounds = world.thresholds();
+    while !(0..count).all(|m| world.all_see(m, MemberState::Alive)) {
         world.period();
     }
     let mut found = Found::default();
@@ -89,7 +89,7 @@
             }
         };
         let mut known = None;
-        let settle = 4 * u64::from(bounds.dead);
+        let settle = 4 * u64::from(bounds.dead_after_periods);
         for passed in 0..span + settle {
             if passed == span {
                 world.heal();
@@ -107,15 +107,15 @@
                 && passed < span
                 && known.is_none()
             {
-                let knowing = world.running().filter(|at| world.state(*at, m) == State::Dead).count();
+                let knowing = world.running().filter(|at| world.state(*at, m) == MemberState::Dead).count();
                 known = (knowing as f64 >= 0.99 * (count - 1) as f64).then_some(passed + 1);
             }
             for (at, change) in world.changes.drain(..) {
                 let of = usize::from(change.number);
                 match change.to {
-                    State::Dead if but != Some(of) && but != Some(at) => found.false_deaths += 1,
-                    State::Dead => found.seen_out += 1,
-                    State::Suspect if but != Some(of) && but != Some(at) => found.suspicions += 1,
+                    MemberState::Dead if but != Some(of) && but != Some(at) => found.false_deaths += 1,
+                    MemberState::Dead => found.seen_out += 1,
+                    MemberState::Suspect if but != Some(of) && but != Some(at) => found.suspicions += 1,
                     _ => {}
                 }
             }
@@ -126,7 +126,7 @@
         }
         // Whoever is counted out is knocked at by chance.
         let mut longer = 0;
-        while !(0..count).all(|m| world.all_see(m, State::Alive)) {
+        while !(0..count).all(|m| world.all_see(m, MemberState::Alive)) {
             world.period();
             longer += 1;
             assert!(longer < 60 * SECOND, "not well again after a trouble");
--- a/crates/service/membership/examples/weigh.rs
+++ b/crates/service/membership/examples/weigh.rs
@@ -9,7 +9,9 @@
 use rand_chacha::ChaCha8Rng;
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
-use spanlead_membership::{Bounds, Members, Out, Settings, Stage, State};
+use spanlead_membership::{
+    Action, GossipMembership, LifecyclePhase, MemberState, MembershipConfig, SuspicionThresholds,
+};
 use std::collections::BTreeMap;
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
@@ -49,7 +51,7 @@
 }
 
 struct Ours {
-    members: Members,
+    members: GossipMembership,
     every: u64,
     at: u64,
     dead: Vec<bool>,
@@ -57,30 +59,30 @@
 
 impl Ours {
     fn new(me: usize, count: usize, every: u64, loss: f64, seed: u64) -> Self {
-        let mut members = Members::new(Settings {
-            me: me as u16,
-            count: count as u16,
-            tier: *b"test",
+        let mut members = GossipMembership::new(MembershipConfig {
+            own_number: me as u16,
+            member_count: count as u16,
+            tier_id: *b"test",
             name: format!("n{me}"),
             version: "1".into(),
             incarnation: 1,
             fanout: FANOUT,
-            loss,
+            tolerated_loss: loss,
             seed,
         });
-        members.say(Stage::Serving, &mut Vec::new());
+        members.set_phase(LifecyclePhase::Serving, &mut Vec::new());
         Ours { members, every, at: me as u64 * every / count as u64, dead: vec![false; count] }
     }
 
-    fn carry(&mut self, out: Vec<Out>, send: &mut Vec<(usize, Vec<u8>)>, found: &mut Found) {
+    fn carry(&mut self, out: Vec<Action>, send: &mut Vec<(usize, Vec<u8>)>, found: &mut Found) {
         for out in out {
             match out {
-                Out::Send(to, bytes) => send.push((to.into(), bytes)),
-                Out::Carried { .. } => {}
-                Out::Changed(c) => {
-                    self.dead[usize::from(c.number)] = c.to == State::Dead;
-                    found.suspicions += u64::from(c.to == State::Suspect);
-                    found.false_deaths += u64::from(c.to == State::Dead);
+                Action::Send { to, datagram: bytes } => send.push((to.into(), bytes)),
+                Action::Payload { .. } => {}
+                Action::StateChanged(c) => {
+                    self.dead[usize::from(c.number)] = c.to == MemberState::Dead;
+                    found.suspicions += u64::from(c.to == MemberState::Suspect);
+                    found.false_deaths += u64::from(c.to == MemberState::Dead);
                 }
             }
         }
@@ -104,7 +106,7 @@
         found: &mut Found,
     ) {
         let mut out = Vec::new();
-        self.members.hear(from as u16, bytes, &mut out);
+        self.members.receive(from as u16, bytes, &mut out);
         self.carry(out, send, found);
     }
 
@@ -318,14 +320,17 @@
     let kind = args.first().map_or("ours", String::as_str).to_owned();
     let (count, loss, hours) = (number(1, 30.0) as usize, number(2, 30.0) / 100.0, number(3, 1.0));
     let (seeds, period) = (number(4, 4.0) as u64, number(5, 100.0) as u64);
-    let bounds = Bounds::of(count as u16, FANOUT, 0.3);
+    let bounds = SuspicionThresholds::for_tier(count as u16, FANOUT, 0.3);
     println!(
         "{kind}, {count} members, {:.0}% lost, {hours} hours in {seeds} seeds, period {period} ms",
         100.0 * loss
     );
-    println!("ours suspects after {} and counts out after {} periods", bounds.suspect, bounds.dead);
+    println!(
+        "ours suspects after {} and counts out after {} periods",
+        bounds.suspect_after_periods, bounds.dead_after_periods
+    );
     let kills = (count / 3).clamp(1, 20);
-    let patience = 20_000_u64.max(period * u64::from(bounds.dead) * 2);
+    let patience = 20_000_u64.max(period * u64::from(bounds.dead_after_periods) * 2);
     let all: Vec<Found> = (1..=seeds)
         .into_par_iter()
         .map(|seed| {
--- a/crates/service/membership/tests/sim.rs
+++ b/crates/service/membership/tests/sim.rs
@@ -1,7 +1,7 @@
 //! Whole tiers in virtual time, by seed: loss, cuts of one direction, stops of the observed and of observers, restarts, late
 //! datagrams. What must never happen is looked at after every period.
 mod world;
-use spanlead_membership::State;
+use spanlead_membership::MemberState;
 use world::World;
 
 /// Plays until it holds; a tier that doesn't come to it within `periods` fails.
@@ -17,7 +17,7 @@
 
 fn settled(count: usize, loss: f64, seed: u64) -> World {
     let mut world = World::new(count, loss, seed);
-    let all = move |w: &World| (0..count).all(|m| w.all_see(m, State::Alive));
+    let all = move |w: &World| (0..count).all(|m| w.all_see(m, MemberState::Alive));
     until(&mut world, 4000, "all see all", all);
     world.changes.clear();
     world
@@ -26,7 +26,7 @@
 /// Nobody was taken for dead, or left, that this test did not stop.
 fn nobody_accused(world: &World, but: &[usize]) {
     let accused: Vec<_> = (world.changes.iter())
-        .filter(|(_, c)| c.to == State::Dead && !but.contains(&usize::from(c.number)))
+        .filter(|(_, c)| c.to == MemberState::Dead && !but.contains(&usize::from(c.number)))
         .collect();
     assert!(accused.is_empty(), "seed {}: {accused:?}", world.seed);
 }
@@ -47,8 +47,8 @@
     for seed in 1..=10 {
         let mut world = settled(30, 0.1, seed);
         world.kill(7);
-        let bound = 2 * u64::from(world.bounds().dead);
-        until(&mut world, bound, "all know", |w| w.all_see(7, State::Dead));
+        let bound = 2 * u64::from(world.thresholds().dead_after_periods);
+        until(&mut world, bound, "all know", |w| w.all_see(7, MemberState::Dead));
         nobody_accused(&world, &[7]);
     }
 }
@@ -57,8 +57,8 @@
 fn a_hundred_find_each_other_and_a_dead_one() {
     let mut world = settled(100, 0.1, 5);
     world.kill(77);
-    let bound = 2 * u64::from(world.bounds().dead);
-    until(&mut world, bound, "all know", |w| w.all_see(77, State::Dead));
+    let bound = 2 * u64::from(world.thresholds().dead_after_periods);
+    until(&mut world, bound, "all know", |w| w.all_see(77, MemberState::Dead));
     nobody_accused(&world, &[77]);
 }
 
@@ -85,7 +85,7 @@
         for _ in 0..300 {
             world.period();
         }
-        let suspected = world.changes.iter().any(|(_, c)| c.number == 29 && c.to == State::Suspect);
+        let suspected = world.changes.iter().any(|(_, c)| c.number == 29 && c.to == MemberState::Suspect);
         assert!(suspected, "seed {seed}: nobody suspects it, and nothing is shown");
         nobody_accused(&world, &[]);
     }
@@ -97,15 +97,15 @@
     for seed in 1..=10 {
         let mut world = settled(5, 0.05, seed);
         (1..5).for_each(|to| world.cut(0, to, true));
-        until(&mut world, 400, "counted out", |w| (1..5).all(|at| w.state(at, 0) == State::Dead));
+        until(&mut world, 400, "counted out", |w| (1..5).all(|at| w.state(at, 0) == MemberState::Dead));
         for _ in 0..300 {
             world.period();
         }
-        let dead = world.changes.iter().filter(|(_, c)| c.number == 0 && c.to == State::Dead).count();
+        let dead = world.changes.iter().filter(|(_, c)| c.number == 0 && c.to == MemberState::Dead).count();
         assert_eq!(dead, 4, "seed {seed}: once for each of the others");
         nobody_accused(&world, &[0]);
         (1..5).for_each(|to| world.cut(0, to, false));
-        until(&mut world, 400, "found again", |w| w.all_see(0, State::Alive));
+        until(&mut world, 400, "found again", |w| w.all_see(0, MemberState::Alive));
     }
 }
 
@@ -115,16 +115,17 @@
     for seed in 1..=20 {
         let mut world = settled(5, 0.1, seed);
         world.stop(2);
-        until(&mut world, 400, "it is taken for dead", |w| w.all_see(2, State::Dead));
+        until(&mut world, 400, "it is taken for dead", |w| w.all_see(2, MemberState::Dead));
         for _ in 0..300 {
             world.period();
         }
         world.changes.clear();
         world.wake(2);
-        until(&mut world, 400, "it is back", |w| w.all_see(2, State::Alive));
-        let by_it: Vec<_> = world.changes.iter().filter(|(at, c)| *at == 2 && c.to == State::Dead).collect();
+        until(&mut world, 400, "it is back", |w| w.all_see(2, MemberState::Alive));
+        let by_it: Vec<_> =
+            world.changes.iter().filter(|(at, c)| *at == 2 && c.to == MemberState::Dead).collect();
         assert!(by_it.is_empty(), "seed {seed}: {by_it:?}");
-        assert!((0..5).all(|m| world.state(2, m) == State::Alive));
+        assert!((0..5).all(|m| world.state(2, m) == MemberState::Alive));
     }
 }
 
@@ -156,7 +157,7 @@
         until(&mut world, 600, "the new start is known", |w| {
             (0..5)
                 .filter(|at| *at != 3)
-                .all(|at| w.incarnation(at, 3) > old && w.state(at, 3) == State::Alive)
+                .all(|at| w.incarnation(at, 3) > old && w.state(at, 3) == MemberState::Alive)
         });
         world.changes.clear();
         world.play_late();
@@ -176,14 +177,14 @@
         world.record_late(4);
         world.leave(4);
         // The spread of an epidemic; silence would take the bound of suspicion at least.
-        let bound = u64::from(world.bounds().dead);
-        until(&mut world, bound, "all know", |w| w.all_see(4, State::Left));
+        let bound = u64::from(world.thresholds().dead_after_periods);
+        until(&mut world, bound, "all know", |w| w.all_see(4, MemberState::Left));
         world.play_late();
         for _ in 0..100 {
             world.period();
         }
-        assert!(world.all_see(4, State::Left), "seed {seed}");
-        let wrong = world.changes.iter().filter(|(_, c)| c.number == 4 && c.to == State::Dead).count();
+        assert!(world.all_see(4, MemberState::Left), "seed {seed}");
+        let wrong = world.changes.iter().filter(|(_, c)| c.number == 4 && c.to == MemberState::Dead).count();
         assert_eq!(wrong, 0, "seed {seed}");
     }
 }
@@ -199,7 +200,9 @@
             world.cut(a, b, true);
         }
         let apart = |w: &World| {
-            (0..4).all(|a| (4..9).all(|b| w.state(a, b) == State::Dead && w.state(b, a) == State::Dead))
+            (0..4).all(|a| {
+                (4..9).all(|b| w.state(a, b) == MemberState::Dead && w.state(b, a) == MemberState::Dead)
+            })
         };
         until(&mut world, 400, "they are apart", apart);
         world.kill(8);
@@ -207,8 +210,8 @@
             world.period();
         }
         world.heal();
-        until(&mut world, 400, "they are together", |w| (0..8).all(|m| w.all_see(m, State::Alive)));
+        until(&mut world, 400, "they are together", |w| (0..8).all(|m| w.all_see(m, MemberState::Alive)));
         world.start(8, 1_000_000);
-        until(&mut world, 400, "the dead one is back", |w| w.all_see(8, State::Alive));
+        until(&mut world, 400, "the dead one is back", |w| w.all_see(8, MemberState::Alive));
     }
 }
--- a/crates/service/membership/tests/world/mod.rs
+++ b/crates/service/membership/tests/world/mod.rs
@@ -1,7 +1,10 @@
 //! A tier of members in virtual time: each lives through a period at its own phase, datagrams are lost, late, doubled and cut.
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use spanlead_membership::{Bounds, Change, Members, Out, Settings, Stage, State};
+use spanlead_membership::{
+    Action, GossipMembership, LifecyclePhase, MemberState, MemberStateChange, MembershipConfig,
+    SuspicionThresholds,
+};
 use std::collections::BTreeMap;
 
 /// Who sent it, to whom, and what it says.
@@ -13,13 +16,13 @@
 pub struct World {
     pub seed: u64,
     /// All changes of state, by whom they were seen.
-    pub changes: Vec<(usize, Change)>,
+    pub changes: Vec<(usize, MemberStateChange)>,
     pub datagrams: u64,
     pub bytes: u64,
     rng: ChaCha8Rng,
     loss: f64,
     count: usize,
-    members: Vec<Option<Members>>,
+    members: Vec<Option<GossipMembership>>,
     stopped: Vec<bool>,
     cuts: Vec<bool>,
     at: u64,
@@ -55,19 +58,19 @@
     }
 
     pub fn start(&mut self, me: usize, incarnation: u32) {
-        let mut members = Members::new(Settings {
-            me: me as u16,
-            count: self.count as u16,
-            tier: *b"test",
+        let mut members = GossipMembership::new(MembershipConfig {
+            own_number: me as u16,
+            member_count: self.count as u16,
+            tier_id: *b"test",
             name: format!("n{me}"),
             version: "1".into(),
             incarnation,
             fanout: 4,
-            loss: 0.3,
+            tolerated_loss: 0.3,
             seed: self.rng.random(),
         });
         let mut out = Vec::new();
-        members.say(Stage::Serving, &mut out);
+        members.set_phase(LifecyclePhase::Serving, &mut out);
         self.members[me] = Some(members);
     }
 
@@ -78,7 +81,7 @@
     pub fn leave(&mut self, me: usize) {
         let mut out = Vec::new();
         if let Some(members) = &mut self.members[me] {
-            members.say(Stage::Left, &mut out);
+            members.set_phase(LifecyclePhase::Left, &mut out);
         }
         self.send(me, out);
         self.kill(me);
@@ -118,12 +121,12 @@
         (0..self.count).filter(|m| self.members[*m].is_some() && !self.stopped[*m])
     }
 
-    pub fn state(&self, at: usize, of: usize) -> State {
-        self.member(at, of).map_or(State::Unheard, |m| m.state)
+    pub fn state(&self, at: usize, of: usize) -> MemberState {
+        self.member(at, of).map_or(MemberState::Unknown, |m| m.state)
     }
 
     /// Whether all that run take this one for that, itself aside.
-    pub fn all_see(&self, whom: usize, wanted: State) -> bool {
+    pub fn all_see(&self, whom: usize, wanted: MemberState) -> bool {
         self.running().all(|at| at == whom || self.state(at, whom) == wanted)
     }
 
@@ -135,8 +138,8 @@
         self.members[at].as_ref()?.members().nth(of)
     }
 
-    pub fn bounds(&self) -> Bounds {
-        Bounds::of(self.count as u16, 4, 0.3)
+    pub fn thresholds(&self) -> SuspicionThresholds {
+        SuspicionThresholds::for_tier(self.count as u16, 4, 0.3)
     }
 
     /// One period passes; each member lives through it at a phase of its own.
@@ -167,17 +170,17 @@
         }
         let mut out = Vec::new();
         if let Some(members) = &mut self.members[to] {
-            members.hear(from as u16, bytes, &mut out);
+            members.receive(from as u16, bytes, &mut out);
         }
         self.send(to, out);
     }
 
-    fn send(&mut self, from: usize, out: Vec<Out>) {
+    fn send(&mut self, from: usize, out: Vec<Action>) {
         for out in out {
             match out {
-                Out::Changed(change) => self.changes.push((from, change)),
-                Out::Carried { .. } => {}
-                Out::Send(to, bytes) => {
+                Action::StateChanged(change) => self.changes.push((from, change)),
+                Action::Payload { .. } => {}
+                Action::Send { to, datagram: bytes } => {
                     let to = usize::from(to);
                     self.datagrams += 1;
                     self.bytes += bytes.len() as u64;
--- a/crates/service/net/src/clock.rs
+++ b/crates/service/net/src/clock.rs
@@ -1,7 +1,7 @@
 //! The clock that everything goes by.
 use rustix::time::{ClockId, clock_gettime};
 use spanlead_balancing_policy::Nanos;
-use spanlead_durable_jobs::Anchor;
+use spanlead_durable_jobs::ClockAnchor;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
@@ -34,12 +34,12 @@
 
     /// How this clock reads against the machine's own, which goes on whatever is done to the wall clock and while no
     /// process runs.
-    pub fn anchor(&self) -> Anchor {
+    pub fn anchor(&self) -> ClockAnchor {
         let up = clock_gettime(ClockId::Boottime);
         let up = up.tv_sec as Nanos * 1_000_000_000 + up.tv_nsec as Nanos;
         // Where the system names no start, none is known to be the same as another.
         let boot = std::fs::read_to_string("/proc/sys/kernel/random/boot_id");
         let boot = boot.unwrap_or_else(|_| format!("{}", self.wall));
-        Anchor { boot: Arc::from(boot.trim()), up, clock: self.now() }
+        ClockAnchor { boot_id: Arc::from(boot.trim()), uptime: up, process_clock: self.now() }
     }
 }
--- a/crates/service/net/src/message.rs
+++ b/crates/service/net/src/message.rs
@@ -4,7 +4,7 @@
 use crate::wire::NoticeBody;
 use bytes::Bytes;
 use spanlead_engine::{DurableSetup, Input, NoticeReply, RequestSnapshot};
-use spanlead_wal::{Progress, Writer};
+use spanlead_wal::{CommitProgress, LogWriter};
 use std::os::fd::OwnedFd;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
@@ -28,9 +28,9 @@
     },
     Input(Input),
     /// The ledger was read, and can be written to; or why not.
-    DurableJobsOpened(Result<Box<(DurableSetup, Writer)>, String>),
+    DurableJobsOpened(Result<Box<(DurableSetup, LogWriter)>, String>),
     /// How far the ledger is durable.
-    LogProgress(Progress),
+    LogProgress(CommitProgress),
 }
 
 /// Has something counted that came in and can't be used, by this reason.
--- a/crates/service/singleton-roles/tests/hands.rs
+++ b/crates/service/singleton-roles/tests/hands.rs
@@ -1,15 +1,20 @@
-//! Duties change hands, in one process and without a network: datagrams are handed over as they come.
+//! RoleManager change hands, in one process and without a network: datagrams are handed over as they come.
 use spanlead_singleton_roles::{
-    Change, Duties, Item, LAST_TERM, MAX_ITEMS, Out, Reason, Sets, Settings, Word, decode, encode,
+    Action, ClockReading, LeaseChange, LossReason, MAX_MESSAGES, MAX_TERM, MessageBody, QuorumConfig,
+    RoleConfig, RoleIndex, RoleManager, RoleMessage, decode, encode,
 };
 use std::collections::VecDeque;
 
 const LEASE: u64 = 3000;
 
+fn reading(now: u64) -> ClockReading {
+    ClockReading { monotonic: now, wall: now }
+}
+
 struct Tier {
-    nodes: Vec<Duties>,
+    nodes: Vec<RoleManager>,
     now: u64,
-    changes: Vec<(u16, Change)>,
+    changes: Vec<(u16, LeaseChange)>,
     /// What is on its way.
     under_way: VecDeque<(u16, u16, Vec<u8>)>,
     up: Vec<bool>,
@@ -17,23 +22,23 @@
 
 impl Tier {
     fn new(count: u16) -> Self {
-        let set = |me| Settings {
-            me,
-            sets: Sets::of(count),
-            lease: LEASE,
-            bound: 300,
-            patience: 200,
+        let set = |me| RoleConfig {
+            own_number: me,
+            quorum: QuorumConfig::of(count),
+            lease_duration: LEASE,
+            clock_drift_bound: 300,
+            reply_timeout: 200,
             seed: me.into(),
         };
-        let nodes = (0..count).map(|me| Duties::new(set(me), &["duty".to_owned()], 0)).collect();
+        let nodes = (0..count).map(|me| RoleManager::new(set(me), &["duty".to_owned()], 0)).collect();
         Tier { nodes, now: 0, changes: Vec::new(), under_way: VecDeque::new(), up: vec![true; count.into()] }
     }
 
-    fn take(&mut self, from: u16, out: Vec<Out>) {
+    fn take(&mut self, from: u16, out: Vec<Action>) {
         for out in out {
             match out {
-                Out::Send(to, bytes) => self.under_way.push_back((from, to, bytes)),
-                Out::Changed(_, change) => self.changes.push((from, change)),
+                Action::Send { to, payload: bytes } => self.under_way.push_back((from, to, bytes)),
+                Action::LeaseChanged { change, .. } => self.changes.push((from, change)),
             }
         }
     }
@@ -48,9 +53,8 @@
             }
             let (mut out, up) = (Vec::new(), self.up.clone());
             let items = decode(&bytes).expect("our own words");
-            self.nodes[usize::from(to)].hear(
-                self.now,
-                self.now,
+            self.nodes[usize::from(to)].receive(
+                reading(self.now),
                 from,
                 &items,
                 |n| up[usize::from(n)],
@@ -68,7 +72,7 @@
                     continue;
                 }
                 let (mut out, up) = (Vec::new(), self.up.clone());
-                self.nodes[usize::from(n)].tick(self.now, self.now, |n| up[usize::from(n)], &mut out);
+                self.nodes[usize::from(n)].tick(reading(self.now), |n| up[usize::from(n)], &mut out);
                 self.take(n, out);
                 self.deliver(false);
             }
@@ -81,7 +85,7 @@
 
     fn holder(&self) -> Option<u16> {
         let holders: Vec<u16> = (0..self.nodes.len() as u16)
-            .filter(|n| self.nodes[usize::from(*n)].may_act(self.now, 0).is_some())
+            .filter(|n| self.nodes[usize::from(*n)].term_to_act_under(self.now, RoleIndex(0)).is_some())
             .collect();
         assert!(holders.len() <= 1, "{holders:?} hold it");
         holders.first().copied()
@@ -96,7 +100,7 @@
         tier.pass(5000);
         let first = tier.holder().expect("a holder");
         let mut out = Vec::new();
-        tier.nodes[usize::from(first)].release(tier.now, 0, &mut out);
+        tier.nodes[usize::from(first)].release(tier.now, RoleIndex(0), &mut out);
         tier.take(first, out);
         tier.deliver(last);
         let next = tier.holder().expect("it is held again, before any time has passed");
@@ -113,22 +117,22 @@
     for seed in 0..20_u64 {
         let mut tier = Tier::new(5);
         let start = |tier: &Tier, me: u16| {
-            let set = Settings {
-                me,
-                sets: Sets::of(5),
-                lease: LEASE,
-                bound: 300,
-                patience: 200,
+            let set = RoleConfig {
+                own_number: me,
+                quorum: QuorumConfig::of(5),
+                lease_duration: LEASE,
+                clock_drift_bound: 300,
+                reply_timeout: 200,
                 seed: 10 * seed + u64::from(me),
             };
-            Duties::new(set, &["duty".to_owned()], tier.now)
+            RoleManager::new(set, &["duty".to_owned()], tier.now)
         };
         tier.nodes = (0..5).map(|me| start(&tier, me)).collect();
         tier.pass(5000);
         for step in 0..8 {
             let holder = tier.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds it"));
             let mut out = Vec::new();
-            tier.nodes[usize::from(holder)].release(tier.now, 0, &mut out);
+            tier.nodes[usize::from(holder)].release(tier.now, RoleIndex(0), &mut out);
             tier.take(holder, out);
             tier.up[usize::from(holder)] = false;
             tier.deliver(false);
@@ -154,13 +158,14 @@
     let mut asked = Vec::new();
     for asking in 0..2_u16 {
         let mut out = Vec::new();
-        tier.nodes[usize::from(asking)].tick(tier.now, tier.now, |_| false, &mut out);
+        tier.nodes[usize::from(asking)].tick(reading(tier.now), |_| false, &mut out);
         asked.push(out);
     }
     // Each question reaches one of the others first.
     for (asking, granting) in [(0_u16, 2_u16), (1, 3)] {
         let out = &mut asked[usize::from(asking)];
-        let first = out.iter().position(|o| matches!(o, Out::Send(to, _) if *to == granting)).expect("asked");
+        let first =
+            out.iter().position(|o| matches!(o, Action::Send { to, .. } if *to == granting)).expect("asked");
         let first = out.remove(first);
         tier.take(asking, vec![first]);
         tier.deliver(false);
@@ -182,26 +187,27 @@
     let mut tier = Tier::new(3);
     tier.pass(5000);
     let holder = tier.holder().expect("a holder");
-    let before = tier.nodes[usize::from(holder)].may_act(tier.now, 0);
-    let vain = Item {
-        duty: 0,
-        sets: Sets::of(3),
-        word: Word::Refuse { ask: 0, highest: before.unwrap_or(0) + 50, left: 0 },
+    let before = tier.nodes[usize::from(holder)].term_to_act_under(tier.now, RoleIndex(0));
+    let vain = RoleMessage {
+        role_hash: 0,
+        quorum: QuorumConfig::of(3),
+        body: MessageBody::Reject { request: 0, highest_term: before.unwrap_or(0) + 50, remaining: 0 },
     };
     let duty = xxhash_rust::xxh3::xxh3_64(b"duty") as u32;
     let mut out = Vec::new();
     let other = (holder + 1) % 3;
-    tier.nodes[usize::from(holder)].hear(
-        tier.now,
-        tier.now,
+    tier.nodes[usize::from(holder)].receive(
+        reading(tier.now),
         other,
-        &[Item { duty, ..vain }],
+        &[RoleMessage { role_hash: duty, ..vain }],
         |_| true,
         &mut out,
     );
     tier.pass(2 * LEASE);
     assert_eq!(tier.holder(), Some(holder));
-    assert!(tier.nodes[usize::from(holder)].may_act(tier.now, 0) > before.map(|b| b + 50));
+    assert!(
+        tier.nodes[usize::from(holder)].term_to_act_under(tier.now, RoleIndex(0)) > before.map(|b| b + 50)
+    );
 }
 
 #[test]
@@ -209,44 +215,53 @@
     let mut tier = Tier::new(3);
     tier.pass(5000);
     let holder = tier.holder().expect("a holder");
-    let term = tier.nodes[usize::from(holder)].may_act(tier.now, 0).expect("held");
+    let term = tier.nodes[usize::from(holder)].term_to_act_under(tier.now, RoleIndex(0)).expect("held");
     let mut out = Vec::new();
-    tier.nodes[usize::from(holder)].fenced(tier.now, 0, term + 1_000_000, &mut out);
+    tier.nodes[usize::from(holder)].fence(tier.now, RoleIndex(0), term + 1_000_000, &mut out);
     tier.take(holder, out);
-    assert_eq!(tier.changes.last(), Some(&(holder, Change::Lost(term, Reason::Fenced))));
+    assert_eq!(tier.changes.last(), Some(&(holder, LeaseChange::Lost(term, LossReason::Fenced))));
     tier.deliver(false);
     tier.pass(2 * LEASE);
     let next = tier.holder().expect("held again");
     // Another does not know of that term; whoever was told of it goes beyond it when it is its turn.
     if next == holder {
-        assert!(tier.nodes[usize::from(next)].may_act(tier.now, 0) > Some(term + 1_000_000));
+        assert!(
+            tier.nodes[usize::from(next)].term_to_act_under(tier.now, RoleIndex(0)) > Some(term + 1_000_000)
+        );
     }
 }
 
 #[test]
 fn words_fit_and_absurd_ones_are_none() {
-    let longest = Item {
-        duty: u32::MAX,
-        sets: Sets { count: u16::MAX, joint: u16::MAX },
-        word: Word::Refuse { ask: u32::MAX, highest: LAST_TERM - 1, left: u64::MAX },
+    let longest = RoleMessage {
+        role_hash: u32::MAX,
+        quorum: QuorumConfig { schedulers: u16::MAX, joint_schedulers: u16::MAX },
+        body: MessageBody::Reject { request: u32::MAX, highest_term: MAX_TERM - 1, remaining: u64::MAX },
     };
-    let bytes = encode(&[longest; MAX_ITEMS]);
+    let bytes = encode(&[longest; MAX_MESSAGES]);
     assert!(bytes.len() <= 200, "{} bytes", bytes.len());
-    assert_eq!(decode(&bytes), Some(vec![longest; MAX_ITEMS]));
-    assert_eq!(decode(&encode(&[longest; MAX_ITEMS + 1])), None);
-    let absurd = Item { word: Word::Ask { ask: 1, term: LAST_TERM }, ..longest };
+    assert_eq!(decode(&bytes), Some(vec![longest; MAX_MESSAGES]));
+    assert_eq!(decode(&encode(&[longest; MAX_MESSAGES + 1])), None);
+    let absurd = RoleMessage { body: MessageBody::Request { request: 1, term: MAX_TERM }, ..longest };
     assert_eq!(decode(&encode(&[absurd])), None);
     assert_eq!(decode(b"rubbish"), None);
 }
 
-// Sets that share no set needn't have majorities that meet: nothing is granted between them, and all that share one grant.
+// QuorumConfig that share no set needn't have majorities that meet: nothing is granted between them, and all that share one grant.
 #[test]
 fn only_those_whose_majorities_meet_grant_to_each_other() {
-    let (three, joint, five) = (Sets::of(3), Sets { count: 5, joint: 3 }, Sets::of(5));
+    let (three, joint, five) =
+        (QuorumConfig::of(3), QuorumConfig { schedulers: 5, joint_schedulers: 3 }, QuorumConfig::of(5));
+    assert!(
+        three.intersects(joint)
+            && joint.intersects(three)
+            && joint.intersects(five)
+            && five.intersects(joint)
+            && joint.intersects(joint)
+    );
+    assert!(!three.intersects(five) && !five.intersects(three));
     assert!(
-        three.meet(joint) && joint.meet(three) && joint.meet(five) && five.meet(joint) && joint.meet(joint)
+        joint.has_majority(&[0, 1, 4]) && !joint.has_majority(&[2, 3, 4]) && !joint.has_majority(&[0, 1])
     );
-    assert!(!three.meet(five) && !five.meet(three));
-    assert!(joint.majority(&[0, 1, 4]) && !joint.majority(&[2, 3, 4]) && !joint.majority(&[0, 1]));
-    assert!(three.majority(&[0, 2]) && !three.majority(&[0, 3, 4]) && five.majority(&[2, 3, 4]));
+    assert!(three.has_majority(&[0, 2]) && !three.has_majority(&[0, 3, 4]) && five.has_majority(&[2, 3, 4]));
 }
--- a/crates/service/singleton-roles/tests/model.rs
+++ b/crates/service/singleton-roles/tests/model.rs
@@ -1,7 +1,10 @@
 //! The leases searched whole for small sizes, by the crate's own state machine: three schedulers that grant and ask, messages lost,
 //! doubled and late, clocks of which one may run slow by the bound, restarts that forget all, a change of the set, one after the other, and a
 //! stop between the check of a lease and the act. Each guard can be taken out; then the search must find what it was for.
-use spanlead_singleton_roles::{Duties, Item, Millis, Out, Sets, Settings, Term, Word, decode};
+use spanlead_singleton_roles::{
+    Action as RoleAction, ClockReading, MessageBody, Millis, QuorumConfig, RoleConfig, RoleIndex,
+    RoleManager, RoleMessage, Term, decode,
+};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -26,10 +29,10 @@
 }
 
 /// Before, and after each has been restarted once.
-type Change = [Sets; 2];
-const ONE: Sets = Sets { count: 1, joint: 0 };
-const BOTH: Sets = Sets { count: NODES, joint: 1 };
-const ALL: Sets = Sets { count: NODES, joint: 0 };
+type Change = [QuorumConfig; 2];
+const ONE: QuorumConfig = QuorumConfig { schedulers: 1, joint_schedulers: 0 };
+const BOTH: QuorumConfig = QuorumConfig { schedulers: NODES, joint_schedulers: 1 };
+const ALL: QuorumConfig = QuorumConfig { schedulers: NODES, joint_schedulers: 0 };
 
 struct Leases {
     without: Option<Guard>,
@@ -49,14 +52,14 @@
 struct State {
     now: u8,
     clocks: Vec<Millis>,
-    nodes: Vec<Duties>,
+    nodes: Vec<RoleManager>,
     /// By which sets each goes; `None` where it doesn't run.
-    sets: Vec<Option<Sets>>,
+    sets: Vec<Option<QuorumConfig>>,
     asked: Vec<u32>,
     restarts: u8,
     slow: u8,
     /// What was sent and may arrive, any time and any number of times; or never.
-    under_way: BTreeSet<(u16, u16, Sets, Message)>,
+    under_way: BTreeSet<(u16, u16, QuorumConfig, Message)>,
     /// Checked and not yet done.
     acts: Vec<Option<Term>>,
     /// What the resource has accepted: the highest term, and whether it ever accepted an older one behind it.
@@ -78,7 +81,7 @@
     Pass(Option<u16>),
     /// A node looks whether it should ask: it does if it is its turn.
     Tick(u16),
-    Deliver(u16, u16, Sets, Message),
+    Deliver(u16, u16, QuorumConfig, Message),
     Restart(u16),
     /// It starts, again or for the first time, with the sets after the change; or ends, where it isn't in them.
     Change(u16),
@@ -87,45 +90,49 @@
     Act(u16),
 }
 
-fn message(word: Word) -> Message {
+fn message(word: MessageBody) -> Message {
     match word {
-        Word::Ask { ask, term } => Message::Ask(ask, term),
-        Word::Grant { ask, term } => Message::Grant(ask, term),
-        Word::Refuse { .. } => unreachable!("not carried"),
-        Word::Withdraw { term } => Message::Withdraw(term),
-        Word::Release { term } => Message::Release(term),
+        MessageBody::Request { request: ask, term } => Message::Ask(ask, term),
+        MessageBody::Grant { request: ask, term } => Message::Grant(ask, term),
+        MessageBody::Reject { .. } => unreachable!("not carried"),
+        MessageBody::Cancel { term } => Message::Withdraw(term),
+        MessageBody::Release { term } => Message::Release(term),
     }
 }
 
-fn word(message: Message) -> Word {
+fn word(message: Message) -> MessageBody {
     match message {
-        Message::Ask(ask, term) => Word::Ask { ask, term },
-        Message::Grant(ask, term) => Word::Grant { ask, term },
-        Message::Withdraw(term) => Word::Withdraw { term },
-        Message::Release(term) => Word::Release { term },
+        Message::Ask(ask, term) => MessageBody::Request { request: ask, term },
+        Message::Grant(ask, term) => MessageBody::Grant { request: ask, term },
+        Message::Withdraw(term) => MessageBody::Cancel { term },
+        Message::Release(term) => MessageBody::Release { term },
     }
 }
 
 impl Leases {
-    fn node(&self, me: u16, sets: Sets, now: Millis, first: bool) -> Duties {
+    fn node(&self, me: u16, sets: QuorumConfig, now: Millis, first: bool) -> RoleManager {
         // Without the guard each sees only itself.
         let alone = self.without == Some(Guard::Configured);
         let bound = if self.without == Some(Guard::Bound) { 0 } else { BOUND };
-        let set = Settings {
-            me: if alone { 0 } else { me },
-            sets: if alone { Sets::of(1) } else { sets },
-            lease: LEASE,
-            bound,
-            patience: 1,
+        let set = RoleConfig {
+            own_number: if alone { 0 } else { me },
+            quorum: if alone { QuorumConfig::of(1) } else { sets },
+            lease_duration: LEASE,
+            clock_drift_bound: bound,
+            reply_timeout: 1,
             seed: 1,
         };
         // Silence is a matter of when a process thinks that it began: long ago, where it has none.
         let silence = first || self.without == Some(Guard::Silence);
-        Duties::new(set, &["duty".to_owned()], if silence { now.saturating_sub(LEASE + BOUND) } else { now })
+        RoleManager::new(
+            set,
+            &["duty".to_owned()],
+            if silence { now.saturating_sub(LEASE + BOUND) } else { now },
+        )
     }
 
     /// The sets before a change, or those that there are.
-    fn before(&self) -> Sets {
+    fn before(&self) -> QuorumConfig {
         self.change.map_or(ALL, |[before, _]| before)
     }
 
@@ -134,14 +141,14 @@
     }
 }
 
-fn carry(state: &mut State, from: u16, out: Vec<Out>) {
+fn carry(state: &mut State, from: u16, out: Vec<RoleAction>) {
     let sets = state.sets[usize::from(from)].unwrap_or(ALL);
     for out in out {
-        if let Out::Send(to, bytes) = out {
+        if let RoleAction::Send { to, payload: bytes } = out {
             let items = decode(&bytes).expect("our own words");
             // A refusal only makes its hearer wait, or ask for a higher term: as if it were lost.
-            let words = items.into_iter().filter(|item| !matches!(item.word, Word::Refuse { .. }));
-            state.under_way.extend(words.map(|item| (from, to, sets, message(item.word))));
+            let words = items.into_iter().filter(|item| !matches!(item.body, MessageBody::Reject { .. }));
+            state.under_way.extend(words.map(|item| (from, to, sets, message(item.body))));
         }
     }
 }
@@ -157,7 +164,7 @@
             now: 0,
             clocks: vec![start; NODES.into()],
             nodes: (0..NODES).map(|me| self.node(me, self.before(), start, true)).collect(),
-            sets: (0..NODES).map(|me| (me < self.before().count).then_some(self.before())).collect(),
+            sets: (0..NODES).map(|me| (me < self.before().schedulers).then_some(self.before())).collect(),
             asked: vec![0; NODES.into()],
             restarts: 0,
             slow: 0,
@@ -178,8 +185,8 @@
         for n in 0..NODES {
             let at = usize::from(n);
             if let Some([before, after]) = self.change {
-                let changed = state.sets[at] == (n < after.count).then_some(after);
-                if !changed && state.sets[at] == (n < before.count).then_some(before) {
+                let changed = state.sets[at] == (n < after.schedulers).then_some(after);
+                if !changed && state.sets[at] == (n < before.schedulers).then_some(before) {
                     actions.push(Action::Change(n));
                 }
             }
@@ -193,7 +200,7 @@
             if n == ASKING && state.restarts < self.restarts {
                 actions.push(Action::Restart(n));
             }
-            if let Some(term) = state.nodes[at].may_act(state.clocks[at], 0) {
+            if let Some(term) = state.nodes[at].term_to_act_under(state.clocks[at], RoleIndex(0)) {
                 if state.acts[at] != Some(term) {
                     actions.push(Action::Check(n));
                 }
@@ -225,7 +232,11 @@
                 let at = usize::from(n);
                 let before = state.nodes[at].clone();
                 // It thinks that it should hold it: whom it takes for alive decides nothing of safety.
-                state.nodes[at].tick(state.clocks[at], 1, |_| false, &mut out);
+                state.nodes[at].tick(
+                    ClockReading { monotonic: state.clocks[at], wall: 1 },
+                    |_| false,
+                    &mut out,
+                );
                 if state.nodes[at] == before {
                     return None;
                 }
@@ -234,8 +245,14 @@
             }
             Action::Deliver(from, to, sets, m) => {
                 let at = usize::from(to);
-                let item = Item { duty: Self::hash(), sets, word: word(m) };
-                state.nodes[at].hear(state.clocks[at], 1, from, &[item], |_| true, &mut out);
+                let item = RoleMessage { role_hash: Self::hash(), quorum: sets, body: word(m) };
+                state.nodes[at].receive(
+                    ClockReading { monotonic: state.clocks[at], wall: 1 },
+                    from,
+                    &[item],
+                    |_| true,
+                    &mut out,
+                );
                 carry(&mut state, to, out);
                 // It may come again; what changes nothing is no step.
                 if state == *last {
@@ -252,18 +269,18 @@
             Action::Change(n) => {
                 let at = usize::from(n);
                 let [_, after] = self.change?;
-                state.sets[at] = (n < after.count).then_some(after);
+                state.sets[at] = (n < after.schedulers).then_some(after);
                 state.nodes[at] = self.node(n, after, state.clocks[at], false);
                 state.acts[at] = None;
             }
             Action::Release(n) => {
                 let at = usize::from(n);
-                state.nodes[at].release(state.clocks[at], 0, &mut out);
+                state.nodes[at].release(state.clocks[at], RoleIndex(0), &mut out);
                 carry(&mut state, n, out);
             }
             Action::Check(n) => {
                 let at = usize::from(n);
-                state.acts[at] = state.nodes[at].may_act(state.clocks[at], 0);
+                state.acts[at] = state.nodes[at].term_to_act_under(state.clocks[at], RoleIndex(0));
             }
             Action::Act(n) => {
                 let term = state.acts[usize::from(n)].take()?;
@@ -282,14 +299,15 @@
         vec![
             Property::always("one holder", |_: &Leases, state: &State| {
                 let holds = |n: &usize| {
-                    state.sets[*n].is_some() && state.nodes[*n].may_act(state.clocks[*n], 0).is_some()
+                    state.sets[*n].is_some()
+                        && state.nodes[*n].term_to_act_under(state.clocks[*n], RoleIndex(0)).is_some()
                 };
                 (0..NODES.into()).filter(holds).count() <= 1
             }),
             Property::always("no act under an older term", |_, state: &State| !state.overtaken),
             // That somebody can hold it at all, and after another: else the rest says nothing.
             Property::sometimes("it is held and handed on", |model: &Leases, state: &State| {
-                let holds = |n: usize| state.nodes[n].duties().any(|(d, _)| d.holds());
+                let holds = |n: usize| state.nodes[n].roles().any(|(d, _)| d.is_held());
                 match model.change {
                     None => state.highest > 1 && (0..state.nodes.len()).any(holds),
                     // Each forgets the terms that it knew: that one holds it after it was changed says as much.
--- a/crates/service/spanlead/src/config.rs
+++ b/crates/service/spanlead/src/config.rs
@@ -242,7 +242,7 @@
     pub fn members(
         &self,
         wanted: &spanlead_conf_file::Membership,
-    ) -> Result<(spanlead_membership::Settings, Nanos), String> {
+    ) -> Result<(spanlead_membership::MembershipConfig, Nanos), String> {
         let settings = &self.deployment.settings;
         let refused = |why: &str| Err(format!("{}: membership: {why}", wanted.place));
         if !settings.limits.can_message_peers {
@@ -265,18 +265,18 @@
             return refused("there are more than 65535 `peers`");
         };
         // Tenths of a second since 2026: later starts have higher ones as long as clocks go on, and where one goes back the
-        // others say so (`Members::learn`).
+        // others say so (`GossipMembership::renew_incarnation`).
         let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() / 100);
         let incarnation = now.saturating_sub(EPOCH).try_into().unwrap_or(u32::MAX);
-        let settings = spanlead_membership::Settings {
-            me: settings.instance as u16,
-            count,
-            tier: xxh3_64(wanted.tier.as_bytes()).to_le_bytes()[..4].try_into().unwrap_or_default(),
+        let settings = spanlead_membership::MembershipConfig {
+            own_number: settings.instance as u16,
+            member_count: count,
+            tier_id: xxh3_64(wanted.tier.as_bytes()).to_le_bytes()[..4].try_into().unwrap_or_default(),
             name: self.name.clone(),
             version: env!("CARGO_PKG_VERSION").to_owned(),
             incarnation,
             fanout: wanted.fanout,
-            loss: wanted.loss,
+            tolerated_loss: wanted.loss,
             seed: self.seed ^ u64::from(incarnation),
         };
         Ok((settings, wanted.every.as_nanos() as Nanos))
@@ -289,13 +289,14 @@
     pub fn sets(
         leases: &spanlead_conf_file::Leases,
         count: u16,
-    ) -> Result<spanlead_singleton_roles::Sets, String> {
+    ) -> Result<spanlead_singleton_roles::QuorumConfig, String> {
         match &leases.joint {
             Some((joint, place)) if *joint >= count => Err(format!(
                 "{place}: joint-with: is not less than the {count} `peers`; the larger set has its `peers` here"
             )),
             joint => {
-                Ok(spanlead_singleton_roles::Sets { count, joint: joint.as_ref().map_or(0, |(n, _)| *n) })
+                let joint_schedulers = joint.as_ref().map_or(0, |(n, _)| *n);
+                Ok(spanlead_singleton_roles::QuorumConfig { schedulers: count, joint_schedulers })
             }
         }
     }
--- a/crates/service/spanlead/src/driver.rs
+++ b/crates/service/spanlead/src/driver.rs
@@ -27,7 +27,7 @@
 use spanlead_net::wire::{self, ClientRequest, NoticeBody, OperatorCall, OperatorReply};
 use spanlead_net::workers::WorkerPool;
 use spanlead_net::{Clock, Message};
-use spanlead_wal::{Progress, Writer};
+use spanlead_wal::{CommitProgress, LogWriter};
 use spanlead_worker_attributes::{Report, Vocabulary, reconcile};
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -122,7 +122,7 @@
 /// The ledger's way to the disk. What must be durable before it is seen waits here.
 struct Ledger {
     stage: Stage,
-    store: Option<Writer>,
+    store: Option<LogWriter>,
     barrier: DurabilityBarrier,
     /// Something that is seen waits for what was written down last.
     urgent: bool,
@@ -148,7 +148,7 @@
         None => None,
         Some(wanted) => {
             let (members, every) = config.members(wanted)?;
-            let sets = Config::sets(&conf.leases, members.count)?;
+            let sets = Config::sets(&conf.leases, members.member_count)?;
             Some((members, every, sets))
         }
     };
@@ -247,17 +247,17 @@
     };
     driver.open_peers()?;
     if let Some((settings, every, sets)) = members {
-        let (me, seed) = (settings.me, settings.seed);
+        let (me, seed) = (settings.own_number, settings.seed);
         driver.step(Input::JoinMembership { settings: Box::new(settings), heartbeat_interval: every });
         if !conf.duties.is_empty() {
             let ms = |d: Duration| d.as_millis() as u64;
             let conf::Leases { lease, clock_bound, patience, .. } = conf.leases;
-            let settings = spanlead_singleton_roles::Settings {
-                me,
-                sets,
-                lease: ms(lease),
-                bound: ms(clock_bound),
-                patience: ms(patience),
+            let settings = spanlead_singleton_roles::RoleConfig {
+                own_number: me,
+                quorum: sets,
+                lease_duration: ms(lease),
+                clock_drift_bound: ms(clock_bound),
+                reply_timeout: ms(patience),
                 seed,
             };
             let tasks = conf.duties.into_iter().map(|d| RoleTask {
@@ -372,7 +372,7 @@
 
     fn sweep(&mut self) {
         self.pool.sweep();
-        self.ledger.iter_mut().filter_map(|l| l.store.as_mut()).for_each(Writer::flush);
+        self.ledger.iter_mut().filter_map(|l| l.store.as_mut()).for_each(LogWriter::flush);
         if let Err(error) = self.open_peers() {
             tracing::warn!("{error}");
         }
@@ -494,7 +494,7 @@
         self.effects = effects;
         if let Some(ledger) = self.ledger.as_mut().filter(|l| l.urgent) {
             ledger.urgent = false;
-            ledger.store.iter_mut().for_each(Writer::flush);
+            ledger.store.iter_mut().for_each(LogWriter::flush);
         }
         self.client_listener.ready.store(self.engine.is_ready(), Ordering::Relaxed);
         self.client_listener.closing.store(self.engine.is_closing(), Ordering::Relaxed);
--- a/crates/service/spanlead/src/driver/durable.rs
+++ b/crates/service/spanlead/src/driver/durable.rs
@@ -2,13 +2,13 @@
 use super::*;
 
 impl Driver {
-    pub(super) fn opened(&mut self, (durability, store): (DurableSetup, Writer)) {
+    pub(super) fn opened(&mut self, (durability, store): (DurableSetup, LogWriter)) {
         let Some(ledger) = &mut self.ledger else { return };
         (ledger.stage, ledger.store) = (Stage::Open, Some(store));
-        ledger.barrier.open(durability.ledger.last());
+        ledger.barrier.open(durability.ledger.last_lsn());
         let held_back = std::mem::take(&mut ledger.held_back);
-        let figures = durability.ledger.figures();
-        tracing::info!(open = figures.open, kept = figures.kept, "the ledger is open");
+        let figures = durability.ledger.stats();
+        tracing::info!(open = figures.open, kept = figures.retained, "the ledger is open");
         self.step(Input::DurableJobsOpened(Box::new(durability)));
         for message in held_back {
             self.receive(message);
@@ -21,12 +21,12 @@
         match spanlead_durable_jobs::encode(record) {
             Ok(bytes) => {
                 ledger.barrier.record_appended(store.append(bytes.into()));
-                ledger.urgent |= !record.can_wait();
+                ledger.urgent |= !record.is_deferrable();
             }
             // Without it what follows would be out of its place.
             Err(error) => {
                 tracing::error!(%error, kind = record.kind(), "a record has no form");
-                let _ = self.to.send(Message::LogProgress(Progress::Failed));
+                let _ = self.to.send(Message::LogProgress(CommitProgress::Failed));
             }
         }
     }
@@ -53,15 +53,15 @@
         }
     }
 
-    pub(super) fn progress(&mut self, progress: Progress) {
+    pub(super) fn progress(&mut self, progress: CommitProgress) {
         let Some(ledger) = self.ledger.as_mut().filter(|l| l.stage == Stage::Open) else { return };
         match progress {
-            Progress::Durable { upto, bytes } => {
+            CommitProgress::Durable { last_lsn, log_bytes } => {
                 let passed = ledger.barrier.records_durable(upto);
                 passed.into_iter().for_each(|passage| self.go_through(passage));
                 self.step(Input::RecordsDurable { bytes });
             }
-            Progress::Failed => {
+            CommitProgress::Failed => {
                 ledger.stage = Stage::Failed;
                 tracing::error!("the ledger has failed: new durable jobs are refused from now on");
                 let passed = ledger.barrier.fail();
--- a/crates/service/spanlead/src/driver/effects.rs
+++ b/crates/service/spanlead/src/driver/effects.rs
@@ -1,6 +1,6 @@
 //! What the reducer asks for, done.
 use super::*;
-use spanlead_singleton_roles::Change;
+use spanlead_singleton_roles::LeaseChange;
 
 impl Driver {
     pub(super) fn perform(&mut self, effect: Effect) {
@@ -75,8 +75,8 @@
             }
             Effect::RoleChanged { name, change } => {
                 let (what, term, why) = match change {
-                    Change::Took(term) => ("took", term, None),
-                    Change::Lost(term, why) => ("lost", term, Some(why)),
+                    LeaseChange::Acquired(term) => ("took", term, None),
+                    LeaseChange::Lost(term, why) => ("lost", term, Some(why)),
                 };
                 tracing::info!(name, what, term, why = ?why, "duty");
             }
--- a/crates/service/spanlead/src/driver/operate.rs
+++ b/crates/service/spanlead/src/driver/operate.rs
@@ -71,15 +71,15 @@
             }
             OperatorCall::Stats => {
                 let mut figures = self.engine.stats(self.clock.now(), &self.names.borrow().classes);
-                let stats = self.ledger.as_ref().and_then(|l| l.store.as_ref()).map(Writer::stats);
+                let stats = self.ledger.as_ref().and_then(|l| l.store.as_ref()).map(LogWriter::stats);
                 if let (Some(ledger), Some(stats)) = (&mut figures.ledger, stats) {
                     (ledger.commits, ledger.records) = (stats.commits, stats.records);
-                    ledger.commit_p50_us = stats.p50.as_micros() as u64;
-                    ledger.commit_p99_us = stats.p99.as_micros() as u64;
-                    ledger.commit_max_us = stats.max.as_micros() as u64;
+                    ledger.commit_p50_us = stats.latency_p50.as_micros() as u64;
+                    ledger.commit_p99_us = stats.latency_p99.as_micros() as u64;
+                    ledger.commit_max_us = stats.latency_max.as_micros() as u64;
                 }
                 if let (Some(members), Some(peers)) = (&mut figures.membership, &self.peers) {
-                    members.strangers = peers.strangers();
+                    members.unknown_senders = peers.strangers();
                 }
                 OperatorReply::Figures(Box::new(figures))
             }
--- a/crates/service/spanlead/src/ledger.rs
+++ b/crates/service/spanlead/src/ledger.rs
@@ -3,10 +3,13 @@
 use comfy_table::{Table, presets};
 use spanlead_balancing_policy::Nanos;
 use spanlead_conf_file as conf;
-use spanlead_durable_jobs::{Job, Key, Ledger, Limits, Record, decode, encode};
+use spanlead_durable_jobs::{IdempotencyKey, Job, JobTable, JobTableLimits, Record, decode, encode};
 use spanlead_engine::DurableSetup;
 use spanlead_net::{Clock, Message};
-use spanlead_wal::{Disk, Folder, Log, Opened, Options, Reader, Segment, Writer};
+use spanlead_wal::{
+    Directory, DiskDirectory, LogContents, LogOptions, LogReader, LogWriter, RecordRejected, RecoveryReport,
+    TornWrite, WriteAheadLog,
+};
 use std::io::Write;
 use std::path::Path;
 use std::time::{Duration, Instant, UNIX_EPOCH};
@@ -23,7 +26,7 @@
     std::thread::spawn(move || {
         let until = Instant::now() + FREE_WAIT;
         let disk = loop {
-            match Disk::take(&settings.folder) {
+            match DiskDirectory::lock(&settings.folder) {
                 Ok(Some(disk)) => break Ok(disk),
                 Ok(None) if predecessor || Instant::now() < until => std::thread::sleep(LOOK_AGAIN),
                 Ok(None) => break Err("another process holds it".to_owned()),
@@ -40,32 +43,33 @@
     });
 }
 
-fn limits(settings: &conf::Ledger) -> Limits {
-    Limits { keep: settings.keep.as_nanos() as Nanos, jobs: settings.jobs }
+fn limits(settings: &conf::Ledger) -> JobTableLimits {
+    JobTableLimits { retention: settings.keep.as_nanos() as Nanos, max_jobs: settings.jobs }
 }
 
 /// Takes one record as it is read back.
-fn replay(ledger: &mut Ledger, lsn: u64, bytes: &[u8]) -> Result<Record, String> {
+fn replay(ledger: &mut JobTable, lsn: u64, bytes: &[u8]) -> Result<Record, String> {
     let record = decode(bytes).map_err(|e| format!("record {lsn} can't be read: {e}"))?;
     ledger.replay(lsn, &record).map_err(|e| format!("record {lsn}: {e}"))?;
     Ok(record)
 }
 
 fn read(
-    disk: Disk,
+    disk: DiskDirectory,
     settings: &conf::Ledger,
     clock: Clock,
     to: UnboundedSender<Message>,
-) -> Result<(DurableSetup, Writer), String> {
+) -> Result<(DurableSetup, LogWriter), String> {
     let begun = Instant::now();
-    let mut ledger = Ledger::new(limits(settings));
-    let options = Options { segment: settings.segment, sync: settings.sync };
-    let (log, opened) =
-        Log::open(Box::new(disk), options, |lsn, bytes| replay(&mut ledger, lsn, bytes).map(drop))
-            .map_err(|e| e.to_string())?;
-    ledger.seek(log.next());
-    let Opened { records, bytes, torn } = opened;
-    if let Some((file, offset, bytes)) = torn {
+    let mut ledger = JobTable::new(limits(settings));
+    let options = LogOptions { max_segment_bytes: settings.segment, sync_on_commit: settings.sync };
+    let (log, opened) = WriteAheadLog::open(Box::new(disk), options, |lsn, bytes| {
+        replay(&mut ledger, lsn, bytes).map(drop).map_err(RecordRejected::new)
+    })
+    .map_err(|e| e.to_string())?;
+    ledger.skip_to(log.next_lsn());
+    let RecoveryReport { records, bytes, torn_write } = opened;
+    if let Some(TornWrite { file_name: file, offset, bytes }) = torn_write {
         tracing::warn!(
             file,
             offset,
@@ -75,7 +79,7 @@
     }
     tracing::info!(records, bytes, took = ?begun.elapsed(), "the ledger was read");
     let writer =
-        Writer::start(log, settings.gather, move |progress| drop(to.send(Message::LogProgress(progress))));
+        LogWriter::spawn(log, settings.gather, move |progress| drop(to.send(Message::LogProgress(progress))));
     let durability = DurableSetup {
         ledger,
         anchor: clock.anchor(),
@@ -93,15 +97,15 @@
 type Failure = Box<dyn std::error::Error>;
 
 /// Everything in a folder at rest, which is not changed.
-fn look(folder: &Path, mut each: impl FnMut(u64, Record)) -> Result<(Ledger, Vec<Segment>, Opened), Failure> {
-    let disk = Disk::look(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
+fn look(folder: &Path, mut each: impl FnMut(u64, Record)) -> Result<(JobTable, LogContents), Failure> {
+    let disk = DiskDirectory::open_read_only(folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     // What has expired is shown as well: how long it was kept is not written in the folder.
-    let mut ledger = Ledger::new(Limits { keep: Nanos::MAX / 4, jobs: usize::MAX });
-    let (segments, opened) = Reader::new(&disk as &dyn Folder).read(|lsn, bytes| {
-        each(lsn, replay(&mut ledger, lsn, bytes)?);
+    let mut ledger = JobTable::new(JobTableLimits { retention: Nanos::MAX / 4, max_jobs: usize::MAX });
+    let contents = LogReader::new(&disk as &dyn Directory).read(|lsn, bytes| {
+        each(lsn, replay(&mut ledger, lsn, bytes).map_err(RecordRejected::new)?);
         Ok(())
     })?;
-    Ok((ledger, segments, opened))
+    Ok((ledger, contents))
 }
 
 fn table<const N: usize>(head: [&str; N]) -> Table {
@@ -115,45 +119,46 @@
 }
 
 fn row(job: &Job) -> [String; 9] {
-    let taken = &job.taken;
-    let last = job.lease().map(|l| (&l.place, l.token)).or(job.past.last().map(|p| (&p.place, p.token)));
-    let tries = job.past.len() + usize::from(job.lease().is_some());
+    let taken = &job.accepted;
+    let last = job.lease().map(|l| (&l.location, l.token));
+    let last = last.or(job.past_attempts.last().map(|p| (&p.location, p.token)));
+    let tries = job.past_attempts.len() + usize::from(job.lease().is_some());
     [
-        taken.job.0.to_string(),
-        job.state().to_owned(),
+        taken.number.0.to_string(),
+        job.state_name().to_owned(),
         taken.class.to_string(),
         taken.owner.to_string(),
         taken.key.as_deref().unwrap_or("-").to_owned(),
         taken.id.to_string(),
         last.map_or("-".to_owned(), |(place, token)| format!("{} ({})", place.worker, token.0)),
         tries.to_string(),
-        wall(taken.due),
+        wall(taken.deadline),
     ]
 }
 
 /// Shows the jobs in a folder.
 pub fn show(folder: &Path, open_only: bool, key: Option<&str>) -> Result<(), Failure> {
-    let (ledger, ..) = look(folder, |_, _| {})?;
+    let (ledger, _) = look(folder, |_, _| {})?;
     let mut jobs = table(["job", "state", "class", "owner", "key", "id", "worker (token)", "tries", "due"]);
-    let all = ledger.all();
+    let all = ledger.jobs();
     let wanted = |job: &&&Job| {
-        (!open_only || job.end().is_none()) && key.is_none_or(|k| job.taken.key.as_deref() == Some(k))
+        (!open_only || job.is_open()) && key.is_none_or(|k| job.accepted.key.as_deref() == Some(k))
     };
     let shown: Vec<&&Job> = all.iter().filter(wanted).collect();
     for job in &shown {
         jobs.add_row(row(job));
     }
-    let figures = ledger.figures();
+    let figures = ledger.stats();
     let mut out = std::io::stdout().lock();
     writeln!(out, "{jobs}")?;
-    writeln!(out, "{} shown; {} open and {} ended in all", shown.len(), figures.open, figures.kept)?;
+    writeln!(out, "{} shown; {} open and {} ended in all", shown.len(), figures.open, figures.retained)?;
     Ok(())
 }
 
 /// Reads a folder and says whether a process could start on it.
 pub fn verify(folder: &Path) -> Result<(), Failure> {
     let mut kinds = std::collections::BTreeMap::<&str, (u64, u64)>::new();
-    let (ledger, segments, opened) = look(folder, |_, record| {
+    let (ledger, LogContents { segments, report: opened }) = look(folder, |_, record| {
         let kind = kinds.entry(record.kind()).or_default();
         kind.0 += 1;
         kind.1 += encode(&record).map_or(0, |bytes| bytes.len() as u64);
@@ -161,17 +166,22 @@
     let mut files = table(["file", "first record", "bytes", "ended in order"]);
     for segment in &segments {
         let closed = if segment.closed { "yes" } else { "no" };
-        files.add_row([&segment.name, &segment.first.to_string(), &segment.bytes.to_string(), closed]);
+        files.add_row([
+            &segment.file_name,
+            &segment.first_lsn.to_string(),
+            &segment.size_bytes.to_string(),
+            closed,
+        ]);
     }
     let mut records = table(["record", "count", "bytes"]);
     for (kind, (count, bytes)) in &kinds {
         records.add_row([kind, &*count.to_string(), &*bytes.to_string()]);
     }
-    let figures = ledger.figures();
+    let figures = ledger.stats();
     println!("{files}\n\n{records}\n");
-    println!("{} records, {} open jobs, {} ended ones", opened.records, figures.open, figures.kept);
-    match opened.torn {
-        Some((file, offset, bytes)) => {
+    println!("{} records, {} open jobs, {} ended ones", opened.records, figures.open, figures.retained);
+    match opened.torn_write {
+        Some(TornWrite { file_name: file, offset, bytes }) => {
             println!(
                 "good; the last write was cut short: {bytes} bytes at {offset} of {file} will be cut off"
             );
@@ -190,15 +200,15 @@
             wrote = writeln!(out, "{value}").map_err(Into::into);
         }
     };
-    let (ledger, ..) = look(folder, |lsn, record| {
+    let (ledger, _) = look(folder, |lsn, record| {
         if !jobs {
             line(serde_json::json!({ "lsn": lsn, "record": record }));
         }
     })?;
     if jobs {
-        for job in ledger.all() {
+        for job in ledger.jobs() {
             line(
-                serde_json::json!({ "state": job.state(), "key": job.key().map(|k: Key| k.key), "job": job }),
+                serde_json::json!({ "state": job.state_name(), "key": job.key().map(|k: IdempotencyKey| k.key), "job": job }),
             );
         }
     }
@@ -212,20 +222,23 @@
     if !folder.is_dir() {
         return Err(format!("{}: there is no such folder", folder.display()).into());
     }
-    let disk = Disk::take(folder)?.ok_or("a process serves on this folder; it does this by itself")?;
-    let mut ledger = Ledger::new(Limits { keep: keep.as_nanos() as Nanos, jobs: usize::MAX });
-    let options = Options { segment: 16 << 20, sync: true };
-    let (mut log, opened) =
-        Log::open(Box::new(disk), options, |lsn, bytes| replay(&mut ledger, lsn, bytes).map(drop))?;
-    ledger.seek(log.next());
-    let session = ledger.session(Clock::new().anchor());
+    let disk =
+        DiskDirectory::lock(folder)?.ok_or("a process serves on this folder; it does this by itself")?;
+    let mut ledger =
+        JobTable::new(JobTableLimits { retention: keep.as_nanos() as Nanos, max_jobs: usize::MAX });
+    let options = LogOptions { max_segment_bytes: 16 << 20, sync_on_commit: true };
+    let (mut log, opened) = WriteAheadLog::open(Box::new(disk), options, |lsn, bytes| {
+        replay(&mut ledger, lsn, bytes).map(drop).map_err(RecordRejected::new)
+    })?;
+    ledger.skip_to(log.next_lsn());
+    let session = ledger.session_record(Clock::new().anchor());
     ledger.apply(&session)?;
     let mut group: Vec<Bytes> = vec![encode(&session)?.into()];
     let now = Clock::new().now();
     let gone = ledger.expire(now);
-    let begin = ledger.last();
-    while ledger.oldest() < begin {
-        for record in ledger.carry(1024) {
+    let begin = ledger.last_lsn();
+    while ledger.oldest_needed_lsn() < begin {
+        for record in ledger.snapshot_records(1024) {
             ledger.apply(&record)?;
             group.push(encode(&record)?.into());
         }
@@ -233,12 +246,12 @@
         group.clear();
     }
     log.append(&group)?;
-    log.trim(ledger.oldest())?;
-    let (before, after, figures) = (opened.bytes, log.bytes(), ledger.figures());
+    log.trim(ledger.oldest_needed_lsn())?;
+    let (before, after, figures) = (opened.bytes, log.size_bytes(), ledger.stats());
     log.close()?;
     println!(
         "{before} bytes before, {after} after; {} open and {} ended jobs kept, {gone} expired",
-        figures.open, figures.kept
+        figures.open, figures.retained
     );
     Ok(())
 }
--- a/crates/service/spanlead/src/main.rs
+++ b/crates/service/spanlead/src/main.rs
@@ -177,14 +177,21 @@
     }
     if let Some(membership) = &conf.membership {
         let (members, _) = config.members(membership)?;
-        let bounds = spanlead_membership::Bounds::of(members.count, members.fanout, members.loss);
-        let dead = humantime::format_duration(membership.every * bounds.dead);
-        println!("members    {} schedulers, this is {}; one is dead after {dead}", members.count, members.me);
-        let sets = Config::sets(&conf.leases, members.count)?;
-        if sets.joint > 0 {
+        let bounds = spanlead_membership::SuspicionThresholds::for_tier(
+            members.member_count,
+            members.fanout,
+            members.tolerated_loss,
+        );
+        let dead = humantime::format_duration(membership.every * bounds.dead_after_periods);
+        println!(
+            "members    {} schedulers, this is {}; one is dead after {dead}",
+            members.member_count, members.own_number
+        );
+        let sets = Config::sets(&conf.leases, members.member_count)?;
+        if sets.joint_schedulers > 0 {
             println!(
                 "duties     by majorities of {} and of the first {}: the set is being changed",
-                sets.count, sets.joint
+                sets.schedulers, sets.joint_schedulers
             );
         }
     }
--- a/crates/service/wal/src/lib.rs
+++ b/crates/service/wal/src/lib.rs
@@ -1,24 +1,37 @@
-//! An append-only log of records on disk. What the records mean is not known here.
+//! A write-ahead log on disk. The meaning of the records is the caller's.
 //!
-//! A folder holds segments, each a file `FIRST.log` named after its first record's number, and the file `lock`. A
-//! segment is a head (magic, version, first number, salt, checksum) and frames; a frame is what one group commit wrote: its
-//! length, count and first number, a CRC-32 over these, the salt and the records, and the records. One writer thread takes
-//! what has gathered, writes it as one frame, syncs once and tells how far the log is durable ([`Writer`]); so the next
-//! frame begins only when the one before is on disk, and a torn write can only be the last thing in the last segment.
+//! A directory holds segments, each a file `FIRST.log` named after the LSN of its first record, and the file `lock`. A
+//! segment is a header (magic, version, first LSN, salt, checksum) followed by frames. A frame is what one group commit
+//! wrote: its length, the number of its records and the first LSN, a CRC-32 over these, the salt and the records, and
+//! then the records. One thread ([`LogWriter`]) takes the records that have gathered, writes them as one frame, syncs
+//! once and reports how far the log is durable. So a frame begins only when the one before is on disk, and a torn write
+//! can only be the last thing in the last segment.
 //!
-//! - **Reading back** ([`Log::open`]): what is torn at the very end is cut, with a word of it. A frame that can't be read
-//!   with one behind it that can, or in an earlier segment, is [`OpenError::Damaged`], with file and offset.
-//! - **A failed write or sync** ends the log for this process: the kernel may have dropped the pages that it failed to
-//!   write and call the next sync a success (Rebello et al., "Can Applications Recover from fsync Failures?", USENIX ATC
-//!   2020), so it is never tried again, and what the next process reads back of that tail it writes anew before it trusts it.
-//! - **Old segments** go whole, when no record in them is needed ([`Writer::trim`]).
+//! - **Recovery** ([`WriteAheadLog::open`]): a torn write at the very end is cut off and reported. A frame that can't be
+//!   read, with a readable one behind it or in an earlier segment, is [`OpenError::Corrupt`], with file and offset.
+//! - **A failed write or sync** is final for this process: the kernel may have dropped the pages that it failed to write
+//!   and report the next sync as a success (Rebello et al., "Can Applications Recover from fsync Failures?", USENIX ATC
+//!   2020). So it is never retried, and the next process writes the part of the tail that it can read again before it
+//!   relies on it.
+//! - **Old segments** are removed whole, when no record in them is needed ([`LogWriter::trim`]).
 //!
-//! [`sim`] is a folder in memory that fails, tears and forgets as it is told, for tests.
-mod folder;
+//! [`simulated`] is a directory in memory that fails, tears and forgets as a test tells it to.
+#![warn(missing_docs, unreachable_pub, clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
+
+mod directory;
+mod error;
+mod format;
+mod frame;
 mod log;
-pub mod sim;
+mod reader;
+mod segment;
+pub mod simulated;
 mod writer;
 
-pub use folder::{Disk, Folder, Sink};
-pub use log::{Log, OpenError, Opened, Options, Reader, Segment};
-pub use writer::{Progress, Stats, Writer};
+pub use directory::{AppendFile, Directory, DiskDirectory};
+pub use error::{AppendError, CorruptionReason, FrameError, OpenError, RecordRejected};
+pub use format::Lsn;
+pub use log::{LogOptions, WriteAheadLog};
+pub use reader::{LogContents, LogReader, RecoveryReport, TornWrite};
+pub use segment::SegmentInfo;
+pub use writer::{CommitProgress, CommitStats, LogWriter};
--- a/crates/service/wal/src/writer.rs
+++ b/crates/service/wal/src/writer.rs
@@ -1,5 +1,7 @@
-//! The thread that writes: it takes what has gathered while it was busy, so that one sync serves many records.
-use crate::log::Log;
+//! The thread that writes the log. It takes the records that have gathered while it was busy, so that one sync serves
+//! many records (group commit).
+use crate::format::Lsn;
+use crate::log::WriteAheadLog;
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use std::io;
@@ -8,176 +10,219 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// The most that one group commit takes, so that the first of it does not wait for the last.
-const MAX_GROUP: usize = 4 << 20;
+/// The most bytes that one group commit takes, so that its first record does not wait for the last.
+const MAX_GROUP_BYTES: usize = 4 << 20;
+/// The longest commit latency that is told apart; a longer one counts as this.
+const MAX_RECORDED_LATENCY: Duration = Duration::from_secs(60);
+/// Significant decimal digits of the recorded latencies.
+const LATENCY_DIGITS: u8 = 3;
+/// The name of the thread, as the system shows it.
+const THREAD_NAME: &str = "ledger";
 
-/// What the writer tells, from its own thread.
+/// What the writer reports, from its own thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Progress {
-    /// All records up to this number are durable, and the log has this size on disk.
+pub enum CommitProgress {
+    /// All records up to `last_lsn` are durable.
     Durable {
-        /// The last durable record's number.
-        upto: u64,
-        /// Bytes on disk.
-        bytes: u64,
+        /// The last durable record.
+        last_lsn: Lsn,
+        /// The log's size on disk, bytes.
+        log_bytes: u64,
     },
-    /// The log has failed, and takes nothing more for the life of this process. Records after the last that were told
-    /// durable may be on disk or not.
+    /// The log has failed, and takes no more records for the life of this process. Records behind the last that was
+    /// reported durable may be on disk or not.
     Failed,
 }
 
-/// What the writer has done.
+/// Counts and latencies of the commits so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Stats {
+pub struct CommitStats {
     /// Group commits.
     pub commits: u64,
     /// Records in them.
     pub records: u64,
-    /// Time that half of the commits took at most.
-    pub p50: Duration,
-    /// Time that 99 in 100 took at most.
-    pub p99: Duration,
-    /// The longest.
-    pub max: Duration,
+    /// The median latency of a commit.
+    pub latency_p50: Duration,
+    /// The latency that 99 in 100 commits did not exceed.
+    pub latency_p99: Duration,
+    /// The longest latency of a commit.
+    pub latency_max: Duration,
 }
 
-enum Order {
+enum WriterCommand {
     Append(Vec<Bytes>),
-    Trim(u64),
+    Trim { oldest_needed: Lsn },
 }
 
-/// The way to a log that is written by a thread of its own. Dropping it ends the log in order.
-pub struct Writer {
-    orders: Option<Sender<Order>>,
-    /// Records that nobody waits for yet.
-    kept: Vec<Bytes>,
+/// A handle of the thread that writes a log. Dropping it writes what was appended, and closes the log.
+pub struct LogWriter {
+    commands: Option<Sender<WriterCommand>>,
+    /// Records that were appended and not flushed yet.
+    buffer: Vec<Bytes>,
     thread: Option<JoinHandle<()>>,
-    next: u64,
-    stats: Arc<Mutex<Recorder>>,
+    next_lsn: Lsn,
+    stats: Arc<Mutex<StatsRecorder>>,
 }
 
-struct Recorder {
+struct StatsRecorder {
     commits: u64,
     records: u64,
-    /// Microseconds.
-    times: Option<Histogram<u64>>,
+    /// Commit latencies in microseconds. `None` if the histogram could not be made.
+    latencies: Option<Histogram<u64>>,
 }
 
-impl Writer {
-    /// Begins to write; `tell` hears how far it has come. A commit begins `gather` after its first record, so that more may
-    /// go with it.
+impl LogWriter {
+    /// Starts the thread, which reports its progress to `on_progress`. A commit begins `group_delay` after its first
+    /// record, so that more records share its sync.
     ///
     /// # Errors
-    /// If no thread can be had.
-    pub fn start(
-        log: Log,
-        gather: Duration,
-        tell: impl FnMut(Progress) + Send + 'static,
+    /// If the system gives no thread.
+    pub fn spawn(
+        log: WriteAheadLog,
+        group_delay: Duration,
+        on_progress: impl FnMut(CommitProgress) + Send + 'static,
     ) -> io::Result<Self> {
-        let (orders, inbox) = channel();
-        let next = log.next();
-        // A minute with three digits of it; a longer commit counts as one.
-        let times = Histogram::new_with_max(60_000_000, 3).ok();
-        let stats = Arc::new(Mutex::new(Recorder { commits: 0, records: 0, times }));
-        let recorder = stats.clone();
+        let (commands, receiver) = channel();
+        let next_lsn = log.next_lsn();
+        let stats = Arc::new(Mutex::new(StatsRecorder::new()));
+        let thread_stats = stats.clone();
         let thread = std::thread::Builder::new()
-            .name("ledger".into())
-            .spawn(move || write(log, gather, &inbox, tell, &recorder))?;
-        Ok(Writer { orders: Some(orders), kept: Vec::new(), thread: Some(thread), next, stats })
+            .name(THREAD_NAME.into())
+            .spawn(move || run(log, group_delay, &receiver, on_progress, &thread_stats))?;
+        Ok(LogWriter { commands: Some(commands), buffer: Vec::new(), thread: Some(thread), next_lsn, stats })
     }
 
-    /// Takes a record; returns its number. It is written with the next [`Writer::flush`], and durable once that was told.
-    pub fn append(&mut self, record: Bytes) -> u64 {
-        self.kept.push(record);
-        self.next += 1;
-        self.next - 1
+    /// Takes a record; returns its LSN. It is written with the next [`LogWriter::flush`], and durable once that was
+    /// reported.
+    pub fn append(&mut self, record: Bytes) -> Lsn {
+        self.buffer.push(record);
+        self.next_lsn += 1;
+        self.next_lsn - 1
     }
 
-    /// Hands what was taken to the thread.
+    /// Hands the appended records to the thread.
     pub fn flush(&mut self) {
-        if !self.kept.is_empty() {
-            let kept = std::mem::take(&mut self.kept);
-            self.order(Order::Append(kept));
+        if !self.buffer.is_empty() {
+            let records = std::mem::take(&mut self.buffer);
+            self.send(WriterCommand::Append(records));
         }
     }
 
-    /// Lets segments go that hold nothing from record `oldest` on.
-    pub fn trim(&self, oldest: u64) {
-        self.order(Order::Trim(oldest));
+    /// Lets the thread remove the segments whose records all precede `oldest_needed`.
+    pub fn trim(&self, oldest_needed: Lsn) {
+        self.send(WriterCommand::Trim { oldest_needed });
     }
 
-    fn order(&self, order: Order) {
-        // The thread ends early only after a failure, which it has told.
-        let _ = self.orders.as_ref().map(|to| to.send(order));
+    fn send(&self, command: WriterCommand) {
+        // The thread ends early only after a failure, which it has reported.
+        let _ = self.commands.as_ref().map(|commands| commands.send(command));
     }
 
-    /// What was done so far.
+    /// Counts and latencies of the commits so far.
     #[must_use]
-    pub fn stats(&self) -> Stats {
-        let recorder = self.stats.lock().unwrap_or_else(PoisonError::into_inner);
-        let quantile = |q| recorder.times.as_ref().map_or(0, |times| times.value_at_quantile(q));
-        Stats {
-            commits: recorder.commits,
-            records: recorder.records,
-            p50: Duration::from_micros(quantile(0.5)),
-            p99: Duration::from_micros(quantile(0.99)),
-            max: Duration::from_micros(quantile(1.0)),
-        }
+    pub fn stats(&self) -> CommitStats {
+        self.stats.lock().unwrap_or_else(PoisonError::into_inner).summary()
     }
 }
 
-impl Drop for Writer {
+impl Drop for LogWriter {
     fn drop(&mut self) {
         self.flush();
-        self.orders = None;
+        self.commands = None;
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-fn write(
-    mut log: Log,
-    gather: Duration,
-    inbox: &Receiver<Order>,
-    mut tell: impl FnMut(Progress),
-    stats: &Mutex<Recorder>,
-) {
-    let mut group: Vec<Bytes> = Vec::new();
-    while let Ok(first) = inbox.recv() {
-        let (mut trim, mut size) = (None, 0);
-        if !gather.is_zero() && matches!(first, Order::Append(_)) {
-            std::thread::sleep(gather);
+impl StatsRecorder {
+    fn new() -> Self {
+        let max_us = MAX_RECORDED_LATENCY.as_micros() as u64;
+        StatsRecorder {
+            commits: 0,
+            records: 0,
+            latencies: Histogram::new_with_max(max_us, LATENCY_DIGITS).ok(),
+        }
+    }
+
+    fn record_commit(&mut self, records: usize, latency: Duration) {
+        self.commits += 1;
+        self.records += records as u64;
+        if let Some(latencies) = &mut self.latencies {
+            latencies.saturating_record(latency.as_micros() as u64);
         }
+    }
+
+    fn summary(&self) -> CommitStats {
+        CommitStats {
+            commits: self.commits,
+            records: self.records,
+            latency_p50: self.latency_quantile(0.5),
+            latency_p99: self.latency_quantile(0.99),
+            latency_max: self.latency_quantile(1.0),
+        }
+    }
+
+    fn latency_quantile(&self, quantile: f64) -> Duration {
+        let latencies = self.latencies.as_ref();
+        Duration::from_micros(latencies.map_or(0, |latencies| latencies.value_at_quantile(quantile)))
+    }
+}
+
+/// The records of one commit, and the trim that was asked for meanwhile.
+#[derive(Default)]
+struct Group {
+    records: Vec<Bytes>,
+    trim_before: Option<Lsn>,
+}
+
+impl Group {
+    /// Takes this command and those that wait behind it, until the group has enough bytes.
+    fn gather(first: WriterCommand, receiver: &Receiver<WriterCommand>) -> Self {
+        let mut group = Group::default();
+        let mut gathered_bytes = 0;
         let mut next = Some(first);
-        while let Some(order) = next {
-            match order {
-                Order::Append(records) => {
-                    size += records.iter().map(Bytes::len).sum::<usize>();
-                    group.extend(records);
+        while let Some(command) = next {
+            match command {
+                WriterCommand::Append(records) => {
+                    gathered_bytes += records.iter().map(Bytes::len).sum::<usize>();
+                    group.records.extend(records);
                 }
-                Order::Trim(oldest) => trim = Some(oldest),
+                WriterCommand::Trim { oldest_needed } => group.trim_before = Some(oldest_needed),
             }
-            next = if size < MAX_GROUP { inbox.try_recv().ok() } else { None };
+            next = if gathered_bytes < MAX_GROUP_BYTES { receiver.try_recv().ok() } else { None };
+        }
+        group
+    }
+}
+
+/// The thread's work: one group commit after the other, until the handle is dropped or the log fails.
+fn run(
+    mut log: WriteAheadLog,
+    group_delay: Duration,
+    receiver: &Receiver<WriterCommand>,
+    mut on_progress: impl FnMut(CommitProgress),
+    stats: &Mutex<StatsRecorder>,
+) {
+    while let Ok(first) = receiver.recv() {
+        if !group_delay.is_zero() && matches!(first, WriterCommand::Append(_)) {
+            std::thread::sleep(group_delay);
         }
-        if !group.is_empty() {
-            let begun = Instant::now();
-            if log.append(&group).is_err() {
-                return tell(Progress::Failed);
+        let group = Group::gather(first, receiver);
+        if !group.records.is_empty() {
+            let started = Instant::now();
+            if log.append(&group.records).is_err() {
+                return on_progress(CommitProgress::Failed);
             }
             let mut stats = stats.lock().unwrap_or_else(PoisonError::into_inner);
-            stats.commits += 1;
-            stats.records += group.len() as u64;
-            if let Some(times) = &mut stats.times {
-                times.saturating_record(begun.elapsed().as_micros() as u64);
-            }
+            stats.record_commit(group.records.len(), started.elapsed());
         }
-        // What can't be removed now is tried with the next; space that runs out shows at an append.
-        let trimmed = trim.is_some_and(|oldest| log.trim(oldest).unwrap_or(false));
-        if !group.is_empty() || trimmed {
-            tell(Progress::Durable { upto: log.next() - 1, bytes: log.bytes() });
+        // A segment that can't be removed now is tried again with the next trim; a full disk shows at an append.
+        let trimmed = group.trim_before.is_some_and(|oldest_needed| log.trim(oldest_needed).unwrap_or(false));
+        if !group.records.is_empty() || trimmed {
+            let last_lsn = log.next_lsn() - 1;
+            on_progress(CommitProgress::Durable { last_lsn, log_bytes: log.size_bytes() });
         }
-        group.clear();
     }
     let _ = log.close();
 }
