--- a/crates/service/spanlead/src/driver/durable.rs
+++ b/crates/service/spanlead/src/driver/durable.rs
@@ -57,9 +57,9 @@
         let Some(ledger) = self.ledger.as_mut().filter(|l| l.stage == Stage::Open) else { return };
         match progress {
             CommitProgress::Durable { last_lsn, log_bytes } => {
-                let passed = ledger.barrier.records_durable(upto);
+                let passed = ledger.barrier.records_durable(last_lsn);
                 passed.into_iter().for_each(|passage| self.go_through(passage));
-                self.step(Input::RecordsDurable { bytes });
+                self.step(Input::RecordsDurable { bytes: log_bytes });
             }
             CommitProgress::Failed => {
                 ledger.stage = Stage::Failed;
