--- a/crates/service/balancing-policy/tests/admission.rs
+++ b/crates/service/balancing-policy/tests/admission.rs
@@ -28,13 +28,13 @@
 /// give less than its deadline is no class of later attempts.
 #[test]
 fn late_attempt_is_not_kept_pending_like_a_first_one() {
-    let held = |lefts: [Nanos; 2]| {
+    let pending_times = |times_left: [Nanos; 2]| {
         let mut settings = probing_settings();
         (settings.classes[0].deadline, settings.classes[0].latency_target) = (2 * SEC, 400 * MS);
         let mut world = World::new(settings, 5);
         world.list_ready_workers(2);
-        let waits = lefts.iter().zip(1..).map(|(left, id)| {
-            world.submit(request(id, *left));
+        let waits = times_left.iter().zip(1..).map(|(time_left, id)| {
+            world.submit(request(id, *time_left));
             let from = world.now;
             while !world.checker.requests[&id].closed && world.now < from + 10 * SEC {
                 world.answer_probes(|_| LoadReport { free_slots: Some(0.0), ..LoadReport::default() });
@@ -44,9 +44,9 @@
         });
         waits.collect::<Vec<_>>()
     };
-    let later = held([2 * SEC, SEC]);
+    let later = pending_times([2 * SEC, SEC]);
     assert!((400 * MS..SEC).contains(&later[0]) && later[1] <= 300 * MS, "{later:?}");
-    let short = held([SEC, SEC]);
+    let short = pending_times([SEC, SEC]);
     assert!(short[1] >= 400 * MS, "all come with as much: {short:?}");
 }
 
--- a/crates/service/balancing-policy/tests/safety_rules.rs
+++ b/crates/service/balancing-policy/tests/safety_rules.rs
@@ -10,6 +10,9 @@
     Nanos, Outcome, Request, RequestClass, RequestId, Settings, WorkerId, WorkerState,
 };
 
+/// How many workers the endpoint list names.
+const WORKERS: u64 = 12;
+
 fn random_settings(rng: &mut TestRng) -> Settings {
     let idempotencies = [
         Idempotency::Idempotent,
@@ -45,62 +48,31 @@
     Endpoint { machine_kind, zone, cell, started_at: started, ..Endpoint::new(name, state) }
 }
 
+/// Plays so many random events, then lets the time of all requests run out; returns all actions.
 fn play(seed: u64, steps: usize) -> Vec<Action> {
     let mut rng = TestRng(seed);
     let mut world = World::new(random_settings(&mut rng), rng.next());
-    let names: Vec<String> = (0..12).map(|i| format!("w{i}")).collect();
-    let all: Vec<_> = (0..12u64).map(|n| endpoint(&names[n as usize], n, WorkerState::Ready, None)).collect();
+    let names: Vec<String> = (0..WORKERS).map(|number| format!("w{number}")).collect();
+    let all: Vec<Endpoint<'_>> = (0..WORKERS)
+        .map(|number| endpoint(&names[number as usize], number, WorkerState::Ready, None))
+        .collect();
     world.update_endpoints(EndpointUpdate::CachedSnapshot, &all);
-    let mut id = 0;
+    let mut last_id = 0;
     for _ in 0..steps {
         match rng.below(12) {
-            0..=3 => {
-                id += 1;
-                let left = (50 + rng.below(2_000)) * MS;
-                let mut request = Request::new(RequestId(id), rng.below(2) as u32, left);
-                request.affinity_key = rng.chance(30).then(|| rng.below(5));
-                world.submit(request);
-            }
-            4 => {
-                let n = rng.below(12);
-                let state = match rng.below(3) {
-                    0 => WorkerState::Draining,
-                    1 => WorkerState::Removed,
-                    _ => WorkerState::Ready,
-                };
-                let started = rng.chance(50).then_some(world.now);
-                world.update_endpoints(
-                    EndpointUpdate::Delta,
-                    &[endpoint(&names[n as usize], n, state, started)],
-                );
-            }
+            0..=3 => submit_random(&mut world, &mut rng, &mut last_id),
+            4 => change_random_worker(&mut world, &mut rng, &names),
             5 if rng.chance(20) => {
-                let part = &all[..rng.below(12) as usize];
+                let part = &all[..rng.below(WORKERS) as usize];
                 world.update_endpoints(EndpointUpdate::Snapshot, part);
             }
-            5 => drop(
-                world.handle(Event::EndpointsChanged { update: EndpointUpdate::Unavailable, endpoints: &[] }),
-            ),
-            6 => {
-                if let Some(worker) = world.probes.pop() {
-                    let ok = rng.chance(80);
-                    let outcome = if ok { Outcome::Ok } else { Outcome::ConnectFailed };
-                    let report =
-                        Some(LoadReport { free_slots: Some(rng.below(4) as f64), ..LoadReport::default() });
-                    world.handle(Event::ProbeEnded { worker: &worker, outcome, elapsed: MS, report });
-                }
+            5 => {
+                let update = EndpointUpdate::Unavailable;
+                world.handle(Event::EndpointsChanged { update, endpoints: &[] });
             }
+            6 => end_probe(&mut world, &mut rng),
             7 | 8 => end_one(&mut world, &mut rng),
-            9 => {
-                let open: Vec<u64> = open_ids(&world);
-                if let Some(&id) =
-                    open.get(rng.below(open.len().max(1) as u64) as usize).filter(|_| rng.chance(20))
-                {
-                    world.checker.requests.get_mut(&id).expect("open").closed = true;
-                    world.handle(Event::ClientGone(RequestId(id)));
-                }
-                world.handle(Event::ClientGone(RequestId(u64::MAX)));
-            }
+            9 => leave_random_client(&mut world, &mut rng),
             _ => advance(&mut world, rng.below(60) * MS),
         }
     }
@@ -108,10 +80,49 @@
         advance(&mut world, 100 * MS);
     }
     assert_eq!(world.checker.overdue(world.now), None, "rule 1: an answer is missing");
-    assert!(world.checker.requests.values().all(|r| r.closed));
+    assert!(world.checker.requests.values().all(|request| request.closed));
     world.trace
 }
 
+fn submit_random(world: &mut World, rng: &mut TestRng, last_id: &mut u64) {
+    *last_id += 1;
+    let time_left = (50 + rng.below(2_000)) * MS;
+    let mut request = Request::new(RequestId(*last_id), rng.below(2) as u32, time_left);
+    request.affinity_key = rng.chance(30).then(|| rng.below(5));
+    world.submit(request);
+}
+
+fn change_random_worker(world: &mut World, rng: &mut TestRng, names: &[String]) {
+    let number = rng.below(WORKERS);
+    let state = match rng.below(3) {
+        0 => WorkerState::Draining,
+        1 => WorkerState::Removed,
+        _ => WorkerState::Ready,
+    };
+    let started_at = rng.chance(50).then_some(world.now);
+    let changed = endpoint(&names[number as usize], number, state, started_at);
+    world.update_endpoints(EndpointUpdate::Delta, &[changed]);
+}
+
+fn end_probe(world: &mut World, rng: &mut TestRng) {
+    let Some(worker) = world.probes.pop() else { return };
+    let outcome = if rng.chance(80) { Outcome::Ok } else { Outcome::ConnectFailed };
+    let free_slots = Some(rng.below(4) as f64);
+    let report = Some(LoadReport { free_slots, ..LoadReport::default() });
+    world.handle(Event::ProbeEnded { worker: &worker, outcome, elapsed: MS, report });
+}
+
+/// A client leaves, perhaps, and one that never was.
+fn leave_random_client(world: &mut World, rng: &mut TestRng) {
+    let open = open_ids(world);
+    let drawn = rng.below(open.len().max(1) as u64) as usize;
+    if let Some(&id) = open.get(drawn).filter(|_| rng.chance(20)) {
+        world.checker.requests.get_mut(&id).expect("open").closed = true;
+        world.handle(Event::ClientGone(RequestId(id)));
+    }
+    world.handle(Event::ClientGone(RequestId(u64::MAX)));
+}
+
 fn open_ids(world: &World) -> Vec<u64> {
     world.checker.requests.iter().filter(|(_, r)| !r.closed).map(|(id, _)| *id).collect()
 }
--- a/crates/service/balancing-policy/tests/slow_start.rs
+++ b/crates/service/balancing-policy/tests/slow_start.rs
@@ -16,15 +16,15 @@
     // third of that.
     let (dispatchers, jobs, fleet) = (40u64, 10u64, 20u64);
     let share = dispatchers * jobs / fleet;
-    let cold = jobs_sent_to_a_worker_in_slow_start(|_| None);
-    assert!(cold > 0, "it must get some work to be of use");
-    assert!(cold <= share, "{cold} jobs to a worker in slow start whose warm share is {share}");
+    let jobs = jobs_sent_to_a_worker_in_slow_start(|_| None);
+    assert!(jobs > 0, "it must get some work to be of use");
+    assert!(jobs <= share, "{jobs} jobs to a worker in slow start whose warm share is {share}");
     // By keys, jobs find their places on another way: with one for each job, or one for all.
-    let cold = jobs_sent_to_a_worker_in_slow_start(|id| Some(id * 7919));
-    assert!(cold <= share, "{cold} jobs of many keys to a worker in slow start");
+    let jobs = jobs_sent_to_a_worker_in_slow_start(|id| Some(id * 7919));
+    assert!(jobs <= share, "{jobs} jobs of many keys to a worker in slow start");
     for key in 0..20 {
-        let cold = jobs_sent_to_a_worker_in_slow_start(|_| Some(key));
-        assert!(cold <= share, "{cold} jobs of key {key} to a worker in slow start");
+        let jobs = jobs_sent_to_a_worker_in_slow_start(|_| Some(key));
+        assert!(jobs <= share, "{jobs} jobs of key {key} to a worker in slow start");
     }
 }
 
@@ -32,7 +32,7 @@
 /// started.
 fn jobs_sent_to_a_worker_in_slow_start(key: impl Fn(u64) -> Option<u64>) -> u64 {
     let request = |id: u64, left| Request { affinity_key: key(id), ..request(id, left) };
-    let mut cold = 0;
+    let mut jobs = 0;
     for seed in 0..40 {
         let mut world =
             World::new(Settings { instance_count: 40, ..default_settings(Idempotency::Idempotent) }, seed);
@@ -52,14 +52,14 @@
         for id in 100..110 {
             world.submit(request(id, SEC));
             let sends = world.workers_of(id);
-            cold += sends.iter().filter(|w| *w == "w0").count() as u64;
+            jobs += sends.iter().filter(|w| *w == "w0").count() as u64;
             if !sends.is_empty() {
                 world.end_attempt(id, 0, Outcome::Ok);
             }
             world.now += 200 * MS;
         }
     }
-    cold
+    jobs
 }
 
 /// Found on days when six in ten workers are replaced among a hundred dispatchers of one request in
@@ -68,7 +68,7 @@
 /// other 24.
 #[test]
 fn workers_in_slow_start_get_their_share_from_quiet_dispatchers() {
-    let (dispatchers, fleet, new_worker) = (100u64, 60usize, 36usize);
+    let (dispatchers, fleet, new_workers) = (100u64, 60usize, 36usize);
     let rules = SafetyRules {
         slow_start_duration: 24 * SEC,
         slow_start_initial_fraction: 0.12,
@@ -92,7 +92,7 @@
             // The fleet is full except for its new workers: these would be preferred by all.
             if id == 8 {
                 let started = Some(world.now);
-                let entries: Vec<Endpoint<'_>> = (0..new_worker)
+                let entries: Vec<Endpoint<'_>> = (0..new_workers)
                     .map(|i| Endpoint { started_at: started, ..Endpoint::new(&names[i], WorkerState::Ready) })
                     .collect();
                 world.update_endpoints(EndpointUpdate::Delta, &entries);
@@ -101,10 +101,10 @@
             let Some(to) = world.workers_of(id).first().cloned() else { continue };
             world.end_attempt(id, 0, Outcome::Ok);
             if id >= 8 {
-                let cold = names[..new_worker].contains(&to);
+                let is_new = names[..new_workers].contains(&to);
                 jobs += 1;
-                to_slow_start += u32::from(cold);
-                if cold {
+                to_slow_start += u32::from(is_new);
+                if is_new {
                     *windows.entry((to, (id - 8) / 2)).or_insert(0u32) += 1;
                 }
             }
