--- a/crates/tools/simulator-adapter/tests/wire.rs
+++ b/crates/tools/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as the simulator sees it: lines in, lines out, and plain words on bad input.
+//! The adapter as the simulator sees it: lines in, lines out, and a message on bad input.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_request_is_delivered_and_its_answer_taken() {
+fn request_is_delivered_and_its_answer_accepted() {
     let lines = [
         batch(1, 1_000, &[]),
         batch(2, 2_000, &[&configure(false), LIST]),
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn probes_timers_streams_notes_and_mail_are_read() {
+fn probes_timers_streams_notices_and_mail_are_read() {
     let lines = [
         batch(1, 2_000, &[&configure(true), LIST]),
         batch(2, 3_000, &[&call(7, 1)]),
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn bad_lines_are_named_and_end_the_adapter() {
+fn bad_line_is_named_and_ends_the_adapter() {
     let cases = [
         ("{\"simTime\":1,".to_owned(), "batch"),
         (batch(5, 1, &[r#"{"CALL":{"who":"x"}}"#]), "batch 5: field input[0]"),
@@ -138,9 +138,9 @@
     ];
     for (line, words) in cases {
         let output = run(std::slice::from_ref(&line));
-        let told = String::from_utf8_lossy(&output.stderr).into_owned();
+        let message = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{line}");
-        assert!(told.contains(words) && told.trim_end().lines().count() == 1, "{words}: {told}");
+        assert!(message.contains(words) && message.trim_end().lines().count() == 1, "{words}: {message}");
         assert!(output.stdout.is_empty(), "{line}");
     }
 }
