--- a/crates/service/engine/src/attempts.rs
+++ b/crates/service/engine/src/attempts.rs
@@ -1,74 +1,113 @@
-//! The attempts of requests at workers, from the send to the one place where they end.
-use crate::durable;
-use crate::members::Member;
-use crate::{
-    ACCEPT_TIMEOUT, ACKNOWLEDGE_TIMEOUT, Answer, Attempt, AttemptId, CANCEL_TIMEOUT, DispatchResult, Effect,
-    Engine, JobUpdate, NoticeReply, Stage, Timer, WorkerNotice,
-};
-use spanlead_balancing_policy::{AttemptProgress, Event, LoadReport, Nanos, Outcome, RequestId, WorkerId};
-use std::net::SocketAddr;
+//! Attempts of requests at workers, from the dispatch to the one place where they end.
+use crate::durable::after_durable;
+use crate::request_table::{Attempt, AttemptStage};
+use crate::timers::Timer;
+use crate::{Answer, AttemptId, DispatchResult, Effect, Engine, MS};
+use spanlead_balancing_policy::{Event, LoadReport, Nanos, Outcome, RequestId, WorkerId};
+use spanlead_durable_jobs::JobNumber;
+use std::net::{Ipv4Addr, SocketAddr};
+
+/// How long a worker may take to acknowledge that an attempt is cancelled when the request is over anyway.
+pub(crate) const CANCEL_TIMEOUT: Nanos = 1_000 * MS;
+/// How long a worker may take to say that it has a job: it answers at once, so one that does not by then has lost it.
+pub(crate) const ACCEPT_TIMEOUT: Nanos = 1_000 * MS;
+
+/// The address of an attempt that goes nowhere.
+const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+
+/// What an attempt is dispatched with.
+struct AttemptPlan {
+    addr: SocketAddr,
+    /// When the time that it gets is up.
+    until: Nanos,
+    durable: Option<JobNumber>,
+    /// The client that brought the request waits here, with the request.
+    client_waits: bool,
+}
 
 impl Engine {
-    pub(crate) fn send(
+    /// The policy sends a request to a worker; `timeout` is what it gives the attempt.
+    pub(crate) fn send_attempt(
         &mut self,
         now: Nanos,
         request_id: RequestId,
-        to: &WorkerId,
-        wait: Option<Nanos>,
+        worker: &WorkerId,
+        timeout: Option<Nanos>,
         out: &mut Vec<Effect>,
     ) {
-        let Some(request) = self.requests.get_mut(&request_id) else { return };
-        let attempt = AttemptId { request: request_id, number: request.attempts.len() as u32 };
-        let until = wait.map_or(request.due, |span| request.due.min(now + span));
-        let (durable, first) = (request.durable, request.first);
-        // What can't be written down may not go out.
-        let barred = durable.is_some() && self.durable.as_ref().is_none_or(|d| d.failed);
-        let Some(Member { host, .. }) =
-            self.workers.get(&to.0).filter(|_| !request.answered && now < until && !barred)
-        else {
-            let event = Event::AttemptEnded {
-                id: request_id,
-                attempt: attempt.number,
-                outcome: Outcome::NotSent,
-                closed: request.answered,
-                elapsed: 0,
-                report: None,
-            };
-            let addr = SocketAddr::from(([0, 0, 0, 0], 0));
-            request.attempts.push(Attempt {
-                worker: to.0.clone(),
-                addr,
-                sent: now,
-                stage: Stage::Ended,
-                may_have_run: false,
-                token: None,
-                leased: None,
-            });
-            return self.decide(now, event, out);
+        let Some(request) = self.requests.get(request_id) else { return };
+        let number = request.attempts.len() as u32;
+        let attempt = AttemptId { request: request_id, number };
+        let Some(plan) = self.plan_attempt(now, request_id, worker, timeout) else {
+            return self.attempt_not_sent(now, attempt, worker, out);
         };
-        let addr = host.addr;
-        let (worker, stage) = (to.0.clone(), Stage::Dispatched);
+        self.add_attempt(now, attempt, worker, plan.addr, AttemptStage::Dispatched);
+        let lease = plan.durable.and_then(|job| self.grant_lease(now, job, attempt, out));
+        self.timers.set(plan.until, Timer::AttemptTimeout(attempt));
+        self.timers.set(plan.until.min(now + ACCEPT_TIMEOUT), Timer::AcceptTimeout(attempt));
+        let text = plan.durable.filter(|_| !plan.client_waits).and_then(|job| self.stored_request(job));
+        let (addr, until) = (plan.addr, plan.until);
+        let send = Effect::SendAttempt { attempt, addr, until, lease, text };
+        out.push(if plan.durable.is_some() { after_durable(send, until) } else { send });
+    }
+
+    /// What an attempt is dispatched with; `None` if it must not go out.
+    fn plan_attempt(
+        &self,
+        now: Nanos,
+        request_id: RequestId,
+        worker: &WorkerId,
+        timeout: Option<Nanos>,
+    ) -> Option<AttemptPlan> {
+        let request = self.requests.get(request_id)?;
+        let until = timeout.map_or(request.due, |span| request.due.min(now + span));
+        // What cannot be recorded must not go out.
+        let is_unrecordable =
+            request.durable.is_some() && self.durable.as_ref().is_none_or(|jobs| jobs.failed);
+        if request.answered || now >= until || is_unrecordable {
+            return None;
+        }
+        let addr = self.workers.get(&worker.0)?.host.addr;
+        let (durable, client_waits) = (request.durable, request.client_waits);
+        Some(AttemptPlan { addr, until, durable, client_waits })
+    }
+
+    fn add_attempt(
+        &mut self,
+        now: Nanos,
+        attempt: AttemptId,
+        worker: &WorkerId,
+        addr: SocketAddr,
+        stage: AttemptStage,
+    ) {
+        let Some(request) = self.requests.get_mut(attempt.request) else { return };
         request.attempts.push(Attempt {
-            worker,
+            worker: worker.0.clone(),
             addr,
             sent: now,
             stage,
-            may_have_run: true,
+            may_have_run: stage != AttemptStage::Ended,
             token: None,
-            leased: None,
+            lease_until: None,
         });
-        let offer = durable.and_then(|no| self.lease(now, no, attempt, out));
-        self.set_timer(until, Timer::AttemptEnds(attempt));
-        self.set_timer(until.min(now + ACCEPT_TIMEOUT), Timer::Untaken(attempt));
-        let text = durable.filter(|_| !first).and_then(|no| self.text(no));
-        let send = Effect::SendAttempt { attempt, addr, until, lease: offer, text };
-        out.push(if durable.is_some() { durable::durably(send, until) } else { send });
     }
 
-    pub(crate) fn stage(&self, AttemptId { request: request_id, number }: AttemptId) -> Option<Stage> {
-        Some(self.requests.get(&request_id)?.attempts.get(number as usize)?.stage)
+    /// Tells the policy that an attempt has not gone out.
+    fn attempt_not_sent(&mut self, now: Nanos, attempt: AttemptId, worker: &WorkerId, out: &mut Vec<Effect>) {
+        self.add_attempt(now, attempt, worker, NO_ADDRESS, AttemptStage::Ended);
+        let closed = self.requests.get(attempt.request).is_some_and(|request| request.answered);
+        let event = Event::AttemptEnded {
+            id: attempt.request,
+            attempt: attempt.number,
+            outcome: Outcome::NotSent,
+            closed,
+            elapsed: 0,
+            report: None,
+        };
+        self.decide(now, event, out);
     }
 
+    /// The exchange that dispatches an attempt has ended.
     pub(crate) fn dispatch_finished(
         &mut self,
         now: Nanos,
@@ -76,138 +115,76 @@
         result: DispatchResult,
         out: &mut Vec<Effect>,
     ) {
-        match (self.stage(attempt), result) {
-            (Some(Stage::Dispatched), DispatchResult::Accepted { lease_aware: aware }) => {
-                self.set_stage(attempt, Stage::Accepted);
-                self.held(attempt, aware, out);
+        let is_open = match self.requests.stage(attempt) {
+            Some(AttemptStage::Dispatched | AttemptStage::Cancelling(_)) => true,
+            // It was cancelled meanwhile, or a worker's notice has ended it before the answer to the dispatch came.
+            Some(AttemptStage::Accepted | AttemptStage::Ended) | None => false,
+        };
+        match result {
+            DispatchResult::Accepted { lease_aware } => {
+                if self.requests.stage(attempt) == Some(AttemptStage::Dispatched) {
+                    self.requests.set_stage(attempt, AttemptStage::Accepted);
+                    self.record_accepted(attempt, lease_aware, out);
+                }
             }
-            (Some(Stage::Dispatched | Stage::Cancelling(_)), DispatchResult::Ended(outcome, report)) => {
-                self.end(now, attempt, outcome, report, out);
+            DispatchResult::Ended(outcome, report) if is_open => {
+                self.end_attempt(now, attempt, outcome, report, out);
             }
-            // The fault is the request's, so it is not the worker that must be left alone for it, and a repeat would
-            // only take it to the next one.
-            (Some(Stage::Dispatched | Stage::Cancelling(_)), DispatchResult::Unprocessable) => {
+            // The fault is the request's, so the worker must not be avoided for it, and a retry would only take it to the
+            // next one.
+            DispatchResult::Unprocessable if is_open => {
                 self.answer(now, attempt.request, Answer::Unprocessable, out);
-                self.end(now, attempt, Outcome::Cancelled, None, out);
+                self.end_attempt(now, attempt, Outcome::Cancelled, None, out);
             }
-            // It was called off meanwhile, or a worker's notice has ended it before the answer to the send came.
-            _ => {}
+            DispatchResult::Ended(..) | DispatchResult::Unprocessable => {}
         }
     }
 
-    pub(crate) fn set_stage(&mut self, AttemptId { request: request_id, number }: AttemptId, stage: Stage) {
-        let request = self.requests.get_mut(&request_id);
-        if let Some(attempt) = request.and_then(|r| r.attempts.get_mut(number as usize)) {
-            attempt.stage = stage;
+    /// The worker knows that an attempt is cancelled.
+    pub(crate) fn attempt_cancelled(&mut self, now: Nanos, attempt: AttemptId, out: &mut Vec<Effect>) {
+        if let Some(AttemptStage::Cancelling(outcome)) = self.requests.stage(attempt) {
+            self.end_attempt(now, attempt, outcome, None, out);
         }
     }
 
-    /// Takes a worker's notice. Its acknowledgement waits until what the notice has changed is durable.
-    pub(crate) fn worker_notice(&mut self, now: Nanos, notice: WorkerNotice, out: &mut Vec<Effect>) {
-        let before = self.recorded();
-        let number = notice.notice;
-        let last = !matches!(notice.update, JobUpdate::Running(_));
-        let reply = self.apply_notice(now, notice, out);
-        let effect = Effect::Acknowledge { notice: number, reply };
-        // A repeat may come before what its first has changed is durable.
-        let waits = self.recorded() > before || last && self.durable.is_some();
-        out.push(if waits { durable::durably(effect, now + ACKNOWLEDGE_TIMEOUT) } else { effect });
-    }
-
-    /// Notices repeat, overtake the answer to the dispatch and come late: only one that matches a pending attempt at the
-    /// worker that it was sent to changes anything. (The policy never sends a request twice to one worker, so id and
-    /// worker name the attempt.)
-    fn apply_notice(&mut self, now: Nanos, notice: WorkerNotice, out: &mut Vec<Effect>) -> NoticeReply {
-        let WorkerNotice { job_id, worker, fencing_token: token, update, report, .. } = notice;
-        let Some(attempt) = self.noticed_attempt(&job_id, &worker, token) else {
-            return self.stale(&job_id, token);
-        };
-        if self.stage(attempt) == Some(Stage::Dispatched) {
-            // Whatever became of its answer, it has the job.
-            self.set_stage(attempt, Stage::Accepted);
-            self.held(attempt, token.is_some(), out);
-        }
-        let mut lease = None;
-        let note =
-            |note| Event::AttemptProgressed { id: attempt.request, attempt: attempt.number, progress: note };
-        match update {
-            JobUpdate::Started => {
-                lease = self.renew(now, attempt, token, out);
-                self.started(attempt, out);
-                self.decide(now, note(AttemptProgress::Started), out);
-            }
-            JobUpdate::Running(share) => {
-                lease = self.renew(now, attempt, token, out);
-                self.decide(now, note(AttemptProgress::Completed(share)), out);
-            }
-            JobUpdate::Done(result) => {
-                self.answer(now, attempt.request, Answer::Served(result), out);
-                self.end(now, attempt, Outcome::Ok, report, out);
-            }
-            JobUpdate::Failed => self.end(now, attempt, Outcome::Error, report, out),
-            JobUpdate::Returned => self.end(now, attempt, Outcome::Rejected, report, out),
-            JobUpdate::Lost => self.end(now, attempt, Outcome::Reset, report, out),
-        }
-        NoticeReply::Acknowledged { lease }
-    }
-
-    /// The pending attempt that a worker's notice is about.
-    fn noticed_attempt(&self, job_id: &str, worker: &str, token: Option<u64>) -> Option<AttemptId> {
-        let request_id = *self.by_id.get(job_id)?;
-        let request = self.requests.get(&request_id)?;
-        let matches = |attempt: &Attempt| {
-            let fits = attempt.token.is_none() || token.is_none() || attempt.token.map(|t| t.0) == token;
-            &*attempt.worker == worker && attempt.stage != Stage::Ended && fits
-        };
-        let number = request.attempts.iter().rposition(matches)?;
-        Some(AttemptId { request: request_id, number: number as u32 })
-    }
-
-    /// Calls an attempt off. While another may follow, its outcome waits until the worker knows, so that two are
-    /// never out at once; when the request is over, nothing waits for it.
-    pub(crate) fn abandon(
+    /// Cancels an attempt. While another may follow, its outcome waits until the worker knows, so that two are never pending
+    /// at once; when the request is over, nothing waits for it.
+    pub(crate) fn cancel_attempt(
         &mut self,
         now: Nanos,
         attempt: AttemptId,
         outcome: Outcome,
         out: &mut Vec<Effect>,
     ) {
-        let Some(request) = self.requests.get_mut(&attempt.request) else { return };
-        let (over, due) = (request.answered || now >= request.due, request.due);
+        let Some(request) = self.requests.get_mut(attempt.request) else { return };
+        let is_over = request.answered || now >= request.due;
+        let (due, job_id) = (request.due, request.job_id.clone());
         let Some(this) = request.attempts.get_mut(attempt.number as usize) else { return };
-        let taken = match this.stage {
-            Stage::Dispatched => false,
-            Stage::Accepted => true,
-            Stage::Cancelling(_) | Stage::Ended => return,
+        let accepted = match this.stage {
+            AttemptStage::Dispatched => false,
+            AttemptStage::Accepted => true,
+            AttemptStage::Cancelling(_) | AttemptStage::Ended => return,
         };
-        this.stage = Stage::Cancelling(outcome);
-        let until = if over { now + CANCEL_TIMEOUT } else { due.max(now + CANCEL_TIMEOUT) };
-        out.push(Effect::CancelAttempt {
-            attempt,
-            addr: this.addr,
-            job_id: request.id.clone(),
-            accepted: taken,
-            until,
-        });
-        if over {
-            self.end(now, attempt, outcome, None, out);
+        this.stage = AttemptStage::Cancelling(outcome);
+        let addr = this.addr;
+        let until = if is_over { now + CANCEL_TIMEOUT } else { due.max(now + CANCEL_TIMEOUT) };
+        out.push(Effect::CancelAttempt { attempt, addr, job_id, accepted, until });
+        if is_over {
+            self.end_attempt(now, attempt, outcome, None, out);
         }
     }
 
-    pub(crate) fn abandon_all(&mut self, now: Nanos, request_id: RequestId, out: &mut Vec<Effect>) {
-        let attempts = self.requests.get(&request_id).map_or(0, |r| r.attempts.len());
-        for number in 0..attempts {
-            self.abandon(
-                now,
-                AttemptId { request: request_id, number: number as u32 },
-                Outcome::Cancelled,
-                out,
-            );
+    /// Cancels all attempts of a request.
+    pub(crate) fn cancel_attempts(&mut self, now: Nanos, request_id: RequestId, out: &mut Vec<Effect>) {
+        let attempts = self.requests.get(request_id).map_or(0, |request| request.attempts.len());
+        for number in 0..attempts as u32 {
+            let attempt = AttemptId { request: request_id, number };
+            self.cancel_attempt(now, attempt, Outcome::Cancelled, out);
         }
     }
 
     /// The one place where an attempt ends.
-    pub(crate) fn end(
+    pub(crate) fn end_attempt(
         &mut self,
         now: Nanos,
         attempt: AttemptId,
@@ -215,19 +192,20 @@
         report: Option<LoadReport>,
         out: &mut Vec<Effect>,
     ) {
-        let AttemptId { request: request_id, number } = attempt;
-        let Some(request) = self.requests.get_mut(&request_id) else { return };
-        let closed = request.answered;
-        let Some(this) = request.attempts.get_mut(number as usize).filter(|a| a.stage != Stage::Ended) else {
+        let Some(request) = self.requests.get_mut(attempt.request) else { return };
+        let (closed, durable) = (request.answered, request.durable);
+        let Some(this) = request.attempts.get_mut(attempt.number as usize) else { return };
+        if this.stage == AttemptStage::Ended {
             return;
-        };
-        this.stage = Stage::Ended;
+        }
+        this.stage = AttemptStage::Ended;
         this.may_have_run = !outcome.never_ran();
-        let (ran, token, durable) = (this.may_have_run, this.token, request.durable);
+        let (may_have_run, token) = (this.may_have_run, this.token);
         let elapsed = now.saturating_sub(this.sent);
-        self.released(durable, token, ran, out);
-        let event = Event::AttemptEnded { id: request_id, attempt: number, outcome, closed, elapsed, report };
+        self.record_released(durable, token, may_have_run, out);
+        let (id, attempt_number) = (attempt.request, attempt.number);
+        let event = Event::AttemptEnded { id, attempt: attempt_number, outcome, closed, elapsed, report };
         self.decide(now, event, out);
-        self.forget(request_id);
+        self.remove_if_done(attempt.request);
     }
 }
--- /dev/null
+++ b/crates/service/engine/src/durable/recording.rs
@@ -0,0 +1,145 @@
+//! Which jobs are durable, and the records of what becomes of them.
+use super::DURABLE_RETRY_AFTER;
+use crate::{Answer, Effect, Engine, Job};
+use bytes::Bytes;
+use spanlead_balancing_policy::{Idempotency, Nanos};
+use spanlead_durable_jobs::{
+    AcceptedJob, IdempotencyKey, JobNumber, JobOutcome, Lsn, PastAttempt, Record, RetrySafety,
+};
+use std::sync::Arc;
+
+impl Engine {
+    /// The number of the last record; 0 if durable jobs are not kept.
+    pub(crate) fn last_record(&self) -> Lsn {
+        self.durable.as_ref().map_or(0, |jobs| jobs.ledger.last_lsn())
+    }
+
+    /// The one place where a record is made: it changes the jobs' state and goes to the log.
+    pub(crate) fn record(&mut self, record: Record, out: &mut Vec<Effect>) {
+        let Some(jobs) = &mut self.durable else { return };
+        match jobs.ledger.apply(&record) {
+            Ok(()) if jobs.failed => {}
+            Ok(()) => out.push(Effect::AppendRecord(record)),
+            Err(illegal) => {
+                debug_assert!(false, "{illegal}");
+                out.push(Effect::Log(format!("durable job record not applied: {illegal}")));
+            }
+        }
+    }
+
+    /// Whether this job is durable.
+    fn is_durable(&self, job: &Job) -> bool {
+        let Some(request) = &job.durable_request else { return false };
+        let keeps_all = self.durable.as_ref().is_some_and(|jobs| jobs.keeps_all);
+        keeps_all || self.classes.runs_at_most_once(job.class) || request.key.is_some()
+    }
+
+    /// The idempotency key of a job, with whom it belongs to.
+    pub(super) fn idempotency_key(&self, job: &Job) -> Option<IdempotencyKey> {
+        let key = job.durable_request.as_ref()?.key.clone()?;
+        Some(IdempotencyKey { owner: self.tenant_name(job), class: self.class_name(job), key })
+    }
+
+    fn tenant_name(&self, job: &Job) -> Arc<str> {
+        name_of(&self.classes.names.tenants, job.tenant)
+    }
+
+    fn class_name(&self, job: &Job) -> Arc<str> {
+        name_of(&self.classes.names.classes, job.class)
+    }
+
+    /// Why a durable job cannot be accepted now.
+    pub(crate) fn durable_rejection(&mut self, job: &Job) -> Option<Answer> {
+        if !self.keeps_durable_jobs || !self.is_durable(job) {
+            return None;
+        }
+        let can_record = self.durable.as_ref().is_some_and(|jobs| !jobs.failed && !jobs.is_full());
+        if can_record {
+            return None;
+        }
+        if let Some(jobs) = &mut self.durable {
+            jobs.counters.turned_away += 1;
+        }
+        Some(Answer::Rejected { retry_after: Some(DURABLE_RETRY_AFTER) })
+    }
+
+    /// Records a new job, if it is durable. `unresolved` are attempts of an earlier one of its key.
+    pub(crate) fn record_taken(
+        &mut self,
+        now: Nanos,
+        job: &Job,
+        unresolved: Vec<PastAttempt>,
+        out: &mut Vec<Effect>,
+    ) -> Option<JobNumber> {
+        if !self.is_durable(job) {
+            return None;
+        }
+        let retry_safety = match self.classes.idempotency(job.class)? {
+            Idempotency::Idempotent => RetrySafety::Idempotent,
+            Idempotency::Deduplicated { window, .. } => RetrySafety::Deduplicated(window),
+            Idempotency::AtMostOnce => RetrySafety::NonIdempotent,
+        };
+        let number = self.durable.as_ref()?.ledger.next_job();
+        let request = job.durable_request.as_ref()?;
+        let accepted = AcceptedJob {
+            number,
+            id: job.id.clone(),
+            key: request.key.clone(),
+            class: self.class_name(job),
+            owner: self.tenant_name(job),
+            fingerprint: request.fingerprint,
+            retry_safety,
+            accepted_at: now,
+            deadline: job.due,
+            slots: job.slots,
+            memory: job.memory,
+            subject: job.affinity_key,
+            request_body: request.text.clone(),
+            inherited_attempts: unresolved,
+        };
+        self.record(Record::Accepted(accepted), out);
+        Some(number)
+    }
+
+    /// Records a job's end.
+    pub(crate) fn record_end(
+        &mut self,
+        now: Nanos,
+        durable: Option<JobNumber>,
+        answer: &Answer,
+        out: &mut Vec<Effect>,
+    ) {
+        if let Some(job) = durable {
+            self.record(Record::Finished { job, finished_at: now, outcome: recorded_end(answer) }, out);
+        }
+    }
+
+    /// The request of a durable job as it goes to a worker, encoded.
+    pub(crate) fn stored_request(&self, job: JobNumber) -> Option<Bytes> {
+        Some(self.durable.as_ref()?.ledger.job(job)?.accepted.request_body.clone())
+    }
+}
+
+fn name_of(names: &[String], number: u32) -> Arc<str> {
+    Arc::from(names.get(number as usize).map_or("", String::as_str))
+}
+
+/// An answer as it is recorded.
+fn recorded_end(answer: &Answer) -> JobOutcome {
+    match answer {
+        Answer::Served(result) => JobOutcome::Succeeded(Arc::from(result.as_str())),
+        Answer::Rejected { .. } => JobOutcome::Rejected,
+        Answer::Unprocessable => JobOutcome::Unschedulable,
+        Answer::Failed | Answer::DuplicateId | Answer::KeyMismatch => JobOutcome::Failed,
+    }
+}
+
+/// The answer that was recorded.
+pub(super) fn recorded_answer(end: &JobOutcome) -> Answer {
+    match end {
+        JobOutcome::Succeeded(result) => Answer::Served(result.to_string()),
+        JobOutcome::Rejected => Answer::Rejected { retry_after: Some(DURABLE_RETRY_AFTER) },
+        JobOutcome::Failed => Answer::Failed,
+        JobOutcome::Unschedulable => Answer::Unprocessable,
+    }
+}
--- /dev/null
+++ b/crates/service/engine/src/handover.rs
@@ -0,0 +1,41 @@
+//! Open requests that the successor process takes over.
+use crate::request_table::{Attempt, AttemptStage, JoinedClient};
+use crate::{AttemptSnapshot, Effect, Engine, RequestSnapshot};
+use spanlead_balancing_policy::{Event, Nanos, RequestId};
+
+impl Engine {
+    /// Gives up what is open to the successor; a request of which a worker is just being told, one way or the other, must
+    /// wait.
+    pub(crate) fn hand_over_requests(&mut self, now: Nanos, out: &mut Vec<Effect>) {
+        for request_id in self.requests.movable() {
+            self.hand_over_request(now, request_id, out);
+        }
+    }
+
+    fn hand_over_request(&mut self, now: Nanos, request_id: RequestId, out: &mut Vec<Effect>) {
+        let Some(request) = self.requests.remove_handed_over(request_id) else { return };
+        let due = request.due;
+        for JoinedClient { request_id, job_id } in request.joined {
+            let snapshot = RequestSnapshot { id: job_id, due, attempts: Vec::new(), durable: true };
+            out.push(Effect::HandOverRequest { request_id, snapshot });
+        }
+        // The successor reads the attempts of a durable job in the log.
+        let durable = request.durable.is_some();
+        let attempts = if durable { Vec::new() } else { request.attempts };
+        let attempts = attempts.into_iter().map(attempt_snapshot).collect();
+        if request.client_waits {
+            let snapshot = RequestSnapshot { id: request.job_id, due, attempts, durable };
+            out.push(Effect::HandOverRequest { request_id, snapshot });
+        }
+        self.decide(now, Event::ClientGone(request_id), out);
+    }
+}
+
+fn attempt_snapshot(attempt: Attempt) -> AttemptSnapshot {
+    let is_ended = attempt.stage == AttemptStage::Ended;
+    AttemptSnapshot {
+        worker: attempt.worker,
+        sent: attempt.sent,
+        may_have_run: is_ended.then_some(attempt.may_have_run),
+    }
+}
--- a/crates/service/engine/src/membership.rs
+++ b/crates/service/engine/src/membership.rs
@@ -1,126 +1,142 @@
-//! The members' place in the reducer: heartbeats by the timers, what this scheduler says of itself from its state.
-use crate::duties::KIND;
-use crate::{Effect, Engine, MS, Timer};
+//! The membership's place in the engine: heartbeats by the timers, and what this scheduler announces of its own state.
+use crate::roles::ROLES_PROTOCOL;
+use crate::timers::Timer;
+use crate::{Effect, Engine, MS};
 use serde::Serialize;
 use spanlead_balancing_policy::Nanos;
 use spanlead_membership::{Action, GossipMembership, LifecyclePhase, MemberState, MembershipConfig};
 
 /// The members, and the span between two heartbeats.
 pub(crate) struct Membership {
-    pub members: GossipMembership,
-    every: Nanos,
+    pub(crate) members: GossipMembership,
+    heartbeat_interval: Nanos,
 }
 
-/// What operators are shown of the members.
+/// The membership as operators are shown it. Field names are keys of `/ops` JSON.
 #[derive(Debug, Serialize)]
 pub struct MembersView {
     /// This scheduler's number.
     pub me: u16,
     /// One more with each change.
     pub view: u64,
+    /// The members, by their numbers.
     pub members: Vec<MemberView>,
 }
 
-/// One of them.
+/// One member.
 #[derive(Debug, Serialize)]
 pub struct MemberView {
+    /// Its number.
     pub number: u16,
-    /// Once it was told.
+    /// Its name, once it was received.
     pub name: Option<String>,
     /// Grows with each start; text, since programs that read JSON may round numbers.
     pub incarnation: String,
-    /// Of its program, once it was told.
+    /// The version of its program, once it was received.
     pub version: Option<String>,
+    /// Its state.
     pub state: MemberState,
-    /// How long it has been that, by the time that this scheduler has lived through.
+    /// How long it has been in that state, milliseconds, by the time that this scheduler has lived through.
     pub since_ms: u64,
 }
 
 impl Engine {
-    pub(crate) fn enter(
+    pub(crate) fn join_membership(
         &mut self,
         now: Nanos,
         settings: MembershipConfig,
-        every: Nanos,
+        heartbeat_interval: Nanos,
         out: &mut Vec<Effect>,
     ) {
-        self.membership = Some(Membership { members: GossipMembership::new(settings), every });
-        self.beat(now, out);
+        self.membership = Some(Membership { members: GossipMembership::new(settings), heartbeat_interval });
+        self.heartbeat(now, out);
     }
 
-    /// A period is over.
-    pub(crate) fn beat(&mut self, now: Nanos, out: &mut Vec<Effect>) {
-        self.say(out);
+    /// A heartbeat is due.
+    pub(crate) fn heartbeat(&mut self, now: Nanos, out: &mut Vec<Effect>) {
+        self.announce_stage(out);
         let Some(membership) = &mut self.membership else { return };
-        let mut said = Vec::new();
-        membership.members.tick(&mut said);
-        let every = membership.every;
-        effects(said, out);
+        let mut messages = Vec::new();
+        membership.members.tick(&mut messages);
         // From now on, not from when it was due: one that was stopped lives through one period when it wakes, not through all
         // that it missed.
-        self.set_timer(now + every, Timer::Beat);
+        self.timers.set(now + membership.heartbeat_interval, Timer::Heartbeat);
+        push_effects(messages, out);
     }
 
-    /// Tells the others what this scheduler does, if that has changed.
-    pub(crate) fn say(&mut self, out: &mut Vec<Effect>) {
-        let stage = match (self.is_closing(), self.is_serving()) {
-            (true, _) => LifecyclePhase::Draining,
-            (false, true) => LifecyclePhase::Serving,
-            (false, false) => LifecyclePhase::Starting,
+    /// Announces what this scheduler does to the others, if that has changed.
+    pub(crate) fn announce_stage(&mut self, out: &mut Vec<Effect>) {
+        let phase = if self.is_closing() {
+            LifecyclePhase::Draining
+        } else if self.is_serving() {
+            LifecyclePhase::Serving
+        } else {
+            LifecyclePhase::Starting
         };
-        self.say_stage(stage, out);
+        self.announce(phase, out);
     }
 
-    pub(crate) fn say_stage(&mut self, stage: LifecyclePhase, out: &mut Vec<Effect>) {
+    pub(crate) fn announce(&mut self, phase: LifecyclePhase, out: &mut Vec<Effect>) {
         let Some(membership) = &mut self.membership else { return };
-        let mut said = Vec::new();
-        membership.members.set_phase(stage, &mut said);
-        effects(said, out);
+        let mut messages = Vec::new();
+        membership.members.set_phase(phase, &mut messages);
+        push_effects(messages, out);
     }
 
-    /// Sends another protocol's words to a member.
-    pub(crate) fn carry(&mut self, to: u16, kind: u8, bytes: Vec<u8>, out: &mut Vec<Effect>) {
+    /// Sends another protocol's message to a member.
+    pub(crate) fn send_to_member(
+        &mut self,
+        member: u16,
+        protocol: u8,
+        bytes: Vec<u8>,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(membership) = &mut self.membership else { return };
-        let mut said = Vec::new();
-        membership.members.send_payload(to, kind, bytes, &mut said);
-        effects(said, out);
+        let mut messages = Vec::new();
+        membership.members.send_payload(member, protocol, bytes, &mut messages);
+        push_effects(messages, out);
     }
 
-    /// A datagram of a peer, if it is for the members.
-    pub(crate) fn peer(&mut self, now: Nanos, from: u32, data: &[u8], out: &mut Vec<Effect>) -> bool {
-        let Some(membership) = &mut self.membership else { return false };
-        let mut said = Vec::new();
-        membership.members.receive(from.try_into().unwrap_or(u16::MAX), data, &mut said);
-        for said in said {
-            match said {
-                Action::Payload { from, protocol: KIND, bytes } => self.hear_duties(now, from, &bytes, out),
-                said => effects(vec![said], out),
+    /// A datagram of a peer.
+    pub(crate) fn membership_message(&mut self, now: Nanos, from: u32, data: &[u8], out: &mut Vec<Effect>) {
+        let Some(membership) = &mut self.membership else { return };
+        let mut messages = Vec::new();
+        membership.members.receive(from.try_into().unwrap_or(u16::MAX), data, &mut messages);
+        for message in messages {
+            match message {
+                Action::Payload { from, protocol: ROLES_PROTOCOL, bytes } => {
+                    self.roles_message(now, from, &bytes, out);
+                }
+                message => out.extend(effect_of(message)),
             }
         }
-        true
     }
 
-    /// The members as operators are shown them; `None` where there is no membership.
+    /// The membership as operators are shown it; `None` where it is not switched on.
     pub fn members_view(&self) -> Option<MembersView> {
-        let Membership { members, every } = self.membership.as_ref()?;
-        let of = |m: spanlead_membership::Member| MemberView {
-            number: m.number,
-            name: m.name,
-            incarnation: m.incarnation.to_string(),
-            version: m.version,
-            state: m.state,
-            since_ms: m.periods_in_state * every / MS,
+        let Membership { members, heartbeat_interval } = self.membership.as_ref()?;
+        let view = |member: spanlead_membership::Member| MemberView {
+            number: member.number,
+            name: member.name,
+            incarnation: member.incarnation.to_string(),
+            version: member.version,
+            state: member.state,
+            since_ms: member.periods_in_state * heartbeat_interval / MS,
         };
-        let list = members.members().map(of).collect();
-        Some(MembersView { me: members.own_number(), view: members.stats().view, members: list })
+        let views = members.members().map(view).collect();
+        Some(MembersView { me: members.own_number(), view: members.stats().view, members: views })
     }
 }
 
-fn effects(said: Vec<Action>, out: &mut Vec<Effect>) {
-    out.extend(said.into_iter().filter_map(|said| match said {
+fn effect_of(message: Action) -> Option<Effect> {
+    match message {
         Action::Send { to, datagram: data } => Some(Effect::SendPeerMessage { peer: Some(to.into()), data }),
         Action::StateChanged(change) => Some(Effect::MemberChanged(change)),
         // Of a protocol that this program does not know.
         Action::Payload { .. } => None,
-    }));
+    }
+}
+
+fn push_effects(messages: Vec<Action>, out: &mut Vec<Effect>) {
+    out.extend(messages.into_iter().filter_map(effect_of));
 }
--- /dev/null
+++ b/crates/service/engine/src/request_table.rs
@@ -0,0 +1,260 @@
+//! The requests that are open, and how those that were accepted have ended.
+//!
+//! Invariants: each open request stands under its id in `by_job_id`; each client that waits for another's request stands in
+//! `joined` and in that request's list; `pending` is the number of clients that wait for an answer.
+use crate::input::AttemptId;
+use crate::{Answer, RequestCounts};
+use spanlead_balancing_policy::{Nanos, Outcome, RequestId};
+use spanlead_durable_jobs::{FencingToken, JobNumber};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// What has become of an attempt.
+#[derive(Clone, Copy, PartialEq)]
+pub(crate) enum AttemptStage {
+    /// Sent; the worker has not said that it has the job.
+    Dispatched,
+    /// The worker has the job.
+    Accepted,
+    /// Being cancelled; this outcome stands once the worker knows.
+    Cancelling(Outcome),
+    /// Over.
+    Ended,
+}
+
+/// An attempt at a worker.
+pub(crate) struct Attempt {
+    pub(crate) worker: Arc<str>,
+    pub(crate) addr: SocketAddr,
+    pub(crate) sent: Nanos,
+    pub(crate) stage: AttemptStage,
+    /// Known once it is over.
+    pub(crate) may_have_run: bool,
+    /// Its lease's fencing token, if the job is durable.
+    pub(crate) token: Option<FencingToken>,
+    /// The worker goes by the lease, and may believe in it until then at the latest.
+    pub(crate) lease_until: Option<Nanos>,
+}
+
+/// A client that waits for the answer to another's request.
+pub(crate) struct JoinedClient {
+    pub(crate) request_id: RequestId,
+    pub(crate) job_id: Arc<str>,
+}
+
+/// An open request.
+pub(crate) struct Request {
+    pub(crate) job_id: Arc<str>,
+    pub(crate) class: u32,
+    pub(crate) due: Nanos,
+    pub(crate) answered: bool,
+    pub(crate) attempts: Vec<Attempt>,
+    /// Its durable job.
+    pub(crate) durable: Option<JobNumber>,
+    /// The client that brought it still waits.
+    pub(crate) client_waits: bool,
+    pub(crate) joined: Vec<JoinedClient>,
+}
+
+impl Request {
+    /// Whether it is answered and no attempt is pending.
+    fn is_done(&self) -> bool {
+        self.answered && self.attempts.iter().all(|attempt| attempt.stage == AttemptStage::Ended)
+    }
+
+    /// Whether another process can take it over: no worker is just being told anything of it.
+    fn can_be_handed_over(&self) -> bool {
+        let is_at_rest =
+            |attempt: &Attempt| matches!(attempt.stage, AttemptStage::Accepted | AttemptStage::Ended);
+        !self.answered && self.attempts.iter().all(is_at_rest)
+    }
+}
+
+/// The open requests.
+pub(crate) struct RequestTable {
+    open: HashMap<RequestId, Request>,
+    by_job_id: HashMap<Arc<str>, RequestId>,
+    /// The request that a joined client waits for.
+    joined: HashMap<RequestId, RequestId>,
+    /// How requests ended, by class.
+    counts: Vec<RequestCounts>,
+    pending: usize,
+    /// The most requests that may be open.
+    pub(crate) max_open: usize,
+}
+
+impl RequestTable {
+    pub(crate) fn new(max_open: usize, classes: usize) -> Self {
+        RequestTable {
+            open: HashMap::new(),
+            by_job_id: HashMap::new(),
+            joined: HashMap::new(),
+            counts: vec![RequestCounts::default(); classes],
+            pending: 0,
+            max_open,
+        }
+    }
+
+    /// Counts so many further classes.
+    pub(crate) fn add_classes(&mut self, classes: usize) {
+        self.counts.resize(self.counts.len() + classes, RequestCounts::default());
+    }
+
+    /// How requests ended, by class.
+    pub(crate) fn counts(&self) -> &[RequestCounts] {
+        &self.counts
+    }
+
+    /// How many clients wait for an answer.
+    pub(crate) fn pending(&self) -> usize {
+        self.pending
+    }
+
+    pub(crate) fn is_empty(&self) -> bool {
+        self.open.is_empty()
+    }
+
+    pub(crate) fn is_full(&self) -> bool {
+        self.open.len() >= self.max_open
+    }
+
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&RequestId, &Request)> {
+        self.open.iter()
+    }
+
+    pub(crate) fn get(&self, request_id: RequestId) -> Option<&Request> {
+        self.open.get(&request_id)
+    }
+
+    pub(crate) fn get_mut(&mut self, request_id: RequestId) -> Option<&mut Request> {
+        self.open.get_mut(&request_id)
+    }
+
+    /// The open request of a job.
+    pub(crate) fn id_of_job(&self, job_id: &str) -> Option<RequestId> {
+        self.by_job_id.get(job_id).copied()
+    }
+
+    pub(crate) fn attempt(&self, attempt: AttemptId) -> Option<&Attempt> {
+        self.get(attempt.request)?.attempts.get(attempt.number as usize)
+    }
+
+    pub(crate) fn attempt_mut(&mut self, attempt: AttemptId) -> Option<&mut Attempt> {
+        self.get_mut(attempt.request)?.attempts.get_mut(attempt.number as usize)
+    }
+
+    pub(crate) fn stage(&self, attempt: AttemptId) -> Option<AttemptStage> {
+        Some(self.attempt(attempt)?.stage)
+    }
+
+    pub(crate) fn set_stage(&mut self, attempt: AttemptId, stage: AttemptStage) {
+        if let Some(attempt) = self.attempt_mut(attempt) {
+            attempt.stage = stage;
+        }
+    }
+
+    /// Opens a request.
+    pub(crate) fn insert(&mut self, request_id: RequestId, request: Request) {
+        self.by_job_id.insert(request.job_id.clone(), request_id);
+        self.pending += usize::from(request.client_waits);
+        self.open.insert(request_id, request);
+    }
+
+    /// Removes a request that is answered and has no pending attempt.
+    pub(crate) fn remove_done(&mut self, request_id: RequestId) -> Option<Request> {
+        self.open.get(&request_id).filter(|request| request.is_done())?;
+        let request = self.open.remove(&request_id)?;
+        self.by_job_id.remove(&request.job_id);
+        Some(request)
+    }
+
+    /// The requests that another process can take over.
+    pub(crate) fn movable(&self) -> Vec<RequestId> {
+        let movable = self.open.iter().filter(|(_, request)| request.can_be_handed_over());
+        movable.map(|(request_id, _)| *request_id).collect()
+    }
+
+    /// Removes a request that another process takes over, with all its clients.
+    pub(crate) fn remove_handed_over(&mut self, request_id: RequestId) -> Option<Request> {
+        let request = self.open.remove(&request_id)?;
+        self.by_job_id.remove(&request.job_id);
+        self.pending -= usize::from(request.client_waits) + request.joined.len();
+        for client in &request.joined {
+            self.joined.remove(&client.request_id);
+        }
+        Some(request)
+    }
+
+    /// Lets a client wait for the answer to another's request; whether that is still open.
+    pub(crate) fn join(&mut self, first: RequestId, client: JoinedClient) -> bool {
+        let Some(request) = self.open.get_mut(&first).filter(|request| !request.answered) else {
+            return false;
+        };
+        self.joined.insert(client.request_id, first);
+        request.joined.push(client);
+        self.pending += 1;
+        true
+    }
+
+    /// A client that waits for another's request does so no longer; whether there was one. Counts as failed.
+    pub(crate) fn remove_joined(&mut self, request_id: RequestId) -> bool {
+        let Some(first) = self.joined.remove(&request_id) else { return false };
+        let Some(request) = self.open.get_mut(&first) else { return false };
+        request.joined.retain(|client| client.request_id != request_id);
+        let class = request.class;
+        self.pending -= 1;
+        self.count(class, &Answer::Failed);
+        true
+    }
+
+    /// Takes all clients that wait for this request; each is counted as answered so.
+    pub(crate) fn take_joined(&mut self, request_id: RequestId, answer: &Answer) -> Vec<JoinedClient> {
+        let Some(request) = self.open.get_mut(&request_id) else { return Vec::new() };
+        let class = request.class;
+        let joined = std::mem::take(&mut request.joined);
+        for client in &joined {
+            self.joined.remove(&client.request_id);
+            self.pending -= 1;
+            self.count(class, answer);
+        }
+        joined
+    }
+
+    /// The request goes on without the client that brought it. Counts as failed.
+    pub(crate) fn detach_client(&mut self, request_id: RequestId) {
+        let Some(request) = self.open.get_mut(&request_id).filter(|request| request.client_waits) else {
+            return;
+        };
+        request.client_waits = false;
+        let class = request.class;
+        self.pending -= 1;
+        self.count(class, &Answer::Failed);
+    }
+
+    /// Marks a request answered and counts it; whether it was not answered before.
+    pub(crate) fn close(&mut self, request_id: RequestId, answer: &Answer) -> bool {
+        let Some(request) = self.open.get_mut(&request_id).filter(|request| !request.answered) else {
+            return false;
+        };
+        request.answered = true;
+        let (class, client_waits) = (request.class, request.client_waits);
+        if client_waits {
+            self.pending -= 1;
+            self.count(class, answer);
+        }
+        true
+    }
+
+    /// Counts a client's request of this class that is answered so.
+    pub(crate) fn count(&mut self, class: u32, answer: &Answer) {
+        let Some(counts) = self.counts.get_mut(class as usize) else { return };
+        match answer {
+            Answer::Served(_) => counts.completed += 1,
+            Answer::Rejected { .. } => counts.rejected += 1,
+            Answer::Failed | Answer::Unprocessable | Answer::DuplicateId | Answer::KeyMismatch => {
+                counts.failed += 1;
+            }
+        }
+    }
+}
--- a/crates/service/engine/src/requests.rs
+++ b/crates/service/engine/src/requests.rs
@@ -1,110 +1,134 @@
-//! The requests that are open: taken once, ended once, given back in one place.
-use crate::durable::{self, Known};
-use crate::{
-    Answer, Attempt, AttemptId, AttemptSnapshot, Effect, Engine, Job, MS, Request, RequestSnapshot, Stage,
-    Timer,
-};
+//! Requests: accepted once, answered once, removed in one place.
+use crate::durable::repeats::KnownRequest;
+use crate::durable::{after_durable, answer_effect};
+use crate::request_table::{Attempt, AttemptStage, Request};
+use crate::timers::Timer;
+use crate::{Answer, AttemptId, AttemptSnapshot, Effect, Engine, Job, MS};
 use spanlead_balancing_policy::{Event, Nanos, PriorAttempt, RequestId, WorkerId};
 use spanlead_durable_jobs::JobNumber;
+use std::sync::Arc;
+
+/// What a client is told to wait when too many requests are open.
+const OVERLOAD_RETRY_AFTER: Nanos = 300 * MS;
+
+/// A request that is to be opened.
+pub(crate) struct NewRequest {
+    pub(crate) request_id: RequestId,
+    pub(crate) job: Job,
+    pub(crate) attempts: Vec<Attempt>,
+    pub(crate) durable: Option<JobNumber>,
+    /// Its client waits here.
+    pub(crate) client_waits: bool,
+}
 
 impl Engine {
-    pub(crate) fn request(
+    /// A client's request, or one that another process hands over with its attempts.
+    pub(crate) fn receive_request(
         &mut self,
         now: Nanos,
         request_id: RequestId,
         job: Job,
-        tries: Option<Vec<AttemptSnapshot>>,
+        previous: Option<Vec<AttemptSnapshot>>,
         out: &mut Vec<Effect>,
     ) {
-        let known = self.recognise(now, &job);
-        let before = match known {
-            Known::No(before) => before,
-            Known::Open(first) => return self.join(request_id, first, job, out),
-            Known::Over(answer, no) => {
-                self.count(job.class, &answer);
-                let effect = Effect::Answer { request_id, answer, job: no };
-                return out.push(durable::durably(effect, job.due));
+        let unresolved = match self.recognise(now, &job) {
+            KnownRequest::New(unresolved) => unresolved,
+            KnownRequest::Open(first) => return self.join(request_id, first, job, out),
+            KnownRequest::Ended { answer, job: job_number } => {
+                self.requests.count(job.class, &answer);
+                let effect = Effect::Answer { request_id, answer, job: job_number };
+                return out.push(after_durable(effect, job.due));
             }
         };
-        // Two open requests under one id could be told apart by no worker, and would be two attempts of one.
-        let full = tries.is_none() && (!self.taking(now) || self.requests.len() >= self.max_open);
-        let at_once = match self.by_id.contains_key(&job.id) {
-            true => Some(Answer::DuplicateId),
-            false if full => Some(Answer::Rejected { retry_after: Some(300 * MS) }),
-            false => self.turned_down(&job),
-        };
-        if let Some(answer) = at_once {
-            self.count(job.class, &answer);
+        if let Some(answer) = self.rejection(now, &job, previous.is_some()) {
+            self.requests.count(job.class, &answer);
             return out.push(Effect::Answer { request_id, answer, job: None });
         }
-        // One that a process without a ledger hands over goes on as it began.
-        let durable = match tries.as_ref().is_none_or(Vec::is_empty) {
-            true => self.take_down(now, &job, before.clone(), out),
-            false => None,
-        };
-        if durable.is_some() && !before.is_empty() {
-            // It goes on from what an earlier one of its key left unsettled.
-            return self.resume(now, request_id, job, durable, before, None, out);
+        let previous = previous.unwrap_or_default();
+        // One that a process without durable jobs hands over goes on as it began.
+        let durable =
+            if previous.is_empty() { self.record_taken(now, &job, unresolved.clone(), out) } else { None };
+        if durable.is_some() && !unresolved.is_empty() {
+            // It goes on from what an earlier one of its key left unresolved.
+            return self.resume_repeat(now, request_id, job, durable, unresolved, out);
         }
-        let tries = tries.unwrap_or_default();
-        let known = tries.iter().all(|t| self.workers.contains_key(&t.worker));
-        let attempts = tries.iter().filter_map(|t| {
-            let stage = if t.may_have_run.is_none() { Stage::Accepted } else { Stage::Ended };
-            let addr = self.workers.get(&t.worker)?.host.addr;
-            let (worker, may_have_run) = (t.worker.clone(), t.may_have_run.unwrap_or(true));
-            Some(Attempt { worker, addr, sent: t.sent, stage, may_have_run, token: None, leased: None })
-        });
-        let attempts = attempts.collect();
-        let request = self.admit(now, request_id, &job, attempts, durable, true);
-        if tries.is_empty() {
-            return self.decide(now, Event::RequestArrived(request), out);
-        }
-        if !known {
-            // Where it may have run can't be told to the module, which could then send it there or elsewhere again.
-            self.answer(now, request_id, Answer::Failed, out);
-            return self.abandon_all(now, request_id, out);
+        self.open_request(now, request_id, job, durable, previous, out);
+    }
+
+    /// Why a new request is not accepted. One that was handed over was accepted before.
+    fn rejection(&mut self, now: Nanos, job: &Job, is_handed_over: bool) -> Option<Answer> {
+        // Two open requests under one id could be told apart by no worker, and would be two attempts of one.
+        if self.requests.id_of_job(&job.id).is_some() {
+            return Some(Answer::DuplicateId);
         }
-        for number in 0..tries.len() as u32 {
-            self.set_timer(job.due, Timer::AttemptEnds(AttemptId { request: request_id, number }));
+        let is_full = !self.lifecycle.accepts_requests(now) || self.requests.is_full();
+        if is_full && !is_handed_over {
+            return Some(Answer::Rejected { retry_after: Some(OVERLOAD_RETRY_AFTER) });
         }
-        let tried = |t: AttemptSnapshot| PriorAttempt {
-            worker: WorkerId(t.worker),
-            sent_at: t.sent,
-            may_have_run: t.may_have_run,
-        };
-        let tries: Vec<PriorAttempt> = tries.into_iter().map(tried).collect();
-        self.decide(now, Event::RequestAdopted { request, attempts: &tries }, out);
+        self.durable_rejection(job)
     }
 
-    /// Opens a request; `first` tells whether its client waits here. Returns it as the module takes it.
-    pub(crate) fn admit(
+    fn open_request(
         &mut self,
         now: Nanos,
         request_id: RequestId,
-        job: &Job,
-        attempts: Vec<Attempt>,
+        job: Job,
         durable: Option<JobNumber>,
-        first: bool,
-    ) -> spanlead_balancing_policy::Request {
-        self.by_id.insert(job.id.clone(), request_id);
+        previous: Vec<AttemptSnapshot>,
+        out: &mut Vec<Effect>,
+    ) {
+        let due = job.due;
+        let all_known = previous.iter().all(|attempt| self.workers.get(&attempt.worker).is_some());
+        let attempts = previous.iter().filter_map(|attempt| self.resumed_attempt(attempt)).collect();
+        let request = self.admit(now, NewRequest { request_id, job, attempts, durable, client_waits: true });
+        if previous.is_empty() {
+            return self.decide(now, Event::RequestArrived(request), out);
+        }
+        if !all_known {
+            // Where it may have run cannot be told to the policy, which could then send it there or elsewhere again.
+            self.answer(now, request_id, Answer::Failed, out);
+            return self.cancel_attempts(now, request_id, out);
+        }
+        for number in 0..previous.len() as u32 {
+            let attempt = AttemptId { request: request_id, number };
+            self.timers.set(due, Timer::AttemptTimeout(attempt));
+        }
+        let attempts: Vec<PriorAttempt> = previous.into_iter().map(prior_attempt).collect();
+        self.decide(now, Event::RequestAdopted { request, attempts: &attempts }, out);
+    }
+
+    /// An attempt that another process has made; `None` if its worker is not known here.
+    fn resumed_attempt(&self, attempt: &AttemptSnapshot) -> Option<Attempt> {
+        let is_pending = attempt.may_have_run.is_none();
+        Some(Attempt {
+            worker: attempt.worker.clone(),
+            addr: self.workers.get(&attempt.worker)?.host.addr,
+            sent: attempt.sent,
+            stage: if is_pending { AttemptStage::Accepted } else { AttemptStage::Ended },
+            may_have_run: attempt.may_have_run.unwrap_or(true),
+            token: None,
+            lease_until: None,
+        })
+    }
+
+    /// Opens a request. Returns it as the policy takes it.
+    pub(crate) fn admit(&mut self, now: Nanos, new: NewRequest) -> spanlead_balancing_policy::Request {
+        let NewRequest { request_id, job, attempts, durable, client_waits } = new;
         let request = Request {
-            id: job.id.clone(),
+            job_id: job.id,
             class: job.class,
             due: job.due,
             answered: false,
             attempts,
             durable,
-            first,
+            client_waits,
             joined: Vec::new(),
         };
         self.requests.insert(request_id, request);
-        if let (Some(no), Some(d)) = (durable, &mut self.durable) {
-            d.request_ids.insert(no, request_id);
+        if let (Some(job_number), Some(jobs)) = (durable, &mut self.durable) {
+            jobs.open_requests.insert(job_number, request_id);
         }
-        self.pending += usize::from(first);
-        // Guards the one rule that nothing may break: should the module ever hold a request past its due time,
-        // it still gets its answer.
-        self.set_timer(job.due + self.tick, Timer::Overdue(request_id));
+        self.timers.set(job.due + self.classes.tick, Timer::RequestOverdue(request_id));
         spanlead_balancing_policy::Request {
             id: request_id,
             class: job.class,
@@ -117,57 +141,21 @@
         }
     }
 
-    /// Gives up what is open to the successor; a request of which a worker is just being told, one way or the other, must
-    /// wait.
-    pub(crate) fn hand_over(&mut self, now: Nanos, out: &mut Vec<Effect>) {
-        let still = |r: &Request| {
-            !r.answered && r.attempts.iter().all(|a| matches!(a.stage, Stage::Accepted | Stage::Ended))
-        };
-        let movable = self.requests.iter().filter(|(_, r)| still(r)).map(|(t, _)| *t);
-        for request_id in movable.collect::<Vec<_>>() {
-            let Some(request) = self.requests.remove(&request_id) else { continue };
-            self.by_id.remove(&request.id);
-            self.pending -= usize::from(request.first) + request.joined.len();
-            let due = request.due;
-            for (joined, id) in request.joined {
-                self.joined.remove(&joined);
-                out.push(Effect::HandOverRequest {
-                    request_id: joined,
-                    snapshot: RequestSnapshot { id, due, attempts: Vec::new(), durable: true },
-                });
-            }
-            let attempt_snapshot = |a: Attempt| {
-                let may_have_run = (a.stage == Stage::Ended).then_some(a.may_have_run);
-                AttemptSnapshot { worker: a.worker, sent: a.sent, may_have_run }
-            };
-            // What the ledger holds the successor reads there.
-            let durable = request.durable.is_some();
-            let attempts = if durable { Vec::new() } else { request.attempts };
-            let attempts = attempts.into_iter().map(attempt_snapshot).collect();
-            if request.first {
-                out.push(Effect::HandOverRequest {
-                    request_id,
-                    snapshot: RequestSnapshot { id: request.id, due, attempts, durable },
-                });
-            }
-            self.decide(now, Event::ClientGone(request_id), out);
-        }
-    }
-
-    pub(crate) fn client_left(&mut self, now: Nanos, request_id: RequestId, out: &mut Vec<Effect>) {
-        if self.stays(request_id) {
+    pub(crate) fn client_disconnected(&mut self, now: Nanos, request_id: RequestId, out: &mut Vec<Effect>) {
+        if self.outlives_client(request_id) {
             return;
         }
-        let durable = self.requests.get(&request_id).and_then(|r| r.durable);
-        if !self.close(request_id, &Answer::Failed) {
+        let durable = self.requests.get(request_id).and_then(|request| request.durable);
+        if !self.requests.close(request_id, &Answer::Failed) {
             return;
         }
         self.record_end(now, durable, &Answer::Failed, out);
         self.decide(now, Event::ClientGone(request_id), out);
-        self.abandon_all(now, request_id, out);
-        self.forget(request_id);
+        self.cancel_attempts(now, request_id, out);
+        self.remove_if_done(request_id);
     }
 
+    /// Answers a request and all clients that wait for it, if it has not been answered.
     pub(crate) fn answer(
         &mut self,
         now: Nanos,
@@ -175,60 +163,32 @@
         answer: Answer,
         out: &mut Vec<Effect>,
     ) {
-        let Some(request) = self.requests.get_mut(&request_id) else { return };
-        let (first, durable, due) = (request.first, request.durable, request.due);
-        if !self.close(request_id, &answer) {
+        let Some(request) = self.requests.get(request_id) else { return };
+        let (client_waits, durable, due) = (request.client_waits, request.durable, request.due);
+        if !self.requests.close(request_id, &answer) {
             return;
         }
-        let joined = self.requests.get_mut(&request_id).map(|r| (std::mem::take(&mut r.joined), r.class));
         self.record_end(now, durable, &answer, out);
-        for (joined, class) in
-            joined.into_iter().flat_map(|(all, class)| all.into_iter().map(move |j| (j.0, class)))
-        {
-            self.joined.remove(&joined);
-            self.pending -= 1;
-            self.count(class, &answer);
-            out.push(durable::as_recorded(joined, answer.clone(), durable, due));
+        for client in self.requests.take_joined(request_id, &answer) {
+            out.push(answer_effect(client.request_id, answer.clone(), durable, due));
         }
-        if first {
-            out.push(durable::as_recorded(request_id, answer, durable, due));
+        if client_waits {
+            out.push(answer_effect(request_id, answer, durable, due));
         }
-        self.forget(request_id);
+        self.remove_if_done(request_id);
     }
 
-    /// The one end of a request that was taken, if it has not had it yet.
-    pub(crate) fn close(&mut self, request_id: RequestId, how: &Answer) -> bool {
-        let Some(request) = self.requests.get_mut(&request_id).filter(|r| !r.answered) else { return false };
-        request.answered = true;
-        let (class, first) = (request.class, request.first);
-        if first {
-            self.pending -= 1;
-            self.count(class, how);
-        }
-        true
-    }
-
-    pub(crate) fn count(&mut self, class: u32, how: &Answer) {
-        let Some(ends) = self.ends.get_mut(class as usize) else { return };
-        match how {
-            Answer::Served(_) => ends.completed += 1,
-            Answer::Rejected { .. } => ends.rejected += 1,
-            Answer::Failed | Answer::Unprocessable | Answer::DuplicateId | Answer::KeyMismatch => {
-                ends.failed += 1
-            }
-        }
-    }
-
-    /// The one place where a request is given back: it is answered and no attempt is out.
-    pub(crate) fn forget(&mut self, request_id: RequestId) {
-        let done = |r: &Request| r.answered && r.attempts.iter().all(|a| a.stage == Stage::Ended);
-        if self.requests.get(&request_id).is_some_and(done)
-            && let Some(request) = self.requests.remove(&request_id)
+    /// The one place where a request is removed: it is answered and no attempt is pending.
+    pub(crate) fn remove_if_done(&mut self, request_id: RequestId) {
+        if let Some(request) = self.requests.remove_done(request_id)
+            && let (Some(job), Some(jobs)) = (request.durable, &mut self.durable)
         {
-            self.by_id.remove(&request.id);
-            if let (Some(no), Some(d)) = (request.durable, &mut self.durable) {
-                d.request_ids.remove(&no);
-            }
+            jobs.open_requests.remove(&job);
         }
     }
 }
+
+fn prior_attempt(attempt: AttemptSnapshot) -> PriorAttempt {
+    let worker: Arc<str> = attempt.worker;
+    PriorAttempt { worker: WorkerId(worker), sent_at: attempt.sent, may_have_run: attempt.may_have_run }
+}
--- a/crates/service/engine/src/stats.rs
+++ b/crates/service/engine/src/stats.rs
@@ -15,6 +15,15 @@
     pub failed: u64,
 }
 
+impl RequestCounts {
+    /// Adds the counts of another class of the same name.
+    pub(crate) fn add(&mut self, other: Self) {
+        self.completed += other.completed;
+        self.rejected += other.rejected;
+        self.failed += other.failed;
+    }
+}
+
 /// The engine's state at one moment. All counts begin with the process.
 #[derive(Debug, Serialize)]
 pub struct EngineStats {
--- /dev/null
+++ b/crates/service/engine/src/timers.rs
@@ -0,0 +1,101 @@
+//! Timers, ordered by when they are due.
+use crate::input::AttemptId;
+use crate::request_table::AttemptStage;
+use crate::{Answer, Effect, Engine};
+use spanlead_balancing_policy::{Event, Nanos, Outcome, RequestId};
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// What is due.
+pub(crate) enum Timer {
+    /// A timer of the balancing policy.
+    Policy(u64),
+    /// The time that the policy gave an attempt is up.
+    AttemptTimeout(AttemptId),
+    /// The worker should have said by now that it has the job.
+    AcceptTimeout(AttemptId),
+    /// The client of a request gives up.
+    RequestOverdue(RequestId),
+    /// A client that waits for the answer to another's request gives up.
+    JoinedOverdue(RequestId),
+    /// A worker's lease may have expired.
+    LeaseExpiry(AttemptId),
+    /// More of a large endpoint list may be processed.
+    ListSlice,
+    /// A worker's pod and zone may count again.
+    EndIsolation(Arc<str>),
+    /// The agent that lists are pushed to may be asked again.
+    WatchAgent,
+    /// A heartbeat is due.
+    Heartbeat,
+    /// The leases on singleton roles are looked after.
+    RoleLeases,
+    /// It is time for the call of this role.
+    RoleCall(usize),
+}
+
+/// All timers. Those that are due at the same time fire in the order in which they were set.
+#[derive(Default)]
+pub(crate) struct TimerQueue {
+    timers: BTreeMap<(Nanos, u64), Timer>,
+    last_serial: u64,
+}
+
+impl TimerQueue {
+    /// Sets a timer.
+    pub(crate) fn set(&mut self, due: Nanos, timer: Timer) {
+        self.last_serial += 1;
+        self.timers.insert((due, self.last_serial), timer);
+    }
+
+    /// When the first one is due.
+    pub(crate) fn next_due(&self) -> Option<Nanos> {
+        self.timers.first_key_value().map(|((due, _), _)| *due)
+    }
+
+    /// Takes the first one that is due.
+    fn pop_due(&mut self, now: Nanos) -> Option<Timer> {
+        let entry = self.timers.first_entry().filter(|entry| entry.key().0 <= now)?;
+        Some(entry.remove())
+    }
+}
+
+impl Engine {
+    /// Fires all timers that are due, those included that are set meanwhile.
+    pub(crate) fn run_timers(&mut self, now: Nanos, out: &mut Vec<Effect>) {
+        while let Some(timer) = self.timers.pop_due(now) {
+            self.fire(now, timer, out);
+        }
+        self.expire_durable_jobs(now, out);
+    }
+
+    fn fire(&mut self, now: Nanos, timer: Timer, out: &mut Vec<Effect>) {
+        match timer {
+            Timer::Policy(token) => self.decide(now, Event::TimerFired(token), out),
+            Timer::AcceptTimeout(attempt) => {
+                if self.requests.stage(attempt) == Some(AttemptStage::Dispatched) {
+                    self.cancel_attempt(now, attempt, Outcome::Timeout, out);
+                }
+            }
+            Timer::AttemptTimeout(attempt) => self.cancel_attempt(now, attempt, Outcome::Timeout, out),
+            Timer::RequestOverdue(request_id) => self.request_overdue(now, request_id, out),
+            Timer::JoinedOverdue(request_id) => self.joined_overdue(request_id, out),
+            Timer::LeaseExpiry(attempt) => self.lease_expired(now, attempt, out),
+            Timer::ListSlice => self.process_next_slice(now, out),
+            Timer::EndIsolation(worker) => self.update_worker(now, worker, out),
+            Timer::WatchAgent => self.watch_endpoints(out),
+            Timer::Heartbeat => self.heartbeat(now, out),
+            Timer::RoleLeases => self.maintain_role_leases(now, out),
+            Timer::RoleCall(role) => self.call_role(now, role, out),
+        }
+    }
+
+    /// Guards the one rule that nothing may break: a request that is still open past its due time gets its answer.
+    fn request_overdue(&mut self, now: Nanos, request_id: RequestId, out: &mut Vec<Effect>) {
+        if self.requests.get(request_id).is_some_and(|request| !request.answered) {
+            self.answer(now, request_id, Answer::Failed, out);
+            self.decide(now, Event::ClientGone(request_id), out);
+            self.cancel_attempts(now, request_id, out);
+        }
+    }
+}
--- /dev/null
+++ b/crates/service/engine/src/workers/attributes.rs
@@ -0,0 +1,103 @@
+//! What is known of one worker: the endpoint list goes first, inventories fill what it leaves open.
+use super::{FIRST_NAMED_POD, NamedPods, ReportedWorker, UNKNOWN_NUMBER, Worker, WorkerTable, normal_name};
+use crate::Engine;
+use crate::timers::Timer;
+use spanlead_balancing_policy::Nanos;
+use spanlead_deployment_settings::{Names, index_of};
+use spanlead_worker_attributes::Sheet;
+use std::sync::Arc;
+
+/// The weight of a worker of which none is stated.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// What is known of a worker, with the numbers of the settings for names.
+#[derive(Clone, Copy)]
+struct WorkerAttributes {
+    zone: Option<u32>,
+    kind: Option<u32>,
+    pod: Option<u32>,
+    weight: Option<f64>,
+}
+
+/// A number that stands for a known name.
+fn known(number: Option<u32>) -> Option<u32> {
+    number.filter(|number| *number != UNKNOWN_NUMBER)
+}
+
+impl Worker {
+    /// What the list and the inventories say of it.
+    fn attributes(
+        &mut self,
+        names: &Names,
+        sheet: Option<&Sheet>,
+        named_pods: &mut NamedPods,
+    ) -> WorkerAttributes {
+        let listed = WorkerAttributes {
+            zone: known(self.host.zone),
+            kind: known(self.host.kind),
+            pod: self.host.cell.filter(|cell| *cell < FIRST_NAMED_POD),
+            weight: self.host.weight,
+        };
+        match sheet {
+            Some(sheet) => self.merge_inventory(names, listed, sheet, named_pods),
+            None => listed,
+        }
+    }
+
+    /// Fills what the list leaves open from the inventories.
+    fn merge_inventory(
+        &mut self,
+        names: &Names,
+        listed: WorkerAttributes,
+        sheet: &Sheet,
+        named_pods: &mut NamedPods,
+    ) -> WorkerAttributes {
+        let normal = &**self.normal_name.get_or_insert_with(|| normal_name(&self.host.name));
+        self.is_in_inventory = sheet.names(normal);
+        let number =
+            |names: &[String], stated: Option<&Arc<str>>| stated.and_then(|name| index_of(names, name));
+        let zone = listed.zone.or_else(|| number(&names.zones, sheet.zone(normal)?.value));
+        let default_kind = || number(&names.kinds, sheet.defaults.kind.as_ref());
+        let stated_kind = || number(&names.kinds, sheet.kind(normal)?.value);
+        let kind = listed.kind.or_else(stated_kind).or_else(default_kind);
+        let pod = listed.pod.or_else(|| Some(named_pods.number(sheet.pod(normal)?.value?)));
+        let weight = merged_weight(listed.weight, normal, sheet);
+        WorkerAttributes { zone, kind, pod, weight }
+    }
+}
+
+/// The weight of the list, unless the inventory that states one goes first.
+fn merged_weight(listed: Option<f64>, normal_name: &str, sheet: &Sheet) -> Option<f64> {
+    let stated = sheet.weight(normal_name);
+    let inventory_goes_first = stated.as_ref().is_some_and(|fact| sheet.sources[fact.source].weight_first);
+    let stated = stated.and_then(|fact| fact.value.copied());
+    let merged = if inventory_goes_first { stated.or(listed) } else { listed.or(stated) };
+    merged.or(sheet.defaults.weight)
+}
+
+impl Engine {
+    /// What the policy must be told of a worker, if that is anything new.
+    pub(super) fn recheck(&mut self, now: Nanos, name: &Arc<str>) -> Option<ReportedWorker> {
+        let window = self.classes.longest_deduplication_window();
+        let WorkerTable { workers, sheet, named_pods, .. } = &mut self.workers;
+        let worker = workers.get_mut(name)?;
+        let attributes = worker.attributes(&self.classes.names, sheet.as_deref(), named_pods);
+        let isolated_before = (worker.pod.isolated_until, worker.zone.isolated_until);
+        let reported = ReportedWorker {
+            state: worker.host.state,
+            started: worker.host.started,
+            kind: attributes.kind.unwrap_or(UNKNOWN_NUMBER),
+            zone: worker.zone.update(now, attributes.zone, worker.own_number, window),
+            cell: worker.pod.update(now, attributes.pod, worker.own_number, window),
+            weight: attributes.weight.unwrap_or(DEFAULT_WEIGHT),
+        };
+        let isolated = (worker.pod.isolated_until, worker.zone.isolated_until);
+        let is_new = worker.reported != Some(reported);
+        worker.reported = Some(reported);
+        if isolated != isolated_before {
+            let until = isolated.0.max(isolated.1);
+            self.timers.set(until, Timer::EndIsolation(name.clone()));
+        }
+        is_new.then_some(reported)
+    }
+}
--- /dev/null
+++ b/crates/service/engine/src/workers/inventory.rs
@@ -0,0 +1,48 @@
+//! New versions of the inventories.
+use super::{UNKNOWN_NUMBER, Worker, normal_name};
+use crate::{Effect, Engine, InventoryUpdate, InventoryVersion};
+use spanlead_balancing_policy::{EndpointUpdate, Nanos, WorkerState};
+use spanlead_deployment_settings::index_of;
+use spanlead_worker_attributes::Sheet;
+use std::sync::Arc;
+
+impl Engine {
+    /// Inventories say something else from now on. If a class that has a worker would have none by it, nothing changes, unless an
+    /// operator wants it all the same.
+    pub(crate) fn inventory_updated(&mut self, now: Nanos, update: InventoryUpdate, out: &mut Vec<Effect>) {
+        let InventoryUpdate { sheet, by, forced } = update;
+        if !forced && let Some(reason) = self.class_without_worker(&sheet) {
+            if let Some(InventoryVersion { name, number }) = by {
+                out.push(Effect::InventoryRejected { name, version: number, reason });
+            }
+            return;
+        }
+        self.workers.sheet = Some(sheet).filter(|sheet| !sheet.is_empty());
+        self.workers.to_recheck = self.workers.workers.keys().cloned().collect();
+        self.process_slice(now, EndpointUpdate::Delta, out);
+    }
+
+    /// Why these inventories cannot be used: a class has a worker now and would have none by them.
+    fn class_without_worker(&self, sheet: &Sheet) -> Option<String> {
+        let ready = || self.workers.iter().filter(|worker| worker.host.state == WorkerState::Ready);
+        for needed in self.classes.machine_kinds() {
+            let has_now = ready().any(|worker| worker.reported.is_some_and(|it| it.kind == needed.kind));
+            if has_now && !ready().any(|worker| self.kind_by(worker, sheet) == Some(needed.kind)) {
+                let names = &self.classes.names;
+                let class = &names.classes[needed.class as usize];
+                let kind = &names.kinds[needed.kind as usize];
+                return Some(format!("class {class} would be left without a worker of kind {kind}"));
+            }
+        }
+        None
+    }
+
+    /// The kind of a worker by these inventories.
+    fn kind_by(&self, worker: &Worker, sheet: &Sheet) -> Option<u32> {
+        let listed = worker.host.kind.filter(|kind| *kind != UNKNOWN_NUMBER);
+        let name = normal_name(&worker.host.name);
+        let stated: Option<Arc<str>> =
+            sheet.kind(&name).and_then(|fact| fact.value.or(sheet.defaults.kind.as_ref()).cloned());
+        listed.or_else(|| index_of(&self.classes.names.kinds, &stated?))
+    }
+}
--- /dev/null
+++ b/crates/service/engine/src/workers/views.rs
@@ -0,0 +1,100 @@
+//! What operators are shown of workers.
+use super::{Worker, normal_name};
+use crate::{Engine, HostView, InventoryStats, MS};
+use rustc_hash::FxHashMap;
+use spanlead_balancing_policy::{Nanos, WorkerState};
+use spanlead_worker_attributes::{LiveHost, Sheet, normal, provenance};
+use std::sync::Arc;
+
+impl Engine {
+    /// What inventories say.
+    pub fn sheet(&self) -> Option<&Arc<Sheet>> {
+        self.workers.sheet.as_ref()
+    }
+
+    /// The endpoint list with names for numbers, to compare it with what inventories say.
+    pub fn live_hosts(&self) -> Vec<LiveHost> {
+        // Zones and kinds are few: each name is made once.
+        let shared = |names: &[String]| -> Vec<Arc<str>> {
+            names.iter().map(|name| Arc::from(name.as_str())).collect()
+        };
+        let names = &self.classes.names;
+        let (zones, kinds) = (shared(&names.zones), shared(&names.kinds));
+        let mut pods: FxHashMap<u32, Arc<str>> = FxHashMap::default();
+        let name_of = |names: &[Arc<str>], number: Option<u32>| names.get(number? as usize).cloned();
+        let live_host = |worker: &Worker| {
+            let host = &worker.host;
+            let pod = |cell| pods.entry(cell).or_insert_with(|| cell.to_string().into()).clone();
+            LiveHost {
+                name: host.name.clone(),
+                normal: worker.normal_name.clone().unwrap_or_else(|| normal_name(&host.name)),
+                zone: name_of(&zones, host.zone),
+                pod: host.cell.map(pod),
+                kind: name_of(&kinds, host.kind),
+                weight: host.weight,
+                since_ms: worker.since / MS,
+                gone_ms: worker.removed_at.map(|time| time / MS),
+            }
+        };
+        self.workers.iter().map(live_host).collect()
+    }
+
+    /// What is known of a worker that the list has named, and the sources of it.
+    pub fn worker_view(&self, now: Nanos, name: &str) -> Option<HostView> {
+        let worker = self.worker_by_any_name(name)?;
+        let host = &worker.host;
+        let empty = Sheet::default();
+        let sheet = self.workers.sheet.as_deref().unwrap_or(&empty);
+        let state = match host.state {
+            WorkerState::Ready => "ready",
+            WorkerState::Draining => "draining",
+            WorkerState::Removed => "gone",
+        };
+        let isolated = [("pod", worker.pod), ("zone", worker.zone)];
+        let isolated = isolated.into_iter().filter(|(_, attribute)| attribute.is_isolated(now));
+        Some(HostView {
+            host: host.name.clone(),
+            state,
+            facts: provenance(&self.listed_attributes(worker), sheet),
+            apart: isolated.map(|(name, _)| name).collect(),
+        })
+    }
+
+    /// The worker of this name, or of another spelling of it.
+    fn worker_by_any_name(&self, name: &str) -> Option<&Worker> {
+        let wanted = normal(name).ok()?;
+        let is_wanted = |worker: &&Worker| normal(&worker.host.name).is_ok_and(|name| name == wanted);
+        self.workers.get(name).or_else(|| self.workers.iter().find(is_wanted))
+    }
+
+    /// What the list says of a worker.
+    fn listed_attributes(&self, worker: &Worker) -> LiveHost {
+        let host = &worker.host;
+        let names = &self.classes.names;
+        let name_of = |names: &[String], number: Option<u32>| {
+            names.get(number? as usize).map(|name| Arc::from(name.as_str()))
+        };
+        LiveHost {
+            name: host.name.clone(),
+            normal: normal_name(&host.name),
+            zone: name_of(&names.zones, host.zone),
+            pod: host.cell.map(|cell| cell.to_string().into()),
+            kind: name_of(&names.kinds, host.kind),
+            weight: host.weight,
+            since_ms: worker.since / MS,
+            gone_ms: worker.removed_at.map(|time| time / MS),
+        }
+    }
+
+    pub(crate) fn inventory_stats(&self, now: Nanos) -> Option<InventoryStats> {
+        let sheet = self.workers.sheet.as_ref()?;
+        let is_isolated = |worker: &&Worker| worker.pod.is_isolated(now) || worker.zone.is_isolated(now);
+        Some(InventoryStats {
+            inventories: sheet.sources.len(),
+            hosts: sheet.sources.iter().map(|source| source.version.rows.len()).sum(),
+            matched: self.workers.listed().filter(|worker| worker.is_in_inventory).count(),
+            apart: self.workers.listed().filter(is_isolated).count(),
+            pending: self.workers.incoming.len() + self.workers.to_recheck.len(),
+        })
+    }
+}
--- a/crates/service/net/src/lib.rs
+++ b/crates/service/net/src/lib.rs
@@ -1,27 +1,34 @@
-//! All reading and writing on sockets: clients and workers' notices, workers, discovery, peers, operators and the link to
+//! All reading and writing on sockets: clients and workers' notices, workers, discovery, peers, operators, and the link to
 //! another process of the same scheduler. What is read goes to the driver as a [`Message`]; nothing is decided here.
-#![allow(missing_docs, reason = "fields and variants that say what they are need no second saying")]
-pub mod clients;
+//!
+//! Layers, each of which uses only those before it: `lock` and `clock`; [`wire`], the messages on the sockets;
+//! `client_connection`, the state of one connection of a client;
+//! `message`, what the driver gets; then a module for each kind of socket.
+#![warn(
+    missing_docs,
+    unreachable_pub,
+    clippy::wildcard_imports,
+    clippy::match_bool,
+    clippy::too_many_lines,
+    clippy::too_many_arguments
+)]
+mod client_connection;
 mod clock;
+mod lock;
+mod message;
+
+pub mod clients;
 pub mod discovery;
 pub mod handover;
-mod message;
 pub mod operator;
 pub mod peers;
 pub mod role_caller;
 pub mod wire;
 pub mod workers;
 
-pub use clock::Clock;
-pub use message::Message;
-
-use std::sync::{Mutex, MutexGuard, PoisonError};
-use std::time::Duration;
-
-/// The slack that the protocol gives each time limit on sockets.
-pub const SOCKET_SLACK: Duration = Duration::from_millis(50);
-
-/// Locks; the runtime has one thread, so nobody waits, and a panic elsewhere leaves plain data behind.
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
+pub use client_connection::ClientConnection;
+pub use clock::{Clock, SOCKET_SLACK};
+pub use message::{
+    DurableJobsError, ForwardedMessage, HandedOverRequest, Message, OpenedDurableJobs, PeerProcessEvent,
+    ProcessLink, ReceivedRequest,
+};
--- a/crates/service/spanlead/src/inventory.rs
+++ b/crates/service/spanlead/src/inventory.rs
@@ -6,7 +6,7 @@
 use spanlead_inventory::archive::Archive;
 use spanlead_inventory::convert::{self, To};
 use spanlead_inventory::desk::{defaults, examine};
-use spanlead_net::wire::List;
+use spanlead_net::wire::EndpointList;
 use spanlead_worker_attributes::{
     Defaults, Done, Fact, Judged, LiveHost, Report, Schema, Sheet, Source, Version, Vocabulary, diff,
     document, normal, provenance, reconcile,
@@ -178,7 +178,11 @@
             InventoryCommand::Accept { name, digest, at } => {
                 println!(
                     "{}",
-                    crate::door::call(at, "POST", &format!("/ops/inventory/{name}/accept/{digest}"))?
+                    crate::operator_client::call(
+                        at,
+                        "POST",
+                        &format!("/ops/inventory/{name}/accept/{digest}")
+                    )?
                 );
                 Ok(())
             }
@@ -288,12 +292,12 @@
     fn hosts(&self) -> Result<Vec<LiveHost>, Failure> {
         if let Some(path) = &self.list {
             let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
-            let list =
-                List::read(&text).ok_or_else(|| format!("{}: is no list of workers", path.display()))?;
+            let list = EndpointList::decode(&text)
+                .ok_or_else(|| format!("{}: is no list of workers", path.display()))?;
             return Ok(list.live_hosts());
         }
         if std::env::var_os("ROUTER_CONFIG").is_some_and(|v| !v.is_empty()) {
-            return Ok(Config::known_list()?.live_hosts());
+            return Ok(Config::known_endpoints()?.live_hosts());
         }
         Ok(Vec::new())
     }
@@ -348,7 +352,7 @@
 fn show(host: Option<String>, which: &Which, live: &Live, json: bool) -> Result<(), Failure> {
     if let Some(at) = live.at {
         let host = host.ok_or("with --at, name a host")?;
-        let text = crate::door::call(at, "GET", &format!("/ops/inventory/hosts/{host}"))?;
+        let text = crate::operator_client::call(at, "GET", &format!("/ops/inventory/hosts/{host}"))?;
         if json {
             println!("{text}");
             return Ok(());
@@ -421,7 +425,7 @@
 
 fn report(which: &Which, live: &Live, json: bool, most: usize) -> Result<(), Failure> {
     if let Some(at) = live.at {
-        let text = crate::door::call(at, "GET", "/ops/inventory")?;
+        let text = crate::operator_client::call(at, "GET", "/ops/inventory")?;
         if json {
             println!("{text}");
             return Ok(());
--- a/crates/service/spanlead/src/main.rs
+++ b/crates/service/spanlead/src/main.rs
@@ -1,10 +1,11 @@
 //! The scheduler beside a client process: the balancing policy's decisions on sockets.
 mod config;
-mod door;
 mod driver;
+mod durable_log;
 mod inventory;
-mod ledger;
-mod members;
+mod ledger_command;
+mod members_command;
+mod operator_client;
 mod tier;
 mod trial;
 
@@ -103,14 +104,22 @@
         Command::Check(settings) => check(&settings),
         Command::Try(trial) => trial.run(),
         Command::Ledger(LedgerCommand::Show { folder, open, key }) => {
-            ledger::show(&folder, open, key.as_deref())
+            ledger_command::show(&folder, open, key.as_deref()).map_err(Into::into)
+        }
+        Command::Ledger(LedgerCommand::Verify { folder }) => {
+            ledger_command::verify(&folder).map_err(Into::into)
+        }
+        Command::Ledger(LedgerCommand::Export { folder, jobs }) => {
+            ledger_command::export(&folder, jobs).map_err(Into::into)
+        }
+        Command::Ledger(LedgerCommand::Compact { folder, keep }) => {
+            ledger_command::compact(&folder, keep).map_err(Into::into)
         }
-        Command::Ledger(LedgerCommand::Verify { folder }) => ledger::verify(&folder),
-        Command::Ledger(LedgerCommand::Export { folder, jobs }) => ledger::export(&folder, jobs),
-        Command::Ledger(LedgerCommand::Compact { folder, keep }) => ledger::compact(&folder, keep),
         Command::Inventory(command) => command.run(),
-        Command::Duties { at, release } => members::duties(at, release.as_deref()),
-        Command::Members { at, json } => members::show(at, json),
+        Command::Duties { at, release } => {
+            members_command::show_roles(at, release.as_deref()).map_err(Into::into)
+        }
+        Command::Members { at, json } => members_command::show_members(at, json).map_err(Into::into),
         Command::Version => {
             println!("spanlead {}", env!("CARGO_PKG_VERSION"));
             Ok(())
@@ -154,7 +163,7 @@
     log(&conf.log);
     let config = Config::from_environment()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    runtime.block_on(driver::serve(config, conf))
+    Ok(runtime.block_on(driver::serve(config, conf))?)
 }
 
 fn check(settings: &Settings) -> Result<(), Failure> {
@@ -169,14 +178,17 @@
     println!("tenants    {}", names.tenants.join(", "));
     println!("zones      {}", names.zones.join(", "));
     println!("kinds      {}", names.kinds.join(", "));
-    let shares = config.shares;
-    println!("clients    {} connections, {} requests at a time", shares.clients, shares.open);
-    println!("to workers {} connections", shares.workers);
+    let capacity = config.capacity;
+    println!(
+        "clients    {} connections, {} requests at a time",
+        capacity.client_connections, capacity.open_requests
+    );
+    println!("to workers {} connections", capacity.worker_connections);
     for inventory in &conf.inventories {
         println!("inventory  {} from {}", inventory.name, inventory.file.display());
     }
     if let Some(membership) = &conf.membership {
-        let (members, _) = config.members(membership)?;
+        let members = config.membership(membership)?.settings;
         let bounds = spanlead_membership::SuspicionThresholds::for_tier(
             members.member_count,
             members.fanout,
@@ -187,7 +199,7 @@
             "members    {} schedulers, this is {}; one is dead after {dead}",
             members.member_count, members.own_number
         );
-        let sets = Config::sets(&conf.leases, members.member_count)?;
+        let sets = Config::quorum_sets(&conf.leases, members.member_count)?;
         if sets.joint_schedulers > 0 {
             println!(
                 "duties     by majorities of {} and of the first {}: the set is being changed",
--- a/crates/service/spanlead/src/trial.rs
+++ b/crates/service/spanlead/src/trial.rs
@@ -1,5 +1,5 @@
 //! `spanlead try`: the scheduler among stand-ins on loopback, with as much trouble as is asked for.
-use crate::door::call;
+use crate::operator_client::call;
 use crate::tier::Tier;
 use clap::Args;
 use comfy_table::{CellAlignment, Table, presets};
--- a/crates/service/spanlead/tests/ledger.rs
+++ b/crates/service/spanlead/tests/ledger.rs
@@ -340,7 +340,7 @@
     let refused = more.answer();
     assert!(refused.header("retry-after").is_some(), "{refused:?}");
     assert_eq!(refused.start, "HTTP/1.1 503 Service Unavailable");
-    scheduler.logged("the ledger has failed");
+    scheduler.logged("durable job log failed");
     assert!(scheduler.operate("GET /ops/readiness").starts_with("503"));
     assert_eq!(scheduler.health(), "HTTP/1.1 503 Service Unavailable");
     let figures = scheduler.operate("GET /ops/stats");
@@ -379,8 +379,8 @@
     let second = start();
     first.logged("successor=true");
     first.terminate();
-    first.logged("the ledger is left to the successor");
-    second.logged("the ledger is open");
+    first.logged("durable job log released to the successor");
+    second.logged("durable job log open");
     assert!(first.wait().success());
     assert_eq!(second.client().notice("id-1", "s-a", DONE), "HTTP/1.1 200 OK");
     assert_eq!((client.answer().body, twin.answer().body), ("R".to_owned(), "R".to_owned()));
--- a/crates/service/spanlead/tests/serve.rs
+++ b/crates/service/spanlead/tests/serve.rs
@@ -942,7 +942,7 @@
     let known = known.join(",");
     let text = edits.iter().fold(config(discovery.addr, &known), |text, (from, to)| text.replace(from, to));
     scheduler.reload(&text);
-    scheduler.logged("configuration read again");
+    scheduler.logged("configuration reloaded");
     // Safe to repeat, as it was when it came in, and with more than one attempt.
     call.hang_up();
     take(asked());
