--- a/crates/service/durable-jobs/tests/lease_protocol_model.rs
+++ b/crates/service/durable-jobs/tests/lease_protocol_model.rs
@@ -1,425 +1,501 @@
-//! A model of the lease protocol, searched whole for small sizes: one scheduler that writes to a log, two workers, a client
-//! that asks twice, crashes with and without what was not synced, messages that are lost, doubled and late, and workers'
-//! clocks that run slow by up to the bound. Each guard of the protocol can be taken out; then the search must find what it
-//! was for.
+//! A model of the lease protocol, searched completely for small sizes: one scheduler that writes a log, two workers, a client
+//! that submits twice, crashes with and without what was not synced, messages that are lost, doubled and late, and workers'
+//! clocks that run slow by up to the bound. Each rule of the protocol can be taken out; then the search must find the fault
+//! that the rule prevents.
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-/// The length of a lease, and the bound on clocks, in ticks.
+/// The duration of a lease, ticks.
 const LEASE: u8 = 1;
-const BOUND: u8 = 1;
+/// The bound on the drift of clocks within a lease, ticks.
+const CLOCK_DRIFT_BOUND: u8 = 1;
+/// Ticks that are searched.
+const TICKS: u8 = 4;
+/// Crashes that are searched.
+const CRASHES: u8 = 1;
+/// Records that may be unsynced at a time.
+const MAX_UNSYNCED: usize = 4;
+/// Submissions of the client, and attempts of the job.
+const MAX_SUBMISSIONS: u8 = 2;
+const MAX_ATTEMPTS: u8 = 2;
+const WORKERS: [u8; 2] = [0, 1];
+
+const ONE_WORKER: &str = "one worker at a time";
+const NO_SECOND_RUN: &str = "a job that must not run twice does not";
+const ONE_ANSWER: &str = "one answer for all submissions";
+const ANSWER_DURABLE: &str = "what was answered is on disk";
+const LAST_LEASE: &str = "the result is the last lease's";
+const INVARIANTS: [&str; 5] = [ONE_WORKER, NO_SECOND_RUN, ONE_ANSWER, ANSWER_DURABLE, LAST_LEASE];
+const ANSWERED_AFTER_CRASH: &str = "answered after a crash";
+const SECOND_WORKER: &str = "a lease ends and the job continues on another worker";
+const REACHABLE: [&str; 2] = [ANSWERED_AFTER_CRASH, SECOND_WORKER];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Guard {
-    /// Nothing leaves before its record is durable.
+enum Rule {
+    /// Nothing is sent before its record is durable.
     OutputCommit,
-    /// A lease ends here later than at its worker, by the bound.
-    ClockBound,
-    /// A renewal is written down before it is told.
-    RenewalWritten,
-    /// A result counts only under the lease that is out.
+    /// A lease ends at the scheduler later than at its worker, by the bound on clocks.
+    ClockDriftBound,
+    /// A renewal is logged before it is sent.
+    RenewalLogged,
+    /// A result counts only under the present lease.
     Fencing,
-    /// A job that must never run twice is not sent where it may have run.
-    NeverTwice,
-    /// What may be out is waited for after a crash.
+    /// A job that must not run twice is not sent again where it may have run.
+    NoSecondRun,
+    /// After a crash, an attempt that may be in flight is waited for.
     Recovery,
-    /// An offer that the disk has held up for a tick does not go out any more.
-    OfferExpires,
+    /// An offer that the disk has delayed by a tick is not sent any more.
+    OfferExpiry,
 }
 
-/// Which jobs: those that must never run twice, or those whose repeats both workers drop.
+/// The job: one that must not run twice, or one whose second run both workers drop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Class {
-    Never,
-    Dropped,
+    NonIdempotent,
+    Deduplicated,
 }
 
-struct Protocol {
+struct LeaseProtocol {
     class: Class,
-    without: Option<Guard>,
-    ticks: u8,
-    crashes: u8,
+    without: Option<Rule>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Record {
-    Taken,
-    Leased { worker: u8, token: u8, until: u8 },
-    Renewed { token: u8, until: u8 },
+    Accepted,
+    Leased { lease: Lease },
+    Renewed { token: u8, expires_at: u8 },
     Released,
-    Ended { token: u8 },
+    Finished { token: u8 },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
     Offer { worker: u8, token: u8 },
-    Beat { worker: u8, token: u8, sent: u8 },
-    Renewal { worker: u8, token: u8, until: u8 },
-    Done { worker: u8, token: u8 },
+    Heartbeat { worker: u8, token: u8, sent_at: u8 },
+    Renewal { worker: u8, token: u8, expires_at: u8 },
+    Result { worker: u8, token: u8 },
     Answer { token: u8 },
 }
 
+/// A lease as the scheduler has it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+struct Lease {
+    worker: u8,
+    token: u8,
+    expires_at: u8,
+}
+
 /// What the records add up to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Job {
-    taken: bool,
-    lease: Option<(u8, u8, u8)>,
-    tokens: u8,
-    exposed: bool,
-    ended: Option<u8>,
+    accepted: bool,
+    lease: Option<Lease>,
+    last_token: u8,
+    may_have_run: bool,
+    finished_under: Option<u8>,
 }
 
 impl Job {
     fn apply(&mut self, record: Record) {
         match record {
-            Record::Taken => self.taken = true,
-            Record::Leased { worker, token, until } => {
-                self.lease = Some((worker, token, until));
-                self.tokens = token;
+            Record::Accepted => self.accepted = true,
+            Record::Leased { lease } => {
+                self.lease = Some(lease);
+                self.last_token = lease.token;
             }
-            Record::Renewed { token, until } => {
-                if let Some(lease) = self.lease.as_mut().filter(|l| l.1 == token) {
-                    lease.2 = lease.2.max(until);
+            Record::Renewed { token, expires_at } => {
+                if let Some(lease) = self.lease.as_mut().filter(|lease| lease.token == token) {
+                    lease.expires_at = lease.expires_at.max(expires_at);
                 }
             }
-            Record::Released => (self.lease, self.exposed) = (None, true),
-            Record::Ended { token } => (self.lease, self.ended) = (None, Some(token)),
+            Record::Released => {
+                self.lease = None;
+                self.may_have_run = true;
+            }
+            Record::Finished { token } => {
+                self.lease = None;
+                self.finished_under = Some(token);
+            }
         }
     }
+
+    fn is_leased_to(&self, worker: u8, token: u8) -> bool {
+        self.lease.is_some_and(|lease| (lease.worker, lease.token) == (worker, token))
+    }
 }
 
-/// What a worker holds: the lease's token, and until when it may, by its own slow clock.
+/// A lease as its worker has it: until when, by its own slow clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Held {
+struct WorkerLease {
     token: u8,
-    until: u8,
+    expires_at: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: u8,
     crashes: u8,
-    up: bool,
-    /// As the running process sees it; as it is on disk; and what lies between.
-    seen: Job,
-    disk: Job,
+    scheduler_is_up: bool,
+    /// The job as the running scheduler has it.
+    job: Job,
+    /// The job as the records on disk have it.
+    durable_job: Job,
     unsynced: Vec<Record>,
-    /// What may leave when all before it is durable.
-    gated: Vec<Message>,
-    network: BTreeSet<Message>,
-    held: [Option<Held>; 2],
-    /// How often the work was begun, each worker by itself.
+    /// Messages that may be sent when all records before them are durable.
+    waiting_for_sync: Vec<Message>,
+    in_flight: BTreeSet<Message>,
+    worker_leases: [Option<WorkerLease>; 2],
+    /// How often each worker has begun the job.
     runs: [u8; 2],
-    asks: u8,
-    waiting: bool,
+    submissions: u8,
+    client_waits: bool,
+    /// The tokens under which the results were made that the client received.
     answers: BTreeSet<u8>,
 }
 
+impl State {
+    fn new() -> Self {
+        State {
+            now: 0,
+            crashes: 0,
+            scheduler_is_up: true,
+            job: Job::default(),
+            durable_job: Job::default(),
+            unsynced: Vec::new(),
+            waiting_for_sync: Vec::new(),
+            in_flight: BTreeSet::new(),
+            worker_leases: [None; 2],
+            runs: [0; 2],
+            submissions: 0,
+            client_waits: false,
+            answers: BTreeSet::new(),
+        }
+    }
+
+    fn sync(&mut self) {
+        for record in std::mem::take(&mut self.unsynced) {
+            self.durable_job.apply(record);
+        }
+        self.in_flight.extend(std::mem::take(&mut self.waiting_for_sync));
+    }
+
+    fn crash(&mut self, unsynced_survives: bool) {
+        self.crashes += 1;
+        let unsynced = std::mem::take(&mut self.unsynced);
+        if unsynced_survives {
+            unsynced.into_iter().for_each(|record| self.durable_job.apply(record));
+        }
+        self.scheduler_is_up = false;
+        self.client_waits = false;
+        self.job = Job::default();
+        self.waiting_for_sync.clear();
+        // Its connections break: what it was sending does not arrive, nor does the answer to its client.
+        self.in_flight.retain(|message| !matches!(message, Message::Offer { .. } | Message::Answer { .. }));
+    }
+
+    /// Whether a renewal for this worker is on its way.
+    fn is_renewal_pending(&self, worker: u8) -> bool {
+        let is_renewal =
+            |message: &Message| matches!(message, Message::Renewal { worker: to, .. } if *to == worker);
+        self.in_flight.iter().chain(&self.waiting_for_sync).any(is_renewal)
+    }
+}
+
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
-    Ask,
-    Send(u8),
+    Submit,
+    Lease(u8),
     Sync,
     LeaseEnds,
-    Crash { synced: bool },
+    Crash { unsynced_survives: bool },
     Restart,
     Deliver(Message),
-    Beat(u8),
+    Heartbeat(u8),
     Finish(u8),
     Tick,
 }
 
-impl Protocol {
-    fn has(&self, guard: Guard) -> bool {
-        self.without != Some(guard)
+impl LeaseProtocol {
+    fn has(&self, rule: Rule) -> bool {
+        self.without != Some(rule)
     }
 
-    fn write(&self, s: &mut State, record: Record, then: Option<Message>) {
-        s.seen.apply(record);
-        s.unsynced.push(record);
-        if let Some(message) = then {
-            self.emit(s, message);
-        }
+    fn log(&self, state: &mut State, record: Record) {
+        state.job.apply(record);
+        state.unsynced.push(record);
     }
 
-    fn emit(&self, s: &mut State, message: Message) {
-        if self.has(Guard::OutputCommit) && !s.unsynced.is_empty() {
-            s.gated.push(message);
+    fn send(&self, state: &mut State, message: Message) {
+        if self.has(Rule::OutputCommit) && !state.unsynced.is_empty() {
+            state.waiting_for_sync.push(message);
         } else {
-            s.network.insert(message);
+            state.in_flight.insert(message);
         }
     }
 
-    fn may_send(&self, s: &State) -> bool {
-        let again = self.class == Class::Dropped || !s.seen.exposed || !self.has(Guard::NeverTwice);
-        s.up && s.seen.taken && s.seen.lease.is_none() && s.seen.ended.is_none() && again && s.seen.tokens < 2
+    fn may_lease(&self, state: &State) -> bool {
+        let job = &state.job;
+        let may_run_again =
+            self.class == Class::Deduplicated || !job.may_have_run || !self.has(Rule::NoSecondRun);
+        let is_open = job.accepted && job.lease.is_none() && job.finished_under.is_none();
+        state.scheduler_is_up && is_open && may_run_again && job.last_token < MAX_ATTEMPTS
+    }
+
+    fn may_end_lease(&self, state: &State) -> bool {
+        let bound = if self.has(Rule::ClockDriftBound) { CLOCK_DRIFT_BOUND } else { 0 };
+        state.scheduler_is_up && state.job.lease.is_some_and(|lease| state.now > lease.expires_at + bound)
+    }
+
+    fn submit(&self, state: &mut State) {
+        state.submissions += 1;
+        if let Some(token) = state.job.finished_under {
+            return self.send(state, Message::Answer { token });
+        }
+        state.client_waits = true;
+        if !state.job.accepted {
+            self.log(state, Record::Accepted);
+        }
+    }
+
+    fn lease(&self, state: &mut State, worker: u8) {
+        let token = state.job.last_token + 1;
+        // The offer is accepted within a tick of this record, or not at all; so the worker's own time begins by then.
+        let lease = Lease { worker, token, expires_at: state.now + 1 + LEASE };
+        self.log(state, Record::Leased { lease });
+        self.send(state, Message::Offer { worker, token });
+    }
+
+    fn restart(&self, state: &mut State) {
+        state.scheduler_is_up = true;
+        state.job = state.durable_job;
+        if !self.has(Rule::Recovery) {
+            // As if an attempt that was in flight had never been.
+            state.job.lease = None;
+        }
+    }
+
+    fn tick(&self, state: &mut State) {
+        // An offer that was not accepted within a tick is withdrawn by closing its connection.
+        state.in_flight.retain(|message| !matches!(message, Message::Offer { .. }));
+        if self.has(Rule::OfferExpiry) {
+            state.waiting_for_sync.retain(|message| !matches!(message, Message::Offer { .. }));
+        }
+        state.now += 1;
+        for lease in &mut state.worker_leases {
+            lease.take_if(|lease| state.now > lease.expires_at);
+        }
     }
 
-    fn receive(&self, s: &mut State, message: Message) {
+    fn receive(&self, state: &mut State, message: Message) {
         match message {
-            Message::Offer { worker, token } => {
-                let held = &mut s.held[worker as usize];
-                // A worker that has had it under this lease doesn't begin anew.
-                if held.is_none() && s.runs[worker as usize] == 0 {
-                    // Its clock may run slow by the bound at the most.
-                    *held = Some(Held { token, until: s.now + LEASE + BOUND });
-                    s.runs[worker as usize] += 1;
-                }
-            }
-            Message::Beat { worker, token, sent } if s.up => {
-                let fits = s.seen.lease.is_some_and(|l| (l.0, l.1) == (worker, token));
-                if fits && s.seen.ended.is_none() {
-                    let renewal = Message::Renewal { worker, token, until: sent + LEASE + BOUND };
-                    match self.has(Guard::RenewalWritten) {
-                        true => {
-                            let until = s.now + LEASE;
-                            self.write(s, Record::Renewed { token, until }, Some(renewal));
-                        }
-                        false => {
-                            s.seen.apply(Record::Renewed { token, until: s.now + LEASE });
-                            s.network.insert(renewal);
-                        }
-                    }
-                }
+            Message::Offer { worker, token } => receive_offer(state, worker, token),
+            Message::Heartbeat { worker, token, sent_at } => {
+                self.receive_heartbeat(state, worker, token, sent_at);
             }
-            Message::Renewal { worker, token, until } => {
-                if let Some(held) = s.held[worker as usize].as_mut().filter(|h| h.token == token) {
-                    held.until = held.until.max(until);
+            Message::Renewal { worker, token, expires_at } => {
+                let lease = state.worker_leases[usize::from(worker)].as_mut();
+                if let Some(lease) = lease.filter(|lease| lease.token == token) {
+                    lease.expires_at = lease.expires_at.max(expires_at);
                 }
             }
-            Message::Done { worker, token } if s.up && s.seen.ended.is_none() => {
-                let fits = s.seen.lease.is_some_and(|l| (l.0, l.1) == (worker, token));
-                if fits || !self.has(Guard::Fencing) {
-                    self.write(s, Record::Ended { token }, None);
-                    if std::mem::take(&mut s.waiting) {
-                        self.emit(s, Message::Answer { token });
-                    }
-                }
-            }
-            Message::Answer { token } => drop(s.answers.insert(token)),
-            _ => {}
+            Message::Result { worker, token } => self.receive_result(state, worker, token),
+            Message::Answer { token } => drop(state.answers.insert(token)),
         }
     }
+
+    fn receive_heartbeat(&self, state: &mut State, worker: u8, token: u8, sent_at: u8) {
+        let is_current = state.job.is_leased_to(worker, token) && state.job.finished_under.is_none();
+        if !state.scheduler_is_up || !is_current {
+            return;
+        }
+        let record = Record::Renewed { token, expires_at: state.now + LEASE };
+        let renewal = Message::Renewal { worker, token, expires_at: sent_at + LEASE + CLOCK_DRIFT_BOUND };
+        if self.has(Rule::RenewalLogged) {
+            self.log(state, record);
+            self.send(state, renewal);
+        } else {
+            state.job.apply(record);
+            state.in_flight.insert(renewal);
+        }
+    }
+
+    fn receive_result(&self, state: &mut State, worker: u8, token: u8) {
+        if !state.scheduler_is_up || state.job.finished_under.is_some() {
+            return;
+        }
+        if !state.job.is_leased_to(worker, token) && self.has(Rule::Fencing) {
+            return;
+        }
+        self.log(state, Record::Finished { token });
+        if std::mem::take(&mut state.client_waits) {
+            self.send(state, Message::Answer { token });
+        }
+    }
+}
+
+fn receive_offer(state: &mut State, worker: u8, token: u8) {
+    let worker = usize::from(worker);
+    // A worker that has had the job does not begin it again.
+    if state.worker_leases[worker].is_none() && state.runs[worker] == 0 {
+        // Its clock may run slow by the bound at the most.
+        let expires_at = state.now + LEASE + CLOCK_DRIFT_BOUND;
+        state.worker_leases[worker] = Some(WorkerLease { token, expires_at });
+        state.runs[worker] += 1;
+    }
 }
 
-impl Model for Protocol {
+impl Model for LeaseProtocol {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        vec![State {
-            now: 0,
-            crashes: 0,
-            up: true,
-            seen: Job::default(),
-            disk: Job::default(),
-            unsynced: Vec::new(),
-            gated: Vec::new(),
-            network: BTreeSet::new(),
-            held: [None; 2],
-            runs: [0; 2],
-            asks: 0,
-            waiting: false,
-            answers: BTreeSet::new(),
-        }]
+        vec![State::new()]
     }
 
-    fn actions(&self, s: &State, actions: &mut Vec<Action>) {
-        if s.up && s.asks < 2 && !s.waiting {
-            actions.push(Action::Ask);
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+        if state.scheduler_is_up && state.submissions < MAX_SUBMISSIONS && !state.client_waits {
+            actions.push(Action::Submit);
         }
-        if self.may_send(s) {
-            actions.extend([Action::Send(0), Action::Send(1)]);
+        if self.may_lease(state) {
+            actions.extend(WORKERS.map(Action::Lease));
         }
-        if s.up && !s.unsynced.is_empty() {
+        if state.scheduler_is_up && !state.unsynced.is_empty() {
             actions.push(Action::Sync);
         }
-        let bound = if self.has(Guard::ClockBound) { BOUND } else { 0 };
-        if s.up && s.seen.lease.is_some_and(|(_, _, until)| s.now > until + bound) {
+        if self.may_end_lease(state) {
             actions.push(Action::LeaseEnds);
         }
-        if s.up && s.crashes < self.crashes {
-            actions.push(Action::Crash { synced: false });
-            if !s.unsynced.is_empty() {
-                actions.push(Action::Crash { synced: true });
+        if state.scheduler_is_up && state.crashes < CRASHES {
+            actions.push(Action::Crash { unsynced_survives: false });
+            if !state.unsynced.is_empty() {
+                actions.push(Action::Crash { unsynced_survives: true });
             }
         }
-        if !s.up {
+        if !state.scheduler_is_up {
             actions.push(Action::Restart);
         }
-        // What is on its way stays there: it comes at any time, again, or never.
-        actions.extend(s.network.iter().map(|m| Action::Deliver(*m)));
-        for worker in [0, 1] {
-            let told = |m: &Message| matches!(m, Message::Renewal { worker: w, .. } if *w == worker);
-            if s.held[worker as usize].is_some() && !s.network.iter().chain(&s.gated).any(told) {
-                actions.push(Action::Beat(worker));
-            }
-            if s.held[worker as usize].is_some() {
-                actions.push(Action::Finish(worker));
+        // What is in flight stays there: it arrives at any time, again, or never.
+        actions.extend(state.in_flight.iter().map(|message| Action::Deliver(*message)));
+        for worker in WORKERS.into_iter().filter(|worker| state.worker_leases[usize::from(*worker)].is_some())
+        {
+            if !state.is_renewal_pending(worker) {
+                actions.push(Action::Heartbeat(worker));
             }
+            actions.push(Action::Finish(worker));
         }
-        if s.now < self.ticks {
+        if state.now < TICKS {
             actions.push(Action::Tick);
         }
     }
 
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
-        let mut s = last.clone();
+        let mut state = last.clone();
         match action {
-            Action::Ask => {
-                s.asks += 1;
-                match s.seen.ended {
-                    Some(token) => self.emit(&mut s, Message::Answer { token }),
-                    None => {
-                        s.waiting = true;
-                        if !s.seen.taken {
-                            self.write(&mut s, Record::Taken, None);
-                        }
-                    }
-                }
-            }
-            Action::Send(worker) => {
-                let token = s.seen.tokens + 1;
-                // It is told within a tick of when this was written, or not taken; so the worker's own time begins then.
-                let until = s.now + 1 + LEASE;
-                self.write(
-                    &mut s,
-                    Record::Leased { worker, token, until },
-                    Some(Message::Offer { worker, token }),
-                );
-            }
-            Action::Sync => {
-                for record in std::mem::take(&mut s.unsynced) {
-                    s.disk.apply(record);
-                }
-                s.network.extend(std::mem::take(&mut s.gated));
-            }
-            Action::LeaseEnds => self.write(&mut s, Record::Released, None),
-            Action::Crash { synced } => {
-                s.crashes += 1;
-                if synced {
-                    for record in &s.unsynced {
-                        s.disk.apply(*record);
-                    }
-                }
-                (s.up, s.waiting, s.seen) = (false, false, Job::default());
-                s.unsynced.clear();
-                s.gated.clear();
-                // Its connections break: what it was sending does not arrive, nor does what its client was to be told.
-                s.network.retain(|m| !matches!(m, Message::Offer { .. } | Message::Answer { .. }));
-            }
-            Action::Restart => {
-                (s.up, s.seen) = (true, s.disk);
-                if !self.has(Guard::Recovery) && s.seen.lease.take().is_some() {
-                    // As if an attempt that was out had never been.
-                }
-            }
+            Action::Submit => self.submit(&mut state),
+            Action::Lease(worker) => self.lease(&mut state, worker),
+            Action::Sync => state.sync(),
+            Action::LeaseEnds => self.log(&mut state, Record::Released),
+            Action::Crash { unsynced_survives } => state.crash(unsynced_survives),
+            Action::Restart => self.restart(&mut state),
             Action::Deliver(message) => {
-                // On a connection of their own all but results come once.
-                if !matches!(message, Message::Done { .. }) {
-                    s.network.remove(&message);
+                // On a connection of their own all messages but results arrive once.
+                if !matches!(message, Message::Result { .. }) {
+                    state.in_flight.remove(&message);
                 }
-                self.receive(&mut s, message);
+                self.receive(&mut state, message);
             }
-            Action::Beat(worker) => {
-                // One that is late gives the worker less time and the scheduler more: at once is the hardest.
-                let held = s.held[worker as usize]?;
-                let message = Message::Beat { worker, token: held.token, sent: s.now };
-                self.receive(&mut s, message);
+            Action::Heartbeat(worker) => {
+                // A late heartbeat gives the worker less time and the scheduler more: at once is the hardest.
+                let token = state.worker_leases[usize::from(worker)]?.token;
+                let sent_at = state.now;
+                self.receive(&mut state, Message::Heartbeat { worker, token, sent_at });
             }
             Action::Finish(worker) => {
-                let held = s.held[worker as usize].take()?;
-                s.network.insert(Message::Done { worker, token: held.token });
-            }
-            Action::Tick => {
-                // An offer that was not taken within a tick is given up by closing its connection.
-                s.network.retain(|m| !matches!(m, Message::Offer { .. }));
-                if self.has(Guard::OfferExpires) {
-                    s.gated.retain(|m| !matches!(m, Message::Offer { .. }));
-                }
-                s.now += 1;
-                for held in &mut s.held {
-                    if held.is_some_and(|h| s.now > h.until) {
-                        *held = None;
-                    }
-                }
+                let token = state.worker_leases[usize::from(worker)].take()?.token;
+                state.in_flight.insert(Message::Result { worker, token });
             }
+            Action::Tick => self.tick(&mut state),
         }
-        (s != *last).then_some(s)
+        (state != *last).then_some(state)
     }
 
-    fn within_boundary(&self, s: &State) -> bool {
-        s.unsynced.len() <= 4
+    fn within_boundary(&self, state: &State) -> bool {
+        state.unsynced.len() <= MAX_UNSYNCED
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one worker at a time", |_, s: &State| s.held.iter().flatten().count() <= 1),
-            Property::always("never twice", |p: &Protocol, s: &State| {
-                p.class == Class::Dropped || s.runs.iter().sum::<u8>() <= 1
+            Property::always(ONE_WORKER, |_, state: &State| {
+                state.worker_leases.iter().flatten().count() <= 1
+            }),
+            Property::always(NO_SECOND_RUN, |protocol: &LeaseProtocol, state: &State| {
+                protocol.class == Class::Deduplicated || state.runs.iter().sum::<u8>() <= 1
             }),
-            Property::always("one answer for all who ask", |_, s: &State| s.answers.len() <= 1),
-            Property::always("what was answered is on disk", |_, s: &State| {
-                s.answers.iter().all(|token| s.disk.ended == Some(*token))
+            Property::always(ONE_ANSWER, |_, state: &State| state.answers.len() <= 1),
+            Property::always(ANSWER_DURABLE, |_, state: &State| {
+                state.answers.iter().all(|token| state.durable_job.finished_under == Some(*token))
             }),
-            Property::always("the result is the last lease's", |_, s: &State| {
-                s.disk.ended.is_none_or(|token| token == s.disk.tokens)
+            Property::always(LAST_LEASE, |_, state: &State| {
+                let job = &state.durable_job;
+                job.finished_under.is_none_or(|token| token == job.last_token)
             }),
-            Property::sometimes("answered after a crash", |_, s: &State| {
-                s.crashes > 0 && !s.answers.is_empty()
+            Property::sometimes(ANSWERED_AFTER_CRASH, |_, state: &State| {
+                state.crashes > 0 && !state.answers.is_empty()
             }),
-            Property::sometimes("a lease ends and the job goes on elsewhere", |p: &Protocol, s: &State| {
-                p.class == Class::Never || s.runs == [1, 1]
+            Property::sometimes(SECOND_WORKER, |protocol: &LeaseProtocol, state: &State| {
+                protocol.class == Class::NonIdempotent || state.runs == [1, 1]
             }),
         ]
     }
 }
 
-fn search(class: Class, without: Option<Guard>, ticks: u8, crashes: u8) -> (usize, Vec<&'static str>) {
-    let protocol = Protocol { class, without, ticks, crashes };
-    let checker = protocol.checker().threads(1).spawn_bfs().join();
-    let always = [
-        "one worker at a time",
-        "never twice",
-        "one answer for all who ask",
-        "what was answered is on disk",
-        "the result is the last lease's",
-    ];
-    let broken = always.into_iter().filter(|name| checker.discovery(name).is_some()).collect();
+/// What a search found.
+struct SearchResult {
+    states: usize,
+    broken_invariants: Vec<&'static str>,
+}
+
+fn search(class: Class, without: Option<Rule>) -> SearchResult {
+    let checker = LeaseProtocol { class, without }.checker().threads(1).spawn_bfs().join();
     if without.is_none() {
-        for some in ["answered after a crash", "a lease ends and the job goes on elsewhere"] {
-            assert!(checker.discovery(some).is_some(), "{class:?}: never {some}: the model is too small");
+        for name in REACHABLE {
+            assert!(checker.discovery(name).is_some(), "{class:?}: never {name}: the model is too small");
         }
     }
-    (checker.unique_state_count(), broken)
+    let is_broken = |name: &&'static str| checker.discovery(name).is_some();
+    let broken_invariants = INVARIANTS.into_iter().filter(is_broken).collect();
+    SearchResult { states: checker.unique_state_count(), broken_invariants }
 }
 
 // Guards the protocol: within these sizes no order of events breaks an invariant.
 #[test]
-fn the_protocol_keeps_its_invariants() {
-    for class in [Class::Never, Class::Dropped] {
-        let (states, broken) = search(class, None, 4, 1);
+fn no_order_of_events_breaks_an_invariant() {
+    for class in [Class::NonIdempotent, Class::Deduplicated] {
+        let SearchResult { states, broken_invariants } = search(class, None);
+
         println!("{class:?}: {states} states");
-        assert_eq!(broken, Vec::<&str>::new(), "{class:?}");
+        assert_eq!(broken_invariants, Vec::<&str>::new(), "{class:?}");
         assert!(states > 1_000, "{class:?}: {states} states");
     }
 }
 
-// Guards the model: with a guard taken out, the search finds what the guard is for.
+// Guards the model: with a rule taken out, the search finds the fault that the rule prevents.
 #[test]
-fn each_guard_is_needed() {
+fn without_any_rule_an_invariant_breaks() {
     let cases = [
-        (Guard::OutputCommit, Class::Never, "never twice"),
-        (Guard::ClockBound, Class::Dropped, "one worker at a time"),
-        (Guard::RenewalWritten, Class::Dropped, "one worker at a time"),
-        (Guard::Fencing, Class::Dropped, "the result is the last lease's"),
-        (Guard::NeverTwice, Class::Never, "never twice"),
-        (Guard::Recovery, Class::Never, "never twice"),
-        (Guard::OfferExpires, Class::Dropped, "one worker at a time"),
+        (Rule::OutputCommit, Class::NonIdempotent, NO_SECOND_RUN),
+        (Rule::ClockDriftBound, Class::Deduplicated, ONE_WORKER),
+        (Rule::RenewalLogged, Class::Deduplicated, ONE_WORKER),
+        (Rule::Fencing, Class::Deduplicated, LAST_LEASE),
+        (Rule::NoSecondRun, Class::NonIdempotent, NO_SECOND_RUN),
+        (Rule::Recovery, Class::NonIdempotent, NO_SECOND_RUN),
+        (Rule::OfferExpiry, Class::Deduplicated, ONE_WORKER),
     ];
-    for (guard, class, invariant) in cases {
-        let (states, broken) = search(class, Some(guard), 4, 1);
-        println!("without {guard:?}: {states} states, {broken:?}");
-        assert!(broken.contains(&invariant), "{guard:?}: {broken:?} in {states} states");
+    for (rule, class, invariant) in cases {
+        let SearchResult { states, broken_invariants } = search(class, Some(rule));
+
+        println!("without {rule:?}: {states} states, {broken_invariants:?}");
+        assert!(broken_invariants.contains(&invariant), "{rule:?}: {broken_invariants:?} in {states} states");
     }
 }
