--- a/crates/cluster/control-plane/tests/configuration_replacement.rs
+++ b/crates/cluster/control-plane/tests/configuration_replacement.rs
@@ -66,7 +66,7 @@
             let direction = simulation.rng.random_range(0..3);
             simulation.cluster.isolate(machine, direction != 1, direction != 2);
             simulation.run(ISOLATION_MS);
-            simulation.cluster.partitioned_links.clear();
+            simulation.cluster.heal_links();
             simulation.run(1_000);
         }
         6 => {
@@ -77,7 +77,7 @@
         }
         _ => {
             let receiver = (machine + 1) % count;
-            simulation.cluster.delay_link((machine, receiver), 1_500);
+            simulation.cluster.delay_link(machine, receiver, 1_500);
             simulation.run(2_000);
         }
     }
@@ -107,7 +107,7 @@
         simulation.run(30);
         assert!(simulation.confirmed.is_empty(), "seed {seed}: confirmed without a commit");
         simulation.cluster.crash(primary);
-        simulation.cluster.partitioned_links.clear();
+        simulation.cluster.heal_links();
         simulation.operators[0].change = Some(other.clone());
         simulation.run(3_000);
         assert_eq!(simulation.confirmed.get(&5), Some(&other), "seed {seed}");
--- a/crates/cluster/control-plane/tests/operator_simulation/mod.rs
+++ b/crates/cluster/control-plane/tests/operator_simulation/mod.rs
@@ -8,6 +8,7 @@
 mod common;
 
 use common::SimulatedCluster;
+use common::cluster::RecordedEvent;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use spanlead_control_plane::configuration_state::{ConfigurationState, ReplaceOutcome};
@@ -108,7 +109,7 @@
     }
 
     fn handle_events(&mut self) {
-        for (machine, event) in std::mem::take(&mut self.cluster.events) {
+        for RecordedEvent { machine, event } in std::mem::take(&mut self.cluster.events) {
             match event {
                 ReplicaEvent::Activated { .. } => {
                     let replica = self.cluster.machines[machine].replica.as_ref().expect("a running replica");
--- a/crates/cluster/replication/src/backup/session.rs
+++ b/crates/cluster/replication/src/backup/session.rs
@@ -1,12 +1,13 @@
 //! The backup's end of a replication session.
 //!
-//! A session's stream holds chunks of the repair and batches of changes, in the primary's order. Items that overtook others
-//! wait in a bounded buffer.
+//! A session's stream holds chunks of the repair and batches of changes, in the primary's order.
+//! Items that overtook others wait in a bounded buffer.
 //!
-//! A backup that counts as in sync must at every moment hold a state that some primary once had: it may have to become
-//! primary. It buffers the repair in memory (two replicas in sync differ only by what is not committed yet) and writes it
-//! as one batch. A backup that is not in sync may lack nearly everything: it writes each chunk as it comes, marks its
-//! replica incomplete until the last one, and goes on from there if it is interrupted.
+//! A backup that counts as in sync must at every moment hold a state that some primary once had: it
+//! may have to become primary. It buffers the repair in memory (two replicas in sync differ only by
+//! what is not committed yet) and writes it as one batch. A backup that is not in sync may lack
+//! nearly everything: it writes each chunk as it comes, marks its replica incomplete until the last
+//! one, and goes on from there if it is interrupted.
 use crate::keyspace::{Change, Keyspace};
 use crate::message::StreamItem;
 use crate::view::{Member, MemberId, Position, Term};
@@ -43,7 +44,8 @@
 
 /// A session as its backup sees it.
 ///
-/// Invariant: exactly the items before `next_index` have been processed, in order; `reordered` holds only later ones.
+/// Invariant: exactly the items before `next_index` have been processed, in order; `reordered`
+/// holds only later ones.
 #[derive(Clone, Debug)]
 pub(crate) struct BackupSession {
     pub(crate) primary: MemberId,
--- a/crates/cluster/replication/src/backup/state.rs
+++ b/crates/cluster/replication/src/backup/state.rs
@@ -42,7 +42,8 @@
 
 /// The state of a backup.
 ///
-/// Invariant: numbers of sessions rise, so messages of an ended session never match the current one.
+/// Invariant: numbers of sessions rise, so messages of an ended session never match the current
+/// one.
 #[derive(Clone, Debug)]
 pub(crate) struct BackupState {
     pub(crate) session: Option<BackupSession>,
@@ -51,7 +52,8 @@
 }
 
 impl BackupState {
-    /// A backup without a session. The first number is random, so that sessions of processes before are told apart.
+    /// A backup without a session. The first number is random, so that sessions of processes before
+    /// are told apart.
     pub(crate) fn new(random: u64) -> Self {
         BackupState { session: None, last_session_number: random >> 1, backoff: StallBackoff::default() }
     }
@@ -74,7 +76,8 @@
         self.session.as_mut().filter(|session| session.number == number)
     }
 
-    /// Whether a new session is needed: there is none with this primary, the primary has lost it, or it is stalled.
+    /// Whether a new session is needed: there is none with this primary, the primary has lost it,
+    /// or it is stalled.
     pub(crate) fn needs_session(&mut self, progress: &PrimaryProgress, now_ms: u64) -> bool {
         let Some(session) = &mut self.session else { return true };
         if session.term != progress.term || session.primary != progress.primary {
--- /dev/null
+++ b/crates/cluster/replication/src/bootstrap.rs
@@ -0,0 +1,68 @@
+//! What a machine knows of the election that starts the system.
+use crate::timing::BOOTSTRAP_VOTER_EXPIRY_MS;
+use crate::view::{Epoch, Member, MemberId, Term, View};
+use std::collections::BTreeMap;
+
+/// Another machine that may vote for the first view.
+#[derive(Clone, Debug)]
+struct BootstrapVoter {
+    member: Member,
+    last_contact_ms: u64,
+}
+
+/// The bootstrap voters that a machine knows. See `replica/bootstrap.rs` for the election itself.
+#[derive(Clone, Debug)]
+pub(crate) struct BootstrapState {
+    is_voter: bool,
+    other_voters: BTreeMap<MemberId, BootstrapVoter>,
+}
+
+impl BootstrapState {
+    /// A machine that knows no other voter.
+    pub(crate) fn new(is_voter: bool) -> Self {
+        BootstrapState { is_voter, other_voters: BTreeMap::new() }
+    }
+
+    /// Whether this machine's folder dates from the first start of the whole system.
+    pub(crate) fn is_voter(&self) -> bool {
+        self.is_voter
+    }
+
+    /// Adds another voter, or notes that it is in contact.
+    pub(crate) fn add_voter(&mut self, member: Member, now_ms: u64) {
+        self.other_voters.insert(member.id, BootstrapVoter { member, last_contact_ms: now_ms });
+    }
+
+    /// Forgets the other voters: a view is known.
+    pub(crate) fn finish(&mut self) {
+        self.other_voters.clear();
+    }
+
+    /// Forgets other voters that have been silent for too long.
+    pub(crate) fn expire_voters(&mut self, now_ms: u64) {
+        let is_in_contact =
+            |voter: &BootstrapVoter| now_ms <= voter.last_contact_ms + BOOTSTRAP_VOTER_EXPIRY_MS;
+        self.other_voters.retain(|_, voter| is_in_contact(voter));
+    }
+
+    /// The number of voters, this machine among them.
+    pub(crate) fn voter_count(&self) -> usize {
+        self.other_voters.len() + 1
+    }
+
+    /// The first view: this machine as primary, and all known voters in sync, since nobody holds
+    /// anything.
+    pub(crate) fn first_view(&self, local_member: &Member, full_membership: usize) -> View {
+        let others = self.other_voters.values().take(full_membership - 1);
+        let mut members = vec![local_member.clone()];
+        members.extend(others.map(|voter| voter.member.clone()));
+        View {
+            epoch: Epoch::FIRST,
+            term: Term::from(Epoch::FIRST),
+            primary: local_member.id,
+            in_sync: members.iter().map(|member| member.id).collect(),
+            previous_members: members.clone(),
+            members,
+        }
+    }
+}
--- a/crates/cluster/replication/src/config.rs
+++ b/crates/cluster/replication/src/config.rs
@@ -24,7 +24,8 @@
 }
 
 impl ReplicaConfig {
-    /// The fewest votes that decide anything, and the fewest replicas that a primary needs in sync: f + 1.
+    /// The fewest votes that decide anything, and the fewest replicas that a primary needs in sync:
+    /// f + 1.
     ///
     /// Any two quorums then share a member, however few members the first views have.
     pub(crate) fn min_quorum(&self) -> usize {
--- a/crates/cluster/replication/src/digest.rs
+++ b/crates/cluster/replication/src/digest.rs
@@ -1,10 +1,12 @@
 //! Digests of the key space, by which two replicas find cheaply where they differ.
 //!
-//! Keys are hashed into [`LEAF_COUNT`] leaves, and every [`RANGE_COUNT`] successive leaves form a range. The digest of a
-//! leaf combines its entries in any order, so a change updates it without reading the leaf's other entries.
+//! Keys are hashed into [`LEAF_COUNT`] leaves, and every [`RANGE_COUNT`] successive leaves form a
+//! range. The digest of a leaf combines its entries in any order, so a change updates it without
+//! reading the leaf's other entries.
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// The number of ranges of the hashed key space: the upper level of digests. A range has as many leaves.
+/// The number of ranges of the hashed key space: the upper level of digests. A range has as many
+/// leaves.
 pub const RANGE_COUNT: usize = 32;
 /// The number of leaves in all: the lower level of digests, and the unit of repair.
 pub const LEAF_COUNT: usize = RANGE_COUNT * RANGE_COUNT;
--- a/crates/cluster/replication/src/election.rs
+++ b/crates/cluster/replication/src/election.rs
@@ -1,8 +1,9 @@
 //! The course of one election.
 //!
-//! A candidate asks whether it would win (pre-vote), gathers promises, completes the newest view that it finds, and then
-//! proposes the view in which it is primary. Since any two quorums share a witness, a view that may be in force is among
-//! the promises, and it is completed before anything new is proposed.
+//! A candidate asks whether it would win (pre-vote), gathers promises, completes the newest view
+//! that it finds, and then proposes the view in which it is primary. Since any two quorums share a
+//! witness, a view that may be in force is among the promises, and it is completed before anything
+//! new is proposed.
 use crate::view::{AcceptedView, Ballot, Epoch, Member, MemberId, Term, View};
 use std::collections::BTreeMap;
 
@@ -107,7 +108,8 @@
         (election, ElectionStep::RequestPreVotes(targets))
     }
 
-    /// Starts the election that starts the system with `first_view`, unless a voter has accepted another view.
+    /// Starts the election that starts the system with `first_view`, unless a voter has accepted
+    /// another view.
     pub(crate) fn start_bootstrap(
         local_id: MemberId,
         min_quorum: usize,
@@ -240,7 +242,8 @@
         accepted.view.decided_by(&holders, self.min_quorum)
     }
 
-    /// Proposes the first view once enough voters have promised that none accepts another of a lower ballot.
+    /// Proposes the first view once enough voters have promised that none accepts another of a
+    /// lower ballot.
     fn propose_first_view(&mut self) -> ElectionStep {
         let Some(view) = self.first_view.clone().filter(|_| self.promises.len() >= self.min_quorum) else {
             return ElectionStep::Wait;
@@ -249,7 +252,8 @@
         ElectionStep::Propose(view)
     }
 
-    /// Proposes the view that makes this candidate primary. The in-sync set keeps those that promised, if they are enough.
+    /// Proposes the view that makes this candidate primary. The in-sync set keeps those that
+    /// promised, if they are enough.
     fn propose_own_view(&mut self, current: &View) -> ElectionStep {
         let mut next = current.successor();
         next.term = Term::from(next.epoch);
--- a/crates/cluster/replication/src/interface.rs
+++ b/crates/cluster/replication/src/interface.rs
@@ -9,9 +9,11 @@
 pub struct RecoveredState {
     /// The folder's identity; `None` if it is empty.
     pub identity: Option<MemberId>,
-    /// Whether the folder was first used at the first start of the whole system, and so may vote for the first view.
+    /// Whether the folder was first used at the first start of the whole system, and so may vote
+    /// for the first view.
     pub bootstrap_voter: bool,
-    /// Whether a repair of the key space was begun and not finished: it is then no state that any primary ever had.
+    /// Whether a repair of the key space was begun and not finished: it is then no state that any
+    /// primary ever had.
     pub repair_incomplete: bool,
     /// The witness's record.
     pub witness: WitnessRecord,
@@ -21,7 +23,8 @@
     pub keyspace: Keyspace,
 }
 
-/// A record to write to disk. Records are written in order, and each replaces or extends what the folder holds.
+/// A record to write to disk. Records are written in order, and each replaces or extends what the
+/// folder holds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     /// The folder's identity.
@@ -79,7 +82,8 @@
         /// Its term.
         term: Term,
     },
-    /// This machine is no longer primary; what it proposed and was not committed may be lost or kept.
+    /// This machine is no longer primary; what it proposed and was not committed may be lost or
+    /// kept.
     Deactivated,
     /// All batches up to this one are committed: no later primary lacks them.
     Committed {
@@ -88,7 +92,8 @@
     },
     /// A newer view is known.
     ViewChanged(View),
-    /// A member that was told to leave may terminate: no view needs it any more, or no standby can replace it.
+    /// A member that was told to leave may terminate: no view needs it any more, or no standby can
+    /// replace it.
     LeaveAllowed,
 }
 
--- a/crates/cluster/replication/src/keyspace.rs
+++ b/crates/cluster/replication/src/keyspace.rs
@@ -30,7 +30,8 @@
     pub value: Vec<u8>,
 }
 
-/// The entries of one leaf in a range of its keys, in order. Repair transfers such chunks, so that no message is large.
+/// The entries of one leaf in a range of its keys, in order. Repair transfers such chunks, so that
+/// no message is large.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 pub struct LeafChunk {
     /// The leaf's number.
@@ -84,7 +85,8 @@
 
 /// A replica of the key space in memory, with the digests of its leaves.
 ///
-/// Invariant: each leaf's digest is that of its entries, since [`Keyspace::apply`] is the only way to change them.
+/// Invariant: each leaf's digest is that of its entries, since [`Keyspace::apply`] is the only way
+/// to change them.
 #[derive(Clone, Debug)]
 pub struct Keyspace {
     entries: BTreeMap<EntryKey, Vec<u8>>,
@@ -182,7 +184,8 @@
         chunk
     }
 
-    /// The changes that make this replica equal to a chunk in the chunk's range: removals, then new values.
+    /// The changes that make this replica equal to a chunk in the chunk's range: removals, then new
+    /// values.
     #[must_use]
     pub fn changes_to_match(&self, chunk: &LeafChunk) -> Vec<Change> {
         let wanted: BTreeMap<&[u8], &[u8]> =
--- a/crates/cluster/replication/src/message.rs
+++ b/crates/cluster/replication/src/message.rs
@@ -1,6 +1,7 @@
 //! The messages that members send to each other.
 //!
-//! The order and the types of fields and variants are the wire format: names may change, these may not.
+//! The order and the types of fields and variants are the wire format: names may change, these may
+//! not.
 use crate::keyspace::{Change, LeafChunk};
 use crate::view::{AcceptedView, Ballot, Epoch, Member, MemberId, Term, View};
 use rkyv::{Archive, Deserialize, Serialize};
@@ -10,7 +11,8 @@
 pub struct Envelope {
     /// The sender.
     pub from: MemberId,
-    /// The receiver; any other member drops the message. `None` where the sender knows only an address.
+    /// The receiver; any other member drops the message. `None` where the sender knows only an
+    /// address.
     pub to: Option<MemberId>,
     /// The message.
     pub message: Message,
@@ -23,8 +25,8 @@
     Announce {
         /// The sender.
         member: Member,
-        /// Whether the sender's folder dates from the first start of the whole system and has no view: it may vote in the
-        /// election that starts the system.
+        /// Whether the sender's folder dates from the first start of the whole system and has no
+        /// view: it may vote in the election that starts the system.
         bootstrap_voter: bool,
         /// The epoch of the newest view that the sender knows.
         known_epoch: Epoch,
@@ -102,7 +104,8 @@
     LeafDigestRequest {
         /// The session.
         session: u64,
-        /// Whether the backup counts as in sync, and so must stay able to become primary while it is repaired.
+        /// Whether the backup counts as in sync, and so must stay able to become primary while it
+        /// is repaired.
         in_sync: bool,
         /// The numbers of the ranges.
         ranges: Vec<u16>,
@@ -182,18 +185,21 @@
     pub sent_at_ms: u64,
     /// The witness's own clock, milliseconds; returned with a later heartbeat.
     pub witness_clock_ms: u64,
-    /// Whether the witness's replica holds records that it can't read, and so must not become primary.
+    /// Whether the witness's replica holds records that it can't read, and so must not become
+    /// primary.
     pub ineligible: bool,
 }
 
 /// Proof that a primary was in contact with a majority.
 ///
-/// Both values are of one clock each, so a delayed message can only make the contact look older than it is.
+/// Both values are of one clock each, so a delayed message can only make the contact look older
+/// than it is.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MajorityContact {
     /// The receiver's own clock as its last grant told the primary, milliseconds.
     pub receiver_clock_ms: u64,
-    /// How long before this heartbeat the primary asked for the grants of the majority, milliseconds.
+    /// How long before this heartbeat the primary asked for the grants of the majority,
+    /// milliseconds.
     pub age_ms: u64,
 }
 
@@ -225,7 +231,8 @@
     },
 }
 
-/// The connection on which a message travels. Messages of one class keep their order; the classes don't delay each other.
+/// The connection on which a message travels. Messages of one class keep their order; the classes
+/// don't delay each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TrafficClass {
     /// Small and urgent: leases, votes, acknowledgements.
--- a/crates/cluster/replication/src/primary/batches.rs
+++ b/crates/cluster/replication/src/primary/batches.rs
@@ -1,4 +1,5 @@
-//! The batches that a primary has proposed: when each was sent, and how far they are on disk and committed.
+//! The batches that a primary has proposed: when each was sent, and how far they are on disk and
+//! committed.
 use crate::timing::{ACKNOWLEDGEMENT_TIMEOUT_MS, DISK_STALL_TIMEOUT_MS, MAX_BATCH_TRANSIT_MS};
 use std::collections::VecDeque;
 
@@ -11,7 +12,8 @@
 
 /// The progress of a primary's batches, by sequence number.
 ///
-/// Invariant: `committed` and `durable_locally` are at most `last`, and none of the three ever falls.
+/// Invariant: `committed` and `durable_locally` are at most `last`, and none of the three ever
+/// falls.
 #[derive(Clone, Debug)]
 pub(crate) struct BatchTracker {
     /// The last batch that was proposed.
@@ -51,13 +53,15 @@
             && missing.is_none_or(|batch| now_ms < batch.sent_at_ms + MAX_BATCH_TRANSIT_MS)
     }
 
-    /// Whether a backup that has acknowledged this batch lacks one that it should have acknowledged long ago.
+    /// Whether a backup that has acknowledged this batch lacks one that it should have acknowledged
+    /// long ago.
     pub(crate) fn is_overdue(&self, acknowledged: u64, now_ms: u64) -> bool {
         let missing = self.first_missing(acknowledged);
         missing.is_some_and(|batch| now_ms > batch.sent_at_ms + ACKNOWLEDGEMENT_TIMEOUT_MS)
     }
 
-    /// Whether the primary's own disk has made no progress for so long that another machine should take over.
+    /// Whether the primary's own disk has made no progress for so long that another machine should
+    /// take over.
     pub(crate) fn is_own_disk_stalled(&self, now_ms: u64) -> bool {
         let missing = self.first_missing(self.durable_locally);
         missing.is_some_and(|batch| now_ms > batch.sent_at_ms + DISK_STALL_TIMEOUT_MS)
--- a/crates/cluster/replication/src/primary/lease.rs
+++ b/crates/cluster/replication/src/primary/lease.rs
@@ -34,8 +34,8 @@
         self.by_witness.get(&witness)
     }
 
-    /// When the primary asked for the newest grants that `votes_needed` of these members have given, milliseconds; 0 if
-    /// fewer have.
+    /// When the primary asked for the newest grants that `votes_needed` of these members have
+    /// given, milliseconds; 0 if fewer have.
     pub(crate) fn majority_granted_at_ms(&self, members: &[Member], votes_needed: usize) -> u64 {
         let grants = members.iter().filter_map(|member| self.of(member.id));
         let mut asked_at_ms: Vec<u64> = grants.map(|grant| grant.asked_at_ms).collect();
@@ -46,8 +46,9 @@
 
 /// Until when a lease may be used whose grants were asked for at this time; 0 if there is none.
 ///
-/// A witness counts a lease from the moment at which it grants it, which is later than that at which the primary asked.
-/// The holder uses nine tenths of it, so that its clock may be slower than the witness's by a tenth.
+/// A witness counts a lease from the moment at which it grants it, which is later than that at
+/// which the primary asked. The holder uses nine tenths of it, so that its clock may be slower than
+/// the witness's by a tenth.
 pub(super) fn usable_until_ms(granted_at_ms: u64, lease_ms: u64) -> u64 {
     if granted_at_ms == 0 {
         return 0;
--- a/crates/cluster/replication/src/primary/membership.rs
+++ b/crates/cluster/replication/src/primary/membership.rs
@@ -1,4 +1,5 @@
-//! Machines that may join or leave: standbys, members that asked to leave, and members that were replaced while silent.
+//! Machines that may join or leave: standbys, members that asked to leave, and members that were
+//! replaced while silent.
 use crate::timing::{
     CATCH_UP_RETRY_INTERVAL_MS, CATCH_UP_WAIT_MS, LEAVE_REQUEST_VALIDITY_MS, REINSTATEMENT_WINDOW_MS,
     STANDBY_EXPIRY_MS,
@@ -10,13 +11,13 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Standby {
     pub(crate) member: Member,
-    heard_at_ms: u64,
+    last_contact_ms: u64,
 }
 
 impl Standby {
-    /// Whether the machine was heard within the time-out.
-    pub(crate) fn is_heard(&self, silence_timeout_ms: u64, now_ms: u64) -> bool {
-        now_ms <= self.heard_at_ms + silence_timeout_ms
+    /// Whether a message from the machine arrived within the time-out.
+    pub(crate) fn is_in_contact(&self, contact_timeout_ms: u64, now_ms: u64) -> bool {
+        now_ms <= self.last_contact_ms + contact_timeout_ms
     }
 }
 
@@ -36,7 +37,8 @@
     }
 }
 
-/// What a primary remembers of machines that may join or leave. All of it is lost with a change of primary.
+/// What a primary remembers of machines that may join or leave. All of it is lost with a change of
+/// primary.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MembershipTracker {
     /// Machines that replicate and are no members.
@@ -46,28 +48,29 @@
     substitutions: Vec<Substitution>,
     /// Backups that commits wait for though they are not in sync yet.
     ///
-    /// A backup on a slower link than the others would otherwise always lack the last committed batch, and never join.
+    /// A backup on a slower link than the others would otherwise always lack the last committed
+    /// batch, and never join.
     pub(crate) commits_wait_for: Vec<MemberId>,
     /// Since when commits wait for each of these, or did a while ago, milliseconds.
     catch_up_since_ms: BTreeMap<MemberId, u64>,
 }
 
 impl MembershipTracker {
-    /// Notes that a machine was heard.
-    pub(crate) fn heard_from(&mut self, from: MemberId, now_ms: u64) {
+    /// Notes that a message from a machine arrived.
+    pub(crate) fn record_contact(&mut self, from: MemberId, now_ms: u64) {
         if let Some(standby) = self.standbys.get_mut(&from) {
-            standby.heard_at_ms = now_ms;
+            standby.last_contact_ms = now_ms;
         }
     }
 
-    /// Adds a machine that is no member, or notes that it was heard.
+    /// Adds a machine that is no member, or notes that it is in contact.
     pub(crate) fn add_standby(&mut self, member: Member, now_ms: u64) {
-        self.standbys.insert(member.id, Standby { member, heard_at_ms: now_ms });
+        self.standbys.insert(member.id, Standby { member, last_contact_ms: now_ms });
     }
 
     /// Forgets standbys that have been silent for long.
-    pub(crate) fn forget_silent_standbys(&mut self, now_ms: u64) {
-        self.standbys.retain(|_, standby| now_ms < standby.heard_at_ms + STANDBY_EXPIRY_MS);
+    pub(crate) fn expire_standbys(&mut self, now_ms: u64) {
+        self.standbys.retain(|_, standby| now_ms < standby.last_contact_ms + STANDBY_EXPIRY_MS);
     }
 
     /// Notes that a member asks to leave for good.
@@ -88,7 +91,8 @@
         self.substitutions.iter().find(is_of).map(|substitution| substitution.substitute)
     }
 
-    /// Notes which standby took whose place when a view comes into force that replaces a silent member.
+    /// Notes which standby took whose place when a view comes into force that replaces a silent
+    /// member.
     pub(crate) fn note_replacement(&mut self, current: &View, next: &View, now_ms: u64) {
         let removed = current.members.iter().find(|member| !next.has_member(member.id));
         let added = next.members.iter().find(|member| !current.has_member(member.id));
@@ -102,7 +106,8 @@
         }
     }
 
-    /// Lets commits wait for these backups. One that does not catch up in time is not waited for again for a while.
+    /// Lets commits wait for these backups. One that does not catch up in time is not waited for
+    /// again for a while.
     pub(crate) fn wait_for(&mut self, joining: Vec<MemberId>, now_ms: u64) {
         self.catch_up_since_ms.retain(|_, since_ms| now_ms <= *since_ms + CATCH_UP_RETRY_INTERVAL_MS);
         for id in &joining {
--- a/crates/cluster/replication/src/primary/session.rs
+++ b/crates/cluster/replication/src/primary/session.rs
@@ -1,4 +1,5 @@
-//! The primary's end of a replication session: what differs, the repair in chunks, then the batches.
+//! The primary's end of a replication session: what differs, the repair in chunks, then the
+//! batches.
 use crate::digest::{RANGE_COUNT, first_leaf_of, range_digest};
 use crate::keyspace::{Change, Keyspace, LeafChunk};
 use crate::message::{RangeLeafDigests, StreamItem};
@@ -8,8 +9,8 @@
 const MAX_CHUNK_BYTES: usize = 64 * 1024;
 /// Chunks that may be in flight to a backup.
 const MAX_CHUNKS_IN_FLIGHT: usize = 4;
-/// Bytes of batches that a backup may leave unacknowledged; beyond that the session ends. The backup starts another, which
-/// goes on where this one was.
+/// Bytes of batches that a backup may leave unacknowledged; beyond that the session ends. The
+/// backup starts another, which goes on where this one was.
 const MAX_UNACKNOWLEDGED_BYTES: usize = 4 << 20;
 /// The same limit in batches.
 const MAX_UNACKNOWLEDGED_BATCHES: usize = 2_048;
@@ -41,8 +42,9 @@
 
 /// A backup's session as the primary sees it.
 ///
-/// Invariant: items are numbered from 1 without gaps in the order in which they are made, chunks and batches alike. A chunk
-/// shows its keys as they are at its index, so whatever order the network keeps, the backup ends with the primary's state.
+/// Invariant: items are numbered from 1 without gaps in the order in which they are made, chunks
+/// and batches alike. A chunk shows its keys as they are at its index, so whatever order the
+/// network keeps, the backup ends with the primary's state.
 #[derive(Clone, Debug)]
 pub(crate) struct PrimarySession {
     number: u64,
@@ -88,8 +90,8 @@
         self.acknowledged
     }
 
-    /// The backup reports the digests of its leaves. What differs now by these, or by the digests of ranges that it did
-    /// not report, is to be repaired.
+    /// The backup reports the digests of its leaves. What differs now by these, or by the digests
+    /// of ranges that it did not report, is to be repaired.
     pub(crate) fn compare_leaves(&mut self, reported: &[RangeLeafDigests], keyspace: &Keyspace) {
         let Phase::Comparing { range_digests } = &self.phase else { return };
         let mut leaves: VecDeque<u16> = VecDeque::new();
@@ -117,7 +119,8 @@
         }
     }
 
-    /// The items that may be sent now. A repair that ends now ends with the state after batch `sequence`.
+    /// The items that may be sent now. A repair that ends now ends with the state after batch
+    /// `sequence`.
     pub(crate) fn next_items(&mut self, keyspace: &Keyspace, sequence: u64) -> Vec<IndexedItem> {
         let mut items = Vec::new();
         while self.chunks_in_flight.len() < MAX_CHUNKS_IN_FLIGHT
--- a/crates/cluster/replication/src/primary/state.rs
+++ b/crates/cluster/replication/src/primary/state.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// When the primary asked for the newest grants that a majority of the witnesses has given, milliseconds; 0 if there
-    /// is no majority.
+    /// When the primary asked for the newest grants that a majority of the witnesses has given,
+    /// milliseconds; 0 if there is no majority.
     pub(crate) fn majority_granted_at_ms(&self) -> u64 {
         self.grants.majority_granted_at_ms(&self.view.members, self.view.votes_needed(self.min_quorum))
     }
@@ -92,9 +92,10 @@
         self.sessions.get(&id).and_then(PrimarySession::acknowledged)
     }
 
-    /// The last batch that is on disk at every replica whose acknowledgement a commit needs: the in-sync sets of the view
-    /// in force and of the proposed one, and the backups that are about to join. Either view may be found by the next
-    /// primary, so a committed batch must be at all replicas of both.
+    /// The last batch that is on disk at every replica whose acknowledgement a commit needs: the
+    /// in-sync sets of the view in force and of the proposed one, and the backups that are about to
+    /// join. Either view may be found by the next primary, so a committed batch must be at all
+    /// replicas of both.
     pub(crate) fn commit_point(&self, local_id: MemberId) -> u64 {
         let proposed = self.proposal.iter().flat_map(|proposal| &proposal.view.in_sync);
         let needed = self.view.in_sync.iter().chain(proposed).chain(&self.membership.commits_wait_for);
@@ -126,10 +127,10 @@
         is_decided.then(|| proposal.view.clone())
     }
 
-    /// Notes that a machine was heard.
-    pub(crate) fn heard_from(&mut self, from: MemberId, now_ms: u64) {
-        self.failure_detector.heard_from(from, now_ms);
-        self.membership.heard_from(from, now_ms);
+    /// Notes that a message from a machine arrived.
+    pub(crate) fn record_contact(&mut self, from: MemberId, now_ms: u64) {
+        self.failure_detector.record_contact(from, now_ms);
+        self.membership.record_contact(from, now_ms);
     }
 
     /// Whether a backup lacks only batches that are in transit to it.
@@ -139,16 +140,18 @@
 
     /// Whether a backup has all that is committed.
     ///
-    /// That is enough to count it as in sync; how far it is behind only determines how long commits then wait for it.
+    /// That is enough to count it as in sync; how far it is behind only determines how long commits
+    /// then wait for it.
     pub(crate) fn holds_committed(&self, id: MemberId) -> bool {
         self.acknowledged(id).is_some_and(|acknowledged| acknowledged >= self.batches.committed)
     }
 
-    /// Whether a machine with another name than all members is in contact, ready or on the way to be.
-    pub(crate) fn has_standby(&self, silence_timeout_ms: u64, now_ms: u64) -> bool {
+    /// Whether a machine with another name than all members is in contact, ready or on the way to
+    /// be.
+    pub(crate) fn has_standby(&self, contact_timeout_ms: u64, now_ms: u64) -> bool {
         let is_member = |name: &str| self.view.members.iter().any(|member| member.node_name == name);
         self.membership.standbys.values().any(|standby| {
-            standby.is_heard(silence_timeout_ms, now_ms) && !is_member(&standby.member.node_name)
+            standby.is_in_contact(contact_timeout_ms, now_ms) && !is_member(&standby.member.node_name)
         })
     }
 
--- a/crates/cluster/replication/src/primary/view_change.rs
+++ b/crates/cluster/replication/src/primary/view_change.rs
@@ -1,13 +1,14 @@
-//! The changes of view that a primary decides on: standbys join, silent replicas leave the in-sync set and return to it.
+//! The changes of view that a primary decides on: standbys join, silent replicas leave the in-sync
+//! set and return to it.
 //!
 //! A view has at most 2f + 1 members. A standby takes the place of
 //! - its namesake: the same machine with another data folder, so the old folder is lost;
 //! - a missing member, while there are fewer than 2f + 1;
 //! - a member that asked to leave for good;
-//! - a member that has been silent for [`REPLACEMENT_TIMEOUT_MS`]. If that member was only paused, it gets its place back
-//!   when it is heard again and has caught up.
+//! - a member that has been silent for [`REPLACEMENT_TIMEOUT_MS`]. If that member was only paused,
+//!   it gets its place back when it is heard again and has caught up.
 use super::state::PrimaryState;
-use crate::timing::{IN_SYNC_SILENCE_TIMEOUT_MS, REPLACEMENT_TIMEOUT_MS};
+use crate::timing::{IN_SYNC_CONTACT_TIMEOUT_MS, REPLACEMENT_TIMEOUT_MS};
 use crate::view::{Member, MemberId, View};
 use std::cmp::Reverse;
 
@@ -40,8 +41,9 @@
             .or_else(|| self.restore_to_in_sync(context))
     }
 
-    /// After a change of members the votes of the members before are still asked for. The next view ends that before
-    /// anything else is changed, so that a machine that left for good is not needed.
+    /// After a change of members the votes of the members before are still asked for. The next view
+    /// ends that before anything else is changed, so that a machine that left for good is not
+    /// needed.
     fn forget_previous_members(&self) -> Option<View> {
         self.view.changes_members().then(|| self.view.successor())
     }
@@ -50,9 +52,9 @@
     fn admit_standby(&self, context: &ReviewContext) -> Option<View> {
         self.membership.standbys.values().find_map(|standby| {
             let id = standby.member.id;
-            let is_heard = standby.is_heard(IN_SYNC_SILENCE_TIMEOUT_MS, context.now_ms);
+            let is_in_contact = standby.is_in_contact(IN_SYNC_CONTACT_TIMEOUT_MS, context.now_ms);
             let vacancy = self.vacancy_for(&standby.member, context)?;
-            if !is_heard || !self.may_join_in_sync(id, context) {
+            if !is_in_contact || !self.may_join_in_sync(id, context) {
                 return None;
             }
             let mut next = self.view.successor();
@@ -78,17 +80,17 @@
         self.replaceable_by(standby.id, context).map(Vacancy::Replacing)
     }
 
-    /// The member whose place a standby may take: one that leaves, the one that has been silent the longest, or the
-    /// standby's own substitute.
+    /// The member whose place a standby may take: one that leaves, the one that has been silent the
+    /// longest, or the standby's own substitute.
     fn replaceable_by(&self, standby: MemberId, context: &ReviewContext) -> Option<MemberId> {
         let now_ms = context.now_ms;
-        let silence_ms = |id: &MemberId| self.failure_detector.silence_ms(*id, now_ms);
+        let ms_since_contact = |id: &MemberId| self.failure_detector.ms_since_contact(*id, now_ms);
         let members = self.view.members.iter().map(|member| member.id);
         let others: Vec<MemberId> = members.filter(|id| *id != context.local_id).collect();
         let leaving = others.iter().find(|id| self.membership.is_leaving(**id, now_ms));
-        let silent = || others.iter().filter(|id| silence_ms(id) > REPLACEMENT_TIMEOUT_MS);
+        let silent = || others.iter().filter(|id| ms_since_contact(id) > REPLACEMENT_TIMEOUT_MS);
         leaving
-            .or_else(|| silent().max_by_key(|id| silence_ms(id)))
+            .or_else(|| silent().max_by_key(|id| ms_since_contact(id)))
             .copied()
             .or_else(|| self.substitute_of(standby, now_ms))
     }
@@ -99,8 +101,8 @@
         self.view.has_member(substitute).then_some(substitute)
     }
 
-    /// Lets commits wait for backups that keep up and are to join the in-sync set, so that they come to hold all that is
-    /// committed.
+    /// Lets commits wait for backups that keep up and are to join the in-sync set, so that they
+    /// come to hold all that is committed.
     fn wait_for_joining(&mut self, context: &ReviewContext) {
         let members = self.view.members.iter().map(|member| member.id);
         let out_of_sync = members.filter(|id| !self.view.is_in_sync(*id));
@@ -111,8 +113,8 @@
         self.membership.wait_for(joining, context.now_ms);
     }
 
-    /// Whether a backup may join the in-sync set: it holds all that is committed, and it keeps up, or the set lacks
-    /// somebody. A slow replica is better than a missing one.
+    /// Whether a backup may join the in-sync set: it holds all that is committed, and it keeps up,
+    /// or the set lacks somebody. A slow replica is better than a missing one.
     fn may_join_in_sync(&self, id: MemberId, context: &ReviewContext) -> bool {
         let lacks_somebody = || self.view.in_sync.iter().any(|other| self.is_missing(*other, context));
         self.holds_committed(id) && (self.keeps_up(id, context.now_ms) || lacks_somebody())
@@ -120,7 +122,8 @@
 
     /// Whether a replica is silent, or does not acknowledge.
     fn is_missing(&self, id: MemberId, context: &ReviewContext) -> bool {
-        let is_silent = self.failure_detector.silence_ms(id, context.now_ms) > IN_SYNC_SILENCE_TIMEOUT_MS;
+        let is_silent =
+            self.failure_detector.ms_since_contact(id, context.now_ms) > IN_SYNC_CONTACT_TIMEOUT_MS;
         id != context.local_id && (is_silent || self.is_acknowledgement_overdue(id, context.now_ms))
     }
 
@@ -128,12 +131,13 @@
         self.batches.is_overdue(self.acknowledged(id).unwrap_or(0), now_ms)
     }
 
-    /// Removes missing replicas from the in-sync set, those first that have been silent the longest. The set keeps at
-    /// least f + 1 members however many are missing: committed batches must survive f losses.
+    /// Removes missing replicas from the in-sync set, those first that have been silent the
+    /// longest. The set keeps at least f + 1 members however many are missing: committed batches
+    /// must survive f losses.
     fn drop_missing_from_in_sync(&self, context: &ReviewContext) -> Option<View> {
         let in_sync = self.view.in_sync.iter().copied();
         let mut missing: Vec<MemberId> = in_sync.filter(|id| self.is_missing(*id, context)).collect();
-        missing.sort_by_key(|id| Reverse(self.failure_detector.silence_ms(*id, context.now_ms)));
+        missing.sort_by_key(|id| Reverse(self.failure_detector.ms_since_contact(*id, context.now_ms)));
         missing.truncate(self.view.in_sync.len().saturating_sub(context.max_failures + 1));
         if missing.is_empty() {
             return None;
--- a/crates/cluster/replication/src/replica/backup.rs
+++ b/crates/cluster/replication/src/replica/backup.rs
@@ -20,7 +20,7 @@
         if !matches!(self.role, Role::Backup) {
             self.become_backup(now_ms);
         }
-        self.timers.primary_heard_at_ms = now_ms;
+        self.timers.last_primary_contact_ms = now_ms;
         let term = heartbeat.view.term;
         if let Some(contact) = heartbeat.majority_contact {
             self.note_majority_contact(term, contact);
@@ -40,12 +40,12 @@
 
     fn request_session(&mut self, now_ms: u64, primary: &Member, term: Term) {
         let session = self.backup.start_session(primary, term, now_ms);
-        let range_digests = self.copy.keyspace.range_digests();
+        let range_digests = self.local_state.keyspace.range_digests();
         self.send_to(primary, Message::SessionRequest { term, session, range_digests });
     }
 
-    /// The primary has stepped down and released its lease. The successor that it names starts an election at once, the
-    /// others after it; if it names none, all in the order of their ranks.
+    /// The primary has stepped down and released its lease. The successor that it names starts an
+    /// election at once, the others after it; if it names none, all in the order of their ranks.
     pub(super) fn handle_resign(&mut self, now_ms: u64, ballot: Ballot, successor: Option<MemberId>) {
         self.witness.release_lease(ballot);
         let is_known_primary = self.view.as_ref().is_some_and(|view| view.primary == ballot.candidate);
@@ -56,7 +56,7 @@
             return self.start_election(now_ms);
         }
         let head_start_ms = if successor.is_some() { ELECTION_STAGGER_MS } else { 0 };
-        self.timers.primary_heard_at_ms = (now_ms + head_start_ms).saturating_sub(self.config.lease_ms);
+        self.timers.last_primary_contact_ms = (now_ms + head_start_ms).saturating_sub(self.config.lease_ms);
     }
 
     pub(super) fn handle_leaf_digest_request(&mut self, number: u64, in_sync: bool, ranges: &[u16]) {
@@ -65,7 +65,7 @@
         let primary = Destination { address: session.primary_address.clone(), id: Some(session.primary) };
         let digests_of = |range: &u16| RangeLeafDigests {
             range: *range,
-            digests: self.copy.keyspace.leaf_digests(*range).to_vec(),
+            digests: self.local_state.keyspace.leaf_digests(*range).to_vec(),
         };
         let ranges = ranges.iter().map(digests_of).collect();
         self.send(primary, Message::LeafDigests { session: number, ranges });
@@ -74,7 +74,7 @@
     pub(super) fn handle_stream(&mut self, now_ms: u64, number: u64, index: u64, item: StreamItem) {
         let Some(session) = self.backup.session_numbered(number) else { return };
         let primary = Destination { address: session.primary_address.clone(), id: Some(session.primary) };
-        for action in session.receive(now_ms, &mut self.copy.keyspace, index, item) {
+        for action in session.receive(now_ms, &mut self.local_state.keyspace, index, item) {
             self.take_stream_action(&primary, number, action);
         }
     }
@@ -91,7 +91,7 @@
                 self.write_repair(changes, acknowledge.map(acknowledgement));
             }
             StreamAction::WriteBatch { position, changes } => {
-                self.copy.batch_applied(position);
+                self.local_state.batch_applied(position);
                 let sequence = position.sequence;
                 let completion = WriteCompletion::AcknowledgeBatch { primary, session, sequence };
                 self.outbox.write(Record::Batch { position, changes }, completion);
@@ -103,7 +103,7 @@
         if changes.is_empty() && acknowledgement.is_none() {
             return;
         }
-        self.copy.repair_incomplete |= !changes.is_empty();
+        self.local_state.repair_incomplete |= !changes.is_empty();
         let completion = acknowledgement.unwrap_or(WriteCompletion::Nothing);
         self.outbox.write(Record::Repair { changes }, completion);
     }
--- a/crates/cluster/replication/src/replica/candidate.rs
+++ b/crates/cluster/replication/src/replica/candidate.rs
@@ -5,7 +5,7 @@
 use crate::message::Message;
 use crate::timing::{
     ANNOUNCE_INTERVAL_MS, ELECTION_JITTER_RANGE_MS, ELECTION_STAGGER_MS, MIN_ELECTION_JITTER_MS,
-    PRE_VOTE_INTERVAL_MS, PRIMARY_SILENCE_TIMEOUT_MS, STANDBY_ANNOUNCE_INTERVAL_MS,
+    PRE_VOTE_INTERVAL_MS, PRIMARY_CONTACT_TIMEOUT_MS, STANDBY_ANNOUNCE_INTERVAL_MS,
 };
 use crate::view::{Ballot, Member, MemberId};
 use crate::witness::Vote;
@@ -14,23 +14,24 @@
 const JITTER_MULTIPLIER: u64 = 0x9E37_79B9;
 
 impl Replica {
-    /// Announces this machine while the primary is silent, and starts an election when its turn has come.
+    /// Announces this machine while the primary is silent, and starts an election when its turn has
+    /// come.
     pub(super) fn watch_primary(&mut self, now_ms: u64) {
         let Some(view) = &self.view else { return };
         let is_member = view.has_member(self.local_member.id);
-        let silence_ms = now_ms.saturating_sub(self.timers.primary_heard_at_ms);
+        let ms_since_contact = now_ms.saturating_sub(self.timers.last_primary_contact_ms);
         let (timeout_ms, interval_ms) = if is_member {
-            (PRIMARY_SILENCE_TIMEOUT_MS, ANNOUNCE_INTERVAL_MS)
+            (PRIMARY_CONTACT_TIMEOUT_MS, ANNOUNCE_INTERVAL_MS)
         } else {
             let timeout_ms = STANDBY_ANNOUNCE_INTERVAL_MS + self.config.heartbeat_ms;
             (timeout_ms, STANDBY_ANNOUNCE_INTERVAL_MS)
         };
-        if silence_ms > timeout_ms && now_ms >= self.timers.announced_at_ms + interval_ms {
+        if ms_since_contact > timeout_ms && now_ms >= self.timers.announced_at_ms + interval_ms {
             self.announce(now_ms);
         }
         let Some(rank) = self.election_rank() else { return };
         let election_timeout_ms = self.config.lease_ms + rank * ELECTION_STAGGER_MS;
-        let is_due = silence_ms >= election_timeout_ms && now_ms >= self.timers.not_candidate_before_ms;
+        let is_due = ms_since_contact >= election_timeout_ms && now_ms >= self.timers.not_candidate_before_ms;
         if is_due && !self.has_granted_lease_to_other(now_ms) {
             self.start_election(now_ms);
         }
@@ -42,12 +43,13 @@
         self.witness.lease_until_ms() > now_ms && primary != Some(self.local_member.id)
     }
 
-    /// This machine's rank among those that may start an election, from 0: replicas in sync, the last primary after the
-    /// others. `None` if it may not: it is no member, not in sync, or its replica may not lead.
+    /// This machine's rank among those that may start an election, from 0: replicas in sync, the
+    /// last primary after the others. `None` if it may not: it is no member, not in sync, or its
+    /// replica may not lead.
     pub(super) fn election_rank(&self) -> Option<u64> {
         let local_id = self.local_member.id;
         let view = self.view.as_ref()?;
-        if !view.has_member(local_id) || !self.copy.may_lead() {
+        if !view.has_member(local_id) || !self.local_state.may_lead() {
             return None;
         }
         let others = view.in_sync.iter().filter(|id| **id != view.primary);
@@ -93,7 +95,7 @@
             ElectionStep::Rejected { retry_after_ms } => self.abandon_election(now_ms, retry_after_ms),
             ElectionStep::Lost(view) => {
                 self.role = Role::Backup;
-                self.timers.primary_heard_at_ms = now_ms;
+                self.timers.last_primary_contact_ms = now_ms;
                 self.learn_view(view);
             }
             ElectionStep::Won(view) => self.become_primary(now_ms, ballot, view),
@@ -114,7 +116,8 @@
         self.send_to_others(members, &message);
         let is_voter = members.iter().any(|member| member.id == self.local_member.id);
         if is_voter && self.witness.prepare(now_ms, ballot) == Vote::Granted {
-            // As for any witness that promises: nothing of an older term may be applied from here on.
+            // As for any witness that promises: nothing of an older term may be applied from here
+            // on.
             self.backup.end_session();
             self.write_witness(WriteCompletion::Promised(ballot));
         }
--- a/crates/cluster/replication/src/replica/discovery.rs
+++ b/crates/cluster/replication/src/replica/discovery.rs
@@ -26,7 +26,7 @@
     }
 
     fn is_waiting_to_vote_at_bootstrap(&self) -> bool {
-        self.bootstrap.is_voter && self.view.is_none() && self.may_vote_at_bootstrap(&self.local_member)
+        self.bootstrap.is_voter() && self.view.is_none() && self.may_vote_at_bootstrap(&self.local_member)
     }
 
     pub(super) fn handle_announce(
@@ -50,7 +50,7 @@
             Some(_) => {}
             None => {
                 let is_waiting = bootstrap_voter && known_epoch == Epoch::default();
-                if is_waiting && self.bootstrap.is_voter && self.may_vote_at_bootstrap(&member) {
+                if is_waiting && self.bootstrap.is_voter() && self.may_vote_at_bootstrap(&member) {
                     self.bootstrap.add_voter(member, now_ms);
                 }
             }
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Takes a view that is in force. It replaces another one of the same epoch: that one was never decided.
+    /// Takes a view that is in force. It replaces another one of the same epoch: that one was never
+    /// decided.
     pub(super) fn learn_decided_view(&mut self, view: View) {
         if self.view.as_ref().is_some_and(|known| view.epoch == known.epoch && view != *known) {
             self.view = None;
--- a/crates/cluster/replication/src/replica/dispatch.rs
+++ b/crates/cluster/replication/src/replica/dispatch.rs
@@ -25,7 +25,7 @@
             return;
         }
         if let Some(primary) = self.as_primary_mut() {
-            primary.heard_from(envelope.from, now_ms);
+            primary.record_contact(envelope.from, now_ms);
         }
         self.handle_message(now_ms, envelope.from, envelope.message);
     }
@@ -88,7 +88,7 @@
                     self.own_batch_written(term, sequence);
                 }
                 WriteCompletion::AcknowledgeBatch { primary, session, sequence } => {
-                    self.copy.durable_sequence = sequence;
+                    self.local_state.durable_sequence = sequence;
                     batch_ack = Some((primary, Message::BatchAck { session, sequence }));
                 }
                 WriteCompletion::AcknowledgeChunk { primary, session, index } => {
--- a/crates/cluster/replication/src/replica/handover.rs
+++ b/crates/cluster/replication/src/replica/handover.rs
@@ -1,30 +1,24 @@
 //! Members that leave for good.
 //!
-//! A member that is told to terminate asks the primary to be replaced by a standby. It may terminate once no view that can
-//! still be decided needs its vote, so another loss right after it is tolerated. If there is no standby, this is taken for
-//! a restart: the member terminates at once, and nobody takes its place until it has been gone for long.
+//! A member that is told to terminate asks the primary to be replaced by a standby. It may
+//! terminate once no view that can still be decided needs its vote, so another loss right after it
+//! is tolerated. If there is no standby, this is taken for a restart: the member terminates at
+//! once, and nobody takes its place until it has been gone for long.
 use super::state::{Replica, Role};
 use crate::interface::ReplicaEvent;
+use crate::leave::LeaveState;
 use crate::message::Message;
-use crate::timing::{IN_SYNC_SILENCE_TIMEOUT_MS, LEAVE_REQUEST_INTERVAL_MS, STANDBY_DISCOVERY_MS};
+use crate::timing::{IN_SYNC_CONTACT_TIMEOUT_MS, STANDBY_DISCOVERY_MS};
 use crate::view::Member;
 
-/// The state of a machine that was told to leave for good.
-#[derive(Clone, Debug)]
-pub(super) struct LeaveState {
-    /// When it asked the primary last, milliseconds; 0 if it has not.
-    requested_at_ms: u64,
-    /// Whether it may terminate.
-    is_allowed: bool,
-}
-
 impl Replica {
-    /// Tells this machine to leave for good. [`ReplicaEvent::LeaveAllowed`] tells when it may terminate.
+    /// Tells this machine to leave for good. [`ReplicaEvent::LeaveAllowed`] tells when it may
+    /// terminate.
     pub fn request_leave(&mut self, now_ms: u64) {
         if self.leave.is_some() {
             return;
         }
-        self.leave = Some(LeaveState { requested_at_ms: 0, is_allowed: false });
+        self.leave = Some(LeaveState::new());
         self.hand_over_primary_role(now_ms);
         self.send_leave_requests(now_ms);
     }
@@ -39,10 +33,9 @@
     /// Repeats the request to leave, if there is one.
     pub(super) fn send_leave_requests(&mut self, now_ms: u64) {
         let Some(leave) = &mut self.leave else { return };
-        if leave.is_allowed || now_ms < leave.requested_at_ms + LEAVE_REQUEST_INTERVAL_MS {
+        if !leave.take_due_request(now_ms) {
             return;
         }
-        leave.requested_at_ms = now_ms;
         let view = self.view.as_ref().filter(|view| view.has_voter(self.local_member.id));
         let Some(members) = view.map(|view| view.members.clone()) else {
             return self.handle_leave_response(false);
@@ -59,7 +52,7 @@
         if is_voter && primary.is_active {
             primary.membership.leave_requested(member.id, now_ms);
         }
-        let has_standby = primary.has_standby(IN_SYNC_SILENCE_TIMEOUT_MS, now_ms);
+        let has_standby = primary.has_standby(IN_SYNC_CONTACT_TIMEOUT_MS, now_ms);
         let is_replacing = primary.view.changes_members();
         // A primary that has just taken over has not yet heard from standbys.
         let may_have_standby = now_ms < primary.elected_at_ms + STANDBY_DISCOVERY_MS;
@@ -69,8 +62,7 @@
 
     pub(super) fn handle_leave_response(&mut self, must_wait: bool) {
         let Some(leave) = &mut self.leave else { return };
-        if !must_wait && !leave.is_allowed {
-            leave.is_allowed = true;
+        if !must_wait && leave.allow() {
             self.outbox.emit(ReplicaEvent::LeaveAllowed);
         }
     }
--- a/crates/cluster/replication/src/replica/mod.rs
+++ b/crates/cluster/replication/src/replica/mod.rs
@@ -7,7 +7,7 @@
 mod discovery;
 mod dispatch;
 mod handover;
-mod local_copy;
+mod local_state;
 mod outbox;
 mod primary;
 mod repair;
--- a/crates/cluster/replication/src/replica/outbox.rs
+++ b/crates/cluster/replication/src/replica/outbox.rs
@@ -45,7 +45,8 @@
 
 /// The outputs that the embedder has not taken yet, and the writes that it has not confirmed.
 ///
-/// Invariant: tokens rise by one, and writes complete in their order, since the embedder writes records in order.
+/// Invariant: tokens rise by one, and writes complete in their order, since the embedder writes
+/// records in order.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Outbox {
     outputs: Vec<Output>,
--- a/crates/cluster/replication/src/replica/primary.rs
+++ b/crates/cluster/replication/src/replica/primary.rs
@@ -1,4 +1,5 @@
-//! This machine as primary: taking over, proposing batches, renewing the lease, reviewing the view, stepping down.
+//! This machine as primary: taking over, proposing batches, renewing the lease, reviewing the view,
+//! stepping down.
 use super::outbox::WriteCompletion;
 use super::state::{Replica, Role};
 use crate::interface::{Record, ReplicaEvent};
@@ -10,15 +11,16 @@
 use crate::witness::Vote;
 
 impl Replica {
-    /// Proposes changes as primary, and returns the sequence number of their batch; `None` if this machine is not primary.
+    /// Proposes changes as primary, and returns the sequence number of their batch; `None` if this
+    /// machine is not primary.
     ///
     /// They are applied here at once. They last once [`ReplicaEvent::Committed`] covers the batch.
     pub fn propose(&mut self, now_ms: u64, changes: Vec<Change>) -> Option<u64> {
         let Role::Primary(primary) = &mut self.role else { return None };
-        self.copy.keyspace.apply_all(&changes);
+        self.local_state.keyspace.apply_all(&changes);
         let sequence = primary.batches.append(now_ms);
         let position = Position { term: primary.view.term, sequence };
-        self.copy.position = position;
+        self.local_state.position = position;
         self.stream_batch(position, &changes);
         let completion = WriteCompletion::BatchProposed { term: position.term, sequence };
         self.outbox.write(Record::Batch { position, changes }, completion);
@@ -36,10 +38,10 @@
         self.timers.not_candidate_before_ms = now_ms + STEP_DOWN_COOLDOWN_MS;
     }
 
-    /// Tells that this machine's replica holds records that the embedder can't read. It does not become primary until
-    /// another primary has repaired it.
+    /// Tells that this machine's replica holds records that the embedder can't read. It does not
+    /// become primary until another primary has repaired it.
     pub fn mark_ineligible(&mut self, now_ms: u64) {
-        self.copy.ineligible = true;
+        self.local_state.ineligible = true;
         self.resign(now_ms);
     }
 
@@ -55,15 +57,16 @@
     /// Takes over after a won election.
     pub(super) fn become_primary(&mut self, now_ms: u64, ballot: Ballot, view: View) {
         log::info!("primary elected term={} in_sync={}", view.term, view.in_sync.len());
-        let batches = BatchTracker::new(self.copy.position.sequence, self.copy.durable_sequence);
+        let batches =
+            BatchTracker::new(self.local_state.position.sequence, self.local_state.durable_sequence);
         let local_id = self.local_member.id;
         let mut primary =
             PrimaryState::new(local_id, ballot, view.clone(), self.min_quorum(), batches, now_ms);
-        let silent_since_ms = self.timers.primary_heard_at_ms.min(now_ms);
+        let last_contact_ms = self.timers.last_primary_contact_ms.min(now_ms);
         if let Role::Candidate(election) = &self.role {
             // A member that did not answer the election has not been heard since before it.
             for member in view.members.iter().filter(|member| !election.has_promised(member.id)) {
-                primary.failure_detector.silent_since(member.id, silent_since_ms);
+                primary.failure_detector.set_last_contact(member.id, last_contact_ms);
             }
         }
         self.role = Role::Primary(Box::new(primary));
@@ -76,7 +79,7 @@
     /// Stops being candidate or primary.
     pub(super) fn become_backup(&mut self, now_ms: u64) {
         let previous_role = std::mem::replace(&mut self.role, Role::Backup);
-        self.timers.primary_heard_at_ms = now_ms;
+        self.timers.last_primary_contact_ms = now_ms;
         if let Role::Primary(primary) = previous_role {
             log::info!("primary stepped down term={}", primary.view.term);
             if primary.is_active {
@@ -112,7 +115,7 @@
 
     /// A batch that this machine proposed as primary of that term is on its disk.
     pub(super) fn own_batch_written(&mut self, term: Term, sequence: u64) {
-        self.copy.durable_sequence = sequence;
+        self.local_state.durable_sequence = sequence;
         if let Some(primary) = self.as_primary_mut()
             && primary.view.term == term
         {
@@ -138,7 +141,8 @@
         let holds_majority = now_ms < primary.lease_until_ms(lease_ms);
         let activation_deadline_ms = primary.elected_at_ms + ACTIVATION_TIMEOUT_LEASES * lease_ms;
         if !holds_majority && (primary.is_active || now_ms >= activation_deadline_ms) {
-            // This machine is cut off from the witnesses. If they still hear it, they need not wait for the lease's end.
+            // This machine is cut off from the witnesses. If they still hear it, they need not wait
+            // for the lease's end.
             let ballot = primary.ballot;
             return self.release_lease(now_ms, ballot, None);
         }
@@ -163,7 +167,7 @@
             return;
         }
         primary.heartbeat_at_ms = now_ms;
-        primary.membership.forget_silent_standbys(now_ms);
+        primary.membership.expire_standbys(now_ms);
         let standbys = primary.membership.standbys.values().map(|standby| &standby.member);
         let receivers: Vec<Member> = primary.view.members.iter().chain(standbys).cloned().collect();
         let ballot = primary.ballot;
--- a/crates/cluster/replication/src/replica/repair.rs
+++ b/crates/cluster/replication/src/replica/repair.rs
@@ -20,7 +20,7 @@
         }
         let Some(address) = primary.address_of(from) else { return };
         let in_sync = primary.may_count_in_sync(from);
-        let (new_session, ranges) = PrimarySession::begin(session, range_digests, &self.copy.keyspace);
+        let (new_session, ranges) = PrimarySession::begin(session, range_digests, &self.local_state.keyspace);
         primary.sessions.insert(from, new_session);
         if ranges.is_empty() {
             return self.send_next_items(from);
@@ -32,7 +32,7 @@
     pub(super) fn handle_leaf_digests(&mut self, from: MemberId, session: u64, ranges: &[RangeLeafDigests]) {
         let Role::Primary(primary) = &mut self.role else { return };
         let Some(session) = current_session(primary, from, session) else { return };
-        session.compare_leaves(ranges, &self.copy.keyspace);
+        session.compare_leaves(ranges, &self.local_state.keyspace);
         self.send_next_items(from);
     }
 
@@ -59,7 +59,7 @@
         let Some(session) = primary.sessions.get_mut(&to) else { return };
         let number = session.number();
         let destination = Destination { address, id: Some(to) };
-        for next in session.next_items(&self.copy.keyspace, sequence) {
+        for next in session.next_items(&self.local_state.keyspace, sequence) {
             let message = Message::Stream { session: number, index: next.index, item: next.item };
             self.send(destination.clone(), message);
         }
--- a/crates/cluster/replication/src/replica/state.rs
+++ b/crates/cluster/replication/src/replica/state.rs
@@ -1,13 +1,13 @@
 //! [`Replica`]: its parts, its start, and what the embedder may ask it.
-use super::bootstrap::BootstrapState;
-use super::handover::LeaveState;
-use super::local_copy::LocalCopy;
+use super::local_state::LocalState;
 use super::outbox::{Destination, Outbox, WriteCompletion};
 use crate::backup::BackupState;
+use crate::bootstrap::BootstrapState;
 use crate::config::ReplicaConfig;
 use crate::election::Election;
 use crate::interface::{MemberStatus, Output, Record, RecoveredState};
 use crate::keyspace::Keyspace;
+use crate::leave::LeaveState;
 use crate::message::Message;
 use crate::primary::PrimaryState;
 use crate::view::{Member, MemberId, Position, Term, View};
@@ -24,18 +24,20 @@
     Primary(Box<PrimaryState>),
 }
 
-/// When this machine last heard of a primary and what it may do about its silence. All times in milliseconds.
+/// When this machine last heard of a primary and what it may do about its silence. All times in
+/// milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ElectionTimers {
-    /// When the primary was heard last, or a candidate that should get the time to win.
-    pub(super) primary_heard_at_ms: u64,
+    /// When the primary, or a candidate that should get the time to win, was in contact last.
+    pub(super) last_primary_contact_ms: u64,
     /// From when on this machine may start an election.
     pub(super) not_candidate_before_ms: u64,
     /// When this machine announced itself last.
     pub(super) announced_at_ms: u64,
 }
 
-/// A time at which the primary of a term certainly was in contact with a majority. Ordered by term, then time.
+/// A time at which the primary of a term certainly was in contact with a majority. Ordered by term,
+/// then time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct VerifiedContact {
     pub(super) term: Term,
@@ -50,7 +52,7 @@
     pub(super) local_member: Member,
     pub(super) started_at_ms: u64,
     pub(super) witness: Witness,
-    pub(super) copy: LocalCopy,
+    pub(super) local_state: LocalState,
     /// The newest view known.
     pub(super) view: Option<View>,
     pub(super) role: Role,
@@ -64,7 +66,8 @@
 }
 
 impl Replica {
-    /// A replica that starts at `now_ms` with what its folder holds. What it must do at once is in its outputs.
+    /// A replica that starts at `now_ms` with what its folder holds. What it must do at once is in
+    /// its outputs.
     #[must_use]
     pub fn start(config: ReplicaConfig, recovered: RecoveredState, now_ms: u64) -> Self {
         let is_new_folder = recovered.identity.is_none();
@@ -77,8 +80,9 @@
         };
         let bootstrap_voter = if is_new_folder { config.bootstrap } else { recovered.bootstrap_voter };
         let view = recovered.witness.accepted.as_ref().map(|accepted| accepted.view.clone());
-        let primary_heard_at_ms = if view.as_ref().is_some_and(|view| view.primary == id) {
-            // No other machine holds a lease while this one's may run, so it need not wait before it starts an election.
+        let last_primary_contact_ms = if view.as_ref().is_some_and(|view| view.primary == id) {
+            // No other machine holds a lease while this one's may run, so it need not wait before
+            // it starts an election.
             now_ms.saturating_sub(2 * config.lease_ms)
         } else {
             now_ms
@@ -87,11 +91,15 @@
             local_member,
             started_at_ms: now_ms,
             witness: Witness::new(recovered.witness.clone(), config.lease_ms, now_ms),
-            copy: LocalCopy::recovered(recovered),
+            local_state: LocalState::recovered(recovered),
             view,
             role: Role::Backup,
             backup: BackupState::new(config.random),
-            timers: ElectionTimers { primary_heard_at_ms, not_candidate_before_ms: 0, announced_at_ms: 0 },
+            timers: ElectionTimers {
+                last_primary_contact_ms,
+                not_candidate_before_ms: 0,
+                announced_at_ms: 0,
+            },
             verified_contact: None,
             bootstrap: BootstrapState::new(bootstrap_voter),
             leave: None,
@@ -120,32 +128,33 @@
     /// This machine's replica of the key space.
     #[must_use]
     pub fn keyspace(&self) -> &Keyspace {
-        &self.copy.keyspace
+        &self.local_state.keyspace
     }
 
     /// How far this machine's replica of the key space is.
     #[must_use]
     pub fn position(&self) -> Position {
-        self.copy.position
+        self.local_state.position
     }
 
     /// Whether an unfinished repair has left the key space here between two states.
     #[must_use]
     pub fn has_incomplete_repair(&self) -> bool {
-        self.copy.repair_incomplete
+        self.local_state.repair_incomplete
     }
 
     /// The term, if this machine is primary and its lease is valid at `now_ms`.
     ///
-    /// At most one machine has a term at any time: a lease needs a majority, and its holder stops before the witnesses do.
+    /// At most one machine has a term at any time: a lease needs a majority, and its holder stops
+    /// before the witnesses do.
     #[must_use]
     pub fn active_term(&self, now_ms: u64) -> Option<Term> {
         let Role::Primary(primary) = &self.role else { return None };
         primary.holds_lease(self.config.lease_ms, now_ms).then_some(primary.view.term)
     }
 
-    /// The primary, if this machine can prove that it was in contact with a majority less than a lease ago: only then may
-    /// clients be redirected to it.
+    /// The primary, if this machine can prove that it was in contact with a majority less than a
+    /// lease ago: only then may clients be redirected to it.
     #[must_use]
     pub fn verified_primary(&self, now_ms: u64) -> Option<&Member> {
         let view = self.view.as_ref()?;
@@ -178,7 +187,7 @@
                     primary.acknowledged(member.id)
                 },
                 ineligible: if is_local {
-                    self.copy.ineligible
+                    self.local_state.ineligible
                 } else {
                     grant.is_some_and(|grant| grant.ineligible)
                 },
--- a/crates/cluster/replication/src/replica/witness.rs
+++ b/crates/cluster/replication/src/replica/witness.rs
@@ -18,8 +18,9 @@
         match self.witness.prepare(now_ms, ballot) {
             Vote::Granted => {
                 // The candidate should get the time to win.
-                self.timers.primary_heard_at_ms = now_ms;
-                // After the promise nothing of an older term may be applied: the candidate counts on what it was told.
+                self.timers.last_primary_contact_ms = now_ms;
+                // After the promise nothing of an older term may be applied: the candidate counts
+                // on what it was told.
                 self.backup.end_session();
                 let accepted = self.witness.record.accepted.clone();
                 let message = Message::Promise { ballot, accepted };
@@ -37,7 +38,7 @@
         match self.witness.accept(ballot, &view) {
             Vote::Granted => {
                 let epoch = view.epoch;
-                self.timers.primary_heard_at_ms = now_ms;
+                self.timers.last_primary_contact_ms = now_ms;
                 self.learn_view(view);
                 self.write_witness(WriteCompletion::Send(sender, Message::Accepted { ballot, epoch }));
             }
@@ -48,15 +49,15 @@
         }
     }
 
-    /// Answers a heartbeat whose lease was granted. A witness that lacks the heartbeat's view accepts it first: after a
-    /// restart it must know whose lease it may have granted.
+    /// Answers a heartbeat whose lease was granted. A witness that lacks the heartbeat's view
+    /// accepts it first: after a restart it must know whose lease it may have granted.
     pub(super) fn answer_lease_request(&mut self, now_ms: u64, primary: &Member, heartbeat: &Heartbeat) {
         let (ballot, view) = (heartbeat.ballot, &heartbeat.view);
         let message = Message::LeaseGrant(LeaseGrant {
             ballot,
             sent_at_ms: heartbeat.sent_at_ms,
             witness_clock_ms: now_ms,
-            ineligible: self.copy.ineligible,
+            ineligible: self.local_state.ineligible,
         });
         if self.witness.has_accepted(ballot, view) {
             self.send_to(primary, message);
--- a/crates/cluster/replication/src/timing.rs
+++ b/crates/cluster/replication/src/timing.rs
@@ -1,22 +1,26 @@
-//! Every time-out and interval of the protocol, in milliseconds, and the limits that depend on time.
+//! Every time-out and interval of the protocol, in milliseconds, and the limits that depend on
+//! time.
 //!
 //! The lease and the heartbeat interval are settings; see [`crate::ReplicaConfig`].
 
 /// Silence of the primary after which a member announces itself to all addresses that it knows.
-pub(crate) const PRIMARY_SILENCE_TIMEOUT_MS: u64 = 400;
+pub(crate) const PRIMARY_CONTACT_TIMEOUT_MS: u64 = 400;
 /// How often a member announces itself while the primary is silent.
 pub(crate) const ANNOUNCE_INTERVAL_MS: u64 = 250;
-/// The same for a machine that is no member: a new primary should know its standbys as soon as possible.
+/// The same for a machine that is no member: a new primary should know its standbys as soon as
+/// possible.
 pub(crate) const STANDBY_ANNOUNCE_INTERVAL_MS: u64 = 100;
 
-/// The part of a lease that its holder uses. The rest allows for clocks that differ in speed by up to a tenth.
+/// The part of a lease that its holder uses. The rest allows for clocks that differ in speed by up
+/// to a tenth.
 pub(crate) const USABLE_LEASE_TENTHS: u64 = 9;
 /// How many leases a new primary has for gathering its first grants.
 pub(crate) const ACTIVATION_TIMEOUT_LEASES: u64 = 2;
 
 /// How long an election may take.
 pub(crate) const ELECTION_TIMEOUT_MS: u64 = 500;
-/// How often a candidate repeats its pre-vote: leases end at different moments, and a pre-vote promises nothing.
+/// How often a candidate repeats its pre-vote: leases end at different moments, and a pre-vote
+/// promises nothing.
 pub(crate) const PRE_VOTE_INTERVAL_MS: u64 = 40;
 /// The delay between candidates of successive ranks.
 pub(crate) const ELECTION_STAGGER_MS: u64 = 100;
@@ -43,7 +47,7 @@
 /// How long a batch may be in transit to a backup that counts as caught up.
 pub(crate) const MAX_BATCH_TRANSIT_MS: u64 = 200;
 /// Silence after which a replica leaves the in-sync set.
-pub(crate) const IN_SYNC_SILENCE_TIMEOUT_MS: u64 = 600;
+pub(crate) const IN_SYNC_CONTACT_TIMEOUT_MS: u64 = 600;
 /// How long a machine whose connection broke has to be heard again before it counts as silent.
 pub(crate) const RECONNECT_TIMEOUT_MS: u64 = 200;
 /// How long a batch may lack a replica's acknowledgement before the replica leaves the in-sync set.
@@ -65,7 +69,8 @@
 /// How long after such a wait began commits may wait for the same backup again.
 pub(crate) const CATCH_UP_RETRY_INTERVAL_MS: u64 = 2_000;
 
-/// How long after its start a bootstrap candidate waits for all bootstrap voters before it goes on with f + 1.
+/// How long after its start a bootstrap candidate waits for all bootstrap voters before it goes on
+/// with f + 1.
 pub(crate) const BOOTSTRAP_GATHER_TIMEOUT_MS: u64 = 400;
 /// How often bootstrap voters announce themselves to the seeds.
 pub(crate) const BOOTSTRAP_ANNOUNCE_INTERVAL_MS: u64 = 60;
--- a/crates/cluster/replication/src/view.rs
+++ b/crates/cluster/replication/src/view.rs
@@ -1,10 +1,12 @@
-//! Members, ballots, epochs and views: who serves the key space, and which sets of votes decide that.
+//! Members, ballots, epochs and views: who serves the key space, and which sets of votes decide
+//! that.
 use rkyv::{Archive, Deserialize, Serialize};
 use std::fmt;
 
 /// The identity of a data folder: random, chosen when the folder is first used.
 ///
-/// A machine that lost its disk comes back with another identity, so it can't be taken for the witness that it was before.
+/// A machine that lost its disk comes back with another identity, so it can't be taken for the
+/// witness that it was before.
 #[derive(
     Archive, Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash,
 )]
@@ -33,7 +35,8 @@
     }
 }
 
-/// The epoch at which a primary took over. It identifies one reign of one primary and is its fencing token.
+/// The epoch at which a primary took over. It identifies one primary's time of service and is its
+/// fencing token.
 #[derive(
     Archive, Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash,
 )]
@@ -89,7 +92,8 @@
     pub in_sync: Vec<MemberId>,
     /// All witnesses and replicas.
     pub members: Vec<Member>,
-    /// The members of the view before this one. A majority of these too must accept a change of members.
+    /// The members of the view before this one. A majority of these too must accept a change of
+    /// members.
     pub previous_members: Vec<Member>,
 }
 
@@ -125,9 +129,10 @@
 
     /// Whether `voters` can put this view in force.
     ///
-    /// `min_quorum` is the smallest number of votes that decides anything (one more than the machines that may be lost),
-    /// so that two views with few members can't both be decided. A change of members needs a quorum of the members
-    /// before as well: any two successive views then share a voter.
+    /// `min_quorum` is the smallest number of votes that decides anything (one more than the
+    /// machines that may be lost), so that two views with few members can't both be decided. A
+    /// change of members needs a quorum of the members before as well: any two successive views
+    /// then share a voter.
     pub(crate) fn decided_by(&self, voters: &[MemberId], min_quorum: usize) -> bool {
         let is_quorum_of =
             |members: &[Member]| count_votes(members, voters) >= votes_needed(members, min_quorum);
@@ -177,7 +182,8 @@
     }
 }
 
-/// How far a replica has applied the changes of the key space. Two replicas at one position are equal.
+/// How far a replica has applied the changes of the key space. Two replicas at one position are
+/// equal.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
     /// The term of the primary that it last followed.
--- a/crates/cluster/replication/src/witness.rs
+++ b/crates/cluster/replication/src/witness.rs
@@ -14,7 +14,8 @@
 /// A witness's answer.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Vote {
-    /// The request is granted. Where it changed the record, the answer may be sent only once the record is on disk.
+    /// The request is granted. Where it changed the record, the answer may be sent only once the
+    /// record is on disk.
     Granted,
     /// The request is rejected.
     Rejected {
@@ -30,8 +31,9 @@
 
 /// The witness of one member.
 ///
-/// Invariants: no ballot below `record.promised` is granted anything, and until `lease_until_ms` nobody but the lease
-/// holder gets a promise or a lease. Leases are not on disk, so a restarted witness waits for the length of one.
+/// Invariants: no ballot below `record.promised` is granted anything, and until `lease_until_ms`
+/// nobody but the lease holder gets a promise or a lease. Leases are not on disk, so a restarted
+/// witness waits for the length of one.
 #[derive(Clone, Debug)]
 pub(crate) struct Witness {
     pub(crate) record: WitnessRecord,
@@ -47,8 +49,8 @@
 }
 
 impl Witness {
-    /// A witness that starts at `now_ms`. What it granted before is forgotten, so it grants nothing to others for the
-    /// length of a lease.
+    /// A witness that starts at `now_ms`. What it granted before is forgotten, so it grants nothing
+    /// to others for the length of a lease.
     pub(crate) fn new(record: WitnessRecord, lease_ms: u64, now_ms: u64) -> Self {
         let lease_holder = record.accepted.as_ref().map(|accepted| accepted.view.primary);
         let lease_until_ms = if lease_holder.is_some() { now_ms + lease_ms } else { 0 };
@@ -127,8 +129,8 @@
         Vote::Granted
     }
 
-    /// The holder releases the lease of that ballot. A lease that it got since under a higher ballot stays valid, so a
-    /// late message can't free it.
+    /// The holder releases the lease of that ballot. A lease that it got since under a higher
+    /// ballot stays valid, so a late message can't free it.
     pub(crate) fn release_lease(&mut self, ballot: Ballot) {
         self.released_ballot = self.released_ballot.max(Some(ballot));
         if self.lease_holder == Some(ballot.candidate) && self.lease_ballot <= ballot {
--- /dev/null
+++ b/crates/cluster/replication/tests/common/machine.rs
@@ -0,0 +1,124 @@
+//! One machine: its disk, the writes under way, and its process if it runs.
+use super::{HEARTBEAT_MS, LEASE_MS};
+use spanlead_replication::{Record, RecoveredState, Replica, ReplicaConfig, Term};
+use std::collections::VecDeque;
+
+/// A record that is being written.
+#[derive(Clone)]
+pub struct PendingWrite {
+    pub due_at_ms: u64,
+    pub token: u64,
+    pub record: Record,
+}
+
+/// A batch that was proposed and is not committed, with the key that it sets.
+#[derive(Clone)]
+pub struct Proposal {
+    pub sequence: u64,
+    pub key: Vec<u8>,
+}
+
+/// The term in which a machine acts as primary, and the batch after which the term began.
+#[derive(Clone, Copy)]
+pub struct ServedTerm {
+    pub term: Term,
+    pub first_sequence: u64,
+}
+
+/// One machine.
+#[derive(Clone)]
+pub struct Machine {
+    pub config: ReplicaConfig,
+    pub disk: RecoveredState,
+    pub pending_writes: VecDeque<PendingWrite>,
+    /// `None` while the process does not run.
+    pub replica: Option<Replica>,
+    pub paused_until_ms: u64,
+    pub serving: Option<ServedTerm>,
+    /// The last term of its own in which it was seen to hold all that was committed.
+    pub checked_term: Term,
+    pub proposals: Vec<Proposal>,
+    /// When it last acted as primary.
+    pub last_active_at_ms: u64,
+    /// Whether it was told that it may terminate.
+    pub leave_allowed: bool,
+}
+
+impl Machine {
+    /// A machine with an empty disk whose process does not run.
+    pub fn new(index: usize, seeds: Vec<String>, max_failures: usize, random: u64) -> Self {
+        let config = ReplicaConfig {
+            node_name: format!("core-{index}"),
+            peer_address: peer_address(index),
+            operator_address: format!("control-{index}"),
+            seeds,
+            bootstrap: true,
+            max_failures,
+            lease_ms: LEASE_MS,
+            heartbeat_ms: HEARTBEAT_MS,
+            random,
+        };
+        Machine {
+            config,
+            disk: RecoveredState::default(),
+            pending_writes: VecDeque::new(),
+            replica: None,
+            paused_until_ms: 0,
+            serving: None,
+            checked_term: Term::default(),
+            proposals: Vec::new(),
+            last_active_at_ms: 0,
+            leave_allowed: false,
+        }
+    }
+
+    /// Starts the process with what the disk holds.
+    pub fn start(&mut self, random: u64, now_ms: u64) {
+        self.config.random = random;
+        self.replica = Some(Replica::start(self.config.clone(), self.disk.clone(), now_ms));
+        self.config.bootstrap = false;
+        self.serving = None;
+        self.leave_allowed = false;
+    }
+
+    /// Ends the process. Of the writes under way the disk keeps this many.
+    pub fn crash(&mut self, kept_writes: usize) {
+        let pending: Vec<PendingWrite> = self.pending_writes.drain(..).take(kept_writes).collect();
+        pending.into_iter().for_each(|write| self.write_to_disk(write.record));
+        self.replica = None;
+        self.proposals.clear();
+        self.serving = None;
+    }
+
+    /// The first write that is done by now.
+    pub fn next_finished_write(&mut self, now_ms: u64) -> Option<PendingWrite> {
+        let is_done = self.pending_writes.front().is_some_and(|write| write.due_at_ms <= now_ms);
+        if is_done { self.pending_writes.pop_front() } else { None }
+    }
+
+    /// Brings a record to disk.
+    pub fn write_to_disk(&mut self, record: Record) {
+        let disk = &mut self.disk;
+        match record {
+            Record::Identity { id, bootstrap_voter } => {
+                disk.identity = Some(id);
+                disk.bootstrap_voter = bootstrap_voter;
+            }
+            Record::Witness(witness) => disk.witness = witness,
+            Record::Batch { position, changes } => {
+                changes.iter().for_each(|change| disk.keyspace.apply(change));
+                disk.position = position;
+                disk.repair_incomplete = false;
+            }
+            Record::Repair { changes } => {
+                changes.iter().for_each(|change| disk.keyspace.apply(change));
+                disk.repair_incomplete = true;
+            }
+        }
+    }
+}
+
+/// The peer address of a machine.
+pub fn peer_address(index: usize) -> String {
+    format!("peer-{index}")
+}
--- a/crates/cluster/replication/tests/model.rs
+++ b/crates/cluster/replication/tests/model.rs
@@ -1,24 +1,26 @@
-//! Every placement of two troubles at a set of moments, searched whole: three machines that serve, and one that joins. Each trouble may come at
-//! any of the moments of a heartbeat's period, the second at any moment after the first; the rules of [`common::SimulatedCluster`] are
-//! checked in each millisecond, and service must return wherever no more is lost than the system bears.
+//! Every placement of two faults at a set of moments, searched exhaustively: three machines that
+//! serve, with and without a standby. The first fault may come at any of the moments of a
+//! heartbeat's period, the second at any moment after the first; the rules of `common` are checked
+//! in each millisecond, and service must return wherever no more is lost than the system tolerates.
 mod common;
-use common::SimulatedCluster;
+use common::{SimulatedCluster, env_number};
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Moments at which troubles may come.
+/// Moments at which faults may come.
 #[derive(Clone, Copy)]
 struct Moments {
     /// Between two of them, milliseconds.
     stride_ms: u64,
-    /// How many there are for the first: a heartbeat's period.
+    /// How many there are for the first fault: a heartbeat's period.
     first: u64,
-    /// How many after the first for the second: until a lease has ended, and the failover after it.
+    /// How many there are after the first fault for the second: until a lease has ended, and the
+    /// failover after it.
     second: u64,
 }
 
-/// For each change. `MODEL_FULL=1` searches the finer ones.
+/// For each change of the code. `MODEL_FULL=1` searches the finer moments.
 const COARSE: Moments = Moments { stride_ms: 53, first: 2, second: 13 };
 const FINE: Moments = Moments { stride_ms: 12, first: 9, second: 56 };
 
@@ -27,86 +29,121 @@
 }
 
 /// By when service must be back after all that is not lost has returned, milliseconds.
-const RETURN_MS: u64 = 4_000;
-/// After a member was lost without a word, another loss is borne from here on, milliseconds.
-const EXCHANGED_MS: u64 = 400;
-/// The same where no machine stands by and the lost one returns with an empty disk.
-const REPAIRED_MS: u64 = 100;
+const RECOVERY_TIMEOUT_MS: u64 = 4_000;
+/// How often service is checked for, milliseconds.
+const SERVICE_POLL_MS: u64 = 25;
+/// How long after the silent loss of a member another loss is tolerated, milliseconds.
+const REPLACEMENT_MS: u64 = 400;
+/// The same where there is no standby and the lost machine returns with an empty disk.
+const REPAIR_MS: u64 = 100;
+/// How long a machine is told to leave before it is taken anyway, milliseconds.
+const LEAVE_TIMEOUT_MS: u64 = 2_000;
+/// How long a paused machine stands still: longer than a lease, milliseconds.
+const PAUSE_MS: u64 = 800;
+/// How late the messages of a delayed machine come, milliseconds.
+const DELAY_MS: u64 = 400;
 
-/// A machine, by what it is when the trouble comes.
+/// The property that holds in every state.
+const RULES_HOLD: &str = "rules hold and service returns";
+
+/// A machine, by what it is when the fault comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Who {
+enum Target {
     Primary,
-    First,
-    Second,
+    FirstBackup,
+    SecondBackup,
+}
+
+const TARGETS: [Target; 3] = [Target::Primary, Target::FirstBackup, Target::SecondBackup];
+
+impl Target {
+    fn index(self, primary: usize) -> usize {
+        match self {
+            Target::Primary => primary,
+            Target::FirstBackup => (primary + 1) % 3,
+            Target::SecondBackup => (primary + 2) % 3,
+        }
+    }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Trouble {
-    /// The process ends; it returns when all is over.
-    Crash(Who),
-    /// The machine is lost with its disk. One that stands by takes its place.
-    Lose(Who),
+enum Fault {
+    /// The process ends; it starts again when all is over.
+    Crash(Target),
+    /// The machine is lost with its disk. A standby takes its place.
+    LoseMachine(Target),
     /// The disk is lost, and the machine starts again at once.
-    Wipe(Who),
-    /// It stands still for longer than a lease.
-    Freeze(Who),
-    /// Nothing that it sends arrives.
-    Mute(Who),
-    /// It hears nothing.
-    Deafen(Who),
-    /// What it sends comes 400 ms late.
-    Delay(Who),
-    /// It is told to leave for good, and is lost with its disk as soon as it says that it may end.
-    Leave(Who),
+    LoseDisk(Target),
+    /// The process is paused for longer than a lease.
+    Pause(Target),
+    /// Nothing that the machine sends arrives.
+    CutSends(Target),
+    /// Nothing arrives at the machine.
+    CutReceives(Target),
+    /// What the machine sends arrives late.
+    DelaySends(Target),
+    /// The machine is told to leave for good, and is lost with its disk as soon as it may
+    /// terminate.
+    Leave(Target),
     /// All lose power, and start again.
-    Power,
+    PowerLoss,
 }
 
-const EVERYBODY: [Who; 3] = [Who::Primary, Who::First, Who::Second];
-
-fn troubles() -> Vec<Trouble> {
+fn all_faults() -> Vec<Fault> {
     let kinds = [
-        Trouble::Crash,
-        Trouble::Lose,
-        Trouble::Wipe,
-        Trouble::Freeze,
-        Trouble::Mute,
-        Trouble::Deafen,
-        Trouble::Delay,
-        Trouble::Leave,
+        Fault::Crash,
+        Fault::LoseMachine,
+        Fault::LoseDisk,
+        Fault::Pause,
+        Fault::CutSends,
+        Fault::CutReceives,
+        Fault::DelaySends,
+        Fault::Leave,
     ];
-    let all = kinds.iter().flat_map(|kind| EVERYBODY.map(kind));
-    all.chain([Trouble::Power]).collect()
+    let targeted = kinds.iter().flat_map(|kind| TARGETS.map(kind));
+    targeted.chain([Fault::PowerLoss]).collect()
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Action {
+    /// Let time pass until the next moment.
     Wait,
-    Strike(Trouble),
+    /// Inject a fault.
+    Inject(Fault),
     /// All that is not lost returns, and service must too.
-    End,
+    Recover,
+}
+
+/// A fault and the number of moments that passed before it, since the beginning or the fault
+/// before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct InjectedFault {
+    waited: u64,
+    fault: Fault,
 }
 
 #[derive(Clone)]
 struct State {
-    world: SimulatedCluster,
-    /// Moments since the beginning, or since the last trouble, and all that was done.
+    cluster: SimulatedCluster,
+    /// Moments since the beginning, or since the last fault.
     waited: u64,
-    done: Vec<(u64, Trouble)>,
-    ended: bool,
+    injected: Vec<InjectedFault>,
+    recovered: bool,
+    /// The rule that was broken.
     broken: Option<String>,
 }
 
 impl State {
-    fn key(&self) -> (&[(u64, Trouble)], u64, bool, bool) {
-        (&self.done, self.waited, self.ended, self.broken.is_some())
+    /// What tells states apart: the seed and the actions determine the rest.
+    fn key(&self) -> (&[InjectedFault], u64, bool, bool) {
+        (&self.injected, self.waited, self.recovered, self.broken.is_some())
     }
 }
 
 impl std::fmt::Debug for State {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{:?} then {} moments{}", self.done, self.waited, self.broken.as_deref().unwrap_or(""))
+        let broken = self.broken.as_deref().unwrap_or("");
+        write!(f, "{:?} then {} moments{broken}", self.injected, self.waited)
     }
 }
 
@@ -119,184 +156,184 @@
 impl Eq for State {}
 
 impl Hash for State {
-    /// The seed and what was done determine the rest.
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         self.key().hash(hasher);
     }
 }
 
-struct Troubles {
+struct TwoFaults {
     seed: u64,
-    /// Whether a fourth machine stands by.
-    spare: bool,
+    /// Whether there is a fourth machine as a standby.
+    has_standby: bool,
     moments: Moments,
 }
 
-impl Troubles {
-    fn strike(&self, world: &mut SimulatedCluster, trouble: Trouble) {
-        let primary = world.primary().unwrap_or(0);
-        let find = |who: Who| match who {
-            Who::Primary => primary,
-            Who::First => (primary + 1) % 3,
-            Who::Second => (primary + 2) % 3,
-        };
-        match trouble {
-            Trouble::Crash(who) => world.crash(find(who)),
-            Trouble::Lose(who) => world.lose_disk(find(who)),
-            Trouble::Wipe(who) => {
-                world.lose_disk(find(who));
-                world.start(find(who));
-            }
-            Trouble::Freeze(who) => world.pause(find(who), 800),
-            Trouble::Mute(who) => world.isolate(find(who), true, false),
-            Trouble::Deafen(who) => world.isolate(find(who), false, true),
-            Trouble::Delay(who) => {
-                let from = find(who);
-                (0..world.machines.len()).for_each(|to| world.delay_link((from, to), 400));
+impl TwoFaults {
+    fn inject(&self, cluster: &mut SimulatedCluster, fault: Fault) {
+        let primary = cluster.primary().unwrap_or(0);
+        match fault {
+            Fault::Crash(target) => cluster.crash(target.index(primary)),
+            Fault::LoseMachine(target) => cluster.lose_disk(target.index(primary)),
+            Fault::LoseDisk(target) => {
+                cluster.lose_disk(target.index(primary));
+                cluster.start(target.index(primary));
             }
-            Trouble::Leave(who) => self.let_go(world, find(who)),
-            Trouble::Power => {
-                let running: Vec<usize> =
-                    (0..world.machines.len()).filter(|i| world.machines[*i].replica.is_some()).collect();
-                running.iter().for_each(|i| world.crash(*i));
-                running.iter().for_each(|i| world.start(*i));
+            Fault::Pause(target) => cluster.pause(target.index(primary), PAUSE_MS),
+            Fault::CutSends(target) => cluster.isolate(target.index(primary), true, false),
+            Fault::CutReceives(target) => cluster.isolate(target.index(primary), false, true),
+            Fault::DelaySends(target) => {
+                let from = target.index(primary);
+                (0..cluster.machines.len()).for_each(|to| cluster.delay_link(from, to, DELAY_MS));
             }
+            Fault::Leave(target) => self.let_leave(cluster, target.index(primary)),
+            Fault::PowerLoss => restart_all(cluster),
         }
     }
 
-    fn let_go(&self, world: &mut SimulatedCluster, i: usize) {
-        world.request_leave(i);
-        for _ in 0..2_000 {
-            if world.machines[i].leave_allowed || world.machines[i].replica.is_none() {
+    fn let_leave(&self, cluster: &mut SimulatedCluster, index: usize) {
+        cluster.request_leave(index);
+        for _ in 0..LEAVE_TIMEOUT_MS {
+            let machine = &cluster.machines[index];
+            if machine.leave_allowed || machine.replica.is_none() {
                 break;
             }
-            world.run(1);
+            cluster.run(1);
         }
-        if self.spare { world.lose_disk(i) } else { world.crash(i) }
+        if self.has_standby { cluster.lose_disk(index) } else { cluster.crash(index) }
     }
 
-    /// Whether service must return: no two disks were lost closer together than the system bears, and no disk was lost
-    /// while something else kept the others from taking its place.
-    fn must_serve(&self, done: &[(u64, Trouble)]) -> bool {
-        let loses = |trouble: &Trouble| match trouble {
-            Trouble::Lose(_) | Trouble::Wipe(_) => true,
-            Trouble::Leave(_) => self.spare,
+    /// Whether a fault takes a disk away for good.
+    fn loses_disk(&self, fault: Fault) -> bool {
+        match fault {
+            Fault::LoseMachine(_) | Fault::LoseDisk(_) => true,
+            Fault::Leave(_) => self.has_standby,
             _ => false,
-        };
-        let [(_, first), (after, second)] = done else { return true };
-        if !loses(first) || !loses(second) {
+        }
+    }
+
+    /// Whether service must return: no two disks were lost closer together than the system
+    /// tolerates, and no disk was lost while something else kept the others from taking its place.
+    fn must_serve(&self, injected: &[InjectedFault]) -> bool {
+        let [first, second] = injected else { return true };
+        if !self.loses_disk(first.fault) || !self.loses_disk(second.fault) {
             return true;
         }
-        let borne_after = match first {
-            Trouble::Leave(_) => 0,
-            Trouble::Wipe(Who::Primary) => return false,
-            Trouble::Wipe(_) => REPAIRED_MS,
-            _ => EXCHANGED_MS,
+        let tolerated_after_ms = match first.fault {
+            Fault::Leave(_) => 0,
+            Fault::LoseDisk(Target::Primary) => return false,
+            Fault::LoseDisk(_) => REPAIR_MS,
+            _ => REPLACEMENT_MS,
         };
-        let primary_lost = matches!(first, Trouble::Lose(Who::Primary));
-        self.spare && !primary_lost && after * self.moments.stride_ms >= borne_after
+        let is_primary_lost = matches!(first.fault, Fault::LoseMachine(Target::Primary));
+        let between_ms = second.waited * self.moments.stride_ms;
+        self.has_standby && !is_primary_lost && between_ms >= tolerated_after_ms
     }
 
-    fn end(&self, state: &mut State) {
-        let world = &mut state.world;
-        world.partitioned_links.clear();
-        let lost = |i: usize| world.machines[i].disk.identity.is_none();
-        let down: Vec<usize> =
-            (0..world.machines.len()).filter(|i| world.machines[*i].replica.is_none() && !lost(*i)).collect();
-        down.into_iter().for_each(|i| world.start(i));
-        let before = world.committed_keys.len();
-        let serves = (0..RETURN_MS / 25).any(|_| {
-            world.run(25);
-            world.primary().is_some() && world.committed_keys.len() > before + 5
-        });
-        state.ended = true;
-        if !serves && self.must_serve(&state.done) {
-            state.broken = Some(format!(": no service again: {}", state.world.describe()));
+    fn recover(&self, state: &mut State) {
+        let cluster = &mut state.cluster;
+        cluster.heal_links();
+        let is_down = |index: &usize| {
+            let machine = &cluster.machines[*index];
+            machine.replica.is_none() && machine.disk.identity.is_some()
+        };
+        let down: Vec<usize> = (0..cluster.machines.len()).filter(is_down).collect();
+        down.into_iter().for_each(|index| cluster.start(index));
+        let serves = cluster.serves_within_polled(RECOVERY_TIMEOUT_MS, SERVICE_POLL_MS);
+        state.recovered = true;
+        if !serves && self.must_serve(&state.injected) {
+            state.broken = Some(format!(": no service again: {}", state.cluster.describe()));
         }
     }
 }
 
-impl Model for Troubles {
+fn restart_all(cluster: &mut SimulatedCluster) {
+    let runs = |index: &usize| cluster.machines[*index].replica.is_some();
+    let running: Vec<usize> = (0..cluster.machines.len()).filter(runs).collect();
+    running.iter().for_each(|index| cluster.crash(*index));
+    running.iter().for_each(|index| cluster.start(*index));
+}
+
+impl Model for TwoFaults {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let mut world = SimulatedCluster::new(self.seed, 1);
-        if self.spare {
-            let spare = world.add_machine();
-            world.run(800);
-            world.start(spare);
+        let mut cluster = SimulatedCluster::new(self.seed, 1);
+        if self.has_standby {
+            let standby = cluster.add_machine();
+            cluster.run(800);
+            cluster.start(standby);
         }
-        world.run(1_200);
-        assert!(world.primary().is_some(), "no start");
-        vec![State { world, waited: 0, done: Vec::new(), ended: false, broken: None }]
+        cluster.run(1_200);
+        assert!(cluster.primary().is_some(), "no start");
+        vec![State { cluster, waited: 0, injected: Vec::new(), recovered: false, broken: None }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.ended || state.broken.is_some() {
+        if state.recovered || state.broken.is_some() {
             return;
         }
-        let moments = match state.done.len() {
+        let moments = match state.injected.len() {
             0 => self.moments.first,
             1 => self.moments.second,
-            _ => return actions.push(Action::End),
+            _ => return actions.push(Action::Recover),
         };
         if state.waited + 1 < moments {
             actions.push(Action::Wait);
         }
-        actions.extend(troubles().into_iter().map(Action::Strike));
+        actions.extend(all_faults().into_iter().map(Action::Inject));
     }
 
     fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
-        let told = catch_unwind(AssertUnwindSafe(|| match action {
+        let result = catch_unwind(AssertUnwindSafe(|| match action {
             Action::Wait => {
                 next.waited += 1;
-                next.world.run(self.moments.stride_ms);
+                next.cluster.run(self.moments.stride_ms);
             }
-            Action::Strike(trouble) => {
-                next.done.push((next.waited, trouble));
+            Action::Inject(fault) => {
+                next.injected.push(InjectedFault { waited: next.waited, fault });
                 next.waited = 0;
-                self.strike(&mut next.world, trouble);
+                self.inject(&mut next.cluster, fault);
             }
-            Action::End => self.end(&mut next),
+            Action::Recover => self.recover(&mut next),
         }));
-        if let Err(why) = told {
-            let why = why.downcast_ref::<String>().cloned().unwrap_or_default();
-            next.broken = Some(format!(": {why}"));
+        if let Err(panic) = result {
+            let message = panic.downcast_ref::<String>().cloned().unwrap_or_default();
+            next.broken = Some(format!(": {message}"));
         }
         Some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always("rules hold and service returns", |_, state: &State| state.broken.is_none())]
+        vec![Property::always(RULES_HOLD, |_, state: &State| state.broken.is_none())]
     }
 }
 
-fn search(model: Troubles) {
-    let name = format!("seed {}, spare {}", model.seed, model.spare);
+fn search(model: TwoFaults) {
+    let name = format!("seed {}, standby {}", model.seed, model.has_standby);
     let checker = model.checker().threads(4).spawn_bfs().join();
     println!("{name}: {} states", checker.unique_state_count());
-    if let Some(path) = checker.discovery("rules hold and service returns") {
+    if let Some(path) = checker.discovery(RULES_HOLD) {
         panic!("{name}: {:?}", path.last_state());
     }
 }
 
-/// How many of the seeds are searched; more than one for a long search.
+/// How many seeds are searched; more than one for a long search.
 fn seeds() -> u64 {
-    std::env::var("MODEL_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(1)
+    env_number("MODEL_SEEDS", 1)
 }
 
 #[test]
-fn two_troubles_at_any_moments_with_a_machine_that_stands_by() {
+fn two_faults_at_any_moments_are_tolerated_with_a_standby() {
     for seed in 0..seeds() {
-        search(Troubles { seed, spare: true, moments: moments() });
+        search(TwoFaults { seed, has_standby: true, moments: moments() });
     }
 }
 
 #[test]
-fn two_troubles_at_any_moments_with_three_machines() {
+fn two_faults_at_any_moments_are_tolerated_with_three_machines() {
     for seed in 0..seeds() {
-        search(Troubles { seed: 100 + seed, spare: false, moments: moments() });
+        search(TwoFaults { seed: 100 + seed, has_standby: false, moments: moments() });
     }
 }
--- a/crates/cluster/replication/tests/repair.rs
+++ b/crates/cluster/replication/tests/repair.rs
@@ -1,176 +1,193 @@
-//! Repair of a machine that lacks much, over links that are slow, cut and lost, while writes go on.
+//! Repair of a machine that lacks much, over links that are slow, cut and lossy, while writes go
+//! on.
 mod common;
-use common::SimulatedCluster;
+use common::{SimulatedCluster, env_number};
 
 const SEEDS: u64 = 10;
+/// 1 MB a second.
+const SLOW_LINK_BYTES_PER_MS: usize = 1_000;
+/// A value that fills more than one repair chunk.
+const LARGE_VALUE_BYTES: usize = 100_000;
+/// The largest message of the data class: a chunk of one entry.
+const MAX_MESSAGE_BYTES: usize = LARGE_VALUE_BYTES + 100;
+/// How long service may take to return, milliseconds.
+const RECOVERY_TIMEOUT_MS: u64 = 6_000;
 
-fn serves_within(world: &mut SimulatedCluster, ms: u64) -> bool {
-    let before = world.committed_keys.len();
-    (0..ms / 50).any(|_| {
-        world.run(50);
-        world.primary().is_some() && world.committed_keys.len() > before + 5
-    })
+/// A cluster that serves and has committed so many values of so many bytes.
+fn cluster_with_state(seed: u64, values: usize, value_bytes: usize) -> SimulatedCluster {
+    let mut cluster = SimulatedCluster::new(seed, 1);
+    let default_value_bytes = cluster.value_bytes;
+    cluster.network.preserves_order = true;
+    cluster.value_bytes = value_bytes;
+    while cluster.committed_keys.len() < values {
+        cluster.run(50);
+        assert!(cluster.now_ms < 1_200_000, "seed {seed}: no start");
+    }
+    cluster.value_bytes = default_value_bytes;
+    cluster
+}
+
+/// A machine starts with an empty disk after it was away for a while.
+fn restart_without_disk(cluster: &mut SimulatedCluster, index: usize, away_ms: u64) {
+    cluster.lose_disk(index);
+    cluster.run(away_ms);
+    cluster.start(index);
 }
 
-/// A system that serves, with a state of so many values of so many bytes.
-fn with_state(seed: u64, values: usize, bytes: usize) -> SimulatedCluster {
-    let mut world = SimulatedCluster::new(seed, 1);
-    world.preserves_order = true;
-    world.value_bytes = bytes;
-    while world.committed_keys.len() < values {
-        world.run(50);
-        assert!(world.now_ms < 1_200_000, "seed {seed}: no start");
+/// Lets time pass until a machine is in sync.
+fn run_until_in_sync(cluster: &mut SimulatedCluster, index: usize, timeout_ms: u64, context: &str) {
+    let began_at_ms = cluster.now_ms;
+    while !cluster.is_in_sync(index) {
+        cluster.run(100);
+        let is_in_time = cluster.now_ms < began_at_ms + timeout_ms;
+        assert!(is_in_time, "{context}: never in sync: {}", cluster.describe());
     }
-    world.value_bytes = 20;
-    world
 }
 
-/// The measured failure: the first answer of a repair takes long to arrive, and the third machine is lost meanwhile.
-fn slow_answer_and_a_loss(seed: u64, delay: u64, shared_connection: bool) {
-    let mut world = with_state(seed, 200, 1_000);
-    world.shared_connection = shared_connection;
-    let primary = world.primary().expect("serves");
+/// The measured failure: the first answer of a repair takes long to arrive, and the third machine
+/// is lost meanwhile.
+fn check_slow_repair_and_a_loss(seed: u64, delay_ms: u64, shared_connection: bool) {
+    let mut cluster = cluster_with_state(seed, 200, 1_000);
+    cluster.network.shared_connection = shared_connection;
+    let primary = cluster.primary().expect("serves");
     let (slow, third) = ((primary + 1) % 3, (primary + 2) % 3);
     for from in [primary, third] {
-        world.data_delay.insert((from, slow), delay);
+        cluster.delay_data(from, slow, delay_ms);
     }
-    world.crash(slow);
-    world.run(1_000);
-    world.start(slow);
-    world.run(200);
-    world.crash(third);
-    assert!(
-        serves_within(&mut world, 20_000),
-        "seed {seed}, {delay} ms, one lane {shared_connection}: {}",
-        world.describe()
-    );
+
+    cluster.crash(slow);
+    cluster.run(1_000);
+    cluster.start(slow);
+    cluster.run(200);
+    cluster.crash(third);
+
+    let serves = cluster.serves_within(20_000);
+    let state = cluster.describe();
+    assert!(serves, "seed {seed}, {delay_ms} ms, shared connection {shared_connection}: {state}");
 }
 
 #[test]
 fn a_slow_repair_does_not_end_service_when_the_third_machine_is_lost() {
-    for delay in [300, 600, 1_000, 1_500] {
-        (0..SEEDS).for_each(|seed| slow_answer_and_a_loss(seed, delay, false));
+    for delay_ms in [300, 600, 1_000, 1_500] {
+        (0..SEEDS).for_each(|seed| check_slow_repair_and_a_loss(seed, delay_ms, false));
     }
 }
 
 #[test]
-fn nor_where_data_delays_everything_behind_it() {
-    for delay in [300, 400] {
-        (0..SEEDS).for_each(|seed| slow_answer_and_a_loss(seed, delay, true));
+fn a_slow_repair_does_not_end_service_where_data_delays_everything_behind_it() {
+    for delay_ms in [300, 400] {
+        (0..SEEDS).for_each(|seed| check_slow_repair_and_a_loss(seed, delay_ms, true));
     }
 }
 
 #[test]
-fn a_wiped_machine_gets_in_sync_where_items_overtake_one_another() {
+fn a_machine_without_its_disk_gets_in_sync_where_messages_overtake_each_other() {
     for seed in 0..SEEDS {
-        let mut world = with_state(seed, 200, 1_000);
-        world.preserves_order = false;
-        let primary = world.primary().expect("serves");
+        let mut cluster = cluster_with_state(seed, 200, 1_000);
+        cluster.network.preserves_order = false;
+        let primary = cluster.primary().expect("serves");
         let wiped = (primary + 1) % 3;
-        world.data_delay.insert((primary, wiped), 100);
-        world.lose_disk(wiped);
-        world.run(100);
-        world.start(wiped);
-        world.run(3_000);
-        assert!(world.is_in_sync(wiped), "seed {seed}: {}", world.describe());
+        cluster.delay_data(primary, wiped, 100);
+
+        restart_without_disk(&mut cluster, wiped, 100);
+        cluster.run(3_000);
+
+        assert!(cluster.is_in_sync(wiped), "seed {seed}: {}", cluster.describe());
     }
 }
 
-/// Commits that went on meanwhile.
-fn commits_in(world: &mut SimulatedCluster, ms: u64) -> usize {
-    let before = world.committed_keys.len();
-    world.run(ms);
-    world.committed_keys.len() - before
+/// The commits while so much time passes.
+fn commits_in(cluster: &mut SimulatedCluster, for_ms: u64) -> usize {
+    let committed_before = cluster.committed_keys.len();
+    cluster.run(for_ms);
+    cluster.committed_keys.len() - committed_before
 }
 
 #[test]
-fn a_large_state_comes_in_pieces_over_a_slow_link_while_writes_go_on() {
-    let megabytes: usize = std::env::var("STATE_MB").ok().and_then(|s| s.parse().ok()).unwrap_or(8);
-    let mut world = with_state(1, megabytes * 10, 100_000);
-    world.max_item_bytes = 0;
-    let primary = world.primary().expect("serves");
+fn a_large_state_arrives_in_chunks_over_a_slow_link_while_writes_go_on() {
+    let megabytes = env_number("STATE_MB", 8);
+    let mut cluster = cluster_with_state(1, megabytes as usize * 10, LARGE_VALUE_BYTES);
+    cluster.network.max_data_message_bytes = 0;
+    let primary = cluster.primary().expect("serves");
     let wiped = (primary + 1) % 3;
-    // 1 MB a second.
-    world.data_rate.insert((primary, wiped), 1_000);
-    world.lose_disk(wiped);
-    world.run(1_000);
-    world.start(wiped);
-    let began = world.now_ms;
-    while !world.is_in_sync(wiped) {
-        assert!(commits_in(&mut world, 500) > 40, "writes stopped: {}", world.describe());
-        assert_eq!(world.primary(), Some(primary), "the primary lost its lease");
-        let bound = 3 * megabytes as u64 * 1_000 + 5_000;
-        assert!(world.now_ms < began + bound, "not in sync after {bound} ms: {}", world.describe());
+    cluster.limit_data_rate(primary, wiped, SLOW_LINK_BYTES_PER_MS);
+
+    restart_without_disk(&mut cluster, wiped, 1_000);
+    let began_at_ms = cluster.now_ms;
+    while !cluster.is_in_sync(wiped) {
+        assert!(commits_in(&mut cluster, 500) > 40, "writes stopped: {}", cluster.describe());
+        assert_eq!(cluster.primary(), Some(primary), "the primary lost its lease");
+        let timeout_ms = 3 * megabytes * 1_000 + 5_000;
+        let is_in_time = cluster.now_ms < began_at_ms + timeout_ms;
+        assert!(is_in_time, "not in sync after {timeout_ms} ms: {}", cluster.describe());
     }
-    assert!(world.max_item_bytes <= 100_100, "an item of {} bytes", world.max_item_bytes);
-    println!("{megabytes} MB at 1 MB/s: in sync after {} ms", world.now_ms - began);
+
+    let largest = cluster.network.max_data_message_bytes;
+    assert!(largest <= MAX_MESSAGE_BYTES, "a message of {largest} bytes");
+    println!("{megabytes} MB at 1 MB/s: in sync after {} ms", cluster.now_ms - began_at_ms);
 }
 
 #[test]
-fn a_follower_that_crashes_half_way_goes_on_from_there() {
-    let mut world = with_state(2, 40, 100_000);
-    let primary = world.primary().expect("serves");
+fn a_backup_that_crashes_during_repair_resumes_it() {
+    let mut cluster = cluster_with_state(2, 40, LARGE_VALUE_BYTES);
+    let primary = cluster.primary().expect("serves");
     let wiped = (primary + 1) % 3;
-    world.data_rate.insert((primary, wiped), 1_000);
-    world.lose_disk(wiped);
-    world.run(1_000);
-    world.start(wiped);
-    world.data_bytes.clear();
-    // Three crashes in the 4 s that the repair takes; that it never counts as in sync before its end is checked each step.
+    cluster.limit_data_rate(primary, wiped, SLOW_LINK_BYTES_PER_MS);
+    restart_without_disk(&mut cluster, wiped, 1_000);
+    cluster.network.data_bytes.clear();
+
+    // Three crashes in the 4 s that the repair takes; a rule of `common` checks that it is not in
+    // sync before its end.
     for _ in 0..3 {
-        world.run(1_000);
-        assert!(world.machines[wiped].disk.repair_incomplete, "the repair is under way");
-        assert!(!world.is_in_sync(wiped));
-        world.crash(wiped);
-        world.run(100);
-        world.start(wiped);
-    }
-    let began = world.now_ms;
-    while !world.is_in_sync(wiped) {
-        world.run(100);
-        assert!(world.now_ms < began + 8_000, "never in sync: {}", world.describe());
+        cluster.run(1_000);
+        assert!(cluster.machines[wiped].disk.repair_incomplete, "the repair is under way");
+        assert!(!cluster.is_in_sync(wiped));
+        cluster.crash(wiped);
+        cluster.run(100);
+        cluster.start(wiped);
     }
-    let sent = world.data_bytes[&(primary, wiped)];
-    assert!(sent < 6_000_000, "{sent} bytes sent for a state of 4 MB");
+    run_until_in_sync(&mut cluster, wiped, 8_000, "after three crashes");
+
+    let sent_bytes = cluster.data_bytes(primary, wiped);
+    assert!(sent_bytes < 6_000_000, "{sent_bytes} bytes sent for a state of 4 MB");
 }
 
 #[test]
-fn progress_is_kept_over_a_change_of_primary() {
+fn a_repair_resumes_after_a_change_of_primary() {
     for seed in 0..SEEDS {
-        let mut world = with_state(seed, 40, 100_000);
-        let primary = world.primary().expect("serves");
+        let mut cluster = cluster_with_state(seed, 40, LARGE_VALUE_BYTES);
+        let primary = cluster.primary().expect("serves");
         let (wiped, third) = ((primary + 1) % 3, (primary + 2) % 3);
         for from in [primary, third] {
-            world.data_rate.insert((from, wiped), 1_000);
-        }
-        world.lose_disk(wiped);
-        world.run(1_000);
-        world.start(wiped);
-        world.data_bytes.clear();
-        world.run(2_000);
-        world.pause(primary, 700);
-        let began = world.now_ms;
-        while !world.is_in_sync(wiped) {
-            world.run(100);
-            assert!(world.now_ms < began + 12_000, "seed {seed}: never in sync: {}", world.describe());
+            cluster.limit_data_rate(from, wiped, SLOW_LINK_BYTES_PER_MS);
         }
-        let sent: usize =
-            [primary, third].iter().filter_map(|from| world.data_bytes.get(&(*from, wiped))).sum();
-        assert!(sent < 7_000_000, "seed {seed}: {sent} bytes sent for a state of 4 MB");
+        restart_without_disk(&mut cluster, wiped, 1_000);
+        cluster.network.data_bytes.clear();
+
+        cluster.run(2_000);
+        cluster.pause(primary, 700);
+        run_until_in_sync(&mut cluster, wiped, 12_000, &format!("seed {seed}"));
+
+        let sent_bytes: usize = [primary, third].iter().map(|from| cluster.data_bytes(*from, wiped)).sum();
+        assert!(sent_bytes < 7_000_000, "seed {seed}: {sent_bytes} bytes sent for a state of 4 MB");
     }
 }
 
+/// The primary crashes with batches that only one replica has. The other is repaired by it, and at
+/// each step either lacks such a batch or has all of it; a rule of `common` checks that nothing in
+/// sync is incomplete.
 #[test]
-fn a_follower_in_sync_takes_a_repair_whole() {
-    // The primary dies with batches that only one replica has. The other is repaired by it, and at each step either lacks
-    // such a batch or has all of it; `SimulatedCluster` checks that nothing in sync is incomplete.
+fn a_backup_in_sync_applies_a_repair_as_one_batch() {
     for seed in 0..40 {
-        let mut world = with_state(seed, 50, 500);
-        let primary = world.primary().expect("serves");
-        world.partitioned_links.insert((primary, (primary + 1) % 3));
-        world.run(40 + seed % 30);
-        world.crash(primary);
-        world.partitioned_links.clear();
-        assert!(serves_within(&mut world, 6_000), "seed {seed}: {}", world.describe());
+        let mut cluster = cluster_with_state(seed, 50, 500);
+        let primary = cluster.primary().expect("serves");
+
+        cluster.cut_link(primary, (primary + 1) % 3);
+        cluster.run(40 + seed % 30);
+        cluster.crash(primary);
+        cluster.heal_links();
+
+        let serves = cluster.serves_within(RECOVERY_TIMEOUT_MS);
+        assert!(serves, "seed {seed}: {}", cluster.describe());
     }
 }
