--- /dev/null
+++ b/crates/cluster/job-scheduler/tests/overload.rs
@@ -0,0 +1,92 @@
+//! A scheduler with more to do than it can.
+mod common;
+use common::{CONFIG, ManualScheduler, ONE_TASK, starts};
+use spanlead_job_scheduler::{SchedulerConfig, WorkerCall, WorkerResponse};
+use std::collections::BTreeSet;
+
+/// A job of so many tasks of [`ONE_TASK`]'s kind.
+fn tasks(count: usize) -> String {
+    ONE_TASK.replace("\"count\":1", &format!("\"count\":{count}"))
+}
+
+/// While calls are at their bound, the next check begins with the first worker that was skipped.
+#[test]
+fn workers_are_called_in_turn_while_calls_are_at_their_bound() {
+    const WORKERS: usize = 200;
+    let config = SchedulerConfig { max_concurrent_calls: 100, ..CONFIG };
+    let mut manual = ManualScheduler::without_responses(WORKERS, config);
+    let mut called: BTreeSet<String> = BTreeSet::new();
+
+    for _ in 0..4 {
+        // Those that reject the renewal are due again by the next round.
+        for call in manual.advance(400) {
+            called.insert(call.worker_id.to_string());
+            manual.respond(&call, WorkerResponse::Rejected { status: 503, reason: "".into() });
+        }
+    }
+
+    assert_eq!(called.len(), WORKERS);
+}
+
+/// What can't be started yet waits where its priority counts.
+#[test]
+fn starts_in_flight_are_bounded() {
+    const MAX_STARTS: usize = 160;
+    let mut manual = ManualScheduler::new(600);
+    manual.submit(1, &tasks(500));
+
+    let mut in_flight: Vec<WorkerCall> = Vec::new();
+    for _ in 0..20 {
+        in_flight.extend(starts(&manual.advance(20)).into_iter().cloned());
+        assert!(in_flight.len() <= MAX_STARTS, "{} at once", in_flight.len());
+    }
+    assert_eq!(in_flight.len(), MAX_STARTS);
+
+    for start in in_flight.split_off(MAX_STARTS / 2) {
+        manual.acknowledge(&start);
+    }
+    assert_eq!(starts(&manual.advance(20)).len(), MAX_STARTS / 2);
+}
+
+#[test]
+fn task_that_fits_is_placed_behind_many_gangs_that_do_not() {
+    let mut manual = ManualScheduler::new(3);
+    manual.submit(1, &tasks(2).replace("600", "900"));
+    for start in starts(&manual.commit()) {
+        manual.acknowledge(start);
+    }
+    let gang = ONE_TASK.replace("\"count\":1", "\"count\":2,\"gang\":true");
+    for job in 2..602 {
+        manual.submit(job, &gang);
+    }
+
+    manual.submit(1_000, ONE_TASK);
+
+    let submitted_at_ms = manual.now_ms;
+    while starts(&manual.advance(20)).is_empty() {
+        assert!(manual.now_ms < submitted_at_ms + 1_000, "it waits behind what does not fit");
+    }
+}
+
+#[test]
+fn scheduler_whose_ticks_are_late_sends_fewer_starts() {
+    const LATE_MS: u64 = 200;
+    let mut manual = ManualScheduler::new(600);
+    for _ in 0..10 {
+        manual.scheduler.record_tick_lateness(LATE_MS);
+    }
+    manual.submit(1, &tasks(500));
+    let calls = manual.commit();
+    let late = starts(&calls).len();
+    assert!((1..=8).contains(&late), "{late} while ticks are late");
+    for start in starts(&calls) {
+        manual.acknowledge(start);
+    }
+
+    for _ in 0..10 {
+        manual.scheduler.record_tick_lateness(0);
+    }
+
+    let calls = manual.advance(20);
+    assert!(starts(&calls).len() > 100, "{} once they are in time", starts(&calls).len());
+}
--- a/crates/cluster/job-scheduler/tests/simulation.rs
+++ b/crates/cluster/job-scheduler/tests/simulation.rs
@@ -1,12 +1,21 @@
-//! Seeded runs of the scheduler among workers that crash, are cut off, fail tasks and carry orders out late, while the
-//! scheduler itself is killed: no rule breaks, and every accepted job ends.
+//! Seeded runs of the scheduler among workers that crash, are cut off, fail tasks and carry calls
+//! out late, while the scheduler itself is killed: no rule is broken, and every accepted job is
+//! closed.
 mod common;
-use common::World;
+use common::SimulatedCluster;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use spanlead_job_scheduler::*;
+use spanlead_job_scheduler::{JobId, JobOutcome, JobSpec, JobState, Stage};
 
-fn stage(rng: &mut ChaCha8Rng, number: u16) -> Stage {
+const WORKERS: usize = 9;
+const ROUNDS: u32 = 200;
+const ROUND_MS: u64 = 100;
+/// How long jobs may take after the last fault, milliseconds.
+const SETTLE_MS: u64 = 45_000;
+/// The number of seeds unless the variable `SEEDS` gives another.
+const DEFAULT_SEEDS: u64 = 12;
+
+fn random_stage(rng: &mut ChaCha8Rng, number: u16) -> Stage {
     Stage {
         count: rng.random_range(1..6),
         cpu_millicores: rng.random_range(200..4_000),
@@ -21,73 +30,82 @@
     }
 }
 
-fn job(rng: &mut ChaCha8Rng, now: u64) -> JobSpec {
-    let stages = (0..rng.random_range(1..4)).map(|number| stage(rng, number)).collect();
-    let timed = rng.random_bool(0.1);
+fn random_job(rng: &mut ChaCha8Rng, now_ms: u64) -> JobSpec {
+    let stages = (0..rng.random_range(1..4)).map(|number| random_stage(rng, number)).collect();
+    let is_repeated = rng.random_bool(0.1);
     JobSpec {
         payload: "text".into(),
         stages,
-        repeats: if timed { 2 } else { 0 },
-        start_at_ms: if timed { now + 1_000 } else { 0 },
+        repeats: if is_repeated { 2 } else { 0 },
+        start_at_ms: if is_repeated { now_ms + 1_000 } else { 0 },
         interval_ms: 1_500,
         ..JobSpec::default()
     }
 }
 
-fn trouble(world: &mut World, rng: &mut ChaCha8Rng) {
-    let i = rng.random_range(0..world.workers.len());
+fn inject_fault(cluster: &mut SimulatedCluster, rng: &mut ChaCha8Rng) {
+    let index = rng.random_range(0..cluster.workers.len());
     match rng.random_range(0..7) {
-        0 => world.kill_scheduler(rng.random_range(5..3_000)),
-        1 => world.kill_scheduler(rng.random_range(5_000..9_000)),
-        2 => world.crash_worker(i),
-        3 => world.workers[i].cut_until = world.now + rng.random_range(200..7_000),
-        4 => world.late_share = 0.06,
-        5 => world.workers[i].failing = if world.workers[i].failing > 0.5 { 0.02 } else { 0.9 },
-        _ => world.late_share = 0.0,
+        0 => cluster.kill_scheduler(rng.random_range(5..3_000)),
+        1 => cluster.kill_scheduler(rng.random_range(5_000..9_000)),
+        2 => cluster.crash_worker(index),
+        3 => cluster.workers[index].cut_until = cluster.now_ms + rng.random_range(200..7_000),
+        4 => cluster.delayed_share = 0.06,
+        5 => {
+            let worker = &mut cluster.workers[index];
+            worker.failing = if worker.failing > 0.5 { 0.02 } else { 0.9 };
+        }
+        _ => cluster.delayed_share = 0.0,
     }
 }
 
-fn story(seed: u64) -> u64 {
+/// Runs a simulation, and returns the number of starts.
+fn simulate(seed: u64) -> u64 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xB0B);
-    let mut world = World::new(seed, 9);
-    world.run(1_500);
-    let mut ids = Vec::new();
-    for round in 0..200 {
+    let mut cluster = SimulatedCluster::new(seed, WORKERS);
+    cluster.run(1_500);
+    let mut jobs: Vec<JobId> = Vec::new();
+    for round in 0..ROUNDS {
         if rng.random_bool(0.6) {
-            let spec = job(&mut rng, world.now);
-            ids.extend(world.submit(spec));
+            let spec = random_job(&mut rng, cluster.now_ms);
+            jobs.extend(cluster.submit(spec));
         }
         if rng.random_bool(0.05)
-            && let Some(id) = ids.last().copied()
+            && let Some(job) = jobs.last()
         {
-            world.cancel(id);
+            cluster.cancel(*job);
         }
         if round > 10 && rng.random_bool(0.08) {
-            trouble(&mut world, &mut rng);
+            inject_fault(&mut cluster, &mut rng);
         }
-        world.run(100);
+        cluster.run(ROUND_MS);
     }
-    world.late_share = 0.0;
-    world.workers.iter_mut().for_each(|w| w.failing = 0.0);
-    world.run(45_000);
-    for id in world.accepted.clone() {
-        let state = world.state(id);
-        let view = world.scheduler.as_ref().and_then(|s| s.inspect_job(id));
-        let over = matches!(state, Some(JobState::Closed(_)));
-        assert!(over, "seed {seed}: job {id} at the end: {view:#?}");
-        if state == Some(JobState::Closed(JobOutcome::Succeeded)) {
-            assert!(world.rules.all_done(id.0), "seed {seed}: MIXED: {id}");
-        }
-        if state == Some(JobState::Closed(JobOutcome::Cancelled)) {
-            assert!(world.cancelled.contains(&id), "seed {seed}: LOST: {id} was never cancelled");
-        }
+    cluster.delayed_share = 0.0;
+    for worker in &mut cluster.workers {
+        worker.failing = 0.0;
+    }
+    cluster.run(SETTLE_MS);
+    for job in &cluster.accepted {
+        assert_closed_rightly(&cluster, seed, *job);
+    }
+    cluster.rules.starts
+}
+
+fn assert_closed_rightly(cluster: &SimulatedCluster, seed: u64, job: JobId) {
+    let state = cluster.job_state(job);
+    let view = cluster.scheduler.as_ref().and_then(|scheduler| scheduler.inspect_job(job));
+    assert!(matches!(state, Some(JobState::Closed(_))), "seed {seed}: job {job} at the end: {view:#?}");
+    if state == Some(JobState::Closed(JobOutcome::Succeeded)) {
+        assert!(cluster.rules.all_done(job.0), "seed {seed}: MIXED: {job}");
+    }
+    if state == Some(JobState::Closed(JobOutcome::Cancelled)) {
+        assert!(cluster.cancelled.contains(&job), "seed {seed}: LOST: {job} was never cancelled");
     }
-    world.rules.starts
 }
 
 #[test]
-fn no_rule_breaks_whatever_happens() {
-    let seeds: u64 = std::env::var("SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(12);
-    let starts: u64 = (0..seeds).map(story).sum();
+fn no_rule_is_broken_and_every_job_is_closed_whatever_fails() {
+    let seeds = std::env::var("SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(DEFAULT_SEEDS);
+    let starts: u64 = (0..seeds).map(simulate).sum();
     assert!(starts > seeds * 200, "{starts} starts");
 }
--- /dev/null
+++ b/crates/cluster/job-scheduler/tests/unanswered_calls.rs
@@ -0,0 +1,225 @@
+//! Starts without response, and workers that do not respond.
+mod common;
+use common::{
+    ManualScheduler, ONE_TASK, SMALL_TASK, is_start, is_stop, renewal_to, single_start, started_run, starts,
+};
+use spanlead_job_scheduler::{JobId, JobOutcome, JobState, WorkerCall, WorkerRequest, WorkerResponse};
+
+const SPECULATIVE_TASK: &str =
+    r#"{"spec":"x","stages":[{"count":1,"cpu":600,"memMb":10,"estRuntimeMs":500,"speculative":true}]}"#;
+
+/// Nothing is started or stopped for a while.
+fn assert_run_goes_on(manual: &mut ManualScheduler) {
+    for _ in 0..20 {
+        let calls = manual.advance(20);
+        assert!(!calls.iter().any(|call| is_start(call) || is_stop(call)), "{calls:?}");
+    }
+}
+
+/// A start of which only the response was lost is found by the query after it.
+#[test]
+fn run_whose_start_timed_out_goes_on_if_the_worker_reports_it() {
+    let mut manual = ManualScheduler::new(2);
+    manual.submit(1, ONE_TASK);
+    let start = single_start(&manual.commit());
+
+    manual.respond(&start, WorkerResponse::NoResponse);
+    let query = renewal_to(&manual.commit(), &start.worker_id).expect("a query").clone();
+    manual.report(&query, &[started_run(&start)], &[]);
+
+    assert_run_goes_on(&mut manual);
+}
+
+#[test]
+fn run_whose_start_timed_out_is_stopped_before_the_task_starts_again() {
+    let mut manual = ManualScheduler::new(2);
+    manual.submit(1, ONE_TASK);
+    let start = single_start(&manual.commit());
+
+    manual.respond(&start, WorkerResponse::NoResponse);
+    let query = renewal_to(&manual.commit(), &start.worker_id).expect("a query").clone();
+    assert!(starts(&manual.advance(50)).is_empty(), "it may run there");
+
+    manual.report(&query, &[], &[]);
+    let stop = manual.commit().into_iter().find(is_stop).expect("a stop");
+    assert!(starts(&manual.advance(50)).is_empty(), "it may run there");
+
+    manual.acknowledge(&stop);
+    let query = renewal_to(&manual.commit(), &start.worker_id).expect("a query").clone();
+    assert!(starts(&manual.advance(20)).is_empty(), "the query has no response yet");
+
+    manual.report(&query, &[], &[]);
+    let again = single_start(&manual.advance(20));
+    assert_eq!(started_run(&again).1, 2, "{again:?}");
+}
+
+/// A response that comes after its time-out by chance proves that the start was carried out.
+#[test]
+fn late_response_to_a_start_still_counts() {
+    let mut manual = ManualScheduler::new(1);
+    manual.submit(1, ONE_TASK);
+    let start = single_start(&manual.commit());
+
+    let query = renewal_to(&manual.advance(320), "i-0").expect("a query").clone();
+    manual.acknowledge(&start);
+    manual.report(&query, &[started_run(&start)], &[]);
+
+    assert_run_goes_on(&mut manual);
+}
+
+#[test]
+fn report_requested_before_a_start_says_nothing_of_it() {
+    let mut manual = ManualScheduler::new(1);
+    let before = renewal_to(&manual.advance(20), "i-0").cloned();
+    manual.submit(1, ONE_TASK);
+    let start = single_start(&manual.commit());
+
+    manual.acknowledge(&start);
+    if let Some(before) = before {
+        manual.report(&before, &[], &[]);
+    }
+
+    assert!(starts(&manual.advance(20)).is_empty(), "it runs");
+}
+
+/// What runs on a worker that is cut off is over when its last lease has expired, however often it
+/// is called meanwhile: one that hears and is not heard would go on for ever.
+#[test]
+fn lease_of_a_worker_that_does_not_respond_is_not_extended() {
+    const LEASE_MS: u64 = 4_000;
+    let mut manual = ManualScheduler::new(2);
+    // What an earlier scheduler may have granted has expired.
+    let started_at_ms = manual.now_ms;
+    while manual.now_ms < started_at_ms + 2 * LEASE_MS {
+        for call in manual.advance(400) {
+            manual.report(&call, &[], &[]);
+        }
+    }
+    manual.submit(1, ONE_TASK);
+    let calls = manual.commit();
+    let start = single_start(&calls);
+    manual.acknowledge(&start);
+
+    let (cut_off, since_ms) = (start.worker_id.clone(), manual.now_ms);
+    let mut unanswered: Vec<(u64, WorkerCall)> = Vec::new();
+    let mut calls: Vec<WorkerCall> = calls.into_iter().filter(|call| !is_start(call)).collect();
+    let runs_elsewhere = |manual: &ManualScheduler| {
+        let job = manual.scheduler.inspect_job(JobId(1));
+        job.is_some_and(|job| job.open_tasks[0].active_runs.iter().any(|run| run.worker_id != *cut_off))
+    };
+    while !runs_elsewhere(&manual) {
+        calls.extend(manual.advance(20));
+        for call in std::mem::take(&mut calls) {
+            if *call.worker_id == *cut_off {
+                unanswered.push((manual.now_ms + call.timeout_ms, call));
+            } else if is_start(&call) {
+                break;
+            } else {
+                manual.report(&call, &[], &[]);
+            }
+        }
+        let (due, later): (Vec<_>, Vec<_>) =
+            unanswered.into_iter().partition(|(due_at_ms, _)| *due_at_ms <= manual.now_ms);
+        unanswered = later;
+        for (_, call) in due {
+            manual.respond(&call, WorkerResponse::NoResponse);
+        }
+        assert!(manual.now_ms < since_ms + 3 * LEASE_MS, "it still waits");
+    }
+
+    let waited_ms = manual.now_ms - since_ms;
+    assert!(waited_ms > LEASE_MS, "the lease had not expired");
+    assert!(waited_ms < LEASE_MS + 2_000, "{waited_ms} ms");
+}
+
+/// The first end counts, and the other run is stopped.
+#[test]
+fn speculative_task_whose_start_timed_out_starts_elsewhere_at_once() {
+    let mut manual = ManualScheduler::new(2);
+    manual.submit(1, SPECULATIVE_TASK);
+    let first = single_start(&manual.commit());
+    let (task, _) = started_run(&first);
+
+    manual.respond(&first, WorkerResponse::NoResponse);
+    let calls = manual.advance(20);
+    let hedged = single_start(&calls);
+    assert_ne!(hedged.worker_id, first.worker_id);
+    assert_eq!(started_run(&hedged), (task, 2));
+
+    manual.acknowledge(&hedged);
+    let query = renewal_to(&calls, &first.worker_id).expect("a query").clone();
+    manual.report(&query, &[(task, 1)], &[]);
+    assert!(starts(&manual.advance(20)).is_empty(), "two are enough");
+
+    let renewal = manual.waiting_renewal(&hedged.worker_id);
+    manual.report(&renewal, &[], &[(1, task, 2, "done")]);
+    let calls = manual.advance(20);
+    let is_stop_of_first = |call: &WorkerCall| {
+        *call.worker_id == *first.worker_id && matches!(call.request, WorkerRequest::Stop { run: 1, .. })
+    };
+    assert!(calls.iter().any(is_stop_of_first), "{calls:?}");
+    assert_eq!(manual.scheduler.job_state(JobId(1)), Some(JobState::Closed(JobOutcome::Succeeded)));
+}
+
+/// What comes of a start.
+#[derive(Clone, Copy)]
+enum StartResult {
+    /// It is acknowledged after so many milliseconds.
+    AcknowledgedAfter(u64),
+    /// It has no response, and a query shows that it was carried out.
+    NoResponse,
+}
+
+/// The shortest time-out of calls after starts with these results, each so often, one after the
+/// other.
+fn timeout_after(results: &[(usize, StartResult)]) -> u64 {
+    let mut manual = ManualScheduler::new(2);
+    let all = results.iter().flat_map(|(count, result)| std::iter::repeat_n(*result, *count));
+    for (job, result) in (1..).zip(all) {
+        manual.submit(job, SMALL_TASK);
+        let start = single_start(&manual.commit());
+        let (task, run) = started_run(&start);
+        if let StartResult::AcknowledgedAfter(ms) = result {
+            manual.advance(ms);
+            manual.acknowledge(&start);
+        } else {
+            manual.respond(&start, WorkerResponse::NoResponse);
+            let query = renewal_to(&manual.commit(), &start.worker_id).expect("a query").clone();
+            manual.report(&query, &[(task, run)], &[]);
+        }
+        cancel_and_free(&mut manual, job);
+        manual.report_stopped(&start.worker_id, task, run);
+    }
+    manual.scheduler.metrics().call_timeouts.map_or(300, |range| range.shortest_ms)
+}
+
+/// Cancels a job, and answers the stops and the queries after them.
+fn cancel_and_free(manual: &mut ManualScheduler, job: u64) {
+    manual.scheduler.cancel(manual.now(), JobId(job));
+    for stop in manual.advance(20).iter().filter(|call| is_stop(call)) {
+        manual.acknowledge(stop);
+    }
+    let is_query = |call: &&WorkerCall| matches!(call.request, WorkerRequest::RenewLease { wait_ms: 0, .. });
+    for query in manual.commit().iter().filter(is_query) {
+        manual.report(query, &[], &[]);
+    }
+}
+
+#[test]
+fn timeouts_follow_round_trips_within_bounds() {
+    use StartResult::{AcknowledgedAfter, NoResponse};
+    assert_eq!(timeout_after(&[]), 300, "nothing is known");
+    assert_eq!(timeout_after(&[(5, AcknowledgedAfter(2))]), 300, "too little is known");
+    assert_eq!(timeout_after(&[(40, AcknowledgedAfter(2))]), 60, "never shorter than a pause");
+    let slow = timeout_after(&[(40, AcknowledgedAfter(100))]);
+    assert!((100..300).contains(&slow), "{slow}");
+    assert_eq!(timeout_after(&[(40, AcknowledgedAfter(290))]), 300, "never longer");
+    assert_eq!(
+        timeout_after(&[(40, AcknowledgedAfter(2)), (2, NoResponse)]),
+        60,
+        "two lost responses say nothing of the others"
+    );
+    let premature = timeout_after(&[(40, AcknowledgedAfter(2)), (2, AcknowledgedAfter(80))]);
+    assert!((130..300).contains(&premature), "timed out too soon: {premature}");
+    assert_eq!(timeout_after(&[(40, AcknowledgedAfter(2)), (60, NoResponse)]), 300, "most timed out");
+}
