--- a/crates/service/balancing-policy/src/dispatcher/affinity.rs
+++ b/crates/service/balancing-policy/src/dispatcher/affinity.rs
@@ -19,10 +19,17 @@
 /// The weight of a new sample in the mean times.
 const SAMPLE_WEIGHT: f64 = 0.02;
 
+/// A key at a worker.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct Placement {
+    key: u64,
+    worker: WorkerIndex,
+}
+
 /// When keys were last sent to workers, and what it costs to move a key.
 #[derive(Default)]
 pub(super) struct AffinityTable {
-    sent_at: FxHashMap<(u64, WorkerIndex), Nanos>,
+    sent_at: FxHashMap<Placement, Nanos>,
     /// The mean time of attempts sent where their key was kept, in nanoseconds; 0 while unknown.
     mean_time_kept: f64,
     /// The same for attempts sent where it was not.
@@ -32,7 +39,7 @@
 impl AffinityTable {
     /// Whether a worker keeps a key.
     pub(super) fn is_kept(&self, key: u64, worker: WorkerIndex, now: Nanos) -> bool {
-        self.sent_at.get(&(key, worker)).is_some_and(|sent_at| now < sent_at + KEPT_FOR)
+        self.sent_at.get(&Placement { key, worker }).is_some_and(|sent_at| now < sent_at + KEPT_FOR)
     }
 
     /// Records that a key was sent to a worker.
@@ -40,7 +47,7 @@
         if self.sent_at.len() > MAX_ENTRIES {
             self.sent_at.retain(|_, sent_at| now < *sent_at + KEPT_FOR);
         }
-        self.sent_at.insert((key, worker), now);
+        self.sent_at.insert(Placement { key, worker }, now);
     }
 
     /// Takes the time from send to answer of a served attempt with a key.
--- a/crates/service/balancing-policy/src/dispatcher/candidates.rs
+++ b/crates/service/balancing-policy/src/dispatcher/candidates.rs
@@ -7,7 +7,7 @@
 use super::permit::Permit;
 use super::slow_start::SlowStartShare;
 use crate::api::{NANOS_PER_SECOND, Nanos, Settings};
-use crate::state::{Job, JobNumber, Rate, Worker, WorkerGraph, WorkerIndex};
+use crate::state::{GraphIndex, Job, JobNumber, Rate, Worker, WorkerGraph, WorkerIndex};
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use spanlead_expander_walk::{CYCLE_COUNT, Walker, cycle_position, uniform_below};
@@ -49,7 +49,7 @@
         &mut self,
         now: Nanos,
         number: JobNumber,
-        graph: usize,
+        graph: GraphIndex,
     ) -> Vec<WorkerIndex> {
         let is_panicking = self.fleet.is_panicking();
         self.capacity.count_workers(now, &self.fleet, &self.settings);
--- a/crates/service/balancing-policy/src/dispatcher/permit.rs
+++ b/crates/service/balancing-policy/src/dispatcher/permit.rs
@@ -30,6 +30,7 @@
         may_repeat(job, settings, workers, target, now).then_some(Permit(worker))
     }
 
+    /// The worker that the attempt may go to.
     pub(super) fn worker(&self) -> WorkerIndex {
         self.0
     }
--- a/crates/service/balancing-policy/src/dispatcher/rounds.rs
+++ b/crates/service/balancing-policy/src/dispatcher/rounds.rs
@@ -119,7 +119,7 @@
         if is_too_late || is_exhausted || self.is_too_large(job, machine_kind) {
             return self.give_up(number, actions);
         }
-        let graph = self.fleet.graph_number(machine_kind);
+        let graph = self.fleet.graph_for(machine_kind);
         let drawn = self.draw_candidates(now, number, graph);
         self.observe_capacity(now, &drawn);
         if self.is_shed(number) {
--- a/crates/service/balancing-policy/src/state/fleet.rs
+++ b/crates/service/balancing-policy/src/state/fleet.rs
@@ -35,6 +35,10 @@
     ejected_count: usize,
 }
 
+/// A graph's index in the fleet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct GraphIndex(usize);
+
 /// The parts of a fleet that a search for candidates borrows.
 pub(crate) struct FleetParts<'a> {
     pub(crate) workers: &'a mut [Worker],
@@ -60,22 +64,27 @@
         }
     }
 
+    /// The index of a worker that the endpoint list has named.
     pub(crate) fn find(&self, worker: &str) -> Option<WorkerIndex> {
         self.index.get(worker).copied()
     }
 
+    /// A worker by its index.
     pub(crate) fn worker(&self, worker: WorkerIndex) -> &Worker {
         &self.workers[worker.as_usize()]
     }
 
+    /// A worker by its index, to be changed.
     pub(crate) fn worker_mut(&mut self, worker: WorkerIndex) -> &mut Worker {
         &mut self.workers[worker.as_usize()]
     }
 
+    /// All workers, the vertices of the graphs.
     pub(crate) fn workers(&self) -> &[Worker] {
         &self.workers
     }
 
+    /// The workers that take work, in the order in which they were first named.
     pub(crate) fn ready_workers(&self) -> impl Iterator<Item = &Worker> {
         self.workers.iter().filter(|worker| worker.is_ready())
     }
@@ -85,20 +94,22 @@
         &self.graphs[0]
     }
 
-    /// The number of the graph for a class's machine kind.
-    pub(crate) fn graph_number(&self, machine_kind: Option<u32>) -> usize {
-        self.graphs.iter().position(|graph| graph.machine_kind == machine_kind).unwrap_or(0)
+    /// The graph for a class's machine kind.
+    pub(crate) fn graph_for(&self, machine_kind: Option<u32>) -> GraphIndex {
+        let position = self.graphs.iter().position(|graph| graph.machine_kind == machine_kind);
+        GraphIndex(position.unwrap_or(0))
     }
 
-    pub(crate) fn graph_len(&self, graph: usize) -> usize {
-        self.graphs[graph].len()
+    /// How many workers a graph holds.
+    pub(crate) fn graph_len(&self, graph: GraphIndex) -> usize {
+        self.graphs[graph.0].len()
     }
 
     /// What a search on one graph borrows.
-    pub(crate) fn parts(&mut self, graph: usize) -> FleetParts<'_> {
+    pub(crate) fn parts(&mut self, graph: GraphIndex) -> FleetParts<'_> {
         FleetParts {
             workers: &mut self.workers,
-            graph: &mut self.graphs[graph],
+            graph: &mut self.graphs[graph.0],
             recently_used: &self.recently_used,
         }
     }
--- a/crates/service/balancing-policy/src/state/job_table.rs
+++ b/crates/service/balancing-policy/src/state/job_table.rs
@@ -30,18 +30,22 @@
         number
     }
 
+    /// Adds a job under the number that [`JobTable::number_for`] gave.
     pub(crate) fn insert(&mut self, number: JobNumber, job: Job) {
         self.jobs.insert(number, job);
     }
 
+    /// The number of the job that serves a request.
     pub(crate) fn find(&self, request: RequestId) -> Option<JobNumber> {
         self.numbers.get(&request).copied()
     }
 
+    /// A job by its number, while it is known.
     pub(crate) fn get(&self, number: JobNumber) -> Option<&Job> {
         self.jobs.get(&number)
     }
 
+    /// A job by its number, to be changed.
     pub(crate) fn get_mut(&mut self, number: JobNumber) -> Option<&mut Job> {
         self.jobs.get_mut(&number)
     }
--- a/crates/service/balancing-policy/src/state/mod.rs
+++ b/crates/service/balancing-policy/src/state/mod.rs
@@ -11,7 +11,7 @@
 mod worker_graph;
 
 pub(crate) use class_statistics::{ClassStatistics, RunTimeSample};
-pub(crate) use fleet::Fleet;
+pub(crate) use fleet::{Fleet, GraphIndex};
 pub(crate) use job::{Attempt, AttemptState, Job, Phase};
 pub(crate) use job_table::{JobNumber, JobTable};
 pub(crate) use rate::Rate;
--- a/crates/service/balancing-policy/src/state/timer_token.rs
+++ b/crates/service/balancing-policy/src/state/timer_token.rs
@@ -35,10 +35,12 @@
         TimerToken { purpose: TimerPurpose::Discovery, job: JobNumber(0) }
     }
 
+    /// The token as it travels.
     pub(crate) fn encode(self) -> u64 {
         self.job.0 << PURPOSE_BITS | self.purpose as u64
     }
 
+    /// Reads a token.
     pub(crate) fn decode(token: u64) -> Self {
         let purpose = match token & PURPOSE_MASK {
             0 => TimerPurpose::BindToProbed,
--- a/crates/service/balancing-policy/src/state/worker.rs
+++ b/crates/service/balancing-policy/src/state/worker.rs
@@ -174,6 +174,7 @@
 }
 
 impl Health {
+    /// Whether it is ejected.
     pub(crate) fn is_ejected(&self, now: Nanos) -> bool {
         self.ejected_until > now
     }
@@ -227,6 +228,7 @@
         }
     }
 
+    /// Whether the endpoint list has it as ready.
     pub(crate) fn is_ready(&self) -> bool {
         self.state == WorkerState::Ready
     }
--- a/crates/service/balancing-policy/src/state/worker_graph.rs
+++ b/crates/service/balancing-policy/src/state/worker_graph.rs
@@ -23,6 +23,7 @@
 }
 
 impl WorkerGraph {
+    /// A graph without workers.
     pub(crate) fn new(machine_kind: Option<u32>) -> Self {
         WorkerGraph { machine_kind, expander: Expander::default() }
     }
--- a/crates/service/deployment-settings/src/error.rs
+++ b/crates/service/deployment-settings/src/error.rs
@@ -40,6 +40,7 @@
 }
 
 impl InvalidField {
+    /// A problem of a field, named by its path.
     pub(crate) fn new(field: impl Into<String>, problem: FieldProblem) -> Self {
         InvalidField { field: field.into(), problem }
     }
--- a/crates/tools/simulator-adapter/src/wire.rs
+++ b/crates/tools/simulator-adapter/src/wire.rs
@@ -69,12 +69,14 @@
     Notice(Notice),
 }
 
+/// Ends a dispatcher.
 #[derive(Deserialize)]
 pub(crate) struct Shutdown {
     #[serde(rename = "who")]
     pub(crate) instance: InstanceId,
 }
 
+/// An update of the endpoint list.
 #[derive(Deserialize)]
 pub(crate) struct Announce<'a> {
     #[serde(rename = "who")]
@@ -111,6 +113,7 @@
     pub(crate) cell: Option<u32>,
 }
 
+/// The state of a worker in the endpoint list.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Readiness {
@@ -119,6 +122,7 @@
     Deregistered,
 }
 
+/// A request.
 #[derive(Deserialize)]
 pub(crate) struct Call {
     #[serde(rename = "who")]
@@ -140,6 +144,7 @@
     pub(crate) time_left: u64,
 }
 
+/// The beginning of a streamed answer.
 #[derive(Deserialize)]
 pub(crate) struct Streaming {
     #[serde(rename = "who")]
@@ -150,6 +155,7 @@
     pub(crate) attempt: u32,
 }
 
+/// The end of an attempt.
 #[derive(Deserialize)]
 pub(crate) struct Ended<'a> {
     #[serde(rename = "who")]
@@ -168,6 +174,7 @@
     pub(crate) figures: Option<ReportedFigures>,
 }
 
+/// A client that left.
 #[derive(Deserialize)]
 pub(crate) struct Gone {
     #[serde(rename = "who")]
@@ -176,6 +183,7 @@
     pub(crate) request: u64,
 }
 
+/// A timer that fired.
 #[derive(Deserialize)]
 pub(crate) struct Ring {
     #[serde(rename = "who")]
@@ -184,6 +192,7 @@
     pub(crate) token: u64,
 }
 
+/// The end of a load probe.
 #[derive(Deserialize)]
 pub(crate) struct HealthResult<'a> {
     #[serde(rename = "who")]
@@ -198,6 +207,7 @@
     pub(crate) figures: Option<ReportedFigures>,
 }
 
+/// A peer's message, in hexadecimal digits.
 #[derive(Deserialize)]
 pub(crate) struct Mail<'a> {
     #[serde(rename = "who")]
@@ -208,6 +218,7 @@
     pub(crate) data: Cow<'a, str>,
 }
 
+/// The progress of an attempt.
 #[derive(Deserialize)]
 pub(crate) struct Notice {
     #[serde(rename = "who")]
