--- /dev/null
+++ b/crates/cluster/tests/golden/folder.rs
@@ -0,0 +1,230 @@
+//! The content of the golden data folder: what it was made from, and where it lies.
+use super::support::path_of;
+use spanlead_cluster::control::{Configurations, Taken};
+use spanlead_jobs::{
+    Admission, Bounds, Effect, FinishedTask, JobSpec, Listed, ListedState, Now, Order, Queue, Reply,
+    RunningTask, Scheduler, TaskKey, Terms, WorkerReport,
+};
+use spanlead_replication::{
+    Accepted, Ballot, Change, Keyspace, Member, MemberId, Position, Record, View, WitnessRecord,
+};
+use std::path::PathBuf;
+
+/// The file in a data folder.
+pub const FILE: &str = "control.redb";
+/// The identity of the folder.
+pub const IDENTITY: MemberId = MemberId(0x1111_2222_3333_4441);
+/// The time of day when its jobs came in, milliseconds.
+pub const ACCEPTED_AT: u64 = 1_700_000_000_123;
+
+/// A job that is done.
+pub const SUCCEEDED: u64 = 1;
+/// A job that has failed.
+pub const FAILED: u64 = 2;
+/// A job that was cancelled.
+pub const CANCELLED: u64 = 3;
+/// A job with a task that runs.
+pub const RUNNING: u64 = 4;
+/// A job that waits for room.
+pub const QUEUED: u64 = 5;
+/// A job with every field, due in the year 2100.
+pub const TIMED: u64 = 6;
+
+/// The worker that its task runs on.
+pub const WORKER: &str = "worker-1";
+
+const CONFIGURATION_41: &str = r#"{"version":41,"routes":[],"services":[]}"#;
+
+/// The configuration in force.
+pub const CONFIGURATION_42: &str = r#"{"version":42,
+ "routes":[{"name":"nightly","host":"jobs.example","pathPrefix":"/v1/nightly/","routeType":"jobs","timeoutMs":3000,
+            "targetLatencyMs":1500.5,"priority":2,"service":"batch","maxAttempts":2,"extension":1.25}],
+ "services":[{"name":"batch","healthPath":"/healthz","maxConns":17,"guards":true}],
+ "limits":{"maxHeaderBytes":8192,"maxBodyBytes":65536,"headerTimeoutMs":2500,"idleTimeoutMs":30000}}"#;
+
+const ONCE: &str = r#"{"spec":"once","stages":[{"count":1,"cpu":100,"checkpoints":true}]}"#;
+const LASTING: &str = r#"{"spec":"lasting","stages":[{"count":1,"cpu":1000,"memMb":64,"longRunning":true}]}"#;
+const FULL: &str = r#"{"spec":"timed","stages":[{"count":1},{"count":2,"cpu":1500,"memMb":2048,"gpus":2,
+    "estRuntimeMs":90000,"dependsOn":[0],"checkpoints":true,"gang":true,"rackLocal":true,
+    "constraints":["ssd","a label longer than eight"],"affinity":"rack-9","antiAffinity":3,"speculative":true}],
+    "repeats":4,"startAtMs":4102444800000,"intervalMs":60000}"#;
+
+/// The folder that is committed.
+pub fn committed() -> PathBuf {
+    path_of("data-folder")
+}
+
+/// A copy of the committed folder's file in a folder for one test.
+pub fn copy() -> tempfile::TempDir {
+    let folder = tempfile::tempdir().expect("a folder");
+    std::fs::copy(committed().join(FILE), folder.path().join(FILE)).expect("the golden folder");
+    folder
+}
+
+/// The scheduler's bounds.
+pub const BOUNDS: Bounds = Bounds {
+    max_hold_ms: 6_000,
+    gang_ms: 3_000,
+    stop_ms: 400,
+    restore_ms: 600,
+    status_ms: 120_000,
+    far_factor: 1.0,
+    max_calls: 1_000,
+};
+
+/// The time so many milliseconds after the first job came in.
+pub fn now(steady: u64) -> Now {
+    Now { steady, unix: ACCEPTED_AT + steady }
+}
+
+/// All that is written to the folder, in order.
+pub fn records() -> Vec<Record> {
+    let mut records = vec![
+        Record::Identity { id: IDENTITY, founder: true },
+        Record::Witness(WitnessRecord { promised: ballot(), accepted: Some(accepted()) }),
+    ];
+    let batches = configuration_batches().into_iter().chain(job_batches());
+    records.extend(
+        (1..)
+            .zip(batches)
+            .map(|(sequence, changes)| Record::Batch { position: Position { term: 39, sequence }, changes }),
+    );
+    records
+}
+
+fn ballot() -> Ballot {
+    Ballot { round: 17, candidate: IDENTITY }
+}
+
+fn accepted() -> Accepted {
+    let member = Member {
+        id: IDENTITY,
+        node: "core-1".into(),
+        peer: "127.0.6.1:7000".into(),
+        control: "127.0.6.1:7002".into(),
+    };
+    let view = View {
+        epoch: 41,
+        term: 39,
+        primary: IDENTITY,
+        in_sync: vec![IDENTITY],
+        members: vec![member.clone()],
+        previous: vec![member],
+    };
+    Accepted { ballot: ballot(), view }
+}
+
+fn configuration_batches() -> Vec<Vec<Change>> {
+    let mut keyspace = Keyspace::default();
+    let mut configurations = Configurations::default();
+    let mut batches = Vec::new();
+    for (base, text) in [(0, CONFIGURATION_41), (41, CONFIGURATION_42)] {
+        let Taken::New(changes) = configurations.replace(&keyspace, base, text) else { panic!("new") };
+        changes.iter().for_each(|change| keyspace.apply(change));
+        batches.push(changes);
+    }
+    batches
+}
+
+/// A scheduler with one worker that answers at once, and what it wrote.
+struct Run {
+    scheduler: Scheduler,
+    steady: u64,
+    batches: Vec<Vec<Change>>,
+    running: Vec<RunningTask>,
+    finished: Vec<FinishedTask>,
+}
+
+fn job_batches() -> Vec<Vec<Change>> {
+    let mut run = Run::new();
+    run.submit(SUCCEEDED, ONCE);
+    run.submit(FAILED, ONCE);
+    run.pass(10_000);
+    run.submit(CANCELLED, ONCE);
+    assert!(run.scheduler.cancel(now(run.steady), CANCELLED));
+    run.pass(1_000);
+    run.submit(RUNNING, LASTING);
+    run.pass(1_000);
+    run.submit(QUEUED, LASTING);
+    run.submit(TIMED, FULL);
+    run.pass(1_000);
+    run.batches
+}
+
+impl Run {
+    fn new() -> Self {
+        let mut scheduler = Scheduler::new(BOUNDS, 39, 1, now(0));
+        let worker = Listed {
+            id: WORKER.into(),
+            service: "batch".into(),
+            address: "127.0.6.9:9000".into(),
+            zone: "zone-a".into(),
+            state: ListedState::Ready,
+            cpu: 1_000,
+            mem_mb: 1_024,
+            gpus: 0,
+            labels: vec!["rack-1".into()],
+        };
+        scheduler.listed(now(0), &[worker]);
+        Run { scheduler, steady: 0, batches: Vec::new(), running: Vec::new(), finished: Vec::new() }
+    }
+
+    fn submit(&mut self, id: u64, spec: &str) {
+        let queue = Queue { host: "jobs.example".into(), prefix: "/v1/nightly/".into() };
+        let terms = Terms { queue, service: "batch".into(), priority: 2, max_attempts: 2 };
+        let spec = JobSpec::read(spec.as_bytes()).expect("good");
+        assert_eq!(self.scheduler.submit(now(self.steady), id, terms, spec), Admission::Accepted);
+    }
+
+    fn pass(&mut self, ms: u64) {
+        for _ in 0..ms / 50 {
+            self.steady += 50;
+            self.scheduler.tick(now(self.steady));
+            self.write();
+            for Effect::Call(call) in self.scheduler.drain() {
+                let reply = self.reply(&call.order);
+                self.scheduler.answered(now(self.steady), &call.worker, &call.order, reply);
+            }
+        }
+    }
+
+    fn write(&mut self) {
+        let changes: Vec<Change> =
+            self.scheduler.take_write().into_iter().map(|(key, value)| Change { key, value }).collect();
+        if !changes.is_empty() {
+            self.batches.push(changes);
+        }
+        let sequence = self.batches.len() as u64;
+        self.scheduler.written_as(sequence);
+        self.scheduler.committed(now(self.steady), sequence);
+    }
+
+    fn reply(&mut self, order: &Order) -> Reply {
+        let clock_ms = 500_000 + self.steady;
+        match order {
+            Order::Start { task, run, .. } => self.start(*task, *run),
+            Order::Stop { task, .. } => self.running.retain(|running| running.task != *task),
+            Order::Hold { last_seen, .. } => {
+                self.finished.retain(|end| end.number > *last_seen);
+                let (running, finished) = (self.running.clone(), self.finished.clone());
+                return Reply::Report(WorkerReport { clock_ms, running, finished, remaining_ms: None });
+            }
+        }
+        Reply::Done { clock_ms }
+    }
+
+    /// Tasks of the first two jobs end at once; others go on.
+    fn start(&mut self, task: TaskKey, run: u32) {
+        let how = match task.job {
+            SUCCEEDED => "done",
+            FAILED => "failed",
+            _ => {
+                self.running.push(RunningTask { task, run, saved: Default::default(), percent: 12.5 });
+                return;
+            }
+        };
+        let number = self.steady;
+        let saved = format!("checkpoint-{run}").into();
+        self.finished.push(FinishedTask { number, task, run, how: how.into(), saved });
+    }
+}
