--- a/crates/cluster/tests/golden/folder.rs
+++ b/crates/cluster/tests/golden/folder.rs
@@ -1,6 +1,8 @@
 //! The content of the golden data folder: what it was made from, and where it lies.
+#![allow(dead_code, reason = "each golden test uses a part of it")]
 use super::support::path_of;
 use spanlead_cluster::control::{Configurations, Taken};
+use spanlead_cluster::disk::Store;
 use spanlead_jobs::{
     Admission, Bounds, Effect, FinishedTask, JobSpec, Listed, ListedState, Now, Order, Queue, Reply,
     RunningTask, Scheduler, TaskKey, Terms, WorkerReport,
@@ -61,6 +63,13 @@
     folder
 }
 
+/// A copy whose machine has these addresses: ports differ from run to run.
+pub fn copy_at(peer: &str, control: &str) -> tempfile::TempDir {
+    let folder = copy();
+    Store::open(folder.path()).expect("opened").write(&[witness(peer, control)]).expect("written");
+    folder
+}
+
 /// The scheduler's bounds.
 pub const BOUNDS: Bounds = Bounds {
     max_hold_ms: 6_000,
@@ -79,10 +88,8 @@
 
 /// All that is written to the folder, in order.
 pub fn records() -> Vec<Record> {
-    let mut records = vec![
-        Record::Identity { id: IDENTITY, founder: true },
-        Record::Witness(WitnessRecord { promised: ballot(), accepted: Some(accepted()) }),
-    ];
+    let mut records =
+        vec![Record::Identity { id: IDENTITY, founder: true }, witness("127.0.6.1:7000", "127.0.6.1:7002")];
     let batches = configuration_batches().into_iter().chain(job_batches());
     records.extend(
         (1..)
@@ -92,26 +99,26 @@
     records
 }
 
+/// The witness's record of the machine at these addresses.
+pub fn witness(peer: &str, control: &str) -> Record {
+    let accepted = Accepted { ballot: ballot(), view: view(peer, control) };
+    Record::Witness(WitnessRecord { promised: ballot(), accepted: Some(accepted) })
+}
+
 fn ballot() -> Ballot {
     Ballot { round: 17, candidate: IDENTITY }
 }
 
-fn accepted() -> Accepted {
-    let member = Member {
-        id: IDENTITY,
-        node: "core-1".into(),
-        peer: "127.0.6.1:7000".into(),
-        control: "127.0.6.1:7002".into(),
-    };
-    let view = View {
+fn view(peer: &str, control: &str) -> View {
+    let member = Member { id: IDENTITY, node: "core-1".into(), peer: peer.into(), control: control.into() };
+    View {
         epoch: 41,
         term: 39,
         primary: IDENTITY,
         in_sync: vec![IDENTITY],
         members: vec![member.clone()],
         previous: vec![member],
-    };
-    Accepted { ballot: ballot(), view }
+    }
 }
 
 fn configuration_batches() -> Vec<Vec<Change>> {
