--- /dev/null
+++ b/crates/cluster/control-plane/tests/golden/folder.rs
@@ -0,0 +1,266 @@
+//! The content of the golden data folder: what it was made from, and where it lies.
+#![allow(dead_code, reason = "each golden test uses a part of it")]
+use super::support::path_of;
+use spanlead_control_plane::configuration_state::{ConfigurationState, ReplaceOutcome};
+use spanlead_control_plane::store::Store;
+use spanlead_job_scheduler::{
+    Admission, Effect, FinishedTask, JobId, JobSpec, ListedWorker, ListedWorkerState, Now, QueueId,
+    QueuePolicy, RecordChange, RunningTask, Scheduler, SchedulerConfig, TaskId, WorkerReport, WorkerRequest,
+    WorkerResponse,
+};
+use spanlead_replication::{
+    AcceptedView, Ballot, Change, Epoch, Keyspace, Member, MemberId, Position, Record, Term, View,
+    WitnessRecord,
+};
+use std::path::PathBuf;
+
+/// The file in a data folder.
+pub const FILE: &str = "control.redb";
+/// The identity of the folder.
+pub const IDENTITY: MemberId = MemberId(0x1111_2222_3333_4441);
+/// The time of day when its jobs came in, milliseconds.
+pub const ACCEPTED_AT: u64 = 1_700_000_000_123;
+
+/// A job that is done.
+pub const SUCCEEDED: JobId = JobId(1);
+/// A job that has failed.
+pub const FAILED: JobId = JobId(2);
+/// A job that was cancelled.
+pub const CANCELLED: JobId = JobId(3);
+/// A job with a task that runs.
+pub const RUNNING: JobId = JobId(4);
+/// A job that waits for room.
+pub const QUEUED: JobId = JobId(5);
+/// A job with every field, due in the year 2100.
+pub const TIMED: JobId = JobId(6);
+
+/// The worker that its task runs on.
+pub const WORKER: &str = "worker-1";
+
+const CONFIGURATION_41: &str = r#"{"version":41,"routes":[],"services":[]}"#;
+
+/// The configuration in force.
+pub const CONFIGURATION_42: &str = r#"{"version":42,
+ "routes":[{"name":"nightly","host":"jobs.example","pathPrefix":"/v1/nightly/","routeType":"jobs","timeoutMs":3000,
+            "targetLatencyMs":1500.5,"priority":2,"service":"batch","maxAttempts":2,"extension":1.25}],
+ "services":[{"name":"batch","healthPath":"/healthz","maxConns":17,"guards":true}],
+ "limits":{"maxHeaderBytes":8192,"maxBodyBytes":65536,"headerTimeoutMs":2500,"idleTimeoutMs":30000}}"#;
+
+const ONCE: &str = r#"{"spec":"once","stages":[{"count":1,"cpu":100,"checkpoints":true}]}"#;
+const LASTING: &str = r#"{"spec":"lasting","stages":[{"count":1,"cpu":1000,"memMb":64,"longRunning":true}]}"#;
+const FULL: &str = r#"{"spec":"timed","stages":[{"count":1},{"count":2,"cpu":1500,"memMb":2048,"gpus":2,
+    "estRuntimeMs":90000,"dependsOn":[0],"checkpoints":true,"gang":true,"rackLocal":true,
+    "constraints":["ssd","a label longer than eight"],"affinity":"rack-9","antiAffinity":3,"speculative":true}],
+    "repeats":4,"startAtMs":4102444800000,"intervalMs":60000}"#;
+
+/// The folder that is committed.
+pub fn committed() -> PathBuf {
+    path_of("data-folder")
+}
+
+/// A copy of the committed folder's file in a folder for one test.
+pub fn copy() -> tempfile::TempDir {
+    let folder = tempfile::tempdir().expect("a folder");
+    std::fs::copy(committed().join(FILE), folder.path().join(FILE)).expect("the golden folder");
+    folder
+}
+
+/// A copy whose machine has these addresses: ports differ from run to run.
+pub fn copy_at(peer: &str, control: &str) -> tempfile::TempDir {
+    let folder = copy();
+    Store::open(folder.path()).expect("opened").write(&[witness(peer, control)]).expect("written");
+    folder
+}
+
+/// The scheduler's bounds.
+pub const CONFIG: SchedulerConfig = SchedulerConfig {
+    max_lease_ms: 6_000,
+    gang_assembly_timeout_ms: 3_000,
+    stop_timeout_ms: 400,
+    checkpoint_restore_ms: 600,
+    closed_job_retention_ms: 120_000,
+    remote_data_slowdown: 1.0,
+    max_concurrent_calls: 1_000,
+};
+
+/// The time so many milliseconds after the first job came in.
+pub fn now(monotonic_ms: u64) -> Now {
+    Now { monotonic_ms, unix_ms: ACCEPTED_AT + monotonic_ms }
+}
+
+/// All that is written to the folder, in order.
+pub fn records() -> Vec<Record> {
+    let mut records = vec![
+        Record::Identity { id: IDENTITY, bootstrap_voter: true },
+        witness("127.0.6.1:7000", "127.0.6.1:7002"),
+    ];
+    let batches = configuration_batches().into_iter().chain(job_batches());
+    records.extend((1..).zip(batches).map(|(sequence, changes)| Record::Batch {
+        position: Position { term: Term(39), sequence },
+        changes,
+    }));
+    records
+}
+
+/// The witness's record of the machine at these addresses.
+pub fn witness(peer: &str, control: &str) -> Record {
+    let accepted = AcceptedView { ballot: ballot(), view: view(peer, control) };
+    Record::Witness(WitnessRecord { promised: ballot(), accepted: Some(accepted) })
+}
+
+fn ballot() -> Ballot {
+    Ballot { round: 17, candidate: IDENTITY }
+}
+
+fn view(peer: &str, control: &str) -> View {
+    let member = Member {
+        id: IDENTITY,
+        node_name: "core-1".into(),
+        peer_address: peer.into(),
+        operator_address: control.into(),
+    };
+    View {
+        epoch: Epoch(41),
+        term: Term(39),
+        primary: IDENTITY,
+        in_sync: vec![IDENTITY],
+        members: vec![member.clone()],
+        previous_members: vec![member],
+    }
+}
+
+fn configuration_batches() -> Vec<Vec<Change>> {
+    let mut keyspace = Keyspace::default();
+    let mut configuration = ConfigurationState::default();
+    let mut batches = Vec::new();
+    for (base, text) in [(0, CONFIGURATION_41), (41, CONFIGURATION_42)] {
+        let ReplaceOutcome::Accepted(changes) = configuration.replace(&keyspace, base, text) else {
+            panic!("accepted")
+        };
+        changes.iter().for_each(|change| keyspace.apply(change));
+        batches.push(changes);
+    }
+    batches
+}
+
+/// A scheduler with one worker that answers at once, and what it wrote.
+struct Run {
+    scheduler: Scheduler,
+    monotonic_ms: u64,
+    batches: Vec<Vec<Change>>,
+    running: Vec<RunningTask>,
+    finished: Vec<FinishedTask>,
+}
+
+fn job_batches() -> Vec<Vec<Change>> {
+    let mut run = Run::new();
+    run.submit(SUCCEEDED, ONCE);
+    run.submit(FAILED, ONCE);
+    run.pass(10_000);
+    run.submit(CANCELLED, ONCE);
+    assert!(run.scheduler.cancel(now(run.monotonic_ms), CANCELLED));
+    run.pass(1_000);
+    run.submit(RUNNING, LASTING);
+    run.pass(1_000);
+    run.submit(QUEUED, LASTING);
+    run.submit(TIMED, FULL);
+    run.pass(1_000);
+    run.batches
+}
+
+impl Run {
+    fn new() -> Self {
+        let mut scheduler = Scheduler::new(CONFIG, 39, 1, now(0));
+        let worker = ListedWorker {
+            id: WORKER.into(),
+            service: "batch".into(),
+            address: "127.0.6.9:9000".into(),
+            zone: "zone-a".into(),
+            state: ListedWorkerState::Ready,
+            cpu_millicores: 1_000,
+            memory_mb: 1_024,
+            gpus: 0,
+            labels: vec!["rack-1".into()],
+        };
+        scheduler.update_workers(now(0), &[worker]);
+        Run { scheduler, monotonic_ms: 0, batches: Vec::new(), running: Vec::new(), finished: Vec::new() }
+    }
+
+    fn submit(&mut self, id: JobId, spec: &str) {
+        let queue = QueueId { host: "jobs.example".into(), path_prefix: "/v1/nightly/".into() };
+        let policy = QueuePolicy { queue, service: "batch".into(), priority: 2, max_attempts: 2 };
+        let spec = JobSpec::from_json(spec.as_bytes()).expect("good");
+        assert_eq!(self.scheduler.submit(now(self.monotonic_ms), id, policy, spec), Admission::Accepted);
+    }
+
+    fn pass(&mut self, ms: u64) {
+        for _ in 0..ms / 50 {
+            self.monotonic_ms += 50;
+            self.scheduler.tick(now(self.monotonic_ms));
+            self.write();
+            for Effect::CallWorker(call) in self.scheduler.drain_effects() {
+                let response = self.respond(&call.request);
+                self.scheduler.handle_response(
+                    now(self.monotonic_ms),
+                    &call.worker_id,
+                    &call.request,
+                    response,
+                );
+            }
+        }
+    }
+
+    fn write(&mut self) {
+        let changes: Vec<Change> = self
+            .scheduler
+            .take_changes()
+            .into_iter()
+            .map(|RecordChange { key, value }| Change { key, value })
+            .collect();
+        if !changes.is_empty() {
+            self.batches.push(changes);
+        }
+        let sequence = self.batches.len() as u64;
+        self.scheduler.assign_batch(sequence);
+        self.scheduler.handle_committed(now(self.monotonic_ms), sequence);
+    }
+
+    fn respond(&mut self, request: &WorkerRequest) -> WorkerResponse {
+        let clock_ms = 500_000 + self.monotonic_ms;
+        match request {
+            WorkerRequest::Start { task, run, .. } => self.start(*task, *run),
+            WorkerRequest::Stop { task, .. } => self.running.retain(|running| running.task != *task),
+            WorkerRequest::RenewLease { acknowledged_end, .. } => {
+                self.finished.retain(|end| end.number > *acknowledged_end);
+                let (running, finished) = (self.running.clone(), self.finished.clone());
+                return WorkerResponse::Report(WorkerReport {
+                    clock_ms,
+                    running,
+                    finished,
+                    drain_remaining_ms: None,
+                });
+            }
+        }
+        WorkerResponse::Acknowledged { clock_ms }
+    }
+
+    /// Tasks of the first two jobs end at once; others go on.
+    fn start(&mut self, task: TaskId, run: u32) {
+        let outcome = match task.job {
+            SUCCEEDED => "done",
+            FAILED => "failed",
+            _ => {
+                self.running.push(RunningTask {
+                    task,
+                    run,
+                    checkpoint: Default::default(),
+                    progress_percent: 12.5,
+                });
+                return;
+            }
+        };
+        let number = self.monotonic_ms;
+        let checkpoint = format!("checkpoint-{run}").into();
+        self.finished.push(FinishedTask { number, task, run, outcome: outcome.into(), checkpoint });
+    }
+}
