--- a/crates/net/tests/golden.rs
+++ b/crates/net/tests/golden.rs
@@ -227,8 +227,8 @@
 
 // ---------------------------------------------------------------- requests in the ledger
 
-fn request(headers: &[(&str, &str)], body: &'static str) -> Parcel {
-    let mut request = Request::builder().method(Method::POST).uri("/once/x?y=1");
+fn request(path: &str, headers: &[(&str, &str)], body: &'static str) -> Parcel {
+    let mut request = Request::builder().method(Method::POST).uri(path);
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
@@ -246,7 +246,12 @@
         ("req-extra", "slots=2"),
         ("req-id", "id-1"),
     ];
-    vec![("bare", request(&[("req-id", "id-1")], "")), ("full", request(&all, "payload"))]
+    vec![
+        ("bare", request("/once/x?y=1", &[("req-id", "id-1")], "")),
+        ("full", request("/once/x?y=1", &all, "payload")),
+        // The digest of this one stands in the committed ledger of `spanlead` as well.
+        ("repeat", request("/once/x", &[("req-id", "id-2"), ("idempotency-key", "k-43")], "payload")),
+    ]
 }
 
 // Guards repeats over an upgrade: a client's request has the digest that it had, and is kept in the same bytes.
@@ -255,11 +260,12 @@
     let mut found = Vec::new();
     for (name, parcel) in requests() {
         let mark = wire::mark(&parcel).expect("it can be kept");
-        assert_eq!(mark.key.as_deref(), (name == "full").then_some("k-1"));
-        let [digest, kept, again] = match name {
-            "bare" => ["bare-fingerprint", "bare-kept", "bare-again"],
-            _ => ["full-fingerprint", "full-kept", "full-again"],
+        let (key, [digest, kept, again]) = match name {
+            "bare" => (None, ["bare-fingerprint", "bare-kept", "bare-again"]),
+            "full" => (Some("k-1"), ["full-fingerprint", "full-kept", "full-again"]),
+            _ => (Some("k-43"), ["repeat-fingerprint", "repeat-kept", "repeat-again"]),
         };
+        assert_eq!(mark.key.as_deref(), key);
         found.push((digest, mark.fingerprint.to_vec()));
         found.push((kept, mark.text.to_vec()));
         found.push((again, wire::again(&parcel)));
--- a/crates/spanlead/tests/harness/mod.rs
+++ b/crates/spanlead/tests/harness/mod.rs
@@ -275,6 +275,16 @@
         Self::start_with(discovery, known, &[], |command| command.arg("--conf").arg(conf))
     }
 
+    /// The same with some of the configuration's text replaced.
+    pub fn start_edited_with_conf(
+        discovery: SocketAddr,
+        known: &[String],
+        edits: &[(&str, &str)],
+        conf: &Path,
+    ) -> Self {
+        Self::start_with(discovery, known, edits, |command| command.arg("--conf").arg(conf))
+    }
+
     /// The same with files of `blocks` times 512 bytes at the most, beyond which the system refuses to write.
     pub fn start_cramped(discovery: SocketAddr, known: &[String], folder: &Path, blocks: u32) -> Self {
         let conf = durable_conf(folder, "");
