--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -131,7 +131,7 @@
 // Guards workers' load reports: a figure has a long name and a short one.
 #[test]
 fn figures_are_read_by_both_names() {
-    let [long, short] = [LONG_FIGURES, SHORT_FIGURES].map(|text| serde_json::from_str::<Figures>(text));
+    let [long, short] = [LONG_FIGURES, SHORT_FIGURES].map(serde_json::from_str::<Figures>);
     let (long, short) = (long.expect("figures"), short.expect("figures"));
     assert_eq!(long, short);
     let none: Figures = serde_json::from_str(r#"{"other":1}"#).expect("figures");
--- a/crates/spanlead/tests/golden.rs
+++ b/crates/spanlead/tests/golden.rs
@@ -54,7 +54,7 @@
         due: BEGIN + (job + 15) * SEC,
         slots: 1.0,
         memory: 0.5,
-        subject: (job % 2 == 0).then_some(job * 1_000),
+        subject: job.is_multiple_of(2).then_some(job * 1_000),
         text: text(class, &id).into(),
         before: Vec::new(),
     }
