--- a/crates/service/membership/examples/soak.rs
+++ b/crates/service/membership/examples/soak.rs
@@ -1,150 +1,213 @@
-//! Hours of a tier in virtual time, in which members stand still, can't be heard by one another, are cut off and are killed, in turn and by
-//! chance: who was counted out though it lived and could be heard, how often anybody changed its mind, and how long a death takes to be known.
+//! Hours of a tier in virtual time, in which members are suspended, can't hear one another, are partitioned and are killed, in
+//! turn and at random: who was taken for dead though it lived and could be heard, how often a member was suspected, and how
+//! long a death takes to be known.
 //!
 //!     cargo run --release -p spanlead-membership --example soak -- COUNT LOSS% HOURS SEED
-#[path = "../tests/world/mod.rs"]
-#[allow(dead_code)]
-mod world;
+#[path = "../tests/common/simulated_tier.rs"]
+#[allow(dead_code, reason = "the tests use the rest")]
+mod simulated_tier;
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use simulated_tier::SimulatedTier;
 use spanlead_membership::MemberState;
-use world::World;
 
 /// Periods of 100 ms in a second.
-const SECOND: u64 = 10;
+const PERIODS_PER_SECOND: u64 = 10;
+const MILLISECONDS_PER_PERIOD: u64 = 1000 / PERIODS_PER_SECOND;
+/// The incarnation of the first member that is restarted; later ones have later incarnations.
+const FIRST_RESTART_INCARNATION: u32 = 1_000_000;
+/// Distinguishes the choice of faults from the tier's own randomness.
+const FAULT_SEED_MASK: u64 = 0x50a5;
+/// The share of the others that must know of a death.
+const KNOWING_SHARE: f64 = 0.99;
+/// The longest time until all are alive for all again.
+const MAX_RECOVERY_PERIODS: u64 = 60 * PERIODS_PER_SECOND;
 
-/// What goes on, and until when.
-enum Trouble {
-    /// One stands still.
-    Pause(usize),
-    /// Pairs of which one does not hear the other.
+/// A fault that lasts for some periods.
+enum Fault {
+    /// A member is suspended.
+    Suspended(usize),
+    /// Pairs of which the second does not hear the first.
     Deaf(Vec<(usize, usize)>),
-    /// Nobody hears one.
+    /// Nobody hears a member.
     Mute(usize),
-    /// One is killed, and comes back when all know it.
-    Kill(usize),
+    /// A member is killed, and restarts at the end.
+    Killed(usize),
+}
+
+impl Fault {
+    /// A random fault, and for how many periods it lasts.
+    fn random(rng: &mut ChaCha8Rng, member_count: usize) -> (Self, u64) {
+        match rng.random_range(0..4) {
+            0 => {
+                let fault = Fault::Suspended(rng.random_range(0..member_count));
+                (fault, rng.random_range(5..=10 * PERIODS_PER_SECOND))
+            }
+            1 => {
+                let pairs = (0..member_count)
+                    .map(|_| (rng.random_range(0..member_count), rng.random_range(0..member_count)));
+                (Fault::Deaf(pairs.filter(|(from, to)| from != to).collect()), 20 * PERIODS_PER_SECOND)
+            }
+            2 => (Fault::Mute(rng.random_range(0..member_count)), 10 * PERIODS_PER_SECOND),
+            _ => (Fault::Killed(rng.random_range(0..member_count)), 20 * PERIODS_PER_SECOND),
+        }
+    }
+
+    /// The member that may be taken for dead without a mistake.
+    fn excused_member(&self) -> Option<usize> {
+        match self {
+            Fault::Suspended(member) | Fault::Mute(member) | Fault::Killed(member) => Some(*member),
+            Fault::Deaf(_) => None,
+        }
+    }
+
+    fn begin(&self, tier: &mut SimulatedTier, member_count: usize) {
+        match self {
+            Fault::Suspended(member) => tier.suspend(*member),
+            Fault::Deaf(pairs) => pairs.iter().for_each(|(from, to)| tier.set_cut(*from, *to, true)),
+            Fault::Mute(member) => {
+                let others = (0..member_count).filter(|to| to != member);
+                others.for_each(|to| tier.set_cut(*member, to, true));
+            }
+            Fault::Killed(member) => tier.kill(*member),
+        }
+    }
+
+    fn end(&self, tier: &mut SimulatedTier, restart_incarnation: u32) {
+        tier.heal();
+        match self {
+            Fault::Suspended(member) => tier.resume(*member),
+            Fault::Killed(member) => tier.start(*member, restart_incarnation),
+            Fault::Deaf(_) | Fault::Mute(_) => {}
+        }
+    }
 }
 
 #[derive(Default)]
-struct Found {
+struct Report {
     false_deaths: u64,
+    /// Suspicions of members that could be heard.
     suspicions: u64,
-    /// Counted out and found again, by those that saw it.
-    seen_out: u64,
+    /// Members taken for dead that could not be heard, once for each observer.
+    excused_deaths: u64,
     mutes: u64,
-    pauses: u64,
-    /// Periods until all see all alive again, where that took longer than is waited for in any case.
-    longest: u64,
-    knows: Vec<u64>,
+    suspensions: u64,
+    /// The longest time until all were alive for all again, periods.
+    longest_recovery: u64,
+    /// How long it took until 99 in 100 knew of a death, periods.
+    detection_periods: Vec<u64>,
 }
 
-fn main() {
-    let args: Vec<f64> = std::env::args().skip(1).filter_map(|a| a.parse().ok()).collect();
-    let number = |i: usize, default: f64| args.get(i).copied().unwrap_or(default);
-    let (count, loss, hours, seed) =
-        (number(0, 30.0) as usize, number(1, 30.0) / 100.0, number(2, 1.0), number(3, 1.0) as u64);
-    let mut world = World::new(count, loss, seed);
-    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x50a5);
-    let bounds = world.thresholds();
-    while !(0..count).all(|m| world.all_see(m, MemberState::Alive)) {
-        world.period();
-    }
-    let mut found = Found::default();
-    let periods = (hours * 3600.0) as u64 * SECOND;
-    let (mut left, mut starts) = (periods, 1_000_000);
-    while left > 0 {
-        // Time for all to be well again lies between two troubles.
-        let (trouble, span) = match rng.random_range(0..4) {
-            0 => (Trouble::Pause(rng.random_range(0..count)), rng.random_range(5..=10 * SECOND)),
-            1 => {
-                let pair = |rng: &mut ChaCha8Rng| (rng.random_range(0..count), rng.random_range(0..count));
-                (
-                    Trouble::Deaf((0..count).map(|_| pair(&mut rng)).filter(|(a, b)| a != b).collect()),
-                    20 * SECOND,
-                )
-            }
-            2 => (Trouble::Mute(rng.random_range(0..count)), 10 * SECOND),
-            _ => (Trouble::Kill(rng.random_range(0..count)), 20 * SECOND),
-        };
-        // Of whom being counted out is no mistake.
-        let but = match &trouble {
-            Trouble::Pause(m) => {
-                found.pauses += 1;
-                world.stop(*m);
-                Some(*m)
-            }
-            Trouble::Deaf(pairs) => {
-                pairs.iter().for_each(|(from, to)| world.cut(*from, *to, true));
-                None
-            }
-            Trouble::Mute(m) => {
-                found.mutes += 1;
-                (0..count).filter(|to| to != m).for_each(|to| world.cut(*m, to, true));
-                Some(*m)
-            }
-            Trouble::Kill(m) => {
-                world.kill(*m);
-                Some(*m)
-            }
-        };
-        let mut known = None;
-        let settle = 4 * u64::from(bounds.dead_after_periods);
-        for passed in 0..span + settle {
-            if passed == span {
-                world.heal();
-                match trouble {
-                    Trouble::Pause(m) => world.wake(m),
-                    Trouble::Kill(m) => {
-                        starts += 1;
-                        world.start(m, starts);
-                    }
-                    _ => {}
-                }
-            }
-            world.period();
-            if let Trouble::Kill(m) = trouble
-                && passed < span
-                && known.is_none()
-            {
-                let knowing = world.running().filter(|at| world.state(*at, m) == MemberState::Dead).count();
-                known = (knowing as f64 >= 0.99 * (count - 1) as f64).then_some(passed + 1);
+struct Soak {
+    tier: SimulatedTier,
+    member_count: usize,
+    report: Report,
+}
+
+impl Soak {
+    /// Plays a fault and the time after it; returns the periods that passed.
+    fn play(&mut self, fault: &Fault, duration: u64, restart_incarnation: u32) -> u64 {
+        self.report.suspensions += u64::from(matches!(fault, Fault::Suspended(_)));
+        self.report.mutes += u64::from(matches!(fault, Fault::Mute(_)));
+        let settle_periods = 4 * u64::from(self.tier.thresholds().dead_after_periods);
+        fault.begin(&mut self.tier, self.member_count);
+        let mut detected_after = None;
+        for passed in 0..duration + settle_periods {
+            if passed == duration {
+                fault.end(&mut self.tier, restart_incarnation);
             }
-            for (at, change) in world.changes.drain(..) {
-                let of = usize::from(change.number);
-                match change.to {
-                    MemberState::Dead if but != Some(of) && but != Some(at) => found.false_deaths += 1,
-                    MemberState::Dead => found.seen_out += 1,
-                    MemberState::Suspect if but != Some(of) && but != Some(at) => found.suspicions += 1,
-                    _ => {}
-                }
+            self.tier.pass_period();
+            if passed < duration && detected_after.is_none() && self.is_death_known(fault) {
+                detected_after = Some(passed + 1);
             }
+            self.count_changes(fault.excused_member());
         }
-        found.knows.extend(known);
-        if matches!(trouble, Trouble::Kill(_)) && known.is_none() {
-            println!("a death was not known within {span} periods");
+        self.report.detection_periods.extend(detected_after);
+        if matches!(fault, Fault::Killed(_)) && detected_after.is_none() {
+            println!("a death was not known within {duration} periods");
         }
-        // Whoever is counted out is knocked at by chance.
-        let mut longer = 0;
-        while !(0..count).all(|m| world.all_see(m, MemberState::Alive)) {
-            world.period();
-            longer += 1;
-            assert!(longer < 60 * SECOND, "not well again after a trouble");
+        let recovery_periods = self.recover();
+        self.report.longest_recovery = self.report.longest_recovery.max(settle_periods + recovery_periods);
+        duration + settle_periods + recovery_periods
+    }
+
+    fn is_death_known(&self, fault: &Fault) -> bool {
+        let Fault::Killed(member) = fault else { return false };
+        let knows = |observer: &usize| self.tier.state(*observer, *member) == MemberState::Dead;
+        let knowing = self.tier.running().filter(knows).count();
+        knowing as f64 >= KNOWING_SHARE * (self.member_count - 1) as f64
+    }
+
+    fn count_changes(&mut self, excused_member: Option<usize>) {
+        for seen in self.tier.changes.drain(..) {
+            let member = usize::from(seen.change.number);
+            let is_excused = excused_member == Some(member) || excused_member == Some(seen.observer);
+            match seen.change.to {
+                MemberState::Dead if is_excused => self.report.excused_deaths += 1,
+                MemberState::Dead => self.report.false_deaths += 1,
+                MemberState::Suspect if !is_excused => self.report.suspicions += 1,
+                _ => {}
+            }
         }
-        found.longest = found.longest.max(settle + longer);
-        world.changes.clear();
-        left = left.saturating_sub(span + settle + longer);
     }
-    found.knows.sort_unstable();
-    let quantile = |q: f64| {
-        found.knows.get(((found.knows.len() as f64 * q) as usize).min(found.knows.len().saturating_sub(1)))
-    };
-    let ms = |q: f64| quantile(q).map_or(0, |p| p * 1000 / SECOND);
-    println!("{count} members, {:.0}% lost, {hours} hours, seed {seed}", loss * 100.0);
-    println!(
-        "false deaths {}, suspicions of such as could be heard {}; {} pauses and {} mutes, {} times seen out by one",
-        found.false_deaths, found.suspicions, found.pauses, found.mutes, found.seen_out
-    );
-    println!("{} kills, known by 99 in 100 after p50 {} p99 {} ms", found.knows.len(), ms(0.5), ms(0.99));
-    println!("all well again after {} ms at the most", found.longest * 1000 / SECOND);
+
+    /// Passes periods until all are alive for all: whoever is taken for dead is contacted at random.
+    fn recover(&mut self) -> u64 {
+        let mut periods = 0;
+        while !self.tier.all_see_all_alive() {
+            self.tier.pass_period();
+            periods += 1;
+            assert!(periods < MAX_RECOVERY_PERIODS, "not recovered after a fault");
+        }
+        self.tier.changes.clear();
+        periods
+    }
+}
+
+impl Report {
+    /// A quantile of the detection time, milliseconds.
+    fn detection_ms(&self, quantile: f64) -> u64 {
+        let last = self.detection_periods.len().saturating_sub(1);
+        let index = (self.detection_periods.len() as f64 * quantile) as usize;
+        self.detection_periods.get(index.min(last)).map_or(0, |periods| periods * MILLISECONDS_PER_PERIOD)
+    }
+
+    fn print(&mut self) {
+        self.detection_periods.sort_unstable();
+        println!(
+            "false deaths {}, suspicions of members that could be heard {}; {} suspensions and {} mutes, \
+             taken for dead {} times by one observer",
+            self.false_deaths, self.suspicions, self.suspensions, self.mutes, self.excused_deaths
+        );
+        let (kills, p50, p99) =
+            (self.detection_periods.len(), self.detection_ms(0.5), self.detection_ms(0.99));
+        println!("{kills} kills, known by 99 in 100 after p50 {p50} p99 {p99} ms");
+        println!("all alive again after {} ms at the most", self.longest_recovery * MILLISECONDS_PER_PERIOD);
+    }
+}
+
+fn main() {
+    let arguments: Vec<f64> = std::env::args().skip(1).filter_map(|argument| argument.parse().ok()).collect();
+    let argument = |i: usize, default: f64| arguments.get(i).copied().unwrap_or(default);
+    let member_count = argument(0, 30.0) as usize;
+    let loss = argument(1, 30.0) / 100.0;
+    let hours = argument(2, 1.0);
+    let seed = argument(3, 1.0) as u64;
+    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ FAULT_SEED_MASK);
+    let tier = SimulatedTier::new(member_count, loss, seed);
+    let mut soak = Soak { tier, member_count, report: Report::default() };
+    while !soak.tier.all_see_all_alive() {
+        soak.tier.pass_period();
+    }
+    let mut periods_left = (hours * 3600.0) as u64 * PERIODS_PER_SECOND;
+    let mut restart_incarnation = FIRST_RESTART_INCARNATION;
+    while periods_left > 0 {
+        let (fault, duration) = Fault::random(&mut rng, member_count);
+        restart_incarnation += u32::from(matches!(fault, Fault::Killed(_)));
+        let passed = soak.play(&fault, duration, restart_incarnation);
+        periods_left = periods_left.saturating_sub(passed);
+    }
+    println!("{member_count} members, {:.0}% lost, {hours} hours, seed {seed}", loss * 100.0);
+    soak.report.print();
 }
