--- a/crates/service/balancing-policy/src/dispatcher/outlier_detection.rs
+++ b/crates/service/balancing-policy/src/dispatcher/outlier_detection.rs
@@ -32,7 +32,7 @@
 /// A class's statistics count from this number of samples.
 const MIN_CLASS_SAMPLES: f64 = 30.0;
 
-/// The most samples that stand behind a worker's slowness.
+/// The most samples that a worker's slowness is based on.
 const MAX_WORKER_SAMPLES: f64 = 6.0;
 
 /// How long a worker counts as full after a rejection. It doubles with each rejection in a row.
--- a/crates/service/balancing-policy/src/state/job_table.rs
+++ b/crates/service/balancing-policy/src/state/job_table.rs
@@ -10,8 +10,8 @@
 
 /// All jobs of a dispatcher.
 ///
-/// Invariant: `pending` holds the numbers of just the jobs in [`Phase::Pending`] that a round was
-/// held for, in the order in which they became pending. A closed job stays only while attempts of
+/// Invariant: `pending` holds the numbers of the jobs in [`Phase::Pending`] that wait for their
+/// next round, in the order in which they became pending. A closed job stays only while attempts of
 /// it are in flight, for the count of slots.
 #[derive(Default)]
 pub(crate) struct JobTable {
--- a/crates/service/balancing-policy/src/state/worker.rs
+++ b/crates/service/balancing-policy/src/state/worker.rs
@@ -164,7 +164,7 @@
     /// How much slower than the others it runs: the logarithm of its running time relative to its
     /// class.
     pub(crate) slowness: f64,
-    /// How many samples stand behind that.
+    /// The number of samples that it is based on.
     pub(crate) slowness_samples: f64,
     /// Recent failures.
     pub(crate) failures: u32,
--- a/crates/service/balancing-policy/tests/outlier_detection.rs
+++ b/crates/service/balancing-policy/tests/outlier_detection.rs
@@ -10,20 +10,20 @@
 fn worker_that_fails_fast_is_avoided() {
     let mut world = World::new(default_settings(Idempotency::AtMostOnce), 5);
     world.list_ready_workers(10);
-    let (mut bad, mut n) = (0, 0);
+    let (mut to_bad_worker, mut sent) = (0, 0);
     for id in 0..300 {
         world.submit(request(id, SEC));
         world.now += 2 * MS;
         let to = world.workers_of(id);
-        n += to.len();
+        sent += to.len();
         if to == ["w0"] {
-            bad += 1;
+            to_bad_worker += 1;
             world.end_attempt(id, 0, Outcome::Error);
         } else if !to.is_empty() {
             world.end_attempt(id, 0, Outcome::Ok);
         }
     }
-    assert!(n > 250 && bad <= 2, "{bad} of {n} jobs went to the failing worker");
+    assert!(sent > 250 && to_bad_worker <= 2, "{to_bad_worker} of {sent} jobs went to the failing worker");
 }
 
 #[test]
@@ -68,19 +68,22 @@
 fn worker_that_rejects_everything_is_avoided() {
     let mut world = World::new(default_settings(Idempotency::AtMostOnce), 5);
     world.list_ready_workers(10);
-    let (mut bad, mut n) = (0, 0);
+    let (mut to_bad_worker, mut sent) = (0, 0);
     for id in 0..2_000 {
         world.submit(request(id, SEC));
         for attempt in 0..3 {
             let sends = world.workers_of(id);
             let Some(to) = sends.get(attempt) else { break };
-            n += 1;
-            let liar = to == "w0";
-            bad += usize::from(liar);
-            world.end_attempt(id, attempt as u32, if liar { Outcome::Rejected } else { Outcome::Ok });
+            sent += 1;
+            let is_full = to == "w0";
+            to_bad_worker += usize::from(is_full);
+            world.end_attempt(id, attempt as u32, if is_full { Outcome::Rejected } else { Outcome::Ok });
         }
         world.now += 10 * MS;
     }
     // Twenty seconds at 300 ms each would let it have 60.
-    assert!(n >= 1_800 && bad <= 12, "{bad} of {n} went to the worker that is always full");
+    assert!(
+        sent >= 1_800 && to_bad_worker <= 12,
+        "{to_bad_worker} of {sent} went to the worker that is always full"
+    );
 }
--- a/crates/shared/expander-walk/src/lib.rs
+++ b/crates/shared/expander-walk/src/lib.rs
@@ -8,7 +8,7 @@
 //! The scheme is NBRW-PoD ("power of d choices" among the positions of non-backtracking random
 //! walks) of "Derandomized Load Balancing using Random Walks on Expander Graphs". Instead of
 //! drawing `d` servers at random for each job, `d` walkers move over the graph, one step for each
-//! job, and the job goes to the best of the servers that they stand on.
+//! job, and the job goes to the best of the servers at their positions.
 //!
 //! The crate performs no I/O and reads no clock. All chance comes from the generator that the
 //! caller passes.
