--- a/crates/cluster/cluster-config/src/data_plane.rs
+++ b/crates/cluster/cluster-config/src/data_plane.rs
@@ -1,7 +1,7 @@
 //! The part of a configuration that data planes need.
 //!
-//! Data planes check only the form of requests; everything else is decided by the primary. So they are
-//! sent the version and the limits, some hundred bytes however many routes there are.
+//! Data planes check only the form of requests; everything else is decided by the primary. So they
+//! are sent the version and the limits, some hundred bytes however many routes there are.
 #![allow(missing_docs, reason = "the types that rkyv derives have undocumented fields")]
 use crate::{Configuration, Limits};
 use quick_error::quick_error;
--- a/crates/cluster/cluster-config/src/document.rs
+++ b/crates/cluster/cluster-config/src/document.rs
@@ -1,7 +1,7 @@
 //! The JSON document of a configuration. The names of its fields belong to the operators.
 use miniserde::{Deserialize, Serialize};
 
-/// The whole document.
+/// The complete document.
 #[derive(Deserialize)]
 pub(crate) struct Document {
     pub(crate) version: u64,
@@ -57,8 +57,8 @@
 
 /// Limits on clients' requests.
 ///
-/// Part of [`DataPlaneConfiguration`](crate::DataPlaneConfiguration): the order and the types of its
-/// fields must stay.
+/// Part of [`DataPlaneConfiguration`](crate::DataPlaneConfiguration): the order and the types of
+/// its fields must stay.
 #[derive(
     Serialize,
     Deserialize,
--- a/crates/cluster/cluster-config/src/lib.rs
+++ b/crates/cluster/cluster-config/src/lib.rs
@@ -1,8 +1,9 @@
 //! Operators' configurations: routes, services and limits. No I/O.
 //!
-//! [`Configuration::parse`] accepts one in full or refuses it with every fault that was found. Whether
-//! it may replace the one in force is for the caller to decide, see [`Configuration::is_newer_than`].
-//! Data planes are sent only a part of it, [`DataPlaneConfiguration`].
+//! [`Configuration::parse`] accepts one in full or refuses it with every fault that was found.
+//! Whether it may replace the one in force is for the caller to decide, see
+//! [`Configuration::is_newer_than`]. Data planes are sent only a part of it,
+//! [`DataPlaneConfiguration`].
 #![warn(missing_docs, unreachable_pub)]
 #![warn(clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
 mod data_plane;
--- a/crates/cluster/control-plane/src/configuration_state.rs
+++ b/crates/cluster/control-plane/src/configuration_state.rs
@@ -1,4 +1,5 @@
-//! The configuration in the control state: which one is in force, and which ones were ever accepted.
+//! The configuration in the control state: which one is in force, and which ones were ever
+//! accepted.
 use quick_error::quick_error;
 use rkyv::{Archive, Deserialize, Serialize, rancor};
 use spanlead_cluster_config::{Configuration, ConfigurationError};
@@ -111,8 +112,8 @@
 
     /// Decides on a request to replace version `base_version`, and applies it if it is accepted.
     ///
-    /// Whether it is a retry is decided before everything else: a configuration that was accepted is
-    /// never refused when it is sent again, even after a newer one.
+    /// Whether it is a retry is decided before everything else: a configuration that was accepted
+    /// is never refused when it is sent again, even after a newer one.
     pub fn replace(&mut self, keyspace: &Keyspace, base_version: u64, text: &str) -> ReplaceOutcome {
         let configuration = match Configuration::parse(text) {
             Ok(configuration) => configuration,
--- a/crates/cluster/control-plane/src/connection_pool.rs
+++ b/crates/cluster/control-plane/src/connection_pool.rs
@@ -1,8 +1,8 @@
 //! A bounded number of connections, kept by address while there is room.
 //!
-//! Each open connection, idle or carrying a call, holds one of the pool's permits. A call to an address
-//! with an idle connection uses that; otherwise it takes a free permit, or that of the connection that
-//! has been idle the longest, or waits for one.
+//! Each open connection, idle or carrying a call, holds one of the pool's permits. A call to an
+//! address with an idle connection uses that; otherwise it takes a free permit, or that of the
+//! connection that has been idle the longest, or waits for one.
 use async_std::channel::{Receiver, Sender, bounded};
 use async_std::future::timeout;
 use async_std::net::TcpStream;
--- a/crates/cluster/control-plane/src/input_queue.rs
+++ b/crates/cluster/control-plane/src/input_queue.rs
@@ -1,7 +1,7 @@
 //! The inputs that wait for a node, the urgent ones first.
 //!
-//! Leases, votes, batches and acknowledgements must not wait behind the responses of workers: a primary
-//! with a backlog of those would lose its lease to its own queue.
+//! Leases, votes, batches and acknowledgements must not wait behind the responses of workers: a
+//! primary with a backlog of those would lose its lease to its own queue.
 use crate::input::Input;
 use async_std::channel::{Receiver, Sender, unbounded};
 use futures_lite::future::or;
--- a/crates/cluster/control-plane/src/lib.rs
+++ b/crates/cluster/control-plane/src/lib.rs
@@ -1,11 +1,12 @@
-//! The control plane: a replica of the control state that, while it is primary, keeps the jobs and the
-//! configuration and calls the workers.
+//! The control plane: a replica of the control state that, while it is primary, keeps the jobs and
+//! the configuration and calls the workers.
 //!
 //! One task owns the [`node::Node`] and feeds it one [`input::Input`] at a time, from
-//! [`input_queue`]. Everything else runs beside it and hands it inputs:
+//! [`mod@input_queue`]. Everything else runs beside it and hands it inputs:
 //!
 //! - [`store`] and [`store_writer`]: the data folder, written by a thread of its own.
-//! - [`worker_client`] over [`connection_pool`]: calls to workers; [`worker_list`]: the platform's list.
+//! - [`worker_client`] over [`connection_pool`]: calls to workers; [`worker_list`]: the platform's
+//!   list.
 //! - [`operator_api`]: the operators' interface, answered from [`status`] and [`metrics_text`].
 //!
 //! The control state itself: [`configuration_state`], the jobs of `spanlead-job-scheduler`, and
@@ -71,7 +72,7 @@
 /// Inputs that are handled at most before what follows from them is flushed.
 const MAX_INPUTS_PER_FLUSH: usize = 256;
 
-/// Runs a control plane until it is told to shut down.
+/// Runs a control plane until a shutdown is requested and complete.
 ///
 /// # Errors
 /// If it can't start.
@@ -145,8 +146,8 @@
     }
 }
 
-/// Handles inputs until none is queued or the slice is over, so that a backlog delays neither ticks nor
-/// flushes.
+/// Handles inputs until none is queued or the slice is over, so that a backlog delays neither ticks
+/// nor flushes.
 fn handle_slice(node: &mut Node, first: Input, inputs: &InputReceiver, clock: Clock) {
     let slice_ends_ms = clock.monotonic_ms() + MAX_SLICE_MS;
     node.handle(first);
--- a/crates/cluster/control-plane/src/node/data_planes.rs
+++ b/crates/cluster/control-plane/src/node/data_planes.rs
@@ -30,7 +30,8 @@
         self.peers_changed = true;
     }
 
-    /// A new primary sends the gossip peers again, as the earlier one may have known other data planes.
+    /// A new primary sends the gossip peers again, as the earlier one may have known other data
+    /// planes.
     pub(super) fn renew_gossip_peers(&mut self) {
         self.peers_changed = true;
     }
@@ -53,7 +54,7 @@
         self.peers_changed |= self.subscribers.len() != before;
     }
 
-    /// Sends each data plane its gossip peers, if a data plane has come or gone.
+    /// Sends each data plane its gossip peers, if a data plane has connected or disconnected.
     fn send_changed_gossip_peers(&mut self) {
         let any_closed = self.subscribers.iter().any(|subscriber| subscriber.frames.is_closed());
         if std::mem::take(&mut self.peers_changed) || any_closed {
@@ -109,8 +110,8 @@
         }
     }
 
-    /// What data planes need of the configuration, if it is newer than `known_version` and certainly in
-    /// force: a primary's own, once it is committed and while the lease is valid.
+    /// What data planes need of the configuration, if it is newer than `known_version` and
+    /// certainly in force: a primary's own, once it is committed and while the lease is valid.
     fn configuration_newer_than(&self, known_version: u64) -> Option<DataPlaneConfiguration> {
         let primary = self.primary.as_ref()?;
         let version = primary.configuration.version();
--- a/crates/cluster/control-plane/src/node/mod.rs
+++ b/crates/cluster/control-plane/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! The node: the replica of one machine and, while it is primary, the scheduler and the configuration,
-//! and what passes between them and the outside.
+//! The node: the replica of one machine and, while it is primary, the scheduler and the
+//! configuration, and what passes between them and the outside.
 mod client_requests;
 mod data_planes;
 mod operator_requests;
@@ -288,8 +288,8 @@
             if is_active {
                 self.worker_client.spawn(call, on_done);
             } else {
-                // Not sent without a valid lease. Should the lease be renewed, the scheduler takes it
-                // for unanswered.
+                // Not sent without a valid lease. Should the lease be renewed, the scheduler takes
+                // it for unanswered.
                 on_done(call, WorkerResponse::NoResponse);
             }
         }
--- a/crates/cluster/control-plane/src/node/operator_requests.rs
+++ b/crates/cluster/control-plane/src/node/operator_requests.rs
@@ -92,8 +92,8 @@
         }
     }
 
-    /// The reply of a node that is not primary: the URL at the primary, if this node can prove that less
-    /// than a lease ago that machine was in contact with a majority.
+    /// The reply of a node that is not primary: the URL at the primary, if this node can prove that
+    /// less than a lease ago that machine was in contact with a majority.
     fn redirect(&self, path: &str) -> Option<OperatorReply> {
         let now_ms = self.clock.monotonic_ms();
         if self.primary.is_some() && self.replica.active_term(now_ms).is_some() {
--- a/crates/cluster/control-plane/src/node/pending_replies.rs
+++ b/crates/cluster/control-plane/src/node/pending_replies.rs
@@ -23,8 +23,8 @@
         }
     }
 
-    /// The node is not primary any more. A client's request is sent to the next primary; an operator
-    /// gets no reply, as it is not known whether the change is committed.
+    /// The node is not primary any more. A client's request is sent to the next primary; an
+    /// operator gets no reply, as it is not known whether the change is committed.
     fn abandon(self) {
         if let PendingReply::Client(replies, response) = self {
             let _ = replies.try_send(Frame::ClientResponse(not_primary(response.request_id)));
@@ -59,8 +59,8 @@
         self.decided.push(reply);
     }
 
-    /// Everything that the decided replies rest on is in the batches up to `proposed`. Sends them if
-    /// those are committed.
+    /// Everything that the decided replies rest on is in the batches up to `proposed`. Sends them
+    /// if those are committed.
     pub(super) fn assign(&mut self, proposed: u64, committed: u64) {
         for reply in self.decided.drain(..) {
             if committed >= proposed {
--- a/crates/cluster/control-plane/src/node/shutdown.rs
+++ b/crates/cluster/control-plane/src/node/shutdown.rs
@@ -1,16 +1,17 @@
 //! The graceful shutdown of a node.
 
-/// How long a primary that is told to shut down waits for what it began, milliseconds.
+/// How long a primary waits at its shutdown for what it began, milliseconds.
 const FINISH_MS: u64 = 400;
 /// How long a node that gave its role away stays to respond, milliseconds.
 const LINGER_MS: u64 = 500;
-/// The part of the grace period that is left unused while the node waits to be replaced, milliseconds.
+/// The part of the grace period that is left unused while the node waits to be replaced,
+/// milliseconds.
 const GRACE_MARGIN_MS: u64 = 2_000;
 
-/// Decides when a node that is told to shut down leaves the view, and when its process ends.
+/// Decides when a node that shuts down leaves the view, and when its process ends.
 ///
-/// The process ends once what the node began is answered and a spare has replaced it in the view, or
-/// when its grace period is nearly over.
+/// The process ends once what the node began is answered and a spare has replaced it in the view,
+/// or when its grace period is nearly over.
 #[derive(Debug)]
 pub(super) struct Shutdown {
     grace_ms: u64,
@@ -23,7 +24,7 @@
         Shutdown { grace_ms, requested_at_ms: None, is_replaced: false }
     }
 
-    /// The process is told to end. A repeated request changes nothing.
+    /// A shutdown is requested. A repeated request changes nothing.
     pub(super) fn request(&mut self, now_ms: u64) {
         self.requested_at_ms.get_or_insert(now_ms);
     }
--- a/crates/cluster/control-plane/src/status.rs
+++ b/crates/cluster/control-plane/src/status.rs
@@ -7,15 +7,22 @@
 
 #[derive(Serialize)]
 struct MemberJson {
-    node: String,
-    peer: String,
-    control: String,
-    primary: bool,
-    in_sync: bool,
+    #[serde(rename = "node")]
+    node_name: String,
+    #[serde(rename = "peer")]
+    peer_address: String,
+    #[serde(rename = "control")]
+    operator_address: String,
+    #[serde(rename = "primary")]
+    is_primary: bool,
+    #[serde(rename = "in_sync")]
+    is_in_sync: bool,
     /// Whether it holds records that it can't read, and may not be primary.
-    unfit: bool,
+    #[serde(rename = "unfit")]
+    is_ineligible: bool,
     /// Batches that it does not yet have on disk; none if it is not connected.
-    lag: Option<u64>,
+    #[serde(rename = "lag")]
+    lag_batches: Option<u64>,
 }
 
 /// The members as the primary sees them.
@@ -27,13 +34,13 @@
         .member_statuses()
         .into_iter()
         .map(|status| MemberJson {
-            primary: status.member.id == view.primary,
-            in_sync: view.in_sync.contains(&status.member.id),
-            unfit: status.ineligible,
-            lag: status.durable_sequence.map(|durable| last.saturating_sub(durable)),
-            node: status.member.node_name,
-            peer: status.member.peer_address,
-            control: status.member.operator_address,
+            is_primary: status.member.id == view.primary,
+            is_in_sync: view.in_sync.contains(&status.member.id),
+            is_ineligible: status.ineligible,
+            lag_batches: status.durable_sequence.map(|durable| last.saturating_sub(durable)),
+            node_name: status.member.node_name,
+            peer_address: status.member.peer_address,
+            operator_address: status.member.operator_address,
         })
         .collect();
     json!({ "epoch": view.epoch.0, "term": view.term.0, "sequence": last, "members": members })
--- a/crates/cluster/control-plane/src/store.rs
+++ b/crates/cluster/control-plane/src/store.rs
@@ -1,5 +1,5 @@
-//! The data folder: a key-value file with the node's identity, its witness record and its replica of
-//! the key space.
+//! The data folder: a key-value file with the node's identity, its witness record and its replica
+//! of the key space.
 use quick_error::quick_error;
 use redb::{
     Database, DatabaseError, Durability, ReadableDatabase, ReadableTable, StorageBackend, StorageError,
@@ -72,9 +72,9 @@
 impl Store {
     /// Opens the folder's file, or creates it.
     ///
-    /// One that can't be read is renamed and replaced by an empty one: power went before it was first
-    /// complete, or it is damaged. To the other members this machine has then lost its disk, which
-    /// they tolerate.
+    /// One that can't be read is renamed and replaced by an empty one: power went before it was
+    /// first complete, or it is damaged. To the other members this machine has then lost its disk,
+    /// which they tolerate.
     ///
     /// # Errors
     /// If it can't be read or written.
--- a/crates/cluster/control-plane/src/store_writer.rs
+++ b/crates/cluster/control-plane/src/store_writer.rs
@@ -1,7 +1,7 @@
 //! The thread that writes to the data folder.
 //!
-//! It takes all records that wait and commits them as one transaction, so that the cost of a sync is
-//! shared, and reports the last one's token.
+//! It takes all records that wait and commits them as one transaction, so that the cost of a sync
+//! is shared, and reports the last one's token.
 use crate::store::{Store, StoreError};
 use spanlead_replication::Record;
 use std::path::PathBuf;
@@ -27,8 +27,9 @@
 impl StoreWriter {
     /// Starts the thread. It calls `on_written` with the token of the last record on disk.
     ///
-    /// A failed write is tried again until it succeeds: the file is opened anew, since after a failed
-    /// sync its content is not known, and all records of the failed transaction are written once more.
+    /// A failed write is tried again until it succeeds: the file is opened anew, since after a
+    /// failed sync its content is not known, and all records of the failed transaction are written
+    /// once more.
     #[must_use]
     pub fn start(store: Store, folder: PathBuf, on_written: impl Fn(u64) + Send + 'static) -> Self {
         let (queue, requests) = channel();
--- a/crates/cluster/control-plane/src/unreadable_records.rs
+++ b/crates/cluster/control-plane/src/unreadable_records.rs
@@ -1,7 +1,7 @@
 //! Records of the key space that this version can't read: damaged, or of a newer version.
 //!
-//! A node with one of them must not be primary: it would forget what the record holds. The replica of
-//! another member repairs it. Every record belongs either to the configuration or to the jobs.
+//! A node with one of them must not be primary: it would forget what the record holds. The replica
+//! of another member repairs it. Every record belongs either to the configuration or to the jobs.
 use crate::configuration_state;
 use spanlead_job_scheduler::is_readable_record;
 use spanlead_replication::Keyspace;
--- a/crates/cluster/control-plane/src/worker_client/messages.rs
+++ b/crates/cluster/control-plane/src/worker_client/messages.rs
@@ -99,8 +99,8 @@
 }
 
 impl ResponseBody {
-    /// The report in the response to a lease renewal. Tasks whose names can't be parsed are left out:
-    /// they are none of this scheduler's.
+    /// The report in the response to a lease renewal. Tasks whose names can't be parsed are left
+    /// out: they are none of this scheduler's.
     pub(super) fn into_report(self) -> WorkerReport {
         let running = self.running.into_iter().filter_map(|RunningEntry(task, run, checkpoint, percent)| {
             Some(RunningTask { task: TaskId::parse(&task)?, run, checkpoint, progress_percent: percent })
--- a/crates/cluster/control-plane/src/worker_client/mod.rs
+++ b/crates/cluster/control-plane/src/worker_client/mod.rs
@@ -91,7 +91,7 @@
 
 /// What a call comes to that was not answered in time.
 ///
-/// A worker to which no connection can be established is unreachable, as it may be gone. Only for a
+/// A worker to which no connection can be established is unreachable, as it may have left. Only for a
 /// start it matters more that it was not sent: it can be placed elsewhere at once.
 fn unanswered(request: &WorkerRequest, progress: CallProgress) -> WorkerResponse {
     match (progress, request) {
--- a/crates/cluster/control-plane/src/worker_list.rs
+++ b/crates/cluster/control-plane/src/worker_list.rs
@@ -85,10 +85,10 @@
     labels: Vec<CompactString>,
 }
 
-/// Reads the whole list from an address, all pages over one connection where it is kept.
+/// Reads the complete list from an address, all pages over one connection where it is kept.
 ///
 /// # Errors
-/// If any page can't be read: a part of the list would make workers look gone.
+/// If any page can't be read: with a part of the list, workers would seem to have left.
 pub async fn fetch(address: &str) -> Result<Vec<ListedWorker>, WorkerListError> {
     let mut connection = None;
     let mut workers = Vec::new();
--- a/crates/cluster/control-plane/tests/configuration_replacement.rs
+++ b/crates/cluster/control-plane/tests/configuration_replacement.rs
@@ -1,8 +1,8 @@
-//! Operators replace the configuration while machines are isolated for twenty seconds, crash, pause, and
-//! lose power and disks between a write and its answer, and while answers get lost.
+//! Operators replace the configuration while machines are isolated for twenty seconds, crash,
+//! pause, and lose power and disks between a write and its answer, and while answers get lost.
 //!
-//! Beside what [`operator_simulation`] checks, at the end the newest confirmed version is in force, or one
-//! that came after it without an answer.
+//! Beside what [`operator_simulation`] checks, at the end the newest confirmed version is in force,
+//! or one that came after it without an answer.
 mod operator_simulation;
 
 use operator_simulation::{Change, Operator, OperatorSimulation, configuration_text};
--- a/crates/cluster/control-plane/tests/store_power_loss.rs
+++ b/crates/cluster/control-plane/tests/store_power_loss.rs
@@ -1,5 +1,5 @@
-//! Power is lost at every operation of the disk: what was acknowledged is there, and a transaction is
-//! there as a whole or not at all.
+//! Power is lost at every operation of the disk: what was acknowledged is there, and a transaction
+//! is there as a whole or not at all.
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use spanlead_control_plane::store::{Store, StoreError};
@@ -7,27 +7,35 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
+#[derive(Debug)]
+struct UnsyncedWrite {
+    offset: u64,
+    bytes: Vec<u8>,
+}
+
 /// A file: what is on disk, and what was written since the last sync.
 #[derive(Debug, Default)]
 struct File {
     synced: Vec<u8>,
     current: Vec<u8>,
-    pending: Vec<(u64, Vec<u8>)>,
-    lengths: Vec<u64>,
+    /// Writes since the last sync.
+    unsynced_writes: Vec<UnsyncedWrite>,
+    /// Lengths that were set since the last sync.
+    unsynced_lengths: Vec<u64>,
     operations: usize,
-    /// The operation at which power goes.
-    cut_at: Option<usize>,
+    /// The operation after which power is lost.
+    power_lost_after: Option<usize>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Disk(Arc<Mutex<File>>);
 
 impl Disk {
-    /// Counts an operation; an error once power is gone.
+    /// Counts an operation; an error once power is lost.
     fn operate(&self) -> io::Result<std::sync::MutexGuard<'_, File>> {
         let mut file = self.0.lock().expect("no panic holds it");
         file.operations += 1;
-        if file.cut_at.is_some_and(|at| file.operations > at) {
+        if file.power_lost_after.is_some_and(|last| file.operations > last) {
             return Err(io::Error::other("no power"));
         }
         Ok(file)
@@ -38,10 +46,10 @@
         let file = self.0.lock().expect("no panic holds it");
         let mut found = file.synced.clone();
         let none = rng.random_bool(0.2);
-        if !none && let Some(length) = file.lengths.last() {
+        if !none && let Some(length) = file.unsynced_lengths.last() {
             found.resize(*length as usize, 0);
         }
-        for (offset, bytes) in &file.pending {
+        for UnsyncedWrite { offset, bytes } in &file.unsynced_writes {
             let kept = match rng.random_range(0..3) {
                 _ if none => 0,
                 0 => 0,
@@ -78,15 +86,15 @@
     fn set_len(&self, len: u64) -> Result<(), io::Error> {
         let mut file = self.operate()?;
         file.current.resize(len as usize, 0);
-        file.lengths.push(len);
+        file.unsynced_lengths.push(len);
         Ok(())
     }
 
     fn sync_data(&self) -> Result<(), io::Error> {
         let mut file = self.operate()?;
         file.synced = file.current.clone();
-        file.pending.clear();
-        file.lengths.clear();
+        file.unsynced_writes.clear();
+        file.unsynced_lengths.clear();
         Ok(())
     }
 
@@ -94,7 +102,7 @@
         let mut file = self.operate()?;
         let from = offset as usize;
         file.current[from..from + data.len()].copy_from_slice(data);
-        file.pending.push((offset, data.to_vec()));
+        file.unsynced_writes.push(UnsyncedWrite { offset, bytes: data.to_vec() });
         Ok(())
     }
 }
@@ -115,7 +123,7 @@
     vec![Record::Identity { id: MemberId(7), bootstrap_voter: true }, Record::Batch { position, changes }]
 }
 
-/// Writes batches until the disk fails; tells the last one that was acknowledged.
+/// Writes batches until the disk fails. Returns the last one that was acknowledged.
 fn write_all(disk: &Disk) -> u64 {
     let Ok(store) = Store::open_on(disk.clone()) else { return 0 };
     let mut acknowledged = 0;
@@ -128,41 +136,53 @@
     acknowledged
 }
 
-fn check(disk: Disk, acknowledged: u64, at: usize) {
+fn assert_recovers(disk: Disk, acknowledged: u64, operation: usize) {
     let store = match Store::open_on(disk) {
         Ok(store) => store,
-        // Power went before the file was ever whole: it is set aside, and nothing is lost by that.
+        // Power was lost before the file was first complete: it holds nothing that could be lost.
         Err(StoreError::Corrupted(_)) if acknowledged == 0 => return,
-        Err(error) => panic!("cut at {at}, {acknowledged} acknowledged: not opened: {error}"),
+        Err(error) => {
+            panic!("power lost after {operation}, {acknowledged} acknowledged: not opened: {error}")
+        }
     };
-    let restored = store.recover().unwrap_or_else(|error| panic!("cut at {at}: not read: {error}"));
-    let found = restored.position.sequence;
-    assert!(found >= acknowledged, "cut at {at}: {acknowledged} was acknowledged, {found} is there");
-    assert!(found <= acknowledged + 1, "cut at {at}: {found} was never written");
+    let recovered =
+        store.recover().unwrap_or_else(|error| panic!("power lost after {operation}: not read: {error}"));
+    let found = recovered.position.sequence;
+    assert!(
+        found >= acknowledged,
+        "power lost after {operation}: {acknowledged} was acknowledged, {found} is there"
+    );
+    assert!(found <= acknowledged + 1, "power lost after {operation}: {found} was never written");
     if found == 0 {
         return;
     }
-    assert_eq!(restored.identity, Some(MemberId(7)));
+    assert_eq!(recovered.identity, Some(MemberId(7)));
     let value = found.to_le_bytes().repeat(40);
     for name in ["a", "b", "c"] {
-        assert_eq!(restored.keyspace.get(name.as_bytes()), Some(value.as_slice()), "cut at {at}: {name}");
+        assert_eq!(
+            recovered.keyspace.get(name.as_bytes()),
+            Some(value.as_slice()),
+            "power lost after {operation}: {name}"
+        );
     }
-    let kept = (1..=found).filter(|n| restored.keyspace.get(format!("n{n}").as_bytes()).is_some()).count();
-    assert_eq!(kept as u64, found.min(3), "cut at {at}");
+    let kept = (1..=found)
+        .filter(|number| recovered.keyspace.get(format!("n{number}").as_bytes()).is_some())
+        .count();
+    assert_eq!(kept as u64, found.min(3), "power lost after {operation}");
 }
 
 #[test]
 fn power_loss_at_any_operation_loses_nothing_acknowledged() {
-    let whole = Disk::default();
-    assert_eq!(write_all(&whole), BATCHES);
-    let operations = whole.operations();
+    let undisturbed = Disk::default();
+    assert_eq!(write_all(&undisturbed), BATCHES);
+    let operations = undisturbed.operations();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    for at in 0..=operations {
+    for operation in 0..=operations {
         for _ in 0..4 {
             let disk = Disk::default();
-            disk.0.lock().expect("no panic holds it").cut_at = Some(at);
+            disk.0.lock().expect("no panic holds it").power_lost_after = Some(operation);
             let acknowledged = write_all(&disk);
-            check(disk.after_power_loss(&mut rng), acknowledged, at);
+            assert_recovers(disk.after_power_loss(&mut rng), acknowledged, operation);
         }
     }
 }
--- a/crates/cluster/control-plane/tests/unreachable_worker.rs
+++ b/crates/cluster/control-plane/tests/unreachable_worker.rs
@@ -1,5 +1,5 @@
-//! A worker to which no connection can be established: it does not respond, and a start that was never
-//! sent can be placed elsewhere at once.
+//! A worker to which no connection can be established: it does not respond, and a start that was
+//! never sent can be placed elsewhere at once.
 mod common;
 
 use async_std::channel::{Receiver, unbounded};
--- a/crates/cluster/control-plane/tests/unreadable_records.rs
+++ b/crates/cluster/control-plane/tests/unreadable_records.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// Whether a lone machine becomes and stays primary. If it is ineligible, it is marked so at the start
-/// and again once it is primary, as a node finds out when it takes over.
+/// Whether a lone machine becomes and stays primary. If it is ineligible, it is marked so at the
+/// start and again once it is primary, as a node finds out when it takes over.
 fn becomes_primary(ineligible: bool) -> bool {
     let options = ReplicaConfig {
         node_name: "core-1".into(),
--- a/crates/cluster/control-plane/tests/worker_connections.rs
+++ b/crates/cluster/control-plane/tests/worker_connections.rs
@@ -1,5 +1,5 @@
-//! Three thousand simulated workers and few connections: all are called, and calls beyond the connections
-//! wait.
+//! Three thousand simulated workers and few connections: all are called, and calls beyond the
+//! connections wait.
 mod common;
 
 use async_std::io::{ReadExt, WriteExt};
--- a/crates/cluster/data-plane/src/client_api.rs
+++ b/crates/cluster/data-plane/src/client_api.rs
@@ -40,7 +40,8 @@
 }
 
 impl ClientApi {
-    /// The interface of a process that starts. It is not ready any more once `is_shutting_down` is set.
+    /// The interface of a process that starts. It is not ready any more once `is_shutting_down` is
+    /// set.
     #[must_use]
     pub fn new(control_plane: ControlPlaneClient, is_shutting_down: Arc<AtomicBool>, clock: Clock) -> Self {
         ClientApi {
--- a/crates/cluster/data-plane/src/control_plane_client.rs
+++ b/crates/cluster/data-plane/src/control_plane_client.rs
@@ -1,5 +1,5 @@
-//! The control plane as a data plane sees it: who is primary, the configuration, and requests on their
-//! way.
+//! The control plane as a data plane sees it: who is primary, the configuration, and requests on
+//! their way.
 use crate::pending_requests::{PendingRequests, RegisteredRequest};
 use async_std::channel::{Receiver, Sender, unbounded};
 use async_std::future::timeout;
@@ -24,13 +24,14 @@
 const PING_INTERVAL: Duration = Duration::from_millis(150);
 /// Wait before it is checked again whether there is a primary.
 const PRIMARY_POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// How long the control plane may be without a primary before requests are refused at once, milliseconds.
+/// How long the control plane may be without a primary before requests are refused at once,
+/// milliseconds.
 const NO_PRIMARY_TIMEOUT_MS: u64 = 2_500;
 /// How long this process stays ready without a primary, milliseconds.
 const READY_WITHOUT_PRIMARY_MS: u64 = 1_500;
 
-/// Statuses from which a client concludes that its job never runs. After an unanswered attempt that is
-/// not known.
+/// Statuses from which a client concludes that its job never runs. After an unanswered attempt that
+/// is not known.
 const REJECTED_STATUSES: [u16; 3] = [404, 429, 503];
 
 /// What a request came to.
@@ -143,8 +144,8 @@
         state.configuration.is_some() && self.clock.monotonic_ms() < ready_until_ms
     }
 
-    /// Sends a request to the primary, again if it is not answered, until `deadline_ms` on the monotonic
-    /// clock.
+    /// Sends a request to the primary, again if it is not answered, until `deadline_ms` on the
+    /// monotonic clock.
     pub async fn request(
         &self,
         host: &str,
@@ -216,8 +217,8 @@
         registered
     }
 
-    /// Waits for a response. A machine that has restarted knows nothing of the connection, which shows
-    /// only when something is written: so pings are sent meanwhile.
+    /// Waits for a response. A machine that has restarted knows nothing of the connection, which
+    /// shows only when something is written: so pings are sent meanwhile.
     async fn wait(
         &self,
         primary: &str,
@@ -273,8 +274,8 @@
         }
     }
 
-    /// Handles a message of another data plane. An item that can't be decoded is not taken: its version
-    /// would keep a valid one out.
+    /// Handles a message of another data plane. An item that can't be decoded is not taken: its
+    /// version would keep a valid one out.
     fn handle_gossip(&self, from: &str, message: Message) {
         if let Message::Deliver { item } = &message
             && !is_valid(item)
--- a/crates/cluster/data-plane/src/lib.rs
+++ b/crates/cluster/data-plane/src/lib.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// How long a process that is told to shut down accepts requests at the least: until the platform has
-/// seen that it is not ready any more.
+/// How long a process that is told to shut down accepts requests at the least: until the platform
+/// has seen that it is not ready any more.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(2_500);
 /// The part of the grace period that is left unused.
 const GRACE_MARGIN: Duration = Duration::from_millis(1_000);
@@ -44,7 +44,7 @@
 /// File descriptors that are reserved for files, the control plane and other data planes.
 const RESERVED_DESCRIPTORS: usize = 512;
 
-/// Runs a data plane until it is told to shut down.
+/// Runs a data plane until a shutdown is requested and complete.
 ///
 /// # Errors
 /// If it can't start.
--- a/crates/cluster/data-plane/tests/client_requests.rs
+++ b/crates/cluster/data-plane/tests/client_requests.rs
@@ -73,8 +73,8 @@
     assert_eq!(submission, Submission { outcome: responded(429), attempts: 1 });
 }
 
-/// The first attempt may have been accepted by a primary that was then replaced, so a refusal of the
-/// second does not prove that the job never runs.
+/// The first attempt may have been accepted by a primary that was then replaced, so a refusal of
+/// the second does not prove that the job never runs.
 #[async_std::test]
 async fn a_refusal_after_an_unanswered_attempt_leaves_the_outcome_unknown() {
     for (octet, script) in [(2, late_429 as Script), (3, late_404), (4, late_503)] {
--- a/crates/cluster/dissemination/src/lib.rs
+++ b/crates/cluster/dissemination/src/lib.rs
@@ -1,9 +1,9 @@
 //! Epidemic dissemination (gossip) of one versioned item. No I/O, no clock.
 //!
-//! Every process has a few peers, selected by rendezvous hashing among all that it knows, so that each is
-//! selected by about as many. It advertises its version to them, periodically and at once when it has a
-//! new one; whoever has an older one requests the item, and is sent it. The same exchange is the
-//! heartbeat by which peers detect one another's failure.
+//! Every process has a few peers, selected by rendezvous hashing among all that it knows, so that
+//! each is selected by about as many. It advertises its version to them, periodically and at once
+//! when it has a new one; whoever has an older one requests the item, and is sent it. The same
+//! exchange is the heartbeat by which peers detect one another's failure.
 //!
 //! ```
 //! use spanlead_dissemination::{Disseminator, Item, Message, Output};
--- a/crates/cluster/dissemination/src/peer_selection.rs
+++ b/crates/cluster/dissemination/src/peer_selection.rs
@@ -5,8 +5,8 @@
 /// How many peers a process selects.
 pub const PEERS_PER_PROCESS: usize = 3;
 
-/// The `count` processes among `candidates` with the highest weights for `process`. One that joins or
-/// leaves changes few selections.
+/// The `count` processes among `candidates` with the highest weights for `process`. One that joins
+/// or leaves changes few selections.
 #[must_use]
 pub fn select_peers<'a>(
     process: &str,
--- a/crates/cluster/dissemination/tests/spread.rs
+++ b/crates/cluster/dissemination/tests/spread.rs
@@ -1,5 +1,5 @@
-//! Seeded runs on a network that loses messages: every item reaches every process, no process goes back
-//! to an older one, and failed processes are detected.
+//! Seeded runs on a network that loses messages: every item reaches every process, no process goes
+//! back to an older one, and failed processes are detected.
 use quickcheck::quickcheck;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/cluster/runtime/src/clock.rs
+++ b/crates/cluster/runtime/src/clock.rs
@@ -3,12 +3,12 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The reading of the monotonic clock when the process starts, milliseconds. Above zero, so that times
-/// before the start can be represented too.
+/// The reading of the monotonic clock when the process starts, milliseconds. Above zero, so that
+/// times before the start can be represented too.
 const START_MS: u64 = 1_000_000;
 
-/// A monotonic clock, and the time of day derived from it: a step of the system's time of day after the
-/// start has no effect here.
+/// A monotonic clock, and the time of day derived from it: a step of the system's time of day after
+/// the start has no effect here.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
--- a/crates/cluster/runtime/src/frame.rs
+++ b/crates/cluster/runtime/src/frame.rs
@@ -1,7 +1,7 @@
 //! The messages between processes of the system.
 //!
-//! `rkyv` serialises them by the order and the types of variants and fields, so those must stay while
-//! processes of two versions run side by side. Names may change.
+//! `rkyv` serialises them by the order and the types of variants and fields, so those must stay
+//! while processes of two versions run side by side. Names may change.
 #![allow(missing_docs, reason = "the types that rkyv derives from these have undocumented fields")]
 use rkyv::{Archive, Deserialize, Serialize};
 use spanlead_cluster_config::DataPlaneConfiguration;
--- a/crates/cluster/runtime/src/http/server.rs
+++ b/crates/cluster/runtime/src/http/server.rs
@@ -30,7 +30,8 @@
 pub struct ConnectionLimits {
     /// The largest request.
     pub message: MessageLimits,
-    /// How long a head may take from its first byte, and each part of a body after the previous one.
+    /// How long a head may take from its first byte, and each part of a body after the previous
+    /// one.
     pub request_timeout: Duration,
     /// How long a connection may be idle.
     pub idle_timeout: Duration,
@@ -211,8 +212,8 @@
         }
     }
 
-    /// Lets the client read the last response: a connection that is closed with unread bytes would be
-    /// reset, and the response lost with it.
+    /// Lets the client read the last response: a connection that is closed with unread bytes would
+    /// be reset, and the response lost with it.
     async fn linger(&mut self) {
         let _ = self.stream.shutdown(Shutdown::Write);
         let mut buffer = [0; READ_BYTES];
--- a/crates/cluster/runtime/src/lib.rs
+++ b/crates/cluster/runtime/src/lib.rs
@@ -1,9 +1,10 @@
-//! What the control plane's and the data plane's program share: sockets, time, settings, logs, metrics.
+//! What the control plane's and the data plane's program share: sockets, time, settings, logs,
+//! metrics.
 //!
 //! The decisions are made in crates without I/O: `spanlead-replication` (who is primary, what is
-//! committed), `spanlead-job-scheduler` (jobs, and where their tasks run), `spanlead-cluster-config`
-//! and `spanlead-dissemination`. The two programs, `spanlead-control-plane` and `spanlead-data-plane`,
-//! connect those to sockets, disks and clocks.
+//! committed), `spanlead-job-scheduler` (jobs, and where their tasks run),
+//! `spanlead-cluster-config` and `spanlead-dissemination`. The two programs,
+//! `spanlead-control-plane` and `spanlead-data-plane`, connect those to sockets, disks and clocks.
 //!
 //! - Between processes: [`frame`] and [`frame_codec`] (messages and their bytes), [`peer_links`]
 //!   (outgoing connections), [`peer_server`] (incoming ones), [`traffic`] (counters).
--- a/crates/cluster/runtime/src/logs.rs
+++ b/crates/cluster/runtime/src/logs.rs
@@ -1,7 +1,8 @@
 //! Logs on standard error, one record a line: level, node, module, message.
 use log::LevelFilter;
 
-/// The crates whose records are logged at the level that was asked for; others log warnings and errors.
+/// The crates whose records are logged at the level that was asked for; others log warnings and
+/// errors.
 const OWN_CRATES: [&str; 5] = [
     "spanlead_cluster_runtime",
     "spanlead_control_plane",
@@ -28,8 +29,8 @@
     }
 }
 
-/// Ends the process at a panic in any thread: a process that has lost one of its tasks must not go on
-/// half alive.
+/// Ends the process at a panic in any thread: a process that has lost one of its tasks must not go
+/// on half alive.
 pub fn exit_on_panic() {
     let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
--- a/crates/cluster/runtime/src/peer_links.rs
+++ b/crates/cluster/runtime/src/peer_links.rs
@@ -25,7 +25,8 @@
 const RECONNECT_PERIOD: Duration = Duration::from_secs(5);
 /// How often a ping is sent.
 const PING_INTERVAL: Duration = Duration::from_millis(500);
-/// How long the other side, which answers pings, may send nothing before the connection counts as lost.
+/// How long the other side, which answers pings, may send nothing before the connection counts as
+/// lost.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// Frames that may wait for a connection; beyond that they are dropped.
 const MAX_QUEUED_FRAMES: usize = 4_096;
@@ -105,14 +106,15 @@
 
 impl Link {
     /// Keeps the connection while there is something to send. A lost one is re-established at once:
-    /// the other side may be back, and those who wait for its answer should not have to wait for the
-    /// next frame.
+    /// the other side may be back, and those who wait for its answer should not have to wait for
+    /// the next frame.
     async fn run(self) {
         let mut lost_at: Option<Instant> = None;
         while let Some(first) = self.first_bytes(lost_at).await {
             let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(&self.address));
             let Ok(Ok(stream)) = connecting.await else {
-                // The queued frames are as old as the attempt; their senders send them again if need be.
+                // The queued frames are as old as the attempt; their senders send them again if
+                // need be.
                 while self.queue.try_recv().is_ok() {}
                 task::sleep(RETRY_INTERVAL).await;
                 continue;
@@ -160,7 +162,8 @@
             {
                 bytes.extend(next);
             }
-            // Also between other frames: the reader on this side receives only the answers to pings.
+            // Also between other frames: the reader on this side receives only the answers to
+            // pings.
             if pinged_at.elapsed() >= PING_INTERVAL {
                 pinged_at = Instant::now();
                 bytes.extend(encode_counted(&Frame::Ping));
--- a/crates/cluster/runtime/src/peer_server.rs
+++ b/crates/cluster/runtime/src/peer_server.rs
@@ -64,8 +64,8 @@
 
 async fn serve_connection(stream: TcpStream, handler: FrameHandler) {
     let mut reader = BufReader::new(stream.clone());
-    // Until the first frame a connection is given nothing but its descriptor, so that connections of
-    // others than peers cost little.
+    // Until the first frame a connection is given nothing but its descriptor, so that connections
+    // of others than peers cost little.
     let first = match read_frame(&mut reader, READ_TIMEOUT).await {
         Ok(first) => first,
         Err(error) => {
--- a/crates/cluster/runtime/src/socket.rs
+++ b/crates/cluster/runtime/src/socket.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Connections that may wait to be accepted. The standard library's 128 are fewer than arrive at once
-/// after a failover, and one too many waits a second until its SYN is sent again.
+/// Connections that may wait to be accepted. The standard library's 128 are fewer than arrive at
+/// once after a failover, and one too many waits a second until its SYN is sent again.
 const MAX_ACCEPT_QUEUE: i32 = 1_024;
 
 /// Listens at an address, `ip:port`.
--- a/crates/cluster/runtime/src/traffic.rs
+++ b/crates/cluster/runtime/src/traffic.rs
@@ -1,7 +1,7 @@
 //! Counts what is sent to other processes of the system, by kind of frame.
 //!
-//! Frames are counted where they are queued for a connection. The counters belong to the process, as a
-//! registry of metrics usually does.
+//! Frames are counted where they are queued for a connection. The counters belong to the process,
+//! as a registry of metrics usually does.
 use crate::frame::{Frame, FrameKind};
 use crate::frame_codec::encode;
 use std::fmt::Write;
--- a/crates/cluster/runtime/tests/http_framing.rs
+++ b/crates/cluster/runtime/tests/http_framing.rs
@@ -6,7 +6,8 @@
 
 const LIMITS: MessageLimits = MessageLimits { max_head_bytes: 512, max_body_bytes: 64 };
 
-/// The requests in these bytes, pushed in pieces of `piece` bytes, as `METHOD path body`; and the violation at the end.
+/// The requests in these bytes, pushed in pieces of `piece` bytes, as `METHOD path body`; and the
+/// violation at the end.
 fn requests(bytes: &[u8], piece: usize) -> (Vec<String>, Option<FramingError>) {
     let mut reader = RequestReader::default();
     let mut found = Vec::new();
--- a/crates/cluster/runtime/tests/http_server.rs
+++ b/crates/cluster/runtime/tests/http_server.rs
@@ -79,7 +79,7 @@
         .await
         .expect("written");
     let mut interim = [0; 25];
-    stream.read_exact(&mut interim).await.expect("told");
+    stream.read_exact(&mut interim).await.expect("an interim response");
     assert_eq!(&interim, b"HTTP/1.1 100 Continue\r\n\r\n");
     stream.write_all(b"abc").await.expect("written");
     assert!(read_to_end(&mut stream).await.contains("POST /1 3"));
@@ -124,10 +124,7 @@
     let mut stream = connect(&address).await;
     stream.write_all(head).await.expect("written");
     stream.write_all(b"ab").await.expect("written");
-    assert!(
-        read_to_end(&mut stream).await.starts_with("HTTP/1.1 408"),
-        "one that stands still is not waited for"
-    );
+    assert!(read_to_end(&mut stream).await.starts_with("HTTP/1.1 408"), "a body without progress times out");
 }
 
 #[async_std::test]
@@ -137,18 +134,18 @@
     slow.write_all(b"GET /1 HT").await.expect("written");
     assert!(read_to_end(&mut slow).await.starts_with("HTTP/1.1 408"));
 
-    let mut held = Vec::new();
+    let mut open = Vec::new();
     for _ in 0..4 {
         let mut stream = connect(&address).await;
         stream.write_all(b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\n").await.expect("written");
         let mut start = [0; 12];
         stream.read_exact(&mut start).await.expect("answered");
-        held.push(stream);
+        open.push(stream);
     }
     let mut one_more = connect(&address).await;
     assert!(read_to_end(&mut one_more).await.starts_with("HTTP/1.1 503"));
     // The idle ones are closed after their time, and there is room again.
-    for mut stream in held {
+    for mut stream in open {
         read_to_end(&mut stream).await;
     }
     let mut stream = connect(&address).await;
--- a/crates/cluster/runtime/tests/peer_connections.rs
+++ b/crates/cluster/runtime/tests/peer_connections.rs
@@ -40,23 +40,23 @@
     task::spawn(peer_server::serve(address.clone(), Arc::new(|_, _| {})));
     task::sleep(Duration::from_millis(50)).await;
     let before = resident_kb();
-    let mut held = Vec::new();
+    let mut open = Vec::new();
     for _ in 0..50 {
         let mut stream = TcpStream::connect(&address).await.expect("connected");
         stream.write_all(&(MAX_FRAME_BYTES as u32).to_le_bytes()).await.expect("written");
-        held.push(stream);
+        open.push(stream);
     }
     task::sleep(Duration::from_millis(200)).await;
     let grown = resident_kb().saturating_sub(before);
     assert!(grown < 32 * 1024, "{grown} kB for 50 announced frames of 64 MB");
     let mut byte = [0];
-    let ended = timeout(Duration::from_secs(6), held[0].read(&mut byte)).await;
+    let ended = timeout(Duration::from_secs(6), open[0].read(&mut byte)).await;
     assert!(matches!(ended, Ok(Ok(0) | Err(_))), "a peer that sends nothing is disconnected");
 }
 
 fn resident_kb() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").expect("Linux");
-    let line = status.lines().find(|line| line.starts_with("VmRSS:")).expect("told");
+    let line = status.lines().find(|line| line.starts_with("VmRSS:")).expect("a line");
     line.split_whitespace().nth(1).and_then(|word| word.parse().ok()).expect("a number")
 }
 
