--- a/crates/cluster/job-scheduler/src/pending.rs
+++ b/crates/cluster/job-scheduler/src/pending.rs
@@ -73,6 +73,11 @@
         self.needs_pass_at_tick = true;
     }
 
+    /// The same, if a unit that did not fit waits only for time to pass.
+    pub(crate) fn retry_at_next_tick_if(&mut self, waits_for_time: bool) {
+        self.needs_pass_at_tick |= waits_for_time;
+    }
+
     /// A tick: passes that waited for it are due.
     pub(crate) fn tick(&mut self) {
         self.needs_pass |= std::mem::take(&mut self.needs_pass_at_tick);
--- a/crates/cluster/job-scheduler/src/scheduler/placing.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/placing.rs
@@ -7,6 +7,8 @@
 use crate::ids::{RunId, TaskId, WorkerIndex};
 use crate::pending::{PendingKey, PendingUnit};
 use crate::placement::{Placement, PlacementMisses, PlacementRequest};
+use crate::spec::Stage;
+use compact_str::CompactString;
 
 /// Starts that may be waiting for a commit or a response at once.
 const MAX_STARTS_IN_FLIGHT: usize = 160;
@@ -15,6 +17,14 @@
 /// Units without capacity that it then tries behind these.
 const MAX_MISSES_BEHIND: usize = 32;
 
+impl PendingUnit {
+    fn request<'a>(self, stage: &'a Stage, service: &'a CompactString, now: Now) -> PlacementRequest<'a> {
+        let now_ms = now.monotonic_ms;
+        let waited_ms = now_ms.saturating_sub(self.since_ms);
+        PlacementRequest { task: self.key.task, stage, service, waited_ms, now_ms }
+    }
+}
+
 impl Scheduler {
     /// Places what waits, as far as there is capacity. Called after each input, so that starts
     /// share a batch with the events that they follow from.
@@ -70,34 +80,37 @@
 
     /// Places a task or gang, if there is capacity.
     fn place_unit(&mut self, now: Now, unit: PendingUnit, misses: &mut PlacementMisses) {
-        let task = unit.key.task;
-        let Some(job) = self.jobs.get(task.job) else { return };
-        let Some(stage) = job.stage(task.stage) else { return };
-        let service = job.service();
-        if stage.gang {
-            return self.place_gang(now, unit, misses);
+        if self.jobs.is_gang(unit.key.task) {
+            self.place_gang(now, unit, misses);
+        } else {
+            self.place_task(now, unit, misses);
         }
+    }
+
+    fn place_task(&mut self, now: Now, unit: PendingUnit, misses: &mut PlacementMisses) {
+        let id = unit.key.task;
+        let Some(job) = self.jobs.get(id.job) else { return };
+        let Some(stage) = job.stage(id.stage) else { return };
+        let service = job.service();
         if misses.cover(service, stage) {
             return;
         }
-        let is_running = self.jobs.task(task).is_some_and(|task| task.has_active_runs());
-        if is_running && !self.allows_hedged_run(task) {
+        let Some(task) = self.jobs.task(id) else { return };
+        let (is_hedged, run) = (task.has_active_runs(), task.last_run() + 1);
+        if is_hedged && !self.allows_hedged_run(id) {
             // A hedged run was wanted while the run was in doubt, which it is no more.
             return self.pending.remove(&unit.key);
         }
-        let waited_ms = now.monotonic_ms.saturating_sub(unit.since_ms);
-        let request = PlacementRequest { task, stage, service, waited_ms, now_ms: now.monotonic_ms };
+        let request = unit.request(stage, service, now);
         match self.placer.place_task(&self.jobs, &self.workers, &request) {
             Placement::On(worker) => {
-                self.metrics.hedged_runs += u64::from(is_running);
-                let run = self.jobs.task(task).map_or(1, |task| task.last_run() + 1);
-                self.assign(now, RunId { task, run }, worker);
+                self.metrics.hedged_runs += u64::from(is_hedged);
+                self.assign(now, RunId { task: id, run }, worker);
                 self.complete_unit(&unit.key, 1);
             }
-            Placement::NoCapacity => misses.add(service, stage),
-            Placement::WaitForRack => {
+            miss => {
                 misses.add(service, stage);
-                self.pending.retry_at_next_tick();
+                self.pending.retry_at_next_tick_if(miss == Placement::WaitForRack);
             }
         }
     }
@@ -109,8 +122,7 @@
         let Some(stage) = job.stage(first.stage) else { return };
         let service = job.service();
         let Some(run) = self.next_gang_run(first) else { return misses.add(service, stage) };
-        let waited_ms = now.monotonic_ms.saturating_sub(unit.since_ms);
-        let request = PlacementRequest { task: first, stage, service, waited_ms, now_ms: now.monotonic_ms };
+        let request = unit.request(stage, service, now);
         match self.placer.place_gang(&self.jobs, &mut self.workers, &request) {
             Placement::On(workers) => {
                 let starts = workers.len();
@@ -119,10 +131,9 @@
                 }
                 self.complete_unit(&unit.key, starts);
             }
-            Placement::NoCapacity => misses.add(service, stage),
-            Placement::WaitForRack => {
+            miss => {
                 misses.add(service, stage);
-                self.pending.retry_at_next_tick();
+                self.pending.retry_at_next_tick_if(miss == Placement::WaitForRack);
             }
         }
     }
--- a/crates/cluster/job-scheduler/tests/lifecycle.rs
+++ b/crates/cluster/job-scheduler/tests/lifecycle.rs
@@ -1,6 +1,6 @@
 //! What is promised of a job from its submission to its end, also across terms.
 mod common;
-use common::{ManualScheduler, ONE_TASK, first_task, is_stop, single_start, started_run, starts};
+use common::{CONFIG, ManualScheduler, ONE_TASK, first_task, is_stop, single_start, started_run, starts};
 use spanlead_job_scheduler::{JobId, JobOutcome, JobState, QueueId, WorkerCall};
 
 const LONG_RUNNING_TASK: &str =
@@ -141,3 +141,24 @@
 
     assert!(!manual.recovers_all_records());
 }
+
+#[test]
+fn closed_job_is_forgotten_with_its_records_after_its_retention() {
+    let mut manual = ManualScheduler::new(1);
+    manual.submit(1, ONE_TASK);
+    let start = single_start(&manual.commit());
+    manual.acknowledge(&start);
+    let (task, run) = started_run(&start);
+    let renewal = manual.waiting_renewal(&start.worker_id);
+    manual.report(&renewal, &[], &[(1, task, run, "done")]);
+    manual.commit();
+
+    manual.advance(CONFIG.closed_job_retention_ms);
+    assert!(manual.scheduler.job_state(JobId(1)).is_some(), "too early");
+    assert!(!manual.records.is_empty());
+
+    // Closed jobs are kept for a margin longer.
+    manual.advance(20_000);
+    assert_eq!(manual.scheduler.job_state(JobId(1)), None);
+    assert!(manual.records.is_empty(), "{:?}", manual.records);
+}
--- /dev/null
+++ b/crates/cluster/job-scheduler/tests/placement.rs
@@ -0,0 +1,106 @@
+//! Which worker a task goes to, and when it goes to none.
+mod common;
+use common::{ManualScheduler, ONE_TASK, first_task, is_stop, renewal_to, single_start, started_run, starts};
+use spanlead_job_scheduler::{JobId, JobOutcome, JobState, WorkerCall, WorkerRequest, WorkerResponse};
+use std::collections::BTreeSet;
+
+/// A gang of so many tasks, of which one fits a worker.
+fn gang(count: usize) -> String {
+    ONE_TASK.replace("\"count\":1", &format!("\"count\":{count},\"gang\":true"))
+}
+
+#[test]
+fn gang_that_does_not_fit_as_a_whole_is_not_started() {
+    let mut manual = ManualScheduler::new(2);
+
+    manual.submit(1, &gang(3));
+
+    for _ in 0..20 {
+        assert!(starts(&manual.advance(20)).is_empty());
+    }
+}
+
+#[test]
+fn members_of_a_gang_start_together_under_one_run_number() {
+    let mut manual = ManualScheduler::new(3);
+
+    manual.submit(1, &gang(3));
+
+    let calls = manual.commit();
+    let workers: BTreeSet<&str> = starts(&calls).iter().map(|start| &*start.worker_id).collect();
+    assert_eq!(workers.len(), 3, "one on each worker");
+    assert!(starts(&calls).iter().all(|start| started_run(start).1 == 1), "{calls:?}");
+}
+
+#[test]
+fn task_that_failed_starts_again_on_another_worker_until_its_attempts_are_spent() {
+    const MAX_ATTEMPTS: u32 = 3;
+    let mut manual = ManualScheduler::new(2);
+    manual.submit(1, ONE_TASK);
+    let mut last_worker: Option<String> = None;
+
+    for attempt in 1..=MAX_ATTEMPTS {
+        let start = single_start(&manual.commit());
+        assert_eq!(started_run(&start), (first_task(1), attempt));
+        assert_ne!(last_worker.as_deref(), Some(&*start.worker_id), "it failed there");
+        manual.acknowledge(&start);
+        let renewal = manual.waiting_renewal(&start.worker_id);
+        // The first end of each worker has the number 1 there.
+        let number = u64::from(attempt.div_ceil(2));
+        manual.report(&renewal, &[], &[(number, first_task(1), attempt, "failed")]);
+        manual.scheduler.place_ready_tasks(manual.now());
+        last_worker = Some(start.worker_id.to_string());
+    }
+
+    assert_eq!(manual.scheduler.job_state(JobId(1)), Some(JobState::Closed(JobOutcome::Failed)));
+    assert!(starts(&manual.commit()).is_empty());
+}
+
+#[test]
+fn start_rejected_for_want_of_capacity_goes_to_another_worker() {
+    let mut manual = ManualScheduler::new(2);
+    manual.submit(1, ONE_TASK);
+    let start = single_start(&manual.commit());
+
+    manual.respond(&start, WorkerResponse::Rejected { status: 409, reason: "room".into() });
+
+    let again = single_start(&manual.advance(20));
+    assert_ne!(again.worker_id, start.worker_id);
+    assert_eq!(started_run(&again).1, 2);
+}
+
+/// Capacity of the largest worker decides, not what is free.
+#[test]
+fn job_that_fits_no_worker_fails() {
+    let mut manual = ManualScheduler::new(2);
+    manual.submit(1, &ONE_TASK.replace("600", "2000"));
+    manual.submit(2, &ONE_TASK.replace("\"count\":1", "\"count\":9"));
+
+    for _ in 0..300 {
+        manual.advance(20);
+    }
+
+    assert_eq!(manual.scheduler.job_state(JobId(1)), Some(JobState::Closed(JobOutcome::Failed)));
+    assert_eq!(manual.scheduler.job_state(JobId(2)), Some(JobState::Running));
+}
+
+#[test]
+fn run_that_no_record_names_is_stopped_and_occupies_capacity() {
+    const UNKNOWN_RUN: u32 = 7;
+    let mut manual = ManualScheduler::new(1);
+    manual.submit(1, ONE_TASK);
+    let start = single_start(&manual.commit());
+    manual.acknowledge(&start);
+    let renewal = manual.waiting_renewal("i-0");
+    let (task, run) = started_run(&start);
+
+    // The run that was asked for ends, while another of the same task is there.
+    manual.report(&renewal, &[(task, UNKNOWN_RUN)], &[(1, task, run, "stopped")]);
+
+    let calls = manual.advance(20);
+    let is_stop_of_unknown = |call: &WorkerCall| {
+        matches!(call.request, WorkerRequest::Stop { run: UNKNOWN_RUN, .. }) && is_stop(call)
+    };
+    assert!(calls.iter().any(is_stop_of_unknown), "{calls:?}");
+    assert!(starts(&calls).is_empty(), "its capacity is in use");
+}
