--- a/crates/cluster/replication/src/message.rs
+++ b/crates/cluster/replication/src/message.rs
@@ -21,7 +21,7 @@
 /// A message between members.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub enum Message {
-    /// A machine that is no member, or hears no primary, announces itself.
+    /// A machine that is no member, or receives nothing from a primary, announces itself.
     Announce {
         /// The sender.
         member: Member,
--- a/crates/cluster/replication/src/primary/batches.rs
+++ b/crates/cluster/replication/src/primary/batches.rs
@@ -17,11 +17,11 @@
 #[derive(Clone, Debug)]
 pub(crate) struct BatchTracker {
     /// The last batch that was proposed.
-    pub(crate) last: u64,
+    last: u64,
     /// The last batch on the primary's own disk.
-    pub(crate) durable_locally: u64,
+    durable_locally: u64,
     /// The last committed batch.
-    pub(crate) committed: u64,
+    committed: u64,
     /// Batches that are not committed, or were sent a short time ago.
     sent: VecDeque<SentBatch>,
 }
@@ -32,6 +32,33 @@
         BatchTracker { last, durable_locally, committed: 0, sent: VecDeque::new() }
     }
 
+    /// The last batch that was proposed.
+    pub(crate) fn last(&self) -> u64 {
+        self.last
+    }
+
+    /// The last batch on the primary's own disk.
+    pub(crate) fn durable_locally(&self) -> u64 {
+        self.durable_locally
+    }
+
+    /// The last committed batch.
+    pub(crate) fn committed(&self) -> u64 {
+        self.committed
+    }
+
+    /// Notes that the primary's own disk has this batch and all before.
+    pub(crate) fn written_locally(&mut self, sequence: u64) {
+        self.durable_locally = sequence;
+    }
+
+    /// Commits all batches up to this one. Returns whether any of them was not committed before.
+    pub(crate) fn commit_up_to(&mut self, sequence: u64) -> bool {
+        let advances = sequence > self.committed;
+        self.committed = self.committed.max(sequence);
+        advances
+    }
+
     /// Numbers a new batch.
     pub(crate) fn append(&mut self, now_ms: u64) -> u64 {
         self.last += 1;
--- a/crates/cluster/replication/src/primary/membership.rs
+++ b/crates/cluster/replication/src/primary/membership.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MembershipTracker {
     /// Machines that replicate and are no members.
-    pub(crate) standbys: BTreeMap<MemberId, Standby>,
+    standbys: BTreeMap<MemberId, Standby>,
     /// Members that asked to leave for good, with the time of the last request, milliseconds.
     leave_requested_at_ms: BTreeMap<MemberId, u64>,
     substitutions: Vec<Substitution>,
@@ -50,7 +50,7 @@
     ///
     /// A backup on a slower link than the others would otherwise always lack the last committed
     /// batch, and never join.
-    pub(crate) commits_wait_for: Vec<MemberId>,
+    commits_wait_for: Vec<MemberId>,
     /// Since when commits wait for each of these, or did a while ago, milliseconds.
     catch_up_since_ms: BTreeMap<MemberId, u64>,
 }
@@ -68,6 +68,26 @@
         self.standbys.insert(member.id, Standby { member, last_contact_ms: now_ms });
     }
 
+    /// The machines that replicate and are no members.
+    pub(crate) fn standbys(&self) -> impl Iterator<Item = &Standby> {
+        self.standbys.values()
+    }
+
+    /// The standby of this identity.
+    pub(crate) fn standby(&self, id: MemberId) -> Option<&Standby> {
+        self.standbys.get(&id)
+    }
+
+    /// Forgets standbys that have become members of this view.
+    pub(crate) fn forget_members_of(&mut self, view: &View) {
+        self.standbys.retain(|id, _| !view.has_member(*id));
+    }
+
+    /// The backups that are not in sync and that commits wait for.
+    pub(crate) fn commits_wait_for(&self) -> &[MemberId] {
+        &self.commits_wait_for
+    }
+
     /// Forgets standbys that have been silent for long.
     pub(crate) fn expire_standbys(&mut self, now_ms: u64) {
         self.standbys.retain(|_, standby| now_ms < standby.last_contact_ms + STANDBY_EXPIRY_MS);
--- a/crates/cluster/replication/src/primary/mod.rs
+++ b/crates/cluster/replication/src/primary/mod.rs
@@ -10,5 +10,5 @@
 pub(crate) use batches::BatchTracker;
 pub(crate) use lease::Grant;
 pub(crate) use session::PrimarySession;
-pub(crate) use state::{PrimaryState, ViewProposal};
+pub(crate) use state::PrimaryState;
 pub(crate) use view_change::ReviewContext;
--- a/crates/cluster/replication/src/primary/state.rs
+++ b/crates/cluster/replication/src/primary/state.rs
@@ -4,22 +4,33 @@
 use super::lease::{LeaseGrants, usable_until_ms};
 use super::membership::MembershipTracker;
 use super::session::PrimarySession;
+use crate::timing::PROPOSAL_RETRY_INTERVAL_MS;
 use crate::view::{Ballot, Epoch, MemberId, View};
 use std::collections::BTreeMap;
 
 /// A view that was proposed to its voters and is not decided yet.
 #[derive(Clone, Debug)]
-pub(crate) struct ViewProposal {
-    pub(crate) view: View,
+pub(super) struct ViewProposal {
+    view: View,
     acceptors: Vec<MemberId>,
     /// When the view was proposed last, milliseconds.
-    pub(crate) sent_at_ms: u64,
+    sent_at_ms: u64,
 }
 
 impl ViewProposal {
-    pub(crate) fn new(view: View, now_ms: u64) -> Self {
+    pub(super) fn new(view: View, now_ms: u64) -> Self {
         ViewProposal { view, acceptors: Vec::new(), sent_at_ms: now_ms }
     }
+
+    /// The view, if the proposal is to be repeated now; if so, the next repetition is due after an
+    /// interval.
+    pub(super) fn take_due_repetition(&mut self, now_ms: u64) -> Option<View> {
+        if now_ms <= self.sent_at_ms + PROPOSAL_RETRY_INTERVAL_MS {
+            return None;
+        }
+        self.sent_at_ms = now_ms;
+        Some(self.view.clone())
+    }
 }
 
 /// The state of a primary.
@@ -27,21 +38,21 @@
 /// Invariant: `view` was decided under `ballot`, and at most one proposal is under way.
 #[derive(Clone, Debug)]
 pub(crate) struct PrimaryState {
-    pub(crate) ballot: Ballot,
-    pub(crate) view: View,
+    ballot: Ballot,
+    view: View,
     /// The fewest votes that decide anything.
     min_quorum: usize,
-    pub(crate) proposal: Option<ViewProposal>,
+    pub(super) proposal: Option<ViewProposal>,
     pub(crate) grants: LeaseGrants,
     /// The sessions of the backups, by member or standby.
-    pub(crate) sessions: BTreeMap<MemberId, PrimarySession>,
+    sessions: BTreeMap<MemberId, PrimarySession>,
     pub(crate) failure_detector: FailureDetector,
     pub(crate) membership: MembershipTracker,
     pub(crate) batches: BatchTracker,
-    pub(crate) elected_at_ms: u64,
+    elected_at_ms: u64,
     pub(crate) heartbeat_at_ms: u64,
     /// Whether the lease was held once, so that this primary acts while it lasts.
-    pub(crate) is_active: bool,
+    is_active: bool,
 }
 
 impl PrimaryState {
@@ -71,6 +82,64 @@
         }
     }
 
+    /// The ballot under which the primary was elected.
+    pub(crate) fn ballot(&self) -> Ballot {
+        self.ballot
+    }
+
+    /// The view in force.
+    pub(crate) fn view(&self) -> &View {
+        &self.view
+    }
+
+    /// When the primary was elected, milliseconds.
+    pub(crate) fn elected_at_ms(&self) -> u64 {
+        self.elected_at_ms
+    }
+
+    /// Whether the lease was held once, so that this primary acts while it lasts.
+    pub(crate) fn is_active(&self) -> bool {
+        self.is_active
+    }
+
+    /// Lets the primary act: it holds its lease for the first time.
+    pub(crate) fn activate(&mut self) {
+        self.is_active = true;
+    }
+
+    /// Takes the proposed view as the one in force.
+    pub(crate) fn adopt_view(&mut self, view: View, now_ms: u64) {
+        self.membership.note_replacement(&self.view, &view, now_ms);
+        self.membership.forget_members_of(&view);
+        self.view = view;
+        self.proposal = None;
+    }
+
+    /// Starts a backup's session in place of any other.
+    pub(crate) fn start_session(&mut self, backup: MemberId, session: PrimarySession) {
+        self.sessions.insert(backup, session);
+    }
+
+    /// Ends a backup's session.
+    pub(crate) fn end_session(&mut self, backup: MemberId) {
+        self.sessions.remove(&backup);
+    }
+
+    /// A backup's session.
+    pub(crate) fn session(&self, backup: MemberId) -> Option<&PrimarySession> {
+        self.sessions.get(&backup)
+    }
+
+    /// A backup's session, to advance it.
+    pub(crate) fn session_mut(&mut self, backup: MemberId) -> Option<&mut PrimarySession> {
+        self.sessions.get_mut(&backup)
+    }
+
+    /// All that have a session.
+    pub(crate) fn backups(&self) -> impl Iterator<Item = MemberId> {
+        self.sessions.keys().copied()
+    }
+
     /// When the primary asked for the newest grants that a majority of the witnesses has given,
     /// milliseconds; 0 if there is no majority.
     pub(crate) fn majority_granted_at_ms(&self) -> u64 {
@@ -98,9 +167,9 @@
     /// replicas of both.
     pub(crate) fn commit_point(&self, local_id: MemberId) -> u64 {
         let proposed = self.proposal.iter().flat_map(|proposal| &proposal.view.in_sync);
-        let needed = self.view.in_sync.iter().chain(proposed).chain(&self.membership.commits_wait_for);
+        let needed = self.view.in_sync.iter().chain(proposed).chain(self.membership.commits_wait_for());
         let on_disk = |id: &MemberId| {
-            if *id == local_id { self.batches.durable_locally } else { self.acknowledged(*id).unwrap_or(0) }
+            if *id == local_id { self.batches.durable_locally() } else { self.acknowledged(*id).unwrap_or(0) }
         };
         needed.map(on_disk).min().unwrap_or(0)
     }
@@ -143,21 +212,21 @@
     /// That is enough to count it as in sync; how far it is behind only determines how long commits
     /// then wait for it.
     pub(crate) fn holds_committed(&self, id: MemberId) -> bool {
-        self.acknowledged(id).is_some_and(|acknowledged| acknowledged >= self.batches.committed)
+        self.acknowledged(id).is_some_and(|acknowledged| acknowledged >= self.batches.committed())
     }
 
     /// Whether a machine with another name than all members is in contact, ready or on the way to
     /// be.
     pub(crate) fn has_standby(&self, contact_timeout_ms: u64, now_ms: u64) -> bool {
         let is_member = |name: &str| self.view.members.iter().any(|member| member.node_name == name);
-        self.membership.standbys.values().any(|standby| {
+        self.membership.standbys().any(|standby| {
             standby.is_in_contact(contact_timeout_ms, now_ms) && !is_member(&standby.member.node_name)
         })
     }
 
     /// The address of a member or standby.
     pub(crate) fn address_of(&self, id: MemberId) -> Option<String> {
-        let standby = self.membership.standbys.get(&id).map(|standby| &standby.member);
+        let standby = self.membership.standby(id).map(|standby| &standby.member);
         self.view.member(id).or(standby).map(|member| member.peer_address.clone())
     }
 }
--- a/crates/cluster/replication/src/primary/view_change.rs
+++ b/crates/cluster/replication/src/primary/view_change.rs
@@ -6,8 +6,8 @@
 //! - a missing member, while there are fewer than 2f + 1;
 //! - a member that asked to leave for good;
 //! - a member that has been silent for [`REPLACEMENT_TIMEOUT_MS`]. If that member was only paused,
-//!   it gets its place back when it is heard again and has caught up.
-use super::state::PrimaryState;
+//!   it gets its place back when it is in contact again and has caught up.
+use super::state::{PrimaryState, ViewProposal};
 use crate::timing::{IN_SYNC_CONTACT_TIMEOUT_MS, REPLACEMENT_TIMEOUT_MS};
 use crate::view::{Member, MemberId, View};
 use std::cmp::Reverse;
@@ -32,8 +32,20 @@
 }
 
 impl PrimaryState {
+    /// The view to propose now: the one that is under way, if its proposal is to be repeated, or
+    /// the change that is due. Nothing new is proposed before a proposal is decided.
+    pub(crate) fn next_proposal(&mut self, context: &ReviewContext) -> Option<View> {
+        if let Some(proposal) = &mut self.proposal {
+            return proposal.take_due_repetition(context.now_ms);
+        }
+        self.batches.forget_old(context.now_ms);
+        let view = self.review_view(context)?;
+        self.proposal = Some(ViewProposal::new(view.clone(), context.now_ms));
+        Some(view)
+    }
+
     /// The change of view that is due, if any.
-    pub(crate) fn review_view(&mut self, context: &ReviewContext) -> Option<View> {
+    fn review_view(&mut self, context: &ReviewContext) -> Option<View> {
         self.wait_for_joining(context);
         self.forget_previous_members()
             .or_else(|| self.admit_standby(context))
@@ -45,19 +57,19 @@
     /// ends that before anything else is changed, so that a machine that left for good is not
     /// needed.
     fn forget_previous_members(&self) -> Option<View> {
-        self.view.changes_members().then(|| self.view.successor())
+        self.view().changes_members().then(|| self.view().successor())
     }
 
     /// Makes a standby a member that is in sync.
     fn admit_standby(&self, context: &ReviewContext) -> Option<View> {
-        self.membership.standbys.values().find_map(|standby| {
+        self.membership.standbys().find_map(|standby| {
             let id = standby.member.id;
             let is_in_contact = standby.is_in_contact(IN_SYNC_CONTACT_TIMEOUT_MS, context.now_ms);
             let vacancy = self.vacancy_for(&standby.member, context)?;
             if !is_in_contact || !self.may_join_in_sync(id, context) {
                 return None;
             }
-            let mut next = self.view.successor();
+            let mut next = self.view().successor();
             if let Vacancy::Replacing(replaced) = vacancy {
                 next.members.retain(|member| member.id != replaced);
                 next.in_sync.retain(|member| *member != replaced);
@@ -70,11 +82,11 @@
 
     /// The place that a standby may take now.
     fn vacancy_for(&self, standby: &Member, context: &ReviewContext) -> Option<Vacancy> {
-        let namesake = self.view.members.iter().find(|member| member.node_name == standby.node_name);
+        let namesake = self.view().members.iter().find(|member| member.node_name == standby.node_name);
         if let Some(namesake) = namesake {
             return (namesake.id != context.local_id).then_some(Vacancy::Replacing(namesake.id));
         }
-        if self.view.members.len() <= 2 * context.max_failures {
+        if self.view().members.len() <= 2 * context.max_failures {
             return Some(Vacancy::MissingMember);
         }
         self.replaceable_by(standby.id, context).map(Vacancy::Replacing)
@@ -85,7 +97,7 @@
     fn replaceable_by(&self, standby: MemberId, context: &ReviewContext) -> Option<MemberId> {
         let now_ms = context.now_ms;
         let ms_since_contact = |id: &MemberId| self.failure_detector.ms_since_contact(*id, now_ms);
-        let members = self.view.members.iter().map(|member| member.id);
+        let members = self.view().members.iter().map(|member| member.id);
         let others: Vec<MemberId> = members.filter(|id| *id != context.local_id).collect();
         let leaving = others.iter().find(|id| self.membership.is_leaving(**id, now_ms));
         let silent = || others.iter().filter(|id| ms_since_contact(id) > REPLACEMENT_TIMEOUT_MS);
@@ -98,15 +110,15 @@
     /// The member that took this machine's place while it was silent.
     fn substitute_of(&self, absent: MemberId, now_ms: u64) -> Option<MemberId> {
         let substitute = self.membership.substitute_of(absent, now_ms)?;
-        self.view.has_member(substitute).then_some(substitute)
+        self.view().has_member(substitute).then_some(substitute)
     }
 
     /// Lets commits wait for backups that keep up and are to join the in-sync set, so that they
     /// come to hold all that is committed.
     fn wait_for_joining(&mut self, context: &ReviewContext) {
-        let members = self.view.members.iter().map(|member| member.id);
-        let out_of_sync = members.filter(|id| !self.view.is_in_sync(*id));
-        let standbys = self.membership.standbys.values().map(|standby| &standby.member);
+        let members = self.view().members.iter().map(|member| member.id);
+        let out_of_sync = members.filter(|id| !self.view().is_in_sync(*id));
+        let standbys = self.membership.standbys().map(|standby| &standby.member);
         let to_admit = standbys.filter(|member| self.vacancy_for(member, context).is_some());
         let candidates = out_of_sync.chain(to_admit.map(|member| member.id));
         let joining: Vec<MemberId> = candidates.filter(|id| self.keeps_up(*id, context.now_ms)).collect();
@@ -116,7 +128,7 @@
     /// Whether a backup may join the in-sync set: it holds all that is committed, and it keeps up,
     /// or the set lacks somebody. A slow replica is better than a missing one.
     fn may_join_in_sync(&self, id: MemberId, context: &ReviewContext) -> bool {
-        let lacks_somebody = || self.view.in_sync.iter().any(|other| self.is_missing(*other, context));
+        let lacks_somebody = || self.view().in_sync.iter().any(|other| self.is_missing(*other, context));
         self.holds_committed(id) && (self.keeps_up(id, context.now_ms) || lacks_somebody())
     }
 
@@ -135,24 +147,24 @@
     /// longest. The set keeps at least f + 1 members however many are missing: committed batches
     /// must survive f losses.
     fn drop_missing_from_in_sync(&self, context: &ReviewContext) -> Option<View> {
-        let in_sync = self.view.in_sync.iter().copied();
+        let in_sync = self.view().in_sync.iter().copied();
         let mut missing: Vec<MemberId> = in_sync.filter(|id| self.is_missing(*id, context)).collect();
         missing.sort_by_key(|id| Reverse(self.failure_detector.ms_since_contact(*id, context.now_ms)));
-        missing.truncate(self.view.in_sync.len().saturating_sub(context.max_failures + 1));
+        missing.truncate(self.view().in_sync.len().saturating_sub(context.max_failures + 1));
         if missing.is_empty() {
             return None;
         }
-        let mut next = self.view.successor();
+        let mut next = self.view().successor();
         next.in_sync.retain(|id| !missing.contains(id));
         Some(next)
     }
 
     /// Returns a member to the in-sync set.
     fn restore_to_in_sync(&self, context: &ReviewContext) -> Option<View> {
-        let members = self.view.members.iter().map(|member| member.id);
-        let mut out_of_sync = members.filter(|id| !self.view.is_in_sync(*id));
+        let members = self.view().members.iter().map(|member| member.id);
+        let mut out_of_sync = members.filter(|id| !self.view().is_in_sync(*id));
         let returning = out_of_sync.find(|id| self.may_join_in_sync(*id, context))?;
-        let mut next = self.view.successor();
+        let mut next = self.view().successor();
         next.in_sync.push(returning);
         Some(next)
     }
--- a/crates/cluster/replication/src/replica/candidate.rs
+++ b/crates/cluster/replication/src/replica/candidate.rs
@@ -160,7 +160,7 @@
                     self.with_election(now_ms, ballot, |election| election.rejected(from, retry_after_ms));
                 }
             }
-            Role::Primary(primary) if primary.ballot == ballot && promised > ballot => {
+            Role::Primary(primary) if primary.ballot() == ballot && promised > ballot => {
                 self.become_backup(now_ms);
             }
             _ => {}
--- a/crates/cluster/replication/src/replica/discovery.rs
+++ b/crates/cluster/replication/src/replica/discovery.rs
@@ -1,4 +1,4 @@
-//! How machines find each other and the newest view while no primary is heard.
+//! How machines find each other and the newest view while no primary is in contact.
 use super::outbox::Destination;
 use super::state::Replica;
 use crate::interface::ReplicaEvent;
@@ -37,7 +37,7 @@
         known_epoch: Epoch,
     ) {
         if let Some(primary) = self.as_primary_mut() {
-            if !primary.view.has_member(member.id) {
+            if !primary.view().has_member(member.id) {
                 primary.membership.add_standby(member.clone(), now_ms);
             }
             return self.send_heartbeat(now_ms, &member);
--- a/crates/cluster/replication/src/replica/dispatch.rs
+++ b/crates/cluster/replication/src/replica/dispatch.rs
@@ -108,12 +108,12 @@
             self.backup.end_session();
         }
         let Some(primary) = self.as_primary_mut() else { return };
-        let members = primary.view.members.iter();
+        let members = primary.view().members.iter();
         let lost: Vec<MemberId> =
             members.filter(|member| member.peer_address == address).map(|member| member.id).collect();
         for id in lost {
             // What was in flight on the connection is lost, so the session must begin anew.
-            primary.sessions.remove(&id);
+            primary.end_session(id);
             primary.failure_detector.connection_lost(id, now_ms);
         }
     }
--- a/crates/cluster/replication/src/replica/handover.rs
+++ b/crates/cluster/replication/src/replica/handover.rs
@@ -49,14 +49,14 @@
     pub(super) fn handle_leave_request(&mut self, now_ms: u64, member: &Member) {
         let Some(primary) = self.as_primary_mut() else { return };
         let is_voter = primary.may_need_vote_of(member.id);
-        if is_voter && primary.is_active {
+        if is_voter && primary.is_active() {
             primary.membership.leave_requested(member.id, now_ms);
         }
         let has_standby = primary.has_standby(IN_SYNC_CONTACT_TIMEOUT_MS, now_ms);
-        let is_replacing = primary.view.changes_members();
-        // A primary that has just taken over has not yet heard from standbys.
-        let may_have_standby = now_ms < primary.elected_at_ms + STANDBY_DISCOVERY_MS;
-        let must_wait = is_voter && (has_standby || is_replacing || may_have_standby || !primary.is_active);
+        let is_replacing = primary.view().changes_members();
+        // A primary that has just taken over has no contact with standbys yet.
+        let may_have_standby = now_ms < primary.elected_at_ms() + STANDBY_DISCOVERY_MS;
+        let must_wait = is_voter && (has_standby || is_replacing || may_have_standby || !primary.is_active());
         self.send_to(member, Message::LeaveResponse { must_wait });
     }
 
--- a/crates/cluster/replication/src/replica/primary.rs
+++ b/crates/cluster/replication/src/replica/primary.rs
@@ -5,8 +5,8 @@
 use crate::interface::{Record, ReplicaEvent};
 use crate::keyspace::Change;
 use crate::message::{Heartbeat, LeaseGrant, MajorityContact, Message};
-use crate::primary::{BatchTracker, Grant, PrimaryState, ReviewContext, ViewProposal};
-use crate::timing::{ACTIVATION_TIMEOUT_LEASES, PROPOSAL_RETRY_INTERVAL_MS, STEP_DOWN_COOLDOWN_MS};
+use crate::primary::{BatchTracker, Grant, PrimarySession, PrimaryState, ReviewContext};
+use crate::timing::{ACTIVATION_TIMEOUT_LEASES, STEP_DOWN_COOLDOWN_MS};
 use crate::view::{Ballot, Member, MemberId, Position, Term, View};
 use crate::witness::Vote;
 
@@ -14,12 +14,13 @@
     /// Proposes changes as primary, and returns the sequence number of their batch; `None` if this
     /// machine is not primary.
     ///
-    /// They are applied here at once. They last once [`ReplicaEvent::Committed`] covers the batch.
+    /// They are applied here at once. They are durable once [`ReplicaEvent::Committed`] covers the
+    /// batch.
     pub fn propose(&mut self, now_ms: u64, changes: Vec<Change>) -> Option<u64> {
         let Role::Primary(primary) = &mut self.role else { return None };
         self.local_state.keyspace.apply_all(&changes);
         let sequence = primary.batches.append(now_ms);
-        let position = Position { term: primary.view.term, sequence };
+        let position = Position { term: primary.view().term, sequence };
         self.local_state.position = position;
         self.stream_batch(position, &changes);
         let completion = WriteCompletion::BatchProposed { term: position.term, sequence };
@@ -30,10 +31,10 @@
     /// Steps down, if this machine is primary, in favour of a replica that lacks nothing.
     pub fn resign(&mut self, now_ms: u64) {
         let Some(primary) = self.as_primary() else { return };
-        let ballot = primary.ballot;
-        let last = primary.batches.last;
+        let ballot = primary.ballot();
+        let last = primary.batches.last();
         let is_current = |id: &&MemberId| primary.acknowledged(**id) == Some(last);
-        let successor = primary.view.in_sync.iter().find(is_current).copied();
+        let successor = primary.view().in_sync.iter().find(is_current).copied();
         self.release_lease(now_ms, ballot, successor);
         self.timers.not_candidate_before_ms = now_ms + STEP_DOWN_COOLDOWN_MS;
     }
@@ -48,7 +49,7 @@
     /// Stops acting as primary and releases the lease, so that nobody has to wait for its end.
     fn release_lease(&mut self, now_ms: u64, ballot: Ballot, successor: Option<MemberId>) {
         let Some(primary) = self.as_primary() else { return };
-        let members = primary.view.members.clone();
+        let members = primary.view().members.clone();
         self.witness.release_lease(ballot);
         self.become_backup(now_ms);
         self.send_to_others(&members, &Message::Resign { ballot, successor });
@@ -64,7 +65,7 @@
             PrimaryState::new(local_id, ballot, view.clone(), self.min_quorum(), batches, now_ms);
         let last_contact_ms = self.timers.last_primary_contact_ms.min(now_ms);
         if let Role::Candidate(election) = &self.role {
-            // A member that did not answer the election has not been heard since before it.
+            // A member that did not answer the election was in contact before it at the latest.
             for member in view.members.iter().filter(|member| !election.has_promised(member.id)) {
                 primary.failure_detector.set_last_contact(member.id, last_contact_ms);
             }
@@ -81,8 +82,8 @@
         let previous_role = std::mem::replace(&mut self.role, Role::Backup);
         self.timers.last_primary_contact_ms = now_ms;
         if let Role::Primary(primary) = previous_role {
-            log::info!("primary stepped down term={}", primary.view.term);
-            if primary.is_active {
+            log::info!("primary stepped down term={}", primary.view().term);
+            if primary.is_active() {
                 self.outbox.emit(ReplicaEvent::Deactivated);
             }
         }
@@ -91,23 +92,20 @@
     /// A change of view that this primary proposed is in force.
     pub(super) fn adopt_view(&mut self, now_ms: u64, view: View) {
         let Role::Primary(primary) = &mut self.role else { return };
-        primary.membership.note_replacement(&primary.view, &view, now_ms);
         log::info!(
             "view adopted epoch={} members={} in_sync={}",
             view.epoch,
             view.members.len(),
             view.in_sync.len()
         );
-        primary.membership.standbys.retain(|id, _| !view.has_member(*id));
-        primary.view = view.clone();
-        primary.proposal = None;
+        primary.adopt_view(view.clone(), now_ms);
         self.learn_decided_view(view);
         self.advance_commit();
     }
 
     pub(super) fn handle_lease_grant(&mut self, from: MemberId, grant: &LeaseGrant) {
         let Some(primary) = self.as_primary_mut() else { return };
-        if primary.ballot == grant.ballot {
+        if primary.ballot() == grant.ballot {
             let LeaseGrant { sent_at_ms, witness_clock_ms, ineligible, .. } = *grant;
             primary.grants.record(from, Grant { asked_at_ms: sent_at_ms, witness_clock_ms, ineligible });
         }
@@ -117,9 +115,9 @@
     pub(super) fn own_batch_written(&mut self, term: Term, sequence: u64) {
         self.local_state.durable_sequence = sequence;
         if let Some(primary) = self.as_primary_mut()
-            && primary.view.term == term
+            && primary.view().term == term
         {
-            primary.batches.durable_locally = sequence;
+            primary.batches.written_locally(sequence);
         }
     }
 
@@ -128,8 +126,7 @@
         let local_id = self.local_member.id;
         let Some(primary) = self.as_primary_mut() else { return };
         let sequence = primary.commit_point(local_id);
-        if sequence > primary.batches.committed {
-            primary.batches.committed = sequence;
+        if primary.batches.commit_up_to(sequence) {
             self.outbox.emit(ReplicaEvent::Committed { sequence });
         }
     }
@@ -139,16 +136,16 @@
         let lease_ms = self.config.lease_ms;
         let Some(primary) = self.as_primary_mut() else { return };
         let holds_majority = now_ms < primary.lease_until_ms(lease_ms);
-        let activation_deadline_ms = primary.elected_at_ms + ACTIVATION_TIMEOUT_LEASES * lease_ms;
-        if !holds_majority && (primary.is_active || now_ms >= activation_deadline_ms) {
-            // This machine is cut off from the witnesses. If they still hear it, they need not wait
-            // for the lease's end.
-            let ballot = primary.ballot;
+        let activation_deadline_ms = primary.elected_at_ms() + ACTIVATION_TIMEOUT_LEASES * lease_ms;
+        if !holds_majority && (primary.is_active() || now_ms >= activation_deadline_ms) {
+            // This machine is cut off from the witnesses. If they still receive its messages, they
+            // need not wait for the lease's end.
+            let ballot = primary.ballot();
             return self.release_lease(now_ms, ballot, None);
         }
-        if holds_majority && !primary.is_active {
-            primary.is_active = true;
-            let term = primary.view.term;
+        if holds_majority && !primary.is_active() {
+            primary.activate();
+            let term = primary.view().term;
             self.outbox.emit(ReplicaEvent::Activated { term });
         }
         if self.as_primary().is_some_and(|primary| primary.batches.is_own_disk_stalled(now_ms)) {
@@ -168,9 +165,9 @@
         }
         primary.heartbeat_at_ms = now_ms;
         primary.membership.expire_standbys(now_ms);
-        let standbys = primary.membership.standbys.values().map(|standby| &standby.member);
-        let receivers: Vec<Member> = primary.view.members.iter().chain(standbys).cloned().collect();
-        let ballot = primary.ballot;
+        let standbys = primary.membership.standbys().map(|standby| &standby.member);
+        let receivers: Vec<Member> = primary.view().members.iter().chain(standbys).cloned().collect();
+        let ballot = primary.ballot();
         if self.witness.grant_lease(now_ms, ballot) == Vote::Granted {
             let local_id = self.local_member.id;
             let (sent_at_ms, witness_clock_ms) = (now_ms, now_ms);
@@ -190,11 +187,11 @@
         let grant = primary.grants.of(member.id).filter(|_| holds_lease);
         let contact = |grant: &Grant| MajorityContact { receiver_clock_ms: grant.witness_clock_ms, age_ms };
         let heartbeat = Heartbeat {
-            ballot: primary.ballot,
-            view: primary.view.clone(),
+            ballot: primary.ballot(),
+            view: primary.view().clone(),
             sent_at_ms: now_ms,
-            sequence: primary.batches.last,
-            session: primary.sessions.get(&member.id).map(|session| session.number()),
+            sequence: primary.batches.last(),
+            session: primary.session(member.id).map(PrimarySession::number),
             majority_contact: grant.map(contact),
         };
         self.send_to(member, Message::Heartbeat(heartbeat));
@@ -205,19 +202,9 @@
         let local_id = self.local_member.id;
         let max_failures = self.config.max_failures;
         let Some(primary) = self.as_primary_mut() else { return };
-        let ballot = primary.ballot;
-        if let Some(proposal) = &mut primary.proposal {
-            if now_ms > proposal.sent_at_ms + PROPOSAL_RETRY_INTERVAL_MS {
-                proposal.sent_at_ms = now_ms;
-                let view = proposal.view.clone();
-                self.propose_view(ballot, &view);
-            }
-            return;
-        }
-        primary.batches.forget_old(now_ms);
+        let ballot = primary.ballot();
         let context = ReviewContext { local_id, max_failures, now_ms };
-        if let Some(view) = primary.review_view(&context) {
-            primary.proposal = Some(ViewProposal::new(view.clone(), now_ms));
+        if let Some(view) = primary.next_proposal(&context) {
             self.propose_view(ballot, &view);
         }
     }
--- a/crates/cluster/replication/src/replica/repair.rs
+++ b/crates/cluster/replication/src/replica/repair.rs
@@ -15,13 +15,13 @@
         range_digests: Vec<u64>,
     ) {
         let Role::Primary(primary) = &mut self.role else { return };
-        if primary.view.term != term {
+        if primary.view().term != term {
             return;
         }
         let Some(address) = primary.address_of(from) else { return };
         let in_sync = primary.may_count_in_sync(from);
         let (new_session, ranges) = PrimarySession::begin(session, range_digests, &self.local_state.keyspace);
-        primary.sessions.insert(from, new_session);
+        primary.start_session(from, new_session);
         if ranges.is_empty() {
             return self.send_next_items(from);
         }
@@ -55,8 +55,8 @@
     fn send_next_items(&mut self, to: MemberId) {
         let Role::Primary(primary) = &mut self.role else { return };
         let Some(address) = primary.address_of(to) else { return };
-        let sequence = primary.batches.last;
-        let Some(session) = primary.sessions.get_mut(&to) else { return };
+        let sequence = primary.batches.last();
+        let Some(session) = primary.session_mut(to) else { return };
         let number = session.number();
         let destination = Destination { address, id: Some(to) };
         for next in session.next_items(&self.local_state.keyspace, sequence) {
@@ -69,14 +69,14 @@
     pub(super) fn stream_batch(&mut self, position: Position, changes: &[Change]) {
         let local_id = self.local_member.id;
         let Role::Primary(primary) = &mut self.role else { return };
-        let backups: Vec<MemberId> = primary.sessions.keys().copied().filter(|id| *id != local_id).collect();
+        let backups: Vec<MemberId> = primary.backups().filter(|id| *id != local_id).collect();
         let mut messages: Vec<(Destination, Message)> = Vec::new();
         for id in backups {
             let Some(address) = primary.address_of(id) else {
-                primary.sessions.remove(&id);
+                primary.end_session(id);
                 continue;
             };
-            let Some(session) = primary.sessions.get_mut(&id) else { continue };
+            let Some(session) = primary.session_mut(id) else { continue };
             if let Some(next) = session.batch_item(position.sequence, changes) {
                 let number = session.number();
                 let message = Message::Stream { session: number, index: next.index, item: next.item };
@@ -84,7 +84,7 @@
             }
             if session.is_over_limit() {
                 log::warn!("backup too slow, session ended backup={}", id.0);
-                primary.sessions.remove(&id);
+                primary.end_session(id);
             }
         }
         for (destination, message) in messages {
@@ -95,5 +95,5 @@
 
 /// A backup's session, if it still has this number: messages of an earlier one are dropped.
 fn current_session(primary: &mut PrimaryState, from: MemberId, number: u64) -> Option<&mut PrimarySession> {
-    primary.sessions.get_mut(&from).filter(|session| session.number() == number)
+    primary.session_mut(from).filter(|session| session.number() == number)
 }
--- a/crates/cluster/replication/src/replica/state.rs
+++ b/crates/cluster/replication/src/replica/state.rs
@@ -24,7 +24,7 @@
     Primary(Box<PrimaryState>),
 }
 
-/// When this machine last heard of a primary and what it may do about its silence. All times in
+/// When a primary was in contact last, and what this machine may do while it is not. All times in
 /// milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ElectionTimers {
@@ -150,7 +150,7 @@
     #[must_use]
     pub fn active_term(&self, now_ms: u64) -> Option<Term> {
         let Role::Primary(primary) = &self.role else { return None };
-        primary.holds_lease(self.config.lease_ms, now_ms).then_some(primary.view.term)
+        primary.holds_lease(self.config.lease_ms, now_ms).then_some(primary.view().term)
     }
 
     /// The primary, if this machine can prove that it was in contact with a majority less than a
@@ -169,7 +169,7 @@
     /// The sequence number of the last committed batch; 0 if this machine is not primary.
     #[must_use]
     pub fn committed_sequence(&self) -> u64 {
-        self.as_primary().map_or(0, |primary| primary.batches.committed)
+        self.as_primary().map_or(0, |primary| primary.batches.committed())
     }
 
     /// The members as the primary sees them; none if this machine is not primary.
@@ -182,7 +182,7 @@
             MemberStatus {
                 member: member.clone(),
                 durable_sequence: if is_local {
-                    Some(primary.batches.durable_locally)
+                    Some(primary.batches.durable_locally())
                 } else {
                     primary.acknowledged(member.id)
                 },
@@ -193,7 +193,7 @@
                 },
             }
         };
-        primary.view.members.iter().map(status).collect()
+        primary.view().members.iter().map(status).collect()
     }
 
     /// What is to be done since this was last called.
--- a/crates/cluster/replication/src/replica/view_proposal.rs
+++ b/crates/cluster/replication/src/replica/view_proposal.rs
@@ -23,7 +23,7 @@
             Role::Candidate(_) => {
                 self.with_election(now_ms, ballot, |election| election.accepted(from, epoch));
             }
-            Role::Primary(primary) if primary.ballot == ballot => {
+            Role::Primary(primary) if primary.ballot() == ballot => {
                 if let Some(view) = primary.accepted(from, epoch) {
                     self.adopt_view(now_ms, view);
                 }
--- a/crates/cluster/replication/src/timing.rs
+++ b/crates/cluster/replication/src/timing.rs
@@ -48,19 +48,19 @@
 pub(crate) const MAX_BATCH_TRANSIT_MS: u64 = 200;
 /// Silence after which a replica leaves the in-sync set.
 pub(crate) const IN_SYNC_CONTACT_TIMEOUT_MS: u64 = 600;
-/// How long a machine whose connection broke has to be heard again before it counts as silent.
+/// How long a machine whose connection broke has to be in contact again before it counts as silent.
 pub(crate) const RECONNECT_TIMEOUT_MS: u64 = 200;
 /// How long a batch may lack a replica's acknowledgement before the replica leaves the in-sync set.
 pub(crate) const ACKNOWLEDGEMENT_TIMEOUT_MS: u64 = 300;
 /// Silence after which a member is replaced by a standby.
 pub(crate) const REPLACEMENT_TIMEOUT_MS: u64 = 280;
-/// How long after its replacement a member that is heard again gets its place back.
+/// How long after its replacement a member that is in contact again gets its place back.
 pub(crate) const REINSTATEMENT_WINDOW_MS: u64 = 30_000;
 /// How long a member's request to leave stays valid.
 pub(crate) const LEAVE_REQUEST_VALIDITY_MS: u64 = 1_000;
 /// How often a member that is to leave repeats its request.
 pub(crate) const LEAVE_REQUEST_INTERVAL_MS: u64 = 50;
-/// How long a new primary assumes that a standby may exist of which it has not heard yet.
+/// How long a new primary assumes that there may be a standby that has not announced itself yet.
 pub(crate) const STANDBY_DISCOVERY_MS: u64 = 250;
 /// Silence after which a standby is forgotten.
 pub(crate) const STANDBY_EXPIRY_MS: u64 = 6_000;
