--- a/crates/service/engine/examples/facts.rs
+++ b/crates/service/engine/examples/facts.rs
@@ -1,13 +1,15 @@
-//! How long a job waits while the facts of many workers change: `cargo run --release -p spanlead-engine --example facts`.
+//! How long a job waits while the facts of many workers change: `cargo run --release -p
+//! spanlead-engine --example facts`.
 //!
-//! The reducer takes one input at a time, so the longest step is the longest that a job which has just come can wait for it.
-//! For each size: the longest step of all that follow a first whole list, the same list with every weight changed, a file
-//! that states pods and weights of all, and one that changes them all; and the whole time until the last slice.
+//! The reducer takes one input at a time, so the longest step is the longest that a job which has
+//! just come can wait for it. For each size: the longest step of all that follow a first whole
+//! list, the same list with every weight changed, a file that states pods and weights of all, and
+//! one that changes them all; and the whole time until the last slice.
 use spanlead_balancing_policy::{
     DeduplicationScope, EndpointUpdate, Idempotency, Nanos, RequestClass, RequestId, Settings, WorkerState,
 };
 use spanlead_deployment_settings::Names;
-use spanlead_engine::*;
+use spanlead_engine::{Engine, Input, InventoryUpdate, Job, WorkerEndpoint};
 use spanlead_worker_attributes::{Defaults, Place, Row, Said, Sheet, Source, Version};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,7 +32,8 @@
         self.longest = self.longest.max(begun.elapsed());
     }
 
-    /// Takes an input, then ticks with a job between each two, until nothing is left to take; the longest step and all.
+    /// Takes an input, then ticks with a job between each two, until nothing is left to take; the
+    /// longest step and all.
     fn measure(&mut self, input: Input) -> (Duration, Duration) {
         self.longest = Duration::ZERO;
         let begun = Instant::now();
--- a/crates/service/engine/examples/recovery.rs
+++ b/crates/service/engine/examples/recovery.rs
@@ -1,5 +1,5 @@
-//! What a start costs: a log of so many records, a tenth as many open jobs among them, read back and taken into the
-//! reducer. `cargo run --release -p spanlead-engine --example recovery`
+//! What a start costs: a log of so many records, a tenth as many open jobs among them, read back
+//! and taken into the reducer. `cargo run --release -p spanlead-engine --example recovery`
 use spanlead_balancing_policy::{
     DeduplicationScope, Idempotency, Nanos, RequestClass, Settings, WorkerState,
 };
--- a/crates/service/engine/src/attempts.rs
+++ b/crates/service/engine/src/attempts.rs
@@ -7,9 +7,11 @@
 use spanlead_durable_jobs::JobNumber;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// How long a worker may take to acknowledge that an attempt is cancelled when the request is over anyway.
+/// How long a worker may take to acknowledge that an attempt is cancelled when the request is over
+/// anyway.
 pub(crate) const CANCEL_TIMEOUT: Nanos = 1_000 * MS;
-/// How long a worker may take to say that it has a job: it answers at once, so one that does not by then has lost it.
+/// How long a worker may take to say that it has a job: it answers at once, so one that does not by
+/// then has lost it.
 pub(crate) const ACCEPT_TIMEOUT: Nanos = 1_000 * MS;
 
 /// The address of an attempt that goes nowhere.
@@ -117,7 +119,8 @@
     ) {
         let is_open = match self.requests.stage(attempt) {
             Some(AttemptStage::Dispatched | AttemptStage::Cancelling(_)) => true,
-            // It was cancelled meanwhile, or a worker's notice has ended it before the answer to the dispatch came.
+            // It was cancelled meanwhile, or a worker's notice has ended it before the answer to
+            // the dispatch came.
             Some(AttemptStage::Accepted | AttemptStage::Ended) | None => false,
         };
         match result {
@@ -130,8 +133,8 @@
             DispatchResult::Ended(outcome, report) if is_open => {
                 self.end_attempt(now, attempt, outcome, report, out);
             }
-            // The fault is the request's, so the worker must not be avoided for it, and a retry would only take it to the
-            // next one.
+            // The fault is the request's, so the worker must not be avoided for it, and a retry
+            // would only take it to the next one.
             DispatchResult::Unprocessable if is_open => {
                 self.answer(now, attempt.request, Answer::Unprocessable, out);
                 self.end_attempt(now, attempt, Outcome::Cancelled, None, out);
@@ -147,8 +150,8 @@
         }
     }
 
-    /// Cancels an attempt. While another may follow, its outcome waits until the worker knows, so that two are never pending
-    /// at once; when the request is over, nothing waits for it.
+    /// Cancels an attempt. While another may follow, its outcome waits until the worker knows, so
+    /// that two are never pending at once; when the request is over, nothing waits for it.
     pub(crate) fn cancel_attempt(
         &mut self,
         now: Nanos,
--- a/crates/service/engine/src/classes.rs
+++ b/crates/service/engine/src/classes.rs
@@ -1,5 +1,6 @@
-//! What the deployment's settings say of classes. Numbers of classes are never used again: after new settings the classes of
-//! the old ones keep theirs, so that open requests go on by the rules they came under.
+//! What the deployment's settings say of classes. Numbers of classes are never used again: after
+//! new settings the classes of the old ones keep theirs, so that open requests go on by the rules
+//! they came under.
 use spanlead_balancing_policy::{Idempotency, Nanos, Settings};
 use spanlead_deployment_settings::Names;
 use std::sync::Arc;
--- a/crates/service/engine/src/discovery.rs
+++ b/crates/service/engine/src/discovery.rs
@@ -1,10 +1,12 @@
-//! Where the endpoint list comes from: discovery is watched, or an agent on this machine that lists are pushed to.
+//! Where the endpoint list comes from: discovery is watched, or an agent on this machine that lists
+//! are pushed to.
 use crate::timers::Timer;
 use crate::{Effect, Engine, MS};
 use spanlead_balancing_policy::{EndpointUpdate, Nanos};
 use std::net::SocketAddr;
 
-/// How soon after a failed call an agent is asked again: within the shortest grace for draining that is left after a call.
+/// How soon after a failed call an agent is asked again: within the shortest grace for draining
+/// that is left after a call.
 const AGENT_RETRY_INTERVAL: Nanos = 100 * MS;
 
 /// Discovery as this scheduler sees it.
@@ -20,8 +22,8 @@
 }
 
 impl Engine {
-    /// Goes on with the list at another address. For the policy the watch just goes on: a call at the old address that ends
-    /// with it is no failure of discovery.
+    /// Goes on with the list at another address. For the policy the watch just goes on: a call at
+    /// the old address that ends with it is no failure of discovery.
     pub(crate) fn move_discovery(&mut self, addr: SocketAddr, out: &mut Vec<Effect>) {
         if addr != self.discovery.addr {
             self.discovery.addr = addr;
@@ -38,8 +40,9 @@
         out.push(Effect::WatchEndpoints { addr, version });
     }
 
-    /// Where lists are pushed, the policy waits for them and asks for none. On sockets they lie with an agent on this machine,
-    /// and what it holds counts as notified: it is watched from the start, and again soon after a call that failed.
+    /// Where lists are pushed, the policy waits for them and asks for none. On sockets they lie
+    /// with an agent on this machine, and what it holds counts as notified: it is watched from the
+    /// start, and again soon after a call that failed.
     pub(crate) fn follow_agent(&mut self, now: Nanos, scope: EndpointUpdate, out: &mut Vec<Effect>) {
         if !self.discovery.is_pushed {
             return;
--- a/crates/service/engine/src/durability_barrier.rs
+++ b/crates/service/engine/src/durability_barrier.rs
@@ -3,7 +3,8 @@
 use spanlead_balancing_policy::Nanos;
 use std::collections::{HashSet, VecDeque};
 
-/// Holds effects back until their records are durable, and releases them when that comes too late or never.
+/// Holds effects back until their records are durable, and releases them when that comes too late
+/// or never.
 #[derive(Debug, Default)]
 pub struct DurabilityBarrier {
     /// The last record that was appended.
@@ -52,7 +53,8 @@
         self.waiting.is_empty()
     }
 
-    /// Takes an effect that must not be seen before all records so far are durable. Returns what can be done at once.
+    /// Takes an effect that must not be seen before all records so far are durable. Returns what
+    /// can be done at once.
     pub fn submit(&mut self, effect: Effect, until: Nanos) -> Option<ReleasedEffect> {
         if self.failed {
             return release_after_failure(effect, true);
@@ -92,9 +94,9 @@
         self.unsent.remove(&attempt)
     }
 
-    /// No record will become durable any more. What was not sent must not be, since its lease may not be on disk, and none is
-    /// renewed. Ends and notices are released all the same: the leases behind them are on disk, so no other process runs these
-    /// jobs anew.
+    /// No record will become durable any more. What was not sent must not be, since its lease may
+    /// not be on disk, and none is renewed. Ends and notices are released all the same: the leases
+    /// behind them are on disk, so no other process runs these jobs anew.
     pub fn fail(&mut self) -> Vec<ReleasedEffect> {
         self.failed = true;
         let mut released = Vec::new();
@@ -105,8 +107,8 @@
         released
     }
 
-    /// Releases what has waited too long: a client is answered that its request failed while it still waits, which claims
-    /// nothing; an attempt is not worth sending any more.
+    /// Releases what has waited too long: a client is answered that its request failed while it
+    /// still waits, which claims nothing; an attempt is not worth sending any more.
     pub fn expire(&mut self, now: Nanos) -> Vec<ReleasedEffect> {
         let all = std::mem::take(&mut self.waiting).into_iter();
         let (expired, waiting): (VecDeque<_>, VecDeque<_>) = all.partition(|waiting| waiting.until <= now);
--- a/crates/service/engine/src/durable.rs
+++ b/crates/service/engine/src/durable.rs
@@ -6,8 +6,8 @@
 //! - `storage`: the log's size, and its failure;
 //! - `recovery`: what comes back after a crash.
 //!
-//! The order between records and what is seen of them is kept by where [`Effect::AppendRecord`] stands: what must wait for
-//! it is wrapped in [`Effect::AfterDurable`] behind it.
+//! The order between records and what is seen of them is kept by where [`Effect::AppendRecord`]
+//! stands: what must wait for it is wrapped in [`Effect::AfterDurable`] behind it.
 mod leases;
 mod recording;
 mod recovery;
@@ -111,8 +111,8 @@
     Effect::AfterDurable { effect: Box::new(effect), until }
 }
 
-/// An answer to a client. A result waits until it is durable; whatever else is said of a job claims nothing that a crash could
-/// make untrue.
+/// An answer to a client. A result waits until it is durable; whatever else is said of a job claims
+/// nothing that a crash could make untrue.
 pub(crate) fn answer_effect(
     request_id: RequestId,
     answer: Answer,
--- a/crates/service/engine/src/durable/leases.rs
+++ b/crates/service/engine/src/durable/leases.rs
@@ -1,5 +1,5 @@
-//! The leases under which workers run durable jobs. A worker that goes by its lease stops when that expires, unless it was
-//! renewed by the answer to a notice; so the job can then run elsewhere.
+//! The leases under which workers run durable jobs. A worker that goes by its lease stops when that
+//! expires, unless it was renewed by the answer to a notice; so the job can then run elsewhere.
 use crate::attempts::{ACCEPT_TIMEOUT, CANCEL_TIMEOUT};
 use crate::request_table::AttemptStage;
 use crate::timers::Timer;
@@ -34,7 +34,8 @@
         let reported = self.workers.get(&worker)?.reported?;
         let zone = self.classes.names.zones.get(reported.zone as usize).map_or("", String::as_str);
         let location = WorkerLocation { worker, addr, zone: Arc::from(zone), cell: reported.lasting_cell() };
-        // Its worker counts from when the attempt came there, which is before this process hears that it has.
+        // Its worker counts from when the attempt came there, which is before this process hears
+        // that it has.
         let until = now + ACCEPT_TIMEOUT + length;
         self.record(Record::Leased { job, token, location, sent_at: now, expires_at: until }, out);
         Some(LeaseGrant { token: token.0, length })
@@ -69,8 +70,9 @@
         }
     }
 
-    /// A worker that goes by its lease has sent a notice: for how long it may go on from when it sent that. Not each notice
-    /// moves the recorded end: what the worker is told need only be recorded when it has moved by a quarter.
+    /// A worker that goes by its lease has sent a notice: for how long it may go on from when it
+    /// sent that. Not each notice moves the recorded end: what the worker is told need only be
+    /// recorded when it has moved by a quarter.
     pub(crate) fn renew_lease(
         &mut self,
         now: Nanos,
@@ -80,7 +82,8 @@
     ) -> Option<Nanos> {
         token?;
         let JobLease { job, token } = self.lease_of(attempt)?;
-        // What cannot be recorded must not be told: another process would believe the lease expired before its worker does.
+        // What cannot be recorded must not be told: another process would believe the lease expired
+        // before its worker does.
         let jobs = self.durable.as_ref().filter(|jobs| !jobs.failed)?;
         let length = jobs.lease;
         let lease = jobs.ledger.job(job)?.lease()?;
@@ -118,8 +121,8 @@
         }
     }
 
-    /// A lease may have expired: its worker has sent no notice for so long that it has stopped by its own clock. What follows
-    /// is the policy's to decide, by the job's class.
+    /// A lease may have expired: its worker has sent no notice for so long that it has stopped by
+    /// its own clock. What follows is the policy's to decide, by the job's class.
     pub(crate) fn lease_expired(&mut self, now: Nanos, attempt: AttemptId, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get(attempt.request) else { return };
         let job_id = request.job_id.clone();
@@ -134,13 +137,15 @@
         }
         jobs.counters.leases_ended += 1;
         let addr = this.addr;
-        // Should the worker be there all the same, it need not finish; nothing waits for its answer.
+        // Should the worker be there all the same, it need not finish; nothing waits for its
+        // answer.
         let until = now + CANCEL_TIMEOUT;
         out.push(Effect::CancelAttempt { attempt, addr, job_id, accepted: true, until });
         self.end_attempt(now, attempt, Outcome::Timeout, None, out);
     }
 
-    /// The reply to a notice that fits no pending attempt. A worker that goes by its lease is told that this is over.
+    /// The reply to a notice that fits no pending attempt. A worker that goes by its lease is told
+    /// that this is over.
     pub(crate) fn late_notice_reply(&mut self, job_id: &str, token: Option<u64>) -> NoticeReply {
         let acknowledged = NoticeReply::Acknowledged { lease: None };
         let (Some(token), Some(jobs)) = (token, &mut self.durable) else { return acknowledged };
--- a/crates/service/engine/src/durable/recovery.rs
+++ b/crates/service/engine/src/durable/recovery.rs
@@ -9,8 +9,8 @@
 use spanlead_deployment_settings::index_of;
 use spanlead_durable_jobs::{AcceptedJob, JobNumber, Lease, PastAttempt};
 
-/// How long an attempt of the process before may bring no notice whose worker had not said that it has the job. Longer than
-/// between two notices of a job that runs, where workers report progress.
+/// How long an attempt of the process before may bring no notice whose worker had not said that it
+/// has the job. Longer than between two notices of a job that runs, where workers report progress.
 const RECOVERY_NOTICE_TIMEOUT: Nanos = 3_000 * MS;
 /// Set in the ids of requests that were recovered; those of clients count from 0.
 const RECOVERED_REQUEST_BIT: u64 = 1 << 63;
@@ -84,7 +84,8 @@
         self.resume(now, resumed, out);
     }
 
-    /// A job as it was recorded; `None` if its client has given up, or its class or tenant is not known any more.
+    /// A job as it was recorded; `None` if its client has given up, or its class or tenant is not
+    /// known any more.
     fn recovered_job(&self, now: Nanos, accepted: &AcceptedJob) -> Option<Job> {
         let names = &self.classes.names;
         let class = names.class_index(&accepted.class)?;
@@ -122,8 +123,8 @@
         let attempts = resumed_attempts(&past, pending);
         let new = NewRequest { request_id, job, attempts, durable, client_waits };
         let request = self.admit(now, new);
-        // A class that must never run twice cannot go on from an attempt that may have run; the policy decides that where an
-        // attempt ends, so it is told that the last one does so now.
+        // A class that must never run twice cannot go on from an attempt that may have run; the
+        // policy decides that where an attempt ends, so it is told that the last one does so now.
         let is_exposed = self.classes.runs_at_most_once(class) && pending.is_none();
         let exposed = past.iter().rposition(|past| past.may_have_run).filter(|_| is_exposed);
         if let (Some(last), Some(pending)) = (past.len().checked_sub(1), pending) {
@@ -161,8 +162,8 @@
         }
     }
 
-    /// Tells the policy of workers that the endpoint list does not name (any more), as removed: it must know where an attempt
-    /// was to know where the next one may go.
+    /// Tells the policy of workers that the endpoint list does not name (any more), as removed: it
+    /// must know where an attempt was to know where the next one may go.
     fn introduce_workers(&mut self, now: Nanos, past: &[PastAttempt], out: &mut Vec<Effect>) {
         for PastAttempt { location, .. } in past {
             if self.workers.get(&location.worker).is_some() {
@@ -174,7 +175,8 @@
                 state: WorkerState::Removed,
                 started: None,
                 kind: None,
-                // A zone that is not there any more, or a pod that nobody knew, is no other worker's.
+                // A zone that is not there any more, or a pod that nobody knew, is no other
+                // worker's.
                 zone: index_of(&self.classes.names.zones, &location.zone),
                 cell: Some(location.cell),
                 weight: None,
@@ -219,7 +221,8 @@
     past.iter().enumerate().map(attempt).collect()
 }
 
-/// The same as the policy takes them; those that are pending, or whose end it is still to be told, have not ended.
+/// The same as the policy takes them; those that are pending, or whose end it is still to be told,
+/// have not ended.
 fn prior_attempts(
     past: &[PastAttempt],
     pending: Option<PendingAttempt>,
--- a/crates/service/engine/src/durable/repeats.rs
+++ b/crates/service/engine/src/durable/repeats.rs
@@ -26,8 +26,8 @@
 }
 
 impl Engine {
-    /// A client of the process before comes back with its durable request. That is open here since the log was read, or has had
-    /// its end since; it is not accepted anew.
+    /// A client of the process before comes back with its durable request. That is open here since
+    /// the log was read, or has had its end since; it is not accepted anew.
     pub(crate) fn adopt_durable_request(
         &mut self,
         now: Nanos,
@@ -105,7 +105,8 @@
         }
     }
 
-    /// Whether the request goes on although this client has disconnected: others wait for it, or it may come back by its key.
+    /// Whether the request goes on although this client has disconnected: others wait for it, or it
+    /// may come back by its key.
     pub(crate) fn outlives_client(&mut self, request_id: RequestId) -> bool {
         if self.requests.remove_joined(request_id) {
             return true;
--- a/crates/service/engine/src/durable/storage.rs
+++ b/crates/service/engine/src/durable/storage.rs
@@ -11,7 +11,8 @@
 const MAX_DISK_OVERHEAD: u64 = 2;
 
 impl Engine {
-    /// Forgets what has expired; what that frees on disk is looked for even if nothing more is recorded.
+    /// Forgets what has expired; what that frees on disk is looked for even if nothing more is
+    /// recorded.
     pub(crate) fn expire_durable_jobs(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         let Some(jobs) = &mut self.durable else { return };
         if jobs.ledger.expire(now) > 0 {
@@ -24,8 +25,8 @@
     pub(crate) fn records_durable(&mut self, disk_bytes: u64, out: &mut Vec<Effect>) {
         let Some(jobs) = &mut self.durable else { return };
         jobs.counters.disk_bytes = disk_bytes;
-        // What a few old jobs keep from being removed is rewritten when it is more than what lives. `live_bytes` is reckoned
-        // high, so that comes to an end.
+        // What a few old jobs keep from being removed is rewritten when it is more than what lives.
+        // `live_bytes` is reckoned high, so that comes to an end.
         let live_bytes = jobs.ledger.stats().live_bytes as u64;
         if disk_bytes > MAX_DISK_OVERHEAD * (live_bytes + jobs.segment_bytes) {
             for record in jobs.ledger.snapshot_records(MAX_REWRITTEN_JOBS) {
--- a/crates/service/engine/src/effect.rs
+++ b/crates/service/engine/src/effect.rs
@@ -157,7 +157,8 @@
     },
     /// The state of another scheduler has changed.
     MemberChanged(spanlead_membership::MemberStateChange),
-    /// Watches discovery for versions of the endpoint list after this one, in place of any watch under way.
+    /// Watches discovery for versions of the endpoint list after this one, in place of any watch
+    /// under way.
     WatchEndpoints {
         /// The address of discovery.
         addr: SocketAddr,
--- a/crates/service/engine/src/engine.rs
+++ b/crates/service/engine/src/engine.rs
@@ -39,8 +39,8 @@
     }
 }
 
-/// The whole state of a scheduler. Each field keeps its own invariants; what concerns several of them is done by the engine's
-/// methods, which stand in the module of their concern.
+/// The whole state of a scheduler. Each field keeps its own invariants; what concerns several of
+/// them is done by the engine's methods, which stand in the module of their concern.
 pub struct Engine {
     policy: Dispatcher,
     pub(crate) classes: ClassTable,
@@ -61,8 +61,8 @@
 }
 
 impl Engine {
-    /// A scheduler that knows no workers yet and has at most `max_open_requests` open. With `keeps_durable_jobs` no durable
-    /// job is accepted before [`Input::DurableJobsOpened`].
+    /// A scheduler that knows no workers yet and has at most `max_open_requests` open. With
+    /// `keeps_durable_jobs` no durable job is accepted before [`Input::DurableJobsOpened`].
     ///
     /// # Errors
     /// If the balancing policy refuses the settings.
@@ -260,7 +260,8 @@
                 let attempt = AttemptId { request: id, number: attempt };
                 self.cancel_attempt(now, attempt, Outcome::Cancelled, out);
             }
-            // A timer never fires in the step that sets it; what is a round in the simulator is a tick here.
+            // A timer never fires in the step that sets it; what is a round in the simulator is a
+            // tick here.
             Action::Timer { after, token } => {
                 self.timers.set(now + after.max(self.classes.tick), Timer::Policy(token));
             }
--- a/crates/service/engine/src/handover.rs
+++ b/crates/service/engine/src/handover.rs
@@ -4,8 +4,8 @@
 use spanlead_balancing_policy::{Event, Nanos, RequestId};
 
 impl Engine {
-    /// Gives up what is open to the successor; a request of which a worker is just being told, one way or the other, must
-    /// wait.
+    /// Gives up what is open to the successor; a request of which a worker is just being told, one
+    /// way or the other, must wait.
     pub(crate) fn hand_over_requests(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         for request_id in self.requests.movable() {
             self.hand_over_request(now, request_id, out);
--- a/crates/service/engine/src/input.rs
+++ b/crates/service/engine/src/input.rs
@@ -150,7 +150,8 @@
         request_id: RequestId,
         /// The request.
         job: Job,
-        /// What another process of this scheduler did for it before; set for one that was handed over.
+        /// What another process of this scheduler did for it before; set for one that was handed
+        /// over.
         previous_attempts: Option<Vec<AttemptSnapshot>>,
         /// It was handed over, and the log of durable jobs holds it.
         durable: bool,
--- a/crates/service/engine/src/lib.rs
+++ b/crates/service/engine/src/lib.rs
@@ -1,6 +1,6 @@
-//! The engine of the program in service: a pure state machine. [`Engine::step`] takes one [`Input`] and appends the
-//! [`Effect`]s that follow from it. It owns the balancing policy, the requests, their attempts and the timers; it knows no
-//! socket and no protocol, and is given the time.
+//! The engine of the program in service: a pure state machine. [`Engine::step`] takes one [`Input`]
+//! and appends the [`Effect`]s that follow from it. It owns the balancing policy, the requests,
+//! their attempts and the timers; it knows no socket and no protocol, and is given the time.
 //!
 //! | module | concern |
 //! | --- | --- |
--- a/crates/service/engine/src/lifecycle.rs
+++ b/crates/service/engine/src/lifecycle.rs
@@ -2,8 +2,8 @@
 use crate::{Effect, Engine, MS};
 use spanlead_balancing_policy::{Nanos, WorkerState};
 
-/// How long clients may need to notice that they are to go elsewhere: they go on using the connections they have, and new
-/// requests are still accepted. Then idle connections may close.
+/// How long clients may need to notice that they are to go elsewhere: they go on using the
+/// connections they have, and new requests are still accepted. Then idle connections may close.
 const REDIRECT_GRACE: Nanos = 500 * MS;
 
 /// Whether this process is to end, and whether clients are to go elsewhere.
@@ -31,8 +31,8 @@
         self.is_shutting_down() || self.is_draining()
     }
 
-    /// Whether a request that comes now is still accepted. With a successor no new connection comes here, and what those
-    /// that were accepted still bring is served.
+    /// Whether a request that comes now is still accepted. With a successor no new connection comes
+    /// here, and what those that were accepted still bring is served.
     pub(crate) fn accepts_requests(&self, now: Nanos) -> bool {
         self.has_successor || self.shutdown_since.is_none_or(|since| now < since + REDIRECT_GRACE)
     }
@@ -54,7 +54,8 @@
 }
 
 impl Engine {
-    /// Whether this process can serve: it is not shutting down, it can write to its log if it keeps one, and a worker is ready.
+    /// Whether this process can serve: it is not shutting down, it can write to its log if it keeps
+    /// one, and a worker is ready.
     pub fn is_serving(&self) -> bool {
         let has_log = !self.keeps_durable_jobs || self.durable.as_ref().is_some_and(|jobs| !jobs.failed);
         let has_worker = || self.workers.iter().any(|worker| worker.host.state == WorkerState::Ready);
@@ -71,7 +72,8 @@
         self.lifecycle.is_closing()
     }
 
-    /// Whether clients have had their time to go elsewhere: connections with nothing in progress may be closed.
+    /// Whether clients have had their time to go elsewhere: connections with nothing in progress
+    /// may be closed.
     pub fn is_redirect_grace_over(&self, now: Nanos) -> bool {
         self.lifecycle.is_redirect_grace_over(now)
     }
--- a/crates/service/engine/src/membership.rs
+++ b/crates/service/engine/src/membership.rs
@@ -1,4 +1,5 @@
-//! The membership's place in the engine: heartbeats by the timers, and what this scheduler announces of its own state.
+//! The membership's place in the engine: heartbeats by the timers, and what this scheduler
+//! announces of its own state.
 use crate::roles::ROLES_PROTOCOL;
 use crate::timers::Timer;
 use crate::{Effect, Engine, MS};
@@ -36,7 +37,8 @@
     pub version: Option<String>,
     /// Its state.
     pub state: MemberState,
-    /// How long it has been in that state, milliseconds, by the time that this scheduler has lived through.
+    /// How long it has been in that state, milliseconds, by the time that this scheduler has lived
+    /// through.
     pub since_ms: u64,
 }
 
@@ -58,8 +60,8 @@
         let Some(membership) = &mut self.membership else { return };
         let mut messages = Vec::new();
         membership.members.tick(&mut messages);
-        // From now on, not from when it was due: one that was stopped lives through one period when it wakes, not through all
-        // that it missed.
+        // From now on, not from when it was due: one that was stopped lives through one period when
+        // it wakes, not through all that it missed.
         self.timers.set(now + membership.heartbeat_interval, Timer::Heartbeat);
         push_effects(messages, out);
     }
--- a/crates/service/engine/src/notices.rs
+++ b/crates/service/engine/src/notices.rs
@@ -4,11 +4,13 @@
 use crate::{Answer, AttemptId, Effect, Engine, JobUpdate, MS, NoticeReply, WorkerNotice};
 use spanlead_balancing_policy::{AttemptProgress, Event, Nanos, Outcome};
 
-/// How long a worker's notice may wait for its record: its call is given up then, and it comes again.
+/// How long a worker's notice may wait for its record: its call is given up then, and it comes
+/// again.
 const ACKNOWLEDGE_TIMEOUT: Nanos = 1_000 * MS;
 
 impl Engine {
-    /// Takes a worker's notice. Its acknowledgement waits until what the notice has changed is durable.
+    /// Takes a worker's notice. Its acknowledgement waits until what the notice has changed is
+    /// durable.
     pub(crate) fn worker_notice(&mut self, now: Nanos, notice: WorkerNotice, out: &mut Vec<Effect>) {
         let before = self.last_record();
         let number = notice.notice;
@@ -20,8 +22,9 @@
         out.push(if must_wait { after_durable(effect, now + ACKNOWLEDGE_TIMEOUT) } else { effect });
     }
 
-    /// Only a notice that matches a pending attempt at the worker that it was sent to changes anything. (The policy never
-    /// sends a request twice to one worker, so id and worker name the attempt.)
+    /// Only a notice that matches a pending attempt at the worker that it was sent to changes
+    /// anything. (The policy never sends a request twice to one worker, so id and worker name the
+    /// attempt.)
     fn apply_notice(&mut self, now: Nanos, notice: WorkerNotice, out: &mut Vec<Effect>) -> NoticeReply {
         let WorkerNotice { job_id, worker, fencing_token: token, update, report, .. } = notice;
         let Some(attempt) = self.noticed_attempt(&job_id, &worker, token) else {
--- a/crates/service/engine/src/request_table.rs
+++ b/crates/service/engine/src/request_table.rs
@@ -1,7 +1,8 @@
 //! The requests that are open, and how those that were accepted have ended.
 //!
-//! Invariants: each open request stands under its id in `by_job_id`; each client that waits for another's request stands in
-//! `joined` and in that request's list; `pending` is the number of clients that wait for an answer.
+//! Invariants: each open request stands under its id in `by_job_id`; each client that waits for
+//! another's request stands in `joined` and in that request's list; `pending` is the number of
+//! clients that wait for an answer.
 use crate::input::AttemptId;
 use crate::{Answer, RequestCounts};
 use spanlead_balancing_policy::{Nanos, Outcome, RequestId};
@@ -197,7 +198,8 @@
         true
     }
 
-    /// A client that waits for another's request does so no longer; whether there was one. Counts as failed.
+    /// A client that waits for another's request does so no longer; whether there was one. Counts
+    /// as failed.
     pub(crate) fn remove_joined(&mut self, request_id: RequestId) -> bool {
         let Some(first) = self.joined.remove(&request_id) else { return false };
         let Some(request) = self.open.get_mut(&first) else { return false };
--- a/crates/service/engine/src/requests.rs
+++ b/crates/service/engine/src/requests.rs
@@ -57,7 +57,8 @@
 
     /// Why a new request is not accepted. One that was handed over was accepted before.
     fn rejection(&mut self, now: Nanos, job: &Job, is_handed_over: bool) -> Option<Answer> {
-        // Two open requests under one id could be told apart by no worker, and would be two attempts of one.
+        // Two open requests under one id could be told apart by no worker, and would be two
+        // attempts of one.
         if self.requests.id_of_job(&job.id).is_some() {
             return Some(Answer::DuplicateId);
         }
@@ -85,7 +86,8 @@
             return self.decide(now, Event::RequestArrived(request), out);
         }
         if !all_known {
-            // Where it may have run cannot be told to the policy, which could then send it there or elsewhere again.
+            // Where it may have run cannot be told to the policy, which could then send it there or
+            // elsewhere again.
             self.answer(now, request_id, Answer::Failed, out);
             return self.cancel_attempts(now, request_id, out);
         }
--- a/crates/service/engine/src/roles.rs
+++ b/crates/service/engine/src/roles.rs
@@ -1,5 +1,6 @@
-//! Singleton roles' place in the engine: their leases by the timers and the members' datagrams, and what the holder of a role
-//! does: a call to an address that operators have named, with the term in it.
+//! Singleton roles' place in the engine: their leases by the timers and the members' datagrams, and
+//! what the holder of a role does: a call to an address that operators have named, with the term in
+//! it.
 use crate::timers::Timer;
 use crate::{Effect, Engine, MS};
 use serde::Serialize;
@@ -79,7 +80,8 @@
     pub figures: RoleStats,
 }
 
-/// The time by which the leases of roles are measured. The engine's clock starts at the wall clock's time, so it stands for both.
+/// The time by which the leases of roles are measured. The engine's clock starts at the wall
+/// clock's time, so it stands for both.
 fn clock_reading(now: Nanos) -> ClockReading {
     ClockReading { monotonic: now / MS, wall: now / MS }
 }
--- a/crates/service/engine/src/snapshot.rs
+++ b/crates/service/engine/src/snapshot.rs
@@ -1,6 +1,7 @@
 //! Open requests as one process of the scheduler hands them over to its successor.
 //!
-//! They travel as JSON between processes of different versions: the names on the wire are fixed by `serde(rename)`.
+//! They travel as JSON between processes of different versions: the names on the wire are fixed by
+//! `serde(rename)`.
 use serde::{Deserialize, Serialize};
 use spanlead_balancing_policy::Nanos;
 use std::sync::Arc;
--- a/crates/service/engine/src/stats.rs
+++ b/crates/service/engine/src/stats.rs
@@ -1,4 +1,5 @@
-//! The figures and views that operators are shown. Field names are keys of `/ops` JSON and must not change.
+//! The figures and views that operators are shown. Field names are keys of `/ops` JSON and must not
+//! change.
 use serde::Serialize;
 use spanlead_worker_attributes::Known;
 use std::collections::BTreeMap;
@@ -64,7 +65,8 @@
     pub hosts: usize,
     /// Workers in the endpoint list that an inventory names too.
     pub matched: usize,
-    /// Workers whose pod or zone has changed, and which count as in none until no repeat can go wrong.
+    /// Workers whose pod or zone has changed, and which count as in none until no repeat can go
+    /// wrong.
     pub apart: usize,
     /// Workers whose changes are still to be processed.
     pub pending: usize,
--- a/crates/service/engine/src/timers.rs
+++ b/crates/service/engine/src/timers.rs
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Guards the one rule that nothing may break: a request that is still open past its due time gets its answer.
+    /// Guards the one rule that nothing may break: a request that is still open past its due time
+    /// gets its answer.
     fn request_overdue(&mut self, now: Nanos, request_id: RequestId, out: &mut Vec<Effect>) {
         if self.requests.get(request_id).is_some_and(|request| !request.answered) {
             self.answer(now, request_id, Answer::Failed, out);
--- a/crates/service/engine/src/workers.rs
+++ b/crates/service/engine/src/workers.rs
@@ -1,8 +1,9 @@
-//! The workers: what the endpoint list says of them, what inventories add to it, and what the balancing policy was told.
+//! The workers: what the endpoint list says of them, what inventories add to it, and what the
+//! balancing policy was told.
 //!
-//! The endpoint list is the one authority on who is there: state, start and address come from nowhere else, and a host that
-//! it has not named gets no jobs. Inventories ([`Sheet`]) only fill what the list leaves open, and the weight where that is
-//! set so.
+//! The endpoint list is the one authority on who is there: state, start and address come from
+//! nowhere else, and a host that it has not named gets no jobs. Inventories ([`Sheet`]) only fill
+//! what the list leaves open, and the weight where that is set so.
 //!
 //! - `endpoint_list`: changes of the list, in slices if there are many;
 //! - `attributes`: what is known of one worker, from the list and from inventories;
@@ -23,11 +24,13 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Numbers of pods below are the list's own; from here on they are those that inventories name by words.
+/// Numbers of pods below are the list's own; from here on they are those that inventories name by
+/// words.
 const FIRST_NAMED_POD: u32 = 1 << 30;
 /// Numbers of pods and zones from here on are those of single workers.
 const FIRST_OWN_NUMBER: u32 = 1 << 31;
-/// The number of a name that the settings do not have, and of a pod that another process would not know.
+/// The number of a name that the settings do not have, and of a pod that another process would not
+/// know.
 const UNKNOWN_NUMBER: u32 = u32::MAX;
 
 /// A worker.
--- a/crates/service/engine/src/workers/endpoint_list.rs
+++ b/crates/service/engine/src/workers/endpoint_list.rs
@@ -1,6 +1,7 @@
-//! Changes of the endpoint list. **Large changes go to the policy in slices**, so that no job waits for a list: of more than
-//! [`MAX_SLICE_HOSTS`] hosts the rest is processed a slice at a time, [`SLICE_INTERVAL`] apart, and other inputs pass between.
-//! What is draining, removed or has just started goes first.
+//! Changes of the endpoint list. **Large changes go to the policy in slices**, so that no job waits
+//! for a list: of more than [`MAX_SLICE_HOSTS`] hosts the rest is processed a slice at a time,
+//! [`SLICE_INTERVAL`] apart, and other inputs pass between. What is draining, removed or has just
+//! started goes first.
 use super::isolation::IsolatedAttribute;
 use super::{ReportedWorker, Worker, WorkerTable};
 use crate::timers::Timer;
@@ -82,7 +83,8 @@
 
     fn update_host(&mut self, now: Nanos, host: WorkerEndpoint, out: &mut Vec<Effect>) {
         let is_removed = host.state == WorkerState::Removed;
-        // A connection to a process that was replaced or removed only waits to be reset under a request.
+        // A connection to a process that was replaced or removed only waits to be reset under a
+        // request.
         let is_replaced = self.host.started != host.started || self.host.addr != host.addr;
         if is_replaced || is_removed {
             out.push(Effect::CloseIdleConnections { addr: self.host.addr });
@@ -153,7 +155,8 @@
         }
     }
 
-    /// A worker that the list does not name, as one that is removed: where an attempt of an earlier process was.
+    /// A worker that the list does not name, as one that is removed: where an attempt of an earlier
+    /// process was.
     pub(crate) fn introduce_removed(&mut self, now: Nanos, host: WorkerEndpoint, out: &mut Vec<Effect>) {
         let name = self.workers.update_host(now, host, out);
         self.update_worker(now, name, out);
--- a/crates/service/engine/src/workers/inventory.rs
+++ b/crates/service/engine/src/workers/inventory.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 impl Engine {
-    /// Inventories say something else from now on. If a class that has a worker would have none by it, nothing changes, unless an
-    /// operator wants it all the same.
+    /// Inventories say something else from now on. If a class that has a worker would have none by
+    /// it, nothing changes, unless an operator wants it all the same.
     pub(crate) fn inventory_updated(&mut self, now: Nanos, update: InventoryUpdate, out: &mut Vec<Effect>) {
         let InventoryUpdate { sheet, by, forced } = update;
         if !forced && let Some(reason) = self.class_without_worker(&sheet) {
--- a/crates/service/engine/src/workers/isolation.rs
+++ b/crates/service/engine/src/workers/isolation.rs
@@ -1,6 +1,7 @@
-//! Pods and zones that change are nobody's for a while. RetrySafety of a keyed job are dropped within its worker's pod or zone,
-//! for the class's window. A worker that another file puts elsewhere may hold jobs of the place before: until the longest
-//! window is over it is in a pod, or zone, of its own. So is one of which nothing is known.
+//! Pods and zones that change are nobody's for a while. RetrySafety of a keyed job are dropped
+//! within its worker's pod or zone, for the class's window. A worker that another file puts
+//! elsewhere may hold jobs of the place before: until the longest window is over it is in a pod, or
+//! zone, of its own. So is one of which nothing is known.
 use spanlead_balancing_policy::Nanos;
 
 /// A worker's pod or zone.
@@ -13,7 +14,8 @@
 }
 
 impl IsolatedAttribute {
-    /// Takes what is known now; returns where the worker counts as standing. `own_number` is its place apart from all others.
+    /// Takes what is known now; returns where the worker counts as standing. `own_number` is its
+    /// place apart from all others.
     pub(super) fn update(&mut self, now: Nanos, known: Option<u32>, own_number: u32, window: Nanos) -> u32 {
         let Some(number) = known else { return own_number };
         if self.last.is_some_and(|last| last != number) {
--- a/crates/service/engine/tests/bounds.rs
+++ b/crates/service/engine/tests/bounds.rs
@@ -4,7 +4,9 @@
 };
 use spanlead_deployment_settings::Names;
 use spanlead_durable_jobs::{ClockAnchor, JobTable, JobTableLimits, decode, encode};
-use spanlead_engine::*;
+use spanlead_engine::{
+    Answer, DurableRequest, DurableSetup, Effect, Engine, Input, Job, JobUpdate, WorkerEndpoint, WorkerNotice,
+};
 use spanlead_wal::simulated::SimulatedDirectory;
 use spanlead_wal::{LogOptions, RecordRejected, WriteAheadLog};
 use std::net::SocketAddr;
@@ -122,7 +124,8 @@
     }
 }
 
-// Guards the disk: one job that stays open must not keep every segment behind it, and the log forgets what has expired.
+// Guards the disk: one job that stays open must not keep every segment behind it, and the log
+// forgets what has expired.
 #[test]
 fn the_log_stays_bounded_while_an_old_job_lives() {
     let folder = SimulatedDirectory::new();
@@ -156,8 +159,8 @@
     assert_eq!(next.ask("k100", 300), None, "it has expired");
 }
 
-// Guards what is known: when the ledger is full, new jobs are refused at once with advice, and nothing is forgotten before
-// its time to make room.
+// Guards what is known: when the ledger is full, new jobs are refused at once with advice, and
+// nothing is forgotten before its time to make room.
 #[test]
 fn a_full_ledger_refuses_and_forgets_nothing() {
     for (jobs, disk) in [(50, 1 << 30), (100_000, 32 << 10)] {
--- a/crates/service/engine/tests/crash.rs
+++ b/crates/service/engine/tests/crash.rs
@@ -1,7 +1,8 @@
-//! The reducer, its ledger and the real log, simulated whole: clients, workers, network, disk and clock are drawn from a
-//! seed, messages are lost, doubled and late, processes and the machine are stopped between any record, its sync and what
-//! follows, and the rules are checked at each step. In the manner of FoundationDB's and TigerBeetle's simulators: one
-//! thread, virtual time, the same seed the same story. `SEED=n` plays one story, `STORIES=n` so many.
+//! The reducer, its ledger and the real log, simulated whole: clients, workers, network, disk and
+//! clock are drawn from a seed, messages are lost, doubled and late, processes and the machine are
+//! stopped between any record, its sync and what follows, and the rules are checked at each step.
+//! In the manner of FoundationDB's and TigerBeetle's simulators: one thread, virtual time, the same
+//! seed the same story. `SEED=n` plays one story, `STORIES=n` so many.
 use bytes::Bytes;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -11,7 +12,10 @@
 };
 use spanlead_deployment_settings::Names;
 use spanlead_durable_jobs::{ClockAnchor, JobTable, JobTableLimits, decode, encode};
-use spanlead_engine::*;
+use spanlead_engine::{
+    Answer, AttemptId, DispatchResult, DurabilityBarrier, DurableRequest, DurableSetup, Effect, Engine,
+    Input, Job, JobUpdate, LeaseGrant, NoticeReply, ReleasedEffect, WorkerEndpoint, WorkerNotice,
+};
 use spanlead_wal::simulated::SimulatedDirectory;
 use spanlead_wal::{LogOptions, RecordRejected, WriteAheadLog};
 use std::cmp::Reverse;
@@ -245,7 +249,8 @@
             self.check();
         }
         for (i, client) in self.clients.iter().enumerate() {
-            // Nothing runs that could answer while a process is down, and its client must find the next one in time.
+            // Nothing runs that could answer while a process is down, and its client must find the
+            // next one in time.
             let down = |(from, to): &(Nanos, Nanos)| *from <= client.until && client.until <= to + SEC;
             let excused = self.downs.iter().any(down);
             self.must(client.answer.is_some() || excused, &format!("client {i} had no final answer"));
@@ -337,7 +342,8 @@
         }
         self.notes.clear();
         self.offers.clear();
-        // Connections break: jobs that a worker hasn't answered for are called off, or go on, as it happens.
+        // Connections break: jobs that a worker hasn't answered for are called off, or go on, as it
+        // happens.
         for i in 0..self.workers.len() {
             let rng = &mut self.rng;
             self.workers[i].jobs.retain(|_, job| job.answered || rng.random_bool(0.5));
@@ -683,7 +689,8 @@
         if worker.life != notice.life || !worker.up {
             return;
         }
-        // Lost on the way, or nobody is there: it is told again. Now and then it is told again all the same.
+        // Lost on the way, or nobody is there: it is told again. Now and then it is told again all
+        // the same.
         let lost = self.process.is_none() || self.rng.random_bool(0.1);
         if notice.left > 0 && (lost || self.rng.random_bool(0.2)) {
             self.after(150 * MS, Happening::Notice(Notice { left: notice.left - 1, ..notice.clone() }));
@@ -719,8 +726,8 @@
     ([127, 0, 0, 1], worker + 1).into()
 }
 
-// Guards the whole of it: whatever is stopped, lost or late, no job that must not runs twice, no two attempts are out, what
-// was acknowledged is kept, and each client has its answer.
+// Guards the whole of it: whatever is stopped, lost or late, no job that must not runs twice, no
+// two attempts are out, what was acknowledged is kept, and each client has its answer.
 #[test]
 fn no_story_breaks_a_rule() {
     let number = |name: &str| std::env::var(name).ok().and_then(|v| v.parse::<u64>().ok());
--- a/crates/service/engine/tests/members.rs
+++ b/crates/service/engine/tests/members.rs
@@ -1,10 +1,12 @@
-//! Workers as the list and files tell of them: what goes before what, what is never believed of a file, and large changes that
-//! keep no job waiting.
+//! Workers as the list and files tell of them: what goes before what, what is never believed of a
+//! file, and large changes that keep no job waiting.
 use spanlead_balancing_policy::{
     DeduplicationScope, EndpointUpdate, Idempotency, Nanos, RequestClass, RequestId, Settings, WorkerState,
 };
 use spanlead_deployment_settings::Names;
-use spanlead_engine::*;
+use spanlead_engine::{
+    AttemptId, DispatchResult, Effect, Engine, Input, InventoryUpdate, InventoryVersion, Job, WorkerEndpoint,
+};
 use spanlead_worker_attributes::{Defaults, Place, Row, Said, Sheet, Source, Version};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -153,7 +155,8 @@
     Row { pod: this(name.into()), ..Row::default() }
 }
 
-/// Where a request whose first attempt broke goes next, with these pods; the same for many requests.
+/// Where a request whose first attempt broke goes next, with these pods; the same for many
+/// requests.
 fn followers(world: &mut World, requests: usize) -> BTreeSet<(u16, Option<u16>)> {
     let mut seen = BTreeSet::new();
     for _ in 0..requests {
@@ -167,12 +170,14 @@
     seen
 }
 
-// Guards the rule on repeats where the list says nothing of pods: a worker of unknown pod is in none but its own.
+// Guards the rule on repeats where the list says nothing of pods: a worker of unknown pod is in
+// none but its own.
 #[test]
 fn a_repeat_goes_nowhere_while_pods_are_unknown() {
     let mut world = World::new((1..=4).map(|i| host(&format!("w{i}"), i)).collect());
     assert!(followers(&mut world, 12).iter().all(|(_, next)| next.is_none()));
-    // A file that says it: within the pod, and nowhere else. One whose word is in dispute is in none.
+    // A file that says it: within the pod, and nowhere else. One whose word is in dispute is in
+    // none.
     let disputed = Row {
         pod: Said::Disputed(vec![("a".into(), Place::default()), ("b".into(), Place::default())]),
         ..pod("a")
@@ -184,8 +189,8 @@
     assert_eq!((follows(1), follows(2), follows(3), follows(4)), (vec![2], vec![1], vec![], vec![]));
 }
 
-// Guards against a file that moves a worker between pods while the old pod still drops its repeats: until the window is over
-// it is in neither.
+// Guards against a file that moves a worker between pods while the old pod still drops its repeats:
+// until the window is over it is in neither.
 #[test]
 fn a_worker_that_is_put_into_another_pod_is_in_none_for_the_window() {
     let mut world = World::new((1..=3).map(|i| host(&format!("w{i}"), i)).collect());
@@ -203,7 +208,8 @@
     assert!(followers(&mut world, 10).iter().any(|(_, next)| next.is_some()), "they are in one pod now");
 }
 
-// Guards the authority of the list: a host that only a file names gets nothing, and what the list says holds.
+// Guards the authority of the list: a host that only a file names gets nothing, and what the list
+// says holds.
 #[test]
 fn a_file_makes_no_worker_and_overrides_nothing_that_the_list_says() {
     let mut known = host("w1", 1);
@@ -259,7 +265,8 @@
     assert_eq!(kind(&world).as_deref(), Some("std"));
 }
 
-// Guards jobs against large lists: each step takes a bounded part, what drains goes first, and nothing is left out.
+// Guards jobs against large lists: each step takes a bounded part, what drains goes first, and
+// nothing is left out.
 #[test]
 fn a_large_list_is_taken_in_slices_with_what_drains_first() {
     let all = |state: &dyn Fn(u16) -> WorkerState| -> Vec<WorkerEndpoint> {
@@ -272,7 +279,8 @@
     assert_eq!(members(&world), 5000);
     assert!(!world.engine.has_pending_list_changes());
 
-    // The last hundred of the list drain: known to the module with the first slice, so nothing goes there any more.
+    // The last hundred of the list drain: known to the module with the first slice, so nothing goes
+    // there any more.
     let draining = |i: u16| if i >= 4900 { WorkerState::Draining } else { WorkerState::Ready };
     let mut hosts = all(&draining);
     hosts.iter_mut().for_each(|h| h.weight = Some(0.5));
@@ -310,7 +318,8 @@
     assert_eq!(members(&world), 4999);
 }
 
-// Guards against slices that are told twice or not at all: at the end the module knows what the list and the file say.
+// Guards against slices that are told twice or not at all: at the end the module knows what the
+// list and the file say.
 #[test]
 fn facts_of_many_workers_change_in_slices() {
     let mut world = World::new((0..3000).map(|i| host(&format!("w{i}"), i)).collect());
--- a/crates/service/net/src/client_connection.rs
+++ b/crates/service/net/src/client_connection.rs
@@ -13,12 +13,14 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a request that is expected or arriving may bring no bytes, the first on a connection counted from when it was
-/// accepted: that closes those that say nothing or stop half way, and serves those that come slowly, in pieces.
+/// How long a request that is expected or arriving may bring no bytes, the first on a connection
+/// counted from when it was accepted: that closes those that say nothing or stop half way, and
+/// serves those that come slowly, in pieces.
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long a request may take to arrive whole.
 const REQUEST_TOTAL_TIMEOUT: Duration = Duration::from_secs(10);
-/// A connection without a request for this long is closed: an answer that nobody reads, or a client that vanished.
+/// A connection without a request for this long is closed: an answer that nobody reads, or a client
+/// that vanished.
 pub(crate) const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// One connection.
@@ -103,8 +105,9 @@
         Ok(socket)
     }
 
-    /// Waits until the client has closed its side, whatever it sent before that is still unread. HTTP would not notice: it
-    /// reads no further than the request that it serves once there is more, and only a read shows the end.
+    /// Waits until the client has closed its side, whatever it sent before that is still unread.
+    /// HTTP would not notice: it reads no further than the request that it serves once there is
+    /// more, and only a read shows the end.
     pub(crate) async fn wait_for_disconnect(&self) {
         // Urgent data is not reported here, so it is the end that makes this ready.
         let _ = self.socket.ready(Interest::PRIORITY).await;
@@ -119,7 +122,8 @@
         }
     }
 
-    /// Ends the connection of a client that has disconnected, and with it the request that this is called for.
+    /// Ends the connection of a client that has disconnected, and with it the request that this is
+    /// called for.
     pub(crate) async fn drop_disconnected(&self) -> ! {
         self.disconnected.notify_one();
         std::future::pending().await
--- a/crates/service/net/src/client_connection/head_scanner.rs
+++ b/crates/service/net/src/client_connection/head_scanner.rs
@@ -1,5 +1,6 @@
-//! Watches a request's head for a `Content-Length`: hyper hides one that stands beside a `Transfer-Encoding`, by which
-//! another server would find a second request in the body (request smuggling).
+//! Watches a request's head for a `Content-Length`: hyper hides one that stands beside a
+//! `Transfer-Encoding`, by which another server would find a second request in the body (request
+//! smuggling).
 
 /// Bytes of a header's name that are kept; enough for `content-length`.
 const MAX_NAME_BYTES: usize = 16;
--- a/crates/service/net/src/clients/listener.rs
+++ b/crates/service/net/src/clients/listener.rs
@@ -17,8 +17,8 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// With the budget used up, a connection that has brought nothing valid yet is closed for others only after this long: a
-/// client's first request may be on its way.
+/// With the budget used up, a connection that has brought nothing valid yet is closed for others
+/// only after this long: a client's first request may be on its way.
 const UNPROVEN_GRACE: Duration = Duration::from_millis(250);
 /// The same for one whose request has begun to arrive: the next piece may be on its way.
 const PARTIAL_REQUEST_GRACE: Duration = Duration::from_secs(1);
@@ -115,7 +115,8 @@
         unsafe_code,
         reason = "a number in the environment is all that tells of an inherited descriptor"
     )]
-    // SAFETY: the platform gave this number to this process for good; it is taken here only, once, at the start.
+    // SAFETY: the platform gave this number to this process for good; it is taken here only, once,
+    // at the start.
     let socket = unsafe { OwnedFd::from_raw_fd(fd) };
     if !socket_acceptconn(&socket)? {
         return Err(io::Error::other("it does not listen"));
@@ -143,7 +144,8 @@
         }
     }
 
-    /// Accepts connections for ever: with the budget used up it waits for a connection to end before it accepts.
+    /// Accepts connections for ever: with the budget used up it waits for a connection to end
+    /// before it accepts.
     pub async fn listen(self: Arc<Self>, listener: TcpListener) {
         loop {
             self.wait_for_room().await;
@@ -157,8 +159,8 @@
         }
     }
 
-    /// Adds a connection. Entered here, not by its task, which may start much later: what is not entered cannot be asked
-    /// to make room, and accepting would wait for it for ever.
+    /// Adds a connection. Entered here, not by its task, which may start much later: what is not
+    /// entered cannot be asked to make room, and accepting would wait for it for ever.
     fn add(self: &Arc<Self>, stream: TcpStream, replayed: Bytes) {
         let _ = stream.set_nodelay(true);
         let number = self.next_id();
@@ -172,7 +174,8 @@
         });
     }
 
-    /// Adopts a connection that another process accepted, with the request that it had read from it.
+    /// Adopts a connection that another process accepted, with the request that it had read from
+    /// it.
     ///
     /// # Errors
     /// If the socket cannot be registered.
@@ -205,7 +208,8 @@
         lock(&self.connections).is_empty()
     }
 
-    /// Waits for room for one more connection; with the budget used up another makes it, or the first to become idle.
+    /// Waits for room for one more connection; with the budget used up another makes it, or the
+    /// first to become idle.
     async fn wait_for_room(&self) {
         loop {
             let ended = self.ended.notified();
@@ -221,9 +225,10 @@
         }
     }
 
-    /// Closes a connection for another: one that is done, else one that has brought nothing valid, else the one that has
-    /// been idle longest. Returns when to check again: a fresh connection is given its grace, and while there is one, no
-    /// client or worker that proved itself is closed for it.
+    /// Closes a connection for another: one that is done, else one that has brought nothing valid,
+    /// else the one that has been idle longest. Returns when to check again: a fresh connection is
+    /// given its grace, and while there is one, no client or worker that proved itself is closed
+    /// for it.
     fn evict(&self) -> Instant {
         let now = Instant::now();
         let connections = lock(&self.connections);
--- a/crates/service/net/src/clients/requests.rs
+++ b/crates/service/net/src/clients/requests.rs
@@ -21,8 +21,8 @@
 /// How long a notice may take to reach the process that it is for.
 const NOTICE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Tells the driver if a request's connection ends before its answer came: dropped with the request's future. Of one that
-/// was handed over the engine knows nothing any more.
+/// Tells the driver if a request's connection ends before its answer came: dropped with the
+/// request's future. Of one that was handed over the engine knows nothing any more.
 struct DisconnectGuard<'a> {
     request_id: RequestId,
     messages: &'a UnboundedSender<Message>,
@@ -91,7 +91,8 @@
         guard.connection.proven.store(true, Ordering::Relaxed);
         let (reply, replied) = oneshot::channel();
         let _ = self.messages.send(Message::Notice { notice, body, from: None, reply: Some(reply) });
-        // The process that it is for may just have ended; a worker repeats what was not acknowledged.
+        // The process that it is for may just have ended; a worker repeats what was not
+        // acknowledged.
         match timeout_at(Instant::now() + NOTICE_TIMEOUT, replied).await {
             Ok(Ok(reply)) => Ok(notice_response(reply)),
             _ => Err(RequestError::NoticeNotTaken),
--- a/crates/service/net/src/clients/serve.rs
+++ b/crates/service/net/src/clients/serve.rs
@@ -22,11 +22,11 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// The longest head that is read, bytes, and with it the most that a connection buffers: hyper's own limit, on all
-/// connections at once, would go over the memory limit.
+/// The longest head that is read, bytes, and with it the most that a connection buffers: hyper's
+/// own limit, on all connections at once, would go over the memory limit.
 pub const MAX_HEAD: usize = 16 * 1024;
-/// Bytes that are still read of a client that goes on sending after its last answer: a connection that is closed with unread
-/// input is reset, which can destroy the answer on its way.
+/// Bytes that are still read of a client that goes on sending after its last answer: a connection
+/// that is closed with unread input is reset, which can destroy the answer on its way.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
 /// For how long they are read.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
@@ -60,7 +60,8 @@
                     return true;
                 }
                 () = connection.begun.notified() => {}
-                // What has begun to arrive is still served; the stream tells HTTP of the end when nothing is left.
+                // What has begun to arrive is still served; the stream tells HTTP of the end when
+                // nothing is left.
                 () = connection.close.notified() => connection.ending.store(true, Ordering::Relaxed),
                 () = connection.cut.notified() => {
                     if connection.is_released() || !matches!(connection.stage(), ConnectionStage::Busy) {
--- a/crates/service/net/src/clients/stream.rs
+++ b/crates/service/net/src/clients/stream.rs
@@ -10,8 +10,9 @@
 use std::task::{Context, Poll, ready};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// It notices when a request begins to arrive, and tells HTTP of the end of a connection that is to end once nothing is left
-/// to read. A request that another process had read comes before what the socket brings.
+/// It notices when a request begins to arrive, and tells HTTP of the end of a connection that is to
+/// end once nothing is left to read. A request that another process had read comes before what the
+/// socket brings.
 pub(super) struct ConnectionStream {
     pub replayed: Bytes,
     pub connection: Arc<ClientConnection>,
--- a/crates/service/net/src/clock.rs
+++ b/crates/service/net/src/clock.rs
@@ -13,8 +13,8 @@
 /// Where Linux names the present boot.
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 
-/// The monotonic clock, counted so that its start lies at the wall clock's time of then: wall-clock times in the endpoint
-/// list can be compared with it, and it never jumps.
+/// The monotonic clock, counted so that its start lies at the wall clock's time of then: wall-clock
+/// times in the endpoint list can be compared with it, and it never jumps.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -40,8 +40,8 @@
         self.start + Duration::from_nanos(time.saturating_sub(self.wall_at_start))
     }
 
-    /// How this clock reads against the machine's own, which goes on whatever is done to the wall clock and while no process
-    /// runs.
+    /// How this clock reads against the machine's own, which goes on whatever is done to the wall
+    /// clock and while no process runs.
     pub fn anchor(&self) -> ClockAnchor {
         let up_time = clock_gettime(ClockId::Boottime);
         let up = up_time.tv_sec as Nanos * NANOS_PER_SECOND + up_time.tv_nsec as Nanos;
--- a/crates/service/net/src/discovery.rs
+++ b/crates/service/net/src/discovery.rs
@@ -15,18 +15,21 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// How long one call of the watch waits for changes. Shorter ones are too many for a discovery that works through its calls one
-/// by one: at 2 s those of a hundred schedulers were more than it bore, and it never recovered.
+/// How long one call of the watch waits for changes. Shorter ones are too many for a discovery that
+/// works through its calls one by one: at 2 s those of a hundred schedulers were more than it bore,
+/// and it never recovered.
 const WATCH_WAIT: Duration = Duration::from_secs(4);
-/// How much later than that the answer may come. The latest that 300 schedulers were answered was 0.27 s. A change counts as
-/// notified 6 s after discovery had it: this, [`WATCH_WAIT`] and 1 s for the answer to the call that opens a silent watch anew
-/// are 5.75 s. `docs/design/crossings.md` adds up the other paths.
+/// How much later than that the answer may come. The latest that 300 schedulers were answered was
+/// 0.27 s. A change counts as notified 6 s after discovery had it: this, [`WATCH_WAIT`] and 1 s for
+/// the answer to the call that opens a silent watch anew are 5.75 s. `docs/design/crossings.md`
+/// adds up the other paths.
 const WATCH_SLACK: Duration = Duration::from_millis(750);
-/// How long a call that does not wait may take. Given up sooner, calls that discovery was about to answer come again, and it
-/// works through those that nobody waits for as well.
+/// How long a call that does not wait may take. Given up sooner, calls that discovery was about to
+/// answer come again, and it works through those that nobody waits for as well.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The least time between two calls without changes: well under the 200 ms after which a call begins another watch, and under
-/// any grace for draining. An agent that lists are pushed to may answer every call at once.
+/// The least time between two calls without changes: well under the 200 ms after which a call
+/// begins another watch, and under any grace for draining. An agent that lists are pushed to may
+/// answer every call at once.
 const MIN_CALL_INTERVAL: Duration = Duration::from_millis(50);
 /// The longest list that is read, bytes: a few hundred for each of tens of thousands of workers.
 const MAX_LIST_BYTES: usize = 16 << 20;
@@ -71,7 +74,8 @@
 }
 
 impl DiscoveryClient {
-    /// Watches for changes until a call fails, which the driver is told: the policy decides when to ask again.
+    /// Watches for changes until a call fails, which the driver is told: the policy decides when to
+    /// ask again.
     pub async fn watch(mut self) {
         // The first call brings what was missed and does not wait.
         let mut state = WatchState { wait: Duration::ZERO, is_first: true, wants_full: false };
@@ -98,14 +102,16 @@
             wire::watch_request(self.version, state.wait.as_millis() as u64)
         };
         let Some(list) = self.call(connection, call, until).await else {
-            // A watch that has fallen silent may be the only one that has, and what it misses soon counts as notified.
+            // A watch that has fallen silent may be the only one that has, and what it misses soon
+            // counts as notified.
             if !state.wait.is_zero() && Instant::now() >= until {
                 tracing::info!(version = self.version, "a watch of discovery has fallen silent");
                 return Some(WatchState { wait: Duration::ZERO, wants_full: false, ..state });
             }
             return None;
         };
-        // A service that counts anew cannot tell what was missed since another's version: ask for all.
+        // A service that counts anew cannot tell what was missed since another's version: ask for
+        // all.
         if list.version < self.version && !list.is_full {
             return Some(WatchState { wait: Duration::ZERO, wants_full: true, ..state });
         }
--- a/crates/service/net/src/handover/frame.rs
+++ b/crates/service/net/src/handover/frame.rs
@@ -1,5 +1,6 @@
-//! The messages on the link between two processes: number (8 bytes), kind (1 byte), length (4 bytes), all big-endian, then
-//! the body. Processes of two versions use the link at the same time: neither numbers nor layout may change.
+//! The messages on the link between two processes: number (8 bytes), kind (1 byte), length (4
+//! bytes), all big-endian, then the body. Processes of two versions use the link at the same time:
+//! neither numbers nor layout may change.
 use crate::wire::MAX_BODY;
 use bytes::{Buf, Bytes};
 use spanlead_engine::NoticeReply;
@@ -21,7 +22,8 @@
     Reply(NoticeReply),
     /// A worker's notice.
     Notice(Bytes),
-    /// An open request: its snapshot as a line of JSON, then the request as HTTP. Its client's socket comes beside it.
+    /// An open request: its snapshot as a line of JSON, then the request as HTTP. Its client's
+    /// socket comes beside it.
     Request(Bytes),
 }
 
--- a/crates/service/net/src/handover/link.rs
+++ b/crates/service/net/src/handover/link.rs
@@ -1,4 +1,5 @@
-//! One link's task: writes what is to be forwarded, and gives the driver what the other process forwards.
+//! One link's task: writes what is to be forwarded, and gives the driver what the other process
+//! forwards.
 use super::frame::Frame;
 use super::stream::{FrameReader, ReceivedFrame, write_frame};
 use crate::message::{ForwardedMessage, HandedOverRequest, Message, PeerProcessEvent, ProcessLink};
@@ -29,7 +30,8 @@
     last_number: u64,
     /// Who waits for the reply to a forwarded frame, by its number.
     waiting: HashMap<u64, oneshot::Sender<NoticeReply>>,
-    /// Where replies to the other process's notices go: a notice is answered when its consequence is durable.
+    /// Where replies to the other process's notices go: a notice is answered when its consequence
+    /// is durable.
     replies: UnboundedSender<ForwardedReply>,
 }
 
@@ -60,7 +62,8 @@
 ) -> io::Result<()> {
     let stream = Arc::new(stream);
     let (frames, mut received) = unbounded_channel();
-    // It reads beside the writing, so that two full sockets cannot wait for each other, and ends with this.
+    // It reads beside the writing, so that two full sockets cannot wait for each other, and ends
+    // with this.
     let reading = tokio::spawn(read_frames(FrameReader::new(stream.clone()), frames));
     let _reading = AbortOnDrop(reading.abort_handle());
     let (replies, mut replied) = unbounded_channel();
--- a/crates/service/net/src/handover/rendezvous.rs
+++ b/crates/service/net/src/handover/rendezvous.rs
@@ -1,5 +1,5 @@
-//! How the processes of one scheduler find each other: the older one listens on a Unix socket whose path follows from the
-//! scheduler's name, the newer one connects to it.
+//! How the processes of one scheduler find each other: the older one listens on a Unix socket whose
+//! path follows from the scheduler's name, the newer one connects to it.
 use super::link::start_link;
 use crate::message::{Message, PeerProcessEvent, ProcessLink};
 use rustix::fs::{Mode, OFlags, open};
@@ -21,15 +21,17 @@
     std::env::temp_dir().join(format!("{file_name}.sock"))
 }
 
-/// The link to the process that this one takes over from, if there is one. A socket that was left behind refuses.
+/// The link to the process that this one takes over from, if there is one. A socket that was left
+/// behind refuses.
 pub async fn connect_to_predecessor(path: &Path, messages: &UnboundedSender<Message>) -> Option<ProcessLink> {
     let short = ShortPath::new(path).ok()?;
     let stream = UnixStream::connect(&short.path).await.ok()?;
     Some(start_link(stream, messages.clone()))
 }
 
-/// The same place by way of its folder, held open as long as this lives. Guards against a folder whose path is longer than the
-/// 107 bytes that a Unix socket's address holds: nobody could take over there.
+/// The same place by way of its folder, held open as long as this lives. Guards against a folder
+/// whose path is longer than the 107 bytes that a Unix socket's address holds: nobody could take
+/// over there.
 struct ShortPath {
     path: PathBuf,
     _folder: OwnedFd,
@@ -46,7 +48,8 @@
     }
 }
 
-/// Waits for the process that takes over from this one, again and again: a successor that ends leaves its place to the next.
+/// Waits for the process that takes over from this one, again and again: a successor that ends
+/// leaves its place to the next.
 pub async fn listen_for_successors(path: PathBuf, messages: UnboundedSender<Message>) {
     loop {
         match accept_successor(&path).await {
@@ -65,7 +68,8 @@
 }
 
 async fn accept_successor(path: &Path) -> io::Result<UnixStream> {
-    // What a killed process left behind, or the name of the process before, which has accepted this one.
+    // What a killed process left behind, or the name of the process before, which has accepted this
+    // one.
     match std::fs::remove_file(path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
         _ => {}
--- a/crates/service/net/src/lib.rs
+++ b/crates/service/net/src/lib.rs
@@ -1,9 +1,10 @@
-//! All reading and writing on sockets: clients and workers' notices, workers, discovery, peers, operators, and the link to
-//! another process of the same scheduler. What is read goes to the driver as a [`Message`]; nothing is decided here.
+//! All reading and writing on sockets: clients and workers' notices, workers, discovery, peers,
+//! operators, and the link to another process of the same scheduler. What is read goes to the
+//! driver as a [`Message`]; nothing is decided here.
 //!
-//! Layers, each of which uses only those before it: `lock` and `clock`; [`wire`], the messages on the sockets;
-//! `client_connection`, the state of one connection of a client;
-//! `message`, what the driver gets; then a module for each kind of socket.
+//! Layers, each of which uses only those before it: `lock` and `clock`; [`wire`], the messages on
+//! the sockets; `client_connection`, the state of one connection of a client; `message`, what the
+//! driver gets; then a module for each kind of socket.
 #![warn(
     missing_docs,
     unreachable_pub,
--- a/crates/service/net/src/operator.rs
+++ b/crates/service/net/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operators' address: one call on each connection, answered within a second whatever else goes on.
+//! The operators' address: one call on each connection, answered within a second whatever else goes
+//! on.
 use crate::wire::{
     self, Body, MAX_BODY, OperatorCall, OperatorReply, RequestError, error_response, operator_response,
 };
@@ -17,7 +18,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// The most connections at a time; one more ends the oldest, so that callers who say nothing keep nobody out.
+/// The most connections at a time; one more ends the oldest, so that callers who say nothing keep
+/// nobody out.
 pub const MAX_CALLS: usize = 16;
 /// How long a connection may take in all.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -26,7 +28,8 @@
 /// The pause after an accept that failed for want of a resource of the system.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A call on its way to the driver. Its channel goes before the driver's inbox, and holds no more than [`MAX_CALLS`].
+/// A call on its way to the driver. Its channel goes before the driver's inbox, and holds no more
+/// than [`MAX_CALLS`].
 pub struct OperatorRequest {
     /// The call.
     pub call: OperatorCall,
@@ -47,7 +50,7 @@
                 calls.push_back(tokio::spawn(serve(stream, requests.clone())));
             }
             Err(error) => {
-                tracing::warn!(%error, "accept failed at the operators' door");
+                tracing::warn!(%error, "accept failed at the operators' address");
                 sleep_until(Instant::now() + ACCEPT_RETRY_INTERVAL).await;
             }
         }
--- a/crates/service/net/src/peers.rs
+++ b/crates/service/net/src/peers.rs
@@ -90,7 +90,8 @@
         let mut buffer = [0; MAX_DATAGRAM + 1];
         loop {
             let Ok((length, sender)) = self.socket.recv_from(&mut buffer).await else {
-                // An earlier send's error, as a rule: nobody listened there. Whatever it is, it must not spin.
+                // An earlier send's error, as a rule: nobody listened there. Whatever it is, it
+                // must not spin.
                 sleep_until(Instant::now() + RECEIVE_RETRY_INTERVAL).await;
                 continue;
             };
--- a/crates/service/net/src/role_caller.rs
+++ b/crates/service/net/src/role_caller.rs
@@ -1,4 +1,5 @@
-//! The call that the holder of a singleton role makes: one exchange on a connection of its own, with the term in a header.
+//! The call that the holder of a singleton role makes: one exchange on a connection of its own,
+//! with the term in a header.
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1;
--- a/crates/service/net/src/wire.rs
+++ b/crates/service/net/src/wire.rs
@@ -1,4 +1,5 @@
-//! The messages on the sockets: each is decoded once into a typed value, and encoded once. Nothing is read or written here.
+//! The messages on the sockets: each is decoded once into a typed value, and encoded once. Nothing
+//! is read or written here.
 //!
 //! - `request_error`: requests that cannot be taken, with status and reason;
 //! - `client_request`: a client's request and its answer;
--- a/crates/service/net/src/wire/client_request.rs
+++ b/crates/service/net/src/wire/client_request.rs
@@ -21,7 +21,8 @@
 /// Slots of a job that does not state them.
 const DEFAULT_SLOTS: f64 = 1.0;
 
-/// A client's request: what is forwarded to a worker unchanged, and all that another process must read.
+/// A client's request: what is forwarded to a worker unchanged, and all that another process must
+/// read.
 #[derive(Debug)]
 pub struct ClientRequest {
     pub(super) method: Method,
@@ -36,7 +37,8 @@
         ClientRequest { method: head.method, uri: head.uri, headers: head.headers, body }
     }
 
-    /// The request as HTTP, as if it came from the client again. The length of its body is given in one way.
+    /// The request as HTTP, as if it came from the client again. The length of its body is given in
+    /// one way.
     pub fn to_http(&self) -> Vec<u8> {
         let mut http = format!("{} {} HTTP/1.1\r\n", self.method, self.uri).into_bytes();
         let framing = [CONTENT_LENGTH, TRANSFER_ENCODING, EXPECT, CONNECTION];
--- a/crates/service/net/src/wire/endpoint_list.rs
+++ b/crates/service/net/src/wire/endpoint_list.rs
@@ -57,8 +57,8 @@
         serde_json::from_slice(body).ok()
     }
 
-    /// Its entries, with the numbers of the deployment's settings for names. One without a usable address cannot be reached
-    /// and is left out.
+    /// Its entries, with the numbers of the deployment's settings for names. One without a usable
+    /// address cannot be reached and is left out.
     pub fn endpoints(self, names: &Names) -> Vec<WorkerEndpoint> {
         self.hosts.into_iter().filter_map(|entry| entry.endpoint(names)).collect()
     }
@@ -114,7 +114,8 @@
     }
 }
 
-/// The number of a name. One that is stated but unknown to the settings is told apart from one that is not stated.
+/// The number of a name. One that is stated but unknown to the settings is told apart from one that
+/// is not stated.
 fn number(names: &[String], name: Option<String>) -> Option<u32> {
     let name = name.filter(|name| !name.is_empty())?;
     Some(index_of(names, &name).unwrap_or(UNKNOWN_NUMBER))
--- a/crates/service/net/src/wire/operator_call.rs
+++ b/crates/service/net/src/wire/operator_call.rs
@@ -57,7 +57,8 @@
     /// Decodes a call.
     ///
     /// # Errors
-    /// [`RequestError::UnknownCall`], or [`RequestError::CallMethod`] for one that has another method.
+    /// [`RequestError::UnknownCall`], or [`RequestError::CallMethod`] for one that has another
+    /// method.
     pub fn decode(method: &Method, path: &str) -> Result<Self, RequestError> {
         let (expected, call) = match path {
             "/ops/readiness" => (Method::GET, OperatorCall::Readiness),
--- a/crates/service/net/src/wire/request_error.rs
+++ b/crates/service/net/src/wire/request_error.rs
@@ -2,7 +2,8 @@
 use hyper::StatusCode;
 use std::fmt;
 
-/// Why a request cannot be taken. Each has a status and a text, which clients see and which counts invalid input.
+/// Why a request cannot be taken. Each has a status and a text, which clients see and which counts
+/// invalid input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
     /// The path names no class of the deployment.
--- a/crates/service/net/src/wire/response.rs
+++ b/crates/service/net/src/wire/response.rs
@@ -19,8 +19,8 @@
     response
 }
 
-/// The response to a request that cannot be taken. What is left of the request would be read as the next one, so the
-/// connection ends.
+/// The response to a request that cannot be taken. What is left of the request would be read as the
+/// next one, so the connection ends.
 pub fn error_response(error: RequestError) -> Response<Body> {
     closing(plain(error.status(), format!("{error}\n")))
 }
--- a/crates/service/net/src/wire/stored_request.rs
+++ b/crates/service/net/src/wire/stored_request.rs
@@ -1,5 +1,5 @@
-//! A client's request as the log of durable jobs keeps it. The encoding is stored: the order and the types of
-//! [`StoredRequest`]'s fields must not change.
+//! A client's request as the log of durable jobs keeps it. The encoding is stored: the order and
+//! the types of [`StoredRequest`]'s fields must not change.
 use super::headers::{IDEMPOTENCY_KEY, REQ_ID};
 use super::{ClientRequest, RequestError};
 use bytes::Bytes;
@@ -23,7 +23,8 @@
     body: &'a [u8],
 }
 
-/// What is logged of a request: how its repeats are recognised, and the request for another process to send.
+/// What is logged of a request: how its repeats are recognised, and the request for another process
+/// to send.
 ///
 /// # Errors
 /// [`RequestError::InvalidIdempotencyKey`].
--- a/crates/service/net/src/wire/worker.rs
+++ b/crates/service/net/src/wire/worker.rs
@@ -59,8 +59,8 @@
     ReportedFigures::deserialize(serde_json::Value::Object(numbers.collect())).ok()
 }
 
-/// The request that dispatches a job to a worker; `left_ms` is how long this scheduler will wait. The lease's length counts
-/// from when the worker has the request.
+/// The request that dispatches a job to a worker; `left_ms` is how long this scheduler will wait.
+/// The lease's length counts from when the worker has the request.
 pub fn dispatch_request(request: &ClientRequest, left_ms: u64, lease: Option<LeaseGrant>) -> Request<Body> {
     let mut dispatch = Request::new(Full::new(request.body.clone()));
     *dispatch.method_mut() = request.method.clone();
--- a/crates/service/net/src/workers/connection.rs
+++ b/crates/service/net/src/workers/connection.rs
@@ -18,7 +18,8 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, timeout_at};
 
-/// The stream under a connection. It owns the connection's descriptor, and its share of the budget is given back with it.
+/// The stream under a connection. It owns the connection's descriptor, and its share of the budget
+/// is given back with it.
 struct MeteredStream {
     stream: TcpStream,
     meter: Arc<WriteMeter>,
@@ -89,7 +90,8 @@
         let stream = MeteredStream { stream, meter: meter.clone(), _permit: permit };
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|_| ExchangeError::NotSent)?;
-        // Errors reach whoever waits for an answer; between requests they only mean that the connection is gone.
+        // Errors reach whoever waits for an answer; between requests they only mean that the
+        // connection is gone.
         let task = tokio::spawn(async move { drop(connection.await) }).abort_handle();
         Ok(Connection { sender, meter, task })
     }
--- a/crates/service/net/src/workers/dispatch.rs
+++ b/crates/service/net/src/workers/dispatch.rs
@@ -16,10 +16,10 @@
 /// The pause before an unanswered cancellation is sent again.
 const CANCEL_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a connection rests before a job or a cancellation goes out on it. Guards them from an answer that comes twice: the
-/// second one, some milliseconds late, would be read as the answer to what is asked next, as a job accepted or cancelled
-/// that is not. While nothing is asked, it ends the connection. Health checks do not wait: a figure that is one check old
-/// does no harm.
+/// How long a connection rests before a job or a cancellation goes out on it. Guards them from an
+/// answer that comes twice: the second one, some milliseconds late, would be read as the answer to
+/// what is asked next, as a job accepted or cancelled that is not. While nothing is asked, it ends
+/// the connection. Health checks do not wait: a figure that is one check old does no harm.
 const CONNECTION_REST: Duration = SOCKET_SLACK;
 
 /// How a health check ended.
@@ -32,11 +32,13 @@
 }
 
 impl WorkerPool {
-    /// Dispatches an attempt to its worker. A reset of a connection that was kept leaves open whether the job has run, so
-    /// where a handshake costs nothing it goes out on one of its own ([`PoolConfig::reuse`](super::PoolConfig::reuse));
-    /// health checks and cancellations always use kept ones.
+    /// Dispatches an attempt to its worker. A reset of a connection that was kept leaves open
+    /// whether the job has run, so where a handshake costs nothing it goes out on one of its own
+    /// ([`PoolConfig::reuse`](super::PoolConfig::reuse)); health checks and cancellations always
+    /// use kept ones.
     ///
-    /// `on_written` is called when the last byte has been written, also if nobody waits for the answer by then.
+    /// `on_written` is called when the last byte has been written, also if nobody waits for the
+    /// answer by then.
     pub async fn dispatch(
         &self,
         addr: SocketAddr,
@@ -72,7 +74,8 @@
             let meter = connection.meter.clone();
             meter.set_on_written(on_written.take());
             match self.exchange_over(addr, connection, &dispatch, until).await {
-                // A kept one that was closed meanwhile takes less than the whole request: on to the next.
+                // A kept one that was closed meanwhile takes less than the whole request: on to the
+                // next.
                 Err(ExchangeError::NotSent) if is_kept => on_written = meter.take_on_written(),
                 // The others to a worker that broke one off or says nothing are no better.
                 Err(
@@ -92,7 +95,8 @@
         if self.config().reuse { self.take_idle(addr, CONNECTION_REST) } else { None }
     }
 
-    /// Tells a worker that a job is cancelled, again and again until it knows or `until` has passed.
+    /// Tells a worker that a job is cancelled, again and again until it knows or `until` has
+    /// passed.
     pub async fn cancel(&self, addr: SocketAddr, job_id: &str, until: Instant) {
         let request = || wire::cancel_request(job_id);
         while Instant::now() < until && self.exchange(addr, CONNECTION_REST, request, until).await.is_err() {
--- a/crates/service/net/src/workers/exchange_error.rs
+++ b/crates/service/net/src/workers/exchange_error.rs
@@ -10,7 +10,8 @@
 /// Why an exchange brought no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
-    /// None of our own descriptors came free: nothing was tried, and it says nothing of the other side.
+    /// None of our own descriptors came free: nothing was tried, and it says nothing of the other
+    /// side.
     #[error("no descriptor is free")]
     NoDescriptor,
     /// The request's last byte was not written: no worker can have begun it.
@@ -45,8 +46,8 @@
         }
     }
 
-    /// What an error says once the request was written whole. An answer that ends before its head does cannot be told from
-    /// none.
+    /// What an error says once the request was written whole. An answer that ends before its head
+    /// does cannot be told from none.
     pub(super) fn after_whole_request(error: Box<dyn Error + Send + Sync>) -> Self {
         if error.is::<LengthLimitError>() {
             return ExchangeError::InvalidAnswer("answer too long");
--- a/crates/service/net/src/workers/pool.rs
+++ b/crates/service/net/src/workers/pool.rs
@@ -1,4 +1,5 @@
-//! The connections to workers: the owner of those that are idle, and of the budget of descriptors for all.
+//! The connections to workers: the owner of those that are idle, and of the budget of descriptors
+//! for all.
 use super::connection::Connection;
 use super::exchange_error::ExchangeError;
 use crate::Message;
@@ -95,8 +96,8 @@
         request: impl Fn() -> Option<Request<Body>>,
         until: Instant,
     ) -> Result<WorkerResponse, ExchangeError> {
-        // One that the worker closed just now says so at once, or takes less than the whole request: that request cannot
-        // have begun, so it goes out on the next one.
+        // One that the worker closed just now says so at once, or takes less than the whole
+        // request: that request cannot have begun, so it goes out on the next one.
         while let Some(idle) = self.take_idle(addr, rested) {
             match self.exchange_over(addr, idle, &request, until).await {
                 Err(ExchangeError::NotSent) => {}
@@ -132,7 +133,8 @@
         Ok(wire::decode_worker_response(response.status, &response.headers, response.body, report_mapping))
     }
 
-    /// A new connection's share of the budget; with the budget used up, the connection that has been idle longest makes room.
+    /// A new connection's share of the budget; with the budget used up, the connection that has
+    /// been idle longest makes room.
     async fn acquire_permit(&self, until: Instant) -> Result<OwnedSemaphorePermit, ExchangeError> {
         if self.budget.available_permits() == 0 {
             self.close_longest_idle();
@@ -149,8 +151,8 @@
         }
     }
 
-    /// Of the connections that have been idle for at least `rested`, the one that was used last; those that are of no use any
-    /// more end here.
+    /// Of the connections that have been idle for at least `rested`, the one that was used last;
+    /// those that are of no use any more end here.
     pub(super) fn take_idle(&self, addr: SocketAddr, rested: Duration) -> Option<Connection> {
         let keep = self.config().keep;
         let mut idle = lock(&self.idle);
--- a/crates/service/net/src/workers/write_meter.rs
+++ b/crates/service/net/src/workers/write_meter.rs
@@ -1,5 +1,5 @@
-//! Counts the bytes that have left for the other side. Only a request whose last byte was never written is proved not to
-//! have run; what hyper took into its buffers proves nothing.
+//! Counts the bytes that have left for the other side. Only a request whose last byte was never
+//! written is proved not to have run; what hyper took into its buffers proves nothing.
 use crate::lock::lock;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/service/spanlead/examples/handover.rs
+++ b/crates/service/spanlead/examples/handover.rs
@@ -1,5 +1,6 @@
-//! How long nobody acts for a duty when its holder is told to end, is moved by an operator, is killed or stands still: the gap between
-//! the last act under one term and the first under the next, at what is acted on. Figures: `docs/measurements/duties.md`.
+//! How long nobody acts for a duty when its holder is told to end, is moved by an operator, is
+//! killed or stands still: the gap between the last act under one term and the first under the
+//! next, at what is acted on. Figures: `docs/measurements/duties.md`.
 //!
 //! `cargo run --release -p spanlead --example handover -- PROGRAM COUNT end|move|kill|stop TIMES`
 use spanlead_testbed::{Deployment, FleetPlan, Resource, Rig, RigPlan};
@@ -51,7 +52,8 @@
                 return Err("nobody holds it".into());
             }
         };
-        // It acts for a while; those who have just started are silent for a lease, and must not be needed.
+        // It acts for a while; those who have just started are silent for a lease, and must not be
+        // needed.
         sleep(Duration::from_millis(if matches!(how.as_str(), "end" | "kill") { 4000 } else { 300 })).await;
         let term = resource.highest();
         match how.as_str() {
--- a/crates/service/spanlead/examples/large_list.rs
+++ b/crates/service/spanlead/examples/large_list.rs
@@ -1,9 +1,10 @@
-//! How long a serving scheduler is deaf while 20,000 workers change: `cargo build --release && cargo run --release -p spanlead
-//! --example large_list [WORKERS]`.
+//! How long a serving scheduler is deaf while 20,000 workers change: `cargo build --release &&
+//! cargo run --release -p spanlead --example large_list [WORKERS]`.
 //!
-//! Starts `target/release/spanlead` among a discovery of its own, asks for its health on a kept connection, one call after the
-//! other, and shows how long the answers took while nothing happened, while the whole list was read anew with every host
-//! changed, and while an inventory file changed the facts of all. The process has one thread for jobs, so no job waits longer.
+//! Starts `target/release/spanlead` among a discovery of its own, asks for its health on a kept
+//! connection, one call after the other, and shows how long the answers took while nothing
+//! happened, while the whole list was read anew with every host changed, and while an inventory
+//! file changed the facts of all. The process has one thread for jobs, so no job waits longer.
 use hdrhistogram::Histogram;
 use spanlead_balancing_policy::Nanos;
 use spanlead_testbed::{Discovery, Listed, Record, Scheduler};
--- a/crates/service/spanlead/examples/tier.rs
+++ b/crates/service/spanlead/examples/tier.rs
@@ -1,5 +1,5 @@
-//! Many processes of the program as a tier: false deaths in a quiet time at a loss, what membership costs, and how soon a kill is known.
-//! Figures: `docs/measurements/membership.md`.
+//! Many processes of the program as a tier: false deaths in a quiet time at a loss, what membership
+//! costs, and how soon a kill is known. Figures: `docs/measurements/membership.md`.
 //!
 //! `cargo run --release -p spanlead --example tier -- PROGRAM COUNT LOSS% MINUTES KILLS`
 use spanlead_testbed::{Deployment, FleetPlan, Rig, RigPlan, Way, cpu_of};
--- a/crates/service/spanlead/src/cli.rs
+++ b/crates/service/spanlead/src/cli.rs
@@ -6,8 +6,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A job scheduler: takes jobs from clients, picks a worker for each, and gives every client one final answer, in time. What the
-/// deployment is like it reads from the settings.
+/// A job scheduler: takes jobs from clients, picks a worker for each, and gives every client one
+/// final answer, in time. What the deployment is like it reads from the settings.
 #[derive(Parser)]
 pub(crate) struct Cli {
     #[command(subcommand)]
@@ -20,8 +20,8 @@
     Serve(ConfArgs),
     /// Read and check the configuration, say what it means, and end.
     Check(ConfArgs),
-    /// Try it: starts workers, discovery, clients and one scheduler on this machine, needs no configuration, and ends with a
-    /// table of what came of it.
+    /// Try it: starts workers, discovery, clients and one scheduler on this machine, needs no
+    /// configuration, and ends with a table of what came of it.
     Try(Trial),
     /// Look at a ledger's folder at rest, or compact it.
     #[command(subcommand)]
--- a/crates/service/spanlead/src/config.rs
+++ b/crates/service/spanlead/src/config.rs
@@ -36,7 +36,8 @@
 const DEFAULT_CONNECT_TIMEOUT: u64 = 250_000_000;
 /// How long an idle connection is kept where the deployment does not say, nanoseconds.
 const DEFAULT_KEEP: u64 = 5_000_000_000;
-/// Connections that jobs go out on are kept for this part of the time after which workers close them.
+/// Connections that jobs go out on are kept for this part of the time after which workers close
+/// them.
 const REUSED_KEEP_DIVISOR: u64 = 2;
 /// Connections for health checks only are kept for this part of it.
 const HEALTH_CHECK_KEEP_DIVISOR: u64 = 20;
@@ -104,8 +105,8 @@
 }
 
 impl Config {
-    /// Reads the file that `$ROUTER_CONFIG` names; `$ROUTER_NAME`, `$ROUTER_LISTEN`, `$ROUTER_DISCOVERY` and
-    /// `$ROUTER_OPERATOR` go before what it says.
+    /// Reads the file that `$ROUTER_CONFIG` names; `$ROUTER_NAME`, `$ROUTER_LISTEN`,
+    /// `$ROUTER_DISCOVERY` and `$ROUTER_OPERATOR` go before what it says.
     pub(crate) fn from_environment() -> Result<Self, ConfigError> {
         ReadConfigFile::read()?.check()
     }
@@ -115,8 +116,9 @@
         Ok(ReadConfigFile::read()?.file.known)
     }
 
-    /// Reads and checks the same file again, after it was replaced; `keys` are those of the one in use, none of which it may
-    /// lack. Its `discovery` goes before `$ROUTER_DISCOVERY` here, which is as old as the process.
+    /// Reads and checks the same file again, after it was replaced; `keys` are those of the one in
+    /// use, none of which it may lack. Its `discovery` goes before `$ROUTER_DISCOVERY` here, which
+    /// is as old as the process.
     pub(crate) fn reload(keys: &KeyPaths) -> Result<Self, ConfigError> {
         let read = ReadConfigFile::read()?;
         if let Some(key) = keys.difference(&read.keys).next() {
@@ -130,9 +132,10 @@
 
     /// What the connections to workers go by.
     ///
-    /// Where a handshake has a price, jobs go out on kept connections, and these are kept for half of the time after which the
-    /// workers close them. Where it has none, an idle one is kept for the next health check only, and not for long: workers may
-    /// close one long before the limit that they state, and what is written to it from then on ends in a reset.
+    /// Where a handshake has a price, jobs go out on kept connections, and these are kept for half
+    /// of the time after which the workers close them. Where it has none, an idle one is kept for
+    /// the next health check only, and not for long: workers may close one long before the limit
+    /// that they state, and what is written to it from then on ends in a reset.
     pub(crate) fn pool_config(&self) -> PoolConfig {
         let settings = &self.deployment.settings;
         let reuse = settings.prices.new_connection > 0.0;
@@ -141,7 +144,8 @@
             (idle, true) => idle / REUSED_KEEP_DIVISOR,
             (idle, false) => idle / HEALTH_CHECK_KEEP_DIVISOR,
         };
-        // What is decided now is sent when its connection is up, and its worker may start draining in between.
+        // What is decided now is sent when its connection is up, and its worker may start draining
+        // in between.
         let drain_grace = Duration::from_nanos(settings.rules.drain_grace);
         let connect_timeout = Duration::from_nanos(settings.limits.connect_timeout);
         PoolConfig {
@@ -197,7 +201,8 @@
     u64::from_str_radix(seed, 16).map_err(|error| ConfigError::new("seed", error))
 }
 
-/// A faulty key's path; what is wrong with the file as a whole is put down to the variable that names it.
+/// A faulty key's path; what is wrong with the file as a whole is put down to the variable that
+/// names it.
 fn faulty_key(path: &serde_path_to_error::Path) -> String {
     let text = path.to_string();
     if text == "." || text == "?" { environment::CONFIG_FILE.to_owned() } else { text }
--- a/crates/service/spanlead/src/config/capacity.rs
+++ b/crates/service/spanlead/src/config/capacity.rs
@@ -11,10 +11,11 @@
 const MIN_MEMORY_MB: usize = 16;
 /// Descriptors that are left for clients and workers whatever else is wanted.
 const MIN_SHARED_SOCKETS: usize = 12;
-/// Descriptors that are neither a client's nor a worker's connection: the listener, the runtime's, standard input and output,
-/// discovery, peers, and some to spare.
+/// Descriptors that are neither a client's nor a worker's connection: the listener, the runtime's,
+/// standard input and output, discovery, peers, and some to spare.
 const RESERVED_SOCKETS: usize = 32;
-/// What a client's connection may hold at the most, bytes: its buffer, a body, and what is kept beside them.
+/// What a client's connection may hold at the most, bytes: its buffer, a body, and what is kept
+/// beside them.
 const CLIENT_MEMORY_BYTES: usize = MAX_HEAD + wire::MAX_BODY + 16 * 1024;
 const BYTES_PER_MB: usize = 1 << 20;
 
@@ -61,8 +62,9 @@
 }
 
 impl Capacity {
-    /// Clients hold up to a third of the descriptors for requests and notices come beside them, so two thirds are theirs, if
-    /// half of the memory allows that; an exchange with a worker is short.
+    /// Clients hold up to a third of the descriptors for requests and notices come beside them, so
+    /// two thirds are theirs, if half of the memory allows that; an exchange with a worker is
+    /// short.
     pub(super) fn new(limits: &Limits, has_operator_address: bool) -> Self {
         let operator_sockets = if has_operator_address { MAX_CALLS + 1 } else { 0 };
         let reserved = RESERVED_SOCKETS + operator_sockets;
--- a/crates/service/spanlead/src/config/keys.rs
+++ b/crates/service/spanlead/src/config/keys.rs
@@ -5,7 +5,8 @@
 /// The paths of a file's keys. In a list of objects a key counts that all of them have, under `[]`.
 pub(crate) type KeyPaths = BTreeSet<String>;
 
-/// The key under which the last known endpoint list is kept. It is no setting: its keys come and go.
+/// The key under which the last known endpoint list is kept. It is no setting: its keys come and
+/// go.
 const KNOWN_ENDPOINTS_KEY: &str = "known";
 
 /// The paths of all keys of a JSON value.
--- a/crates/service/spanlead/src/config/membership.rs
+++ b/crates/service/spanlead/src/config/membership.rs
@@ -5,7 +5,8 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The start of 2026 in tenths of a second since 1970: incarnations are counted from there, so that they fit for 13 years.
+/// The start of 2026 in tenths of a second since 1970: incarnations are counted from there, so that
+/// they fit for 13 years.
 const INCARNATION_EPOCH_TENTHS: u128 = 17_672_256_000;
 /// Milliseconds of a tenth of a second.
 const MS_PER_TENTH: u128 = 100;
@@ -77,8 +78,8 @@
     }
 }
 
-/// Tenths of a second since 2026: later starts have higher ones as long as clocks go on, and where one goes back the others say
-/// so (`GossipMembership::renew_incarnation`).
+/// Tenths of a second since 2026: later starts have higher ones as long as clocks go on, and where
+/// one goes back the others say so (`GossipMembership::renew_incarnation`).
 fn incarnation() -> u32 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let tenths = since_epoch.map_or(0, |span| span.as_millis() / MS_PER_TENTH);
--- a/crates/service/spanlead/src/driver.rs
+++ b/crates/service/spanlead/src/driver.rs
@@ -1,4 +1,5 @@
-//! Runs the engine: one input at a time, then the effects that it asks for, whose results come back as inputs.
+//! Runs the engine: one input at a time, then the effects that it asks for, whose results come back
+//! as inputs.
 //!
 //! - `startup`: sockets, tasks and the first inputs;
 //! - `signals`: what operations say by signals;
@@ -68,7 +69,8 @@
 /// The peers of the tier.
 struct Peers {
     socket: Option<PeerSocket>,
-    /// The addresses that are still to be listened on; another process of this scheduler may hold them.
+    /// The addresses that are still to be listened on; another process of this scheduler may hold
+    /// them.
     wanted: Option<PeerAddresses>,
 }
 
@@ -130,7 +132,8 @@
         self.start_accepting();
     }
 
-    /// Accepts connections from when this process can. Beside another that serves, nobody should meet one that cannot yet.
+    /// Accepts connections from when this process can. Beside another that serves, nobody should
+    /// meet one that cannot yet.
     fn start_accepting(&mut self) {
         let is_opening = self.durable_log.as_ref().is_some_and(|log| log.stage() == DurableLogStage::Opening);
         let can_accept = !self.peer_processes.has_predecessor() || self.engine.is_serving();
--- a/crates/service/spanlead/src/driver/durable_log.rs
+++ b/crates/service/spanlead/src/driver/durable_log.rs
@@ -1,4 +1,5 @@
-//! The log of durable jobs: records on their way to the disk, and effects that wait until these are durable.
+//! The log of durable jobs: records on their way to the disk, and effects that wait until these are
+//! durable.
 use super::Driver;
 use spanlead_balancing_policy::Nanos;
 use spanlead_durable_jobs::{Record, encode};
@@ -166,7 +167,8 @@
         self.durable_log.as_ref().is_some_and(|log| !log.barrier.is_empty())
     }
 
-    /// Gives up what has waited for the disk for too long: clients are answered in time whatever the disk does.
+    /// Gives up what has waited for the disk for too long: clients are answered in time whatever
+    /// the disk does.
     pub(super) fn expire_waiting_effects(&mut self) {
         let now = self.clock.now();
         if let Some(log) = &mut self.durable_log {
--- a/crates/service/spanlead/src/driver/effects.rs
+++ b/crates/service/spanlead/src/driver/effects.rs
@@ -166,7 +166,8 @@
 
     fn watch_endpoints(&mut self, addr: SocketAddr, version: u64) {
         let watch = tokio::spawn(self.discovery(addr, version).watch());
-        // One at a time: the one before, if it still runs, ends here with its connection and is not heard of.
+        // One at a time: the one before, if it still runs, ends here with its connection and is not
+        // heard of.
         self.watch.replace(watch).inspect(JoinHandle::abort);
     }
 
--- a/crates/service/spanlead/src/driver/notices.rs
+++ b/crates/service/spanlead/src/driver/notices.rs
@@ -11,7 +11,8 @@
 pub(super) type NoticeReplySender = Option<oneshot::Sender<NoticeReply>>;
 
 impl Driver {
-    /// A notice of a job that is not open here is for another process of this scheduler, if there is one.
+    /// A notice of a job that is not open here is for another process of this scheduler, if there
+    /// is one.
     pub(super) fn notice_received(
         &mut self,
         notice: NoticeBody,
@@ -30,7 +31,8 @@
         tokio::spawn(async move {
             let mut replies = Vec::new();
             for replied in forwarded {
-                // One that has gone takes its jobs with it; the worker asks again and is then answered here.
+                // One that has gone takes its jobs with it; the worker asks again and is then
+                // answered here.
                 let Ok(reply) = replied.await else { return };
                 replies.push(reply);
             }
--- a/crates/service/spanlead/src/driver/peer_processes.rs
+++ b/crates/service/spanlead/src/driver/peer_processes.rs
@@ -30,7 +30,8 @@
     successor: Option<ProcessLink>,
     /// Requests that the predecessor has handed over, by their id.
     expected: HashMap<Arc<str>, ExpectedRequest>,
-    /// Requests that the successor has, and what would answer them here, which must not be used any more.
+    /// Requests that the successor has, and what would answer them here, which must not be used any
+    /// more.
     released: HashMap<Arc<str>, oneshot::Sender<Answer>>,
     /// Those of them that may still be on their way.
     in_transit: Vec<oneshot::Receiver<NoticeReply>>,
--- a/crates/service/spanlead/src/driver/receive.rs
+++ b/crates/service/spanlead/src/driver/receive.rs
@@ -44,8 +44,9 @@
     fn request_received(&mut self, received: ReceivedRequest) {
         let ReceivedRequest { request_id, mut job, request, connection, reply } = received;
         let handed_over = self.peer_processes.take_handed_over(&job.id);
-        // Its client has disconnected while it waited for the log to open, and that was reported before. What another process
-        // had begun must be ended in order: of one that was handed over the disconnect is reported after this.
+        // Its client has disconnected while it waited for the log to open, and that was reported
+        // before. What another process had begun must be ended in order: of one that was handed
+        // over the disconnect is reported after this.
         if handed_over.is_none() && reply.is_closed() {
             return self.step(Input::RequestRejected { class: job.class });
         }
--- a/crates/service/spanlead/src/driver/run.rs
+++ b/crates/service/spanlead/src/driver/run.rs
@@ -72,14 +72,15 @@
             self.step(Input::StartHandover);
             self.release_durable_log();
         }
-        // An idle client would only find out from its next request that nothing new should come here.
+        // An idle client would only find out from its next request that nothing new should come
+        // here.
         if self.engine.is_redirect_grace_over(self.clock.now()) {
             self.client_listener.close_idle();
         }
     }
 
-    /// Whether this process owes nothing any more. With a successor it must also be done with every connection that it
-    /// accepted: what they still bring is served here.
+    /// Whether this process owes nothing any more. With a successor it must also be done with every
+    /// connection that it accepted: what they still bring is served here.
     fn is_finished(&mut self) -> bool {
         if self.failure.is_some() {
             return true;
@@ -110,7 +111,8 @@
             if let Some(accepting) = self.accepting.task.take() {
                 accepting.abort();
             }
-            // The successor is this scheduler to its peers from now on. Without one they hear that it drains, and of its end.
+            // The successor is this scheduler to its peers from now on. Without one they hear that
+            // it drains, and of its end.
             (self.peers.socket, self.peers.wanted) = (None, None);
         }
         self.step(Input::Shutdown);
--- a/crates/service/spanlead/src/driver/startup.rs
+++ b/crates/service/spanlead/src/driver/startup.rs
@@ -132,7 +132,8 @@
     Ok(Some(TierParams { membership, quorum_sets }))
 }
 
-/// The clients' listening socket: an inherited one, with the predecessor that may serve it too, or one of its own.
+/// The clients' listening socket: an inherited one, with the predecessor that may serve it too, or
+/// one of its own.
 async fn open_client_socket(
     config: &Config,
     messages: &UnboundedSender<Message>,
--- a/crates/service/spanlead/src/durable_log.rs
+++ b/crates/service/spanlead/src/durable_log.rs
@@ -11,7 +11,8 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// How long a process that takes over from none waits for the folder: one that was killed lets go of it soon.
+/// How long a process that takes over from none waits for the folder: one that was killed lets go
+/// of it soon.
 const FOLDER_WAIT_TIMEOUT: Duration = Duration::from_secs(5);
 /// How often it is tried.
 const FOLDER_RETRY_INTERVAL: Duration = Duration::from_millis(25);
@@ -48,8 +49,8 @@
     Open(#[from] OpenError),
 }
 
-/// Takes the folder and reads it, in a thread of its own, and tells the driver. With a predecessor it waits until that one
-/// lets go.
+/// Takes the folder and reads it, in a thread of its own, and tells the driver. With a predecessor
+/// it waits until that one lets go.
 pub(crate) fn open_log(
     settings: conf::Ledger,
     clock: Clock,
--- a/crates/service/spanlead/src/inventory_command.rs
+++ b/crates/service/spanlead/src/inventory_command.rs
@@ -1,4 +1,5 @@
-//! `spanlead inventory`: inventories looked at without a scheduler, and a scheduler's inventories from outside.
+//! `spanlead inventory`: inventories looked at without a scheduler, and a scheduler's inventories
+//! from outside.
 //!
 //! - `args`: the options;
 //! - `sources`: the inventories and the endpoint list that the options name;
--- a/crates/service/spanlead/src/inventory_command/args.rs
+++ b/crates/service/spanlead/src/inventory_command/args.rs
@@ -6,7 +6,8 @@
 /// What is done with inventories.
 #[derive(Subcommand)]
 pub(crate) enum InventoryCommand {
-    /// Read files and say what is wrong with them, line by line. Fails if a line, a fact or a file is refused.
+    /// Read files and say what is wrong with them, line by line. Fails if a line, a fact or a file
+    /// is refused.
     Check {
         #[command(flatten)]
         selection: SelectionArgs,
@@ -26,7 +27,8 @@
         #[arg(long)]
         json: bool,
     },
-    /// Compare files with the live list: hosts that only one of them names, and facts on which they differ.
+    /// Compare files with the live list: hosts that only one of them names, and facts on which they
+    /// differ.
     Report {
         #[command(flatten)]
         selection: SelectionArgs,
@@ -45,7 +47,8 @@
         old: Option<PathBuf>,
         /// The new one.
         new: Option<PathBuf>,
-        /// Two kept versions instead, by their numbers; the inventory is named by `--conf` and `--name`.
+        /// Two kept versions instead, by their numbers; the inventory is named by `--conf` and
+        /// `--name`.
         #[arg(long, num_args = 2, value_names = ["OLD", "NEW"])]
         kept: Option<Vec<u64>>,
         #[command(flatten)]
@@ -141,7 +144,8 @@
     /// A scheduler's door for operators: its list, files and differences as they are there now.
     #[arg(long, conflicts_with = "list")]
     pub(super) at: Option<SocketAddr>,
-    /// The list in a file, as discovery writes it. Without, the one in `$ROUTER_CONFIG`, if that is set.
+    /// The list in a file, as discovery writes it. Without, the one in `$ROUTER_CONFIG`, if that is
+    /// set.
     #[arg(long, value_name = "FILE")]
     pub(super) list: Option<PathBuf>,
 }
--- a/crates/service/spanlead/src/inventory_command/sources.rs
+++ b/crates/service/spanlead/src/inventory_command/sources.rs
@@ -50,7 +50,8 @@
 }
 
 impl ReadingArgs {
-    /// The zones and kinds that were given, or else those of the platform's configuration, or else any.
+    /// The zones and kinds that were given, or else those of the platform's configuration, or else
+    /// any.
     pub(super) fn vocabulary(&self) -> Result<Vocabulary, InventoryCommandError> {
         let given = |names: &[String]| (!names.is_empty()).then(|| names.to_vec());
         let mut vocabulary = Vocabulary { zones: given(&self.zones), kinds: given(&self.kinds) };
--- a/crates/service/spanlead/src/ledger_command.rs
+++ b/crates/service/spanlead/src/ledger_command.rs
@@ -195,7 +195,8 @@
     Ok(())
 }
 
-/// Writes what is still needed anew, and removes the rest. No process may serve on the folder meanwhile.
+/// Writes what is still needed anew, and removes the rest. No process may serve on the folder
+/// meanwhile.
 pub(crate) fn compact(folder: &Path, keep: Duration) -> Result<(), LedgerCommandError> {
     if !folder.is_dir() {
         return Err(LedgerCommandError::NoFolder(folder.to_owned()));
--- a/crates/service/spanlead/src/main.rs
+++ b/crates/service/spanlead/src/main.rs
@@ -4,7 +4,8 @@
 //! - `config`: the configuration, read and checked;
 //! - `driver`: a scheduler that serves;
 //! - `durable_log`: opening the log of durable jobs for it;
-//! - `check_command`, `inventory_command`, `ledger_command`, `members_command`, `trial_command`: the other commands;
+//! - `check_command`, `inventory_command`, `ledger_command`, `members_command`, `trial_command`:
+//!   the other commands;
 //! - `operator_client`: calls at a scheduler that serves.
 #![warn(
     missing_docs,
--- a/crates/service/spanlead/src/members_command.rs
+++ b/crates/service/spanlead/src/members_command.rs
@@ -1,4 +1,5 @@
-//! `spanlead members` and `spanlead duties`: the schedulers and their singleton roles as one scheduler sees them.
+//! `spanlead members` and `spanlead duties`: the schedulers and their singleton roles as one
+//! scheduler sees them.
 use crate::operator_client::{OperatorCallError, call};
 use comfy_table::{Table, presets};
 use serde::Deserialize;
--- a/crates/service/spanlead/src/trial_command.rs
+++ b/crates/service/spanlead/src/trial_command.rs
@@ -1,4 +1,5 @@
-//! `spanlead try`: schedulers among simulated workers, clients and discovery on loopback, with as many faults as are asked for.
+//! `spanlead try`: schedulers among simulated workers, clients and discovery on loopback, with as
+//! many faults as are asked for.
 //!
 //! - `one_scheduler`: a trial of one scheduler;
 //! - `faults`: what goes wrong in it, and when;
@@ -44,7 +45,8 @@
     /// Clients at a time.
     #[arg(long, default_value_t = 256)]
     pub(crate) clients: usize,
-    /// The deployment that is played, a TOML file (`deploy/deployments/` has two); without, a membership service's.
+    /// The deployment that is played, a TOML file (`deploy/deployments/` has two); without, a
+    /// membership service's.
     #[arg(long, value_name = "FILE")]
     pub(crate) deployment: Option<PathBuf>,
     /// How long jobs run, against the deployment's; without, what its file says.
@@ -71,12 +73,12 @@
     /// How often a worker is killed and started again.
     #[arg(long, default_value_t = 0)]
     pub(crate) kill_worker: u32,
-    /// How often a worker freezes, vanishes, slows down, drains, cuts connections, answers late, repeats notices or goes on
-    /// after its lease.
+    /// How often a worker freezes, vanishes, slows down, drains, cuts connections, answers late,
+    /// repeats notices or goes on after its lease.
     #[arg(long, default_value_t = 0)]
     pub(crate) trouble: u32,
-    /// How often a club's inventory file changes, now and then for the worse. The live list says no more than who runs then:
-    /// pods, zones, kinds and weights are the file's.
+    /// How often a club's inventory file changes, now and then for the worse. The live list says no
+    /// more than who runs then: pods, zones, kinds and weights are the file's.
     #[arg(long, default_value_t = 0)]
     pub(crate) inventory: u32,
     /// The share of keyed jobs that two clients bring at once; without, what the deployment says.
--- a/crates/service/spanlead/src/trial_command/tier.rs
+++ b/crates/service/spanlead/src/trial_command/tier.rs
@@ -19,7 +19,8 @@
     /// Schedulers, each with clients of its own; with more than one they are members of a tier.
     #[arg(long, default_value_t = 1)]
     pub(super) schedulers: usize,
-    /// The share of datagrams between schedulers that are lost, such as 20%; a few are doubled, cut off, spoilt and overtaken.
+    /// The share of datagrams between schedulers that are lost, such as 20%; a few are doubled, cut
+    /// off, spoilt and overtaken.
     #[arg(long, default_value = "0%", value_parser = parse_share)]
     pub(super) peer_loss: f64,
     /// How often a part of the schedulers is cut off from the others, in one direction or both.
@@ -116,7 +117,8 @@
 }
 
 impl TierTrial<'_> {
-    /// Leaves parts of the script out, ever smaller ones, as long as the rule is still broken (delta debugging).
+    /// Leaves parts of the script out, ever smaller ones, as long as the rule is still broken
+    /// (delta debugging).
     async fn shrink(&self, mut script: Script, rule: Rule) -> Result<Script, TrialError> {
         let mut part = script.steps.len().div_ceil(2);
         let mut plays_left = self.tier.shrink;
--- a/crates/service/spanlead/tests/client_connections.rs
+++ b/crates/service/spanlead/tests/client_connections.rs
@@ -17,8 +17,8 @@
     assert_eq!(client.answer().body, "r");
 }
 
-// Guards usual clients in a flood of connections that say nothing: those go first, though the client's has been idle
-// longer, and each is given a while to speak.
+// Guards usual clients in a flood of connections that say nothing: those go first, though the
+// client's has been idle longer, and each is given a while to speak.
 #[test]
 fn silent_connections_are_evicted_before_proven_ones() {
     let (scheduler, worker, _discovery) = with_worker();
--- a/crates/service/spanlead/tests/command.rs
+++ b/crates/service/spanlead/tests/command.rs
@@ -36,7 +36,8 @@
     ");
 }
 
-// Guards against configuration that fails late or in riddles: one line that names the key, and a bad exit.
+// Guards against configuration that fails late or in riddles: one line that names the key, and a
+// bad exit.
 #[test]
 fn bad_configuration_names_its_key() {
     let good = config(nobody(), "");
@@ -71,8 +72,9 @@
     "#);
 }
 
-// Guards a membership that could never work: the section is refused at the start, by its place, where the configuration has no peers,
-// not this scheduler among them, or bars messages. Where it can, `check` says when a scheduler counts as dead.
+// Guards a membership that could never work: the section is refused at the start, by its place,
+// where the configuration has no peers, not this scheduler among them, or bars messages. Where it
+// can, `check` says when a scheduler counts as dead.
 #[test]
 fn membership_wants_peers() {
     let peers = |list: &str| {
--- a/crates/service/spanlead/tests/configuration_reload.rs
+++ b/crates/service/spanlead/tests/configuration_reload.rs
@@ -6,9 +6,9 @@
 use insta::assert_snapshot;
 use std::time::{Duration, Instant};
 
-// Guards a new configuration under load: SIGHUP ended the program before. The file's address goes before the variable's,
-// the watch moves there at once though the old one's call still waits, a faulty file changes nothing, and the job that
-// was out all the while is answered.
+// Guards a new configuration under load: SIGHUP ended the program before. The file's address goes
+// before the variable's, the watch moves there at once though the old one's call still waits, a
+// faulty file changes nothing, and the job that was out all the while is answered.
 #[test]
 fn a_reload_moves_the_watch_and_nothing_else() {
     let (scheduler, worker, discovery) = with_worker();
@@ -33,8 +33,8 @@
     assert_eq!(client.answer().body, "r");
 }
 
-// Guards new settings under load: classes come and go and their rules change, from then on. A job that is open keeps the
-// rules and the attempts that it came under, and a dropped class its counts.
+// Guards new settings under load: classes come and go and their rules change, from then on. A job
+// that is open keeps the rules and the attempts that it came under, and a dropped class its counts.
 #[test]
 fn new_settings_apply_to_new_jobs_only() {
     let (discovery, worker, other) = (Server::start(), Server::start(), Server::start());
@@ -55,7 +55,8 @@
     open.job("status-check", "open", 60_000);
     let call = asked();
     let edits = [
-        // The class that is open may not be repeated any more, the one before it in the list is gone, one is new.
+        // The class that is open may not be repeated any more, the one before it in the list is
+        // gone, one is new.
         (r#""name":"status-check""#, r#""name":"card""#),
         (r#""name":"guest-visit""#, r#""name":"status-check""#),
         (r#""effect":"deduplicated""#, r#""effect":"at_most_once""#),
@@ -92,7 +93,8 @@
     "#);
 }
 
-// Guards against half a configuration: from a file that is broken in any way nothing is taken, and one line says why.
+// Guards against half a configuration: from a file that is broken in any way nothing is taken, and
+// one line says why.
 #[test]
 fn a_broken_configuration_file_changes_nothing() {
     let (scheduler, worker, discovery) = with_worker();
--- a/crates/service/spanlead/tests/crossings.rs
+++ b/crates/service/spanlead/tests/crossings.rs
@@ -1,4 +1,5 @@
-//! Moments in which two events cross: each test forces the bad order, by events. `docs/design/crossings.md` lists them all.
+//! Moments in which two events cross: each test forces the bad order, by events.
+//! `docs/design/crossings.md` lists them all.
 #[allow(dead_code, reason = "each test program uses a part of it")]
 mod harness;
 
@@ -27,8 +28,9 @@
     (scheduler, worker, discovery)
 }
 
-// Guards against sends to what drains: a watch that falls silent in the moment of a change was given up after 6 s, by when the change
-// counts as told, and only then came the back-off and another call. What the new call may take, 1 s, must fit in as well.
+// Guards against sends to what drains: a watch that falls silent in the moment of a change was
+// given up after 6 s, by when the change counts as told, and only then came the back-off and
+// another call. What the new call may take, 1 s, must fit in as well.
 #[test]
 fn a_watch_that_falls_silent_is_opened_anew_before_its_news_counts_as_told() {
     let (_scheduler, _worker, discovery) = with_watch();
@@ -64,7 +66,8 @@
     assert!(worker.unasked());
 }
 
-// Guards a discovery with many callers: calls given up after 1 s, as it was about to answer them, came again and kept it busy for good.
+// Guards a discovery with many callers: calls given up after 1 s, as it was about to answer them,
+// came again and kept it busy for good.
 #[test]
 fn a_discovery_that_takes_its_time_is_waited_for() {
     let (discovery, worker) = (Server::start(), Server::start());
@@ -76,8 +79,8 @@
     assert_eq!(discovery.next().message.start, "GET /v1/servers?index=42&wait=4000 HTTP/1.1");
 }
 
-// Guards against work for nobody: HTTP reads no further than the request that it serves once there is more, so the end of a client that
-// had sent more was not seen, and attempts for it went on.
+// Guards against work for nobody: HTTP reads no further than the request that it serves once there
+// is more, so the end of a client that had sent more was not seen, and attempts for it went on.
 #[test]
 fn a_client_that_sent_more_than_its_request_is_seen_to_leave() {
     let (scheduler, worker, _discovery) = with_watch();
@@ -88,7 +91,8 @@
     assert_eq!(worker.next().message.start, "DELETE /jobs/id-1 HTTP/1.1");
 }
 
-// Guards against the same where the client has left before its request was read: it is not taken at all.
+// Guards against the same where the client has left before its request was read: it is not taken at
+// all.
 #[test]
 fn a_request_whose_client_left_before_it_was_read_is_not_sent_on() {
     let (scheduler, worker, _discovery) = with_watch();
@@ -106,7 +110,8 @@
     assert!(worker.unasked());
 }
 
-// Guards a planned restart: a request that had begun to come in before the end was taken when nobody decided any more, and had no answer.
+// Guards a planned restart: a request that had begun to come in before the end was taken when
+// nobody decided any more, and had no answer.
 #[test]
 fn a_request_that_is_whole_only_when_the_last_connections_close_is_answered() {
     let (mut scheduler, worker, _discovery) = with_watch();
@@ -126,8 +131,8 @@
     assert!(worker.unasked());
 }
 
-// Guards the grace for drains: a send waits for a descriptor, and for its connection, no longer than a worker that is told to drain meanwhile
-// may still be sent to.
+// Guards the grace for drains: a send waits for a descriptor, and for its connection, no longer
+// than a worker that is told to drain meanwhile may still be sent to.
 #[test]
 fn a_job_that_waits_for_a_connection_past_the_grace_for_drains_is_not_sent() {
     let (discovery, worker) = (Server::start(), Server::start());
@@ -145,7 +150,8 @@
     let mut held: Vec<Call> = (0..5).map(|_| worker.next()).collect();
     assert!(worker.unasked());
     discovery.next().reply("200 OK", "", &list(42, &worker.entry("s-a", "leaving")));
-    // The news has been read when the next call comes; then the grace passes, and a connection comes free.
+    // The news has been read when the next call comes; then the grace passes, and a connection
+    // comes free.
     discovery.next();
     thread::sleep(Duration::from_millis(400));
     let sent: Vec<String> =
@@ -156,7 +162,8 @@
     assert!(worker.unasked());
 }
 
-// Guards discovery's share of the descriptors: clients fill all that they can get and rest, while discovery can't be reached.
+// Guards discovery's share of the descriptors: clients fill all that they can get and rest, while
+// discovery can't be reached.
 #[test]
 fn clients_that_fill_the_descriptors_while_discovery_is_down_shut_nobody_out() {
     let (scheduler, worker, discovery) = with_watch();
@@ -183,8 +190,9 @@
     drop(idle);
 }
 
-// Guards the exchange that follows one whose answer came twice: on a kept connection the second answer was taken for the next job's, and a job
-// that its worker had declined was waited for until its time was over.
+// Guards the exchange that follows one whose answer came twice: on a kept connection the second
+// answer was taken for the next job's, and a job that its worker had declined was waited for until
+// its time was over.
 #[test]
 fn a_second_answer_is_not_taken_for_that_of_the_next_job() {
     let (discovery, worker) = (Server::start(), Server::start());
@@ -216,8 +224,8 @@
     }
 }
 
-// Guards the worker of a job that is being handed over to a successor: its client leaves before that has read the request, and what the
-// predecessor began is called off all the same.
+// Guards the worker of a job that is being handed over to a successor: its client leaves before
+// that has read the request, and what the predecessor began is called off all the same.
 #[test]
 fn a_client_that_leaves_while_its_job_is_handed_over_has_it_called_off() {
     let (discovery, worker) = (Server::start(), Server::start());
@@ -242,8 +250,8 @@
     assert!(old.wait().success());
 }
 
-// Guards a restart while discovery is down, with no list of workers kept: the scheduler is ready soon after discovery is back, well
-// within the 10 s in which nine in ten have to be.
+// Guards a restart while discovery is down, with no list of workers kept: the scheduler is ready
+// soon after discovery is back, well within the 10 s in which nine in ten have to be.
 #[test]
 fn a_scheduler_without_a_list_is_ready_soon_after_discovery_is_back() {
     let (discovery, worker) = (Server::start(), Server::start());
@@ -260,7 +268,8 @@
     assert!(back.elapsed() < Duration::from_secs(5), "ready after {:?}", back.elapsed());
 }
 
-/// A worker that reads so many bytes of a job's first attempt and resets the connection; any further attempt of it is declined, and told of.
+/// A worker that reads so many bytes of a job's first attempt and resets the connection; any
+/// further attempt of it is declined, and told of.
 fn resetting(read: Arc<AtomicUsize>, seen: Arc<Mutex<HashSet<String>>>, again: Sender<String>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("bound");
@@ -292,8 +301,8 @@
     addr
 }
 
-// Guards a class that may never run twice: whatever a worker had read of it when it reset the connection, its last byte had left here, so it
-// may have run and is not sent again.
+// Guards a class that may never run twice: whatever a worker had read of it when it reset the
+// connection, its last byte had left here, so it may have run and is not sent again.
 #[test]
 fn an_unsafe_job_is_not_sent_again_after_a_reset_at_any_byte() {
     let discovery = Server::start();
--- a/crates/service/spanlead/tests/discovery.rs
+++ b/crates/service/spanlead/tests/discovery.rs
@@ -5,8 +5,8 @@
 use harness::{Scheduler, Server, take, with_worker};
 use std::time::{Duration, Instant};
 
-// Guards the watch: it starts from the known list, goes on from each answer, starts again when a call fails, and what
-// it tells is heeded.
+// Guards the watch: it starts from the known list, goes on from each answer, starts again when a
+// call fails, and what it tells is heeded.
 #[test]
 fn the_watch_continues_and_its_changes_are_applied() {
     let (scheduler, worker, discovery) = with_worker();
@@ -29,9 +29,10 @@
     assert_eq!(discovery.next().message.start, "GET /v1/servers?index=43&wait=0 HTTP/1.1");
 }
 
-// Guards lists that are pushed: the module asks for none there, and nobody listened to the agent that they are pushed to, so jobs went
-// to draining workers and never to new ones. It is heard from the start, again after a call that failed, and an agent that answers
-// every call at once is not asked without a pause.
+// Guards lists that are pushed: the module asks for none there, and nobody listened to the agent
+// that they are pushed to, so jobs went to draining workers and never to new ones. It is heard from
+// the start, again after a call that failed, and an agent that answers every call at once is not
+// asked without a pause.
 #[test]
 fn an_agent_with_pushed_lists_is_followed() {
     let (discovery, worker, other) = (Server::start(), Server::start(), Server::start());
--- a/crates/service/spanlead/tests/dispatch.rs
+++ b/crates/service/spanlead/tests/dispatch.rs
@@ -5,7 +5,8 @@
 use harness::{Scheduler, Server, take, with_worker};
 use insta::assert_snapshot;
 
-// Guards the passage of a job: what a worker needs goes on unchanged, and its result comes back whole.
+// Guards the passage of a job: what a worker needs goes on unchanged, and its result comes back
+// whole.
 #[test]
 fn a_job_is_dispatched_and_its_result_returned() {
     let (scheduler, worker, _discovery) = with_worker();
@@ -35,7 +36,8 @@
     "#);
 }
 
-// Guards the matching of notices: they overtake the 202, repeat, come late or for another's job, and are malformed.
+// Guards the matching of notices: they overtake the 202, repeat, come late or for another's job,
+// and are malformed.
 #[test]
 fn only_a_matching_notice_changes_anything() {
     let (scheduler, worker, _discovery) = with_worker();
@@ -55,7 +57,8 @@
     assert_eq!(notices.answer().start, "HTTP/1.1 400 Bad Request");
 }
 
-// Guards against two attempts under one id: a second request with the id of one still open is not taken.
+// Guards against two attempts under one id: a second request with the id of one still open is not
+// taken.
 #[test]
 fn a_second_request_with_an_open_id_is_refused() {
     let (scheduler, worker, _discovery) = with_worker();
@@ -69,7 +72,8 @@
     assert!(worker.unasked());
 }
 
-// Guards the end of a request whose worker has gone silent: an answer by its deadline, and the job called off.
+// Guards the end of a request whose worker has gone silent: an answer by its deadline, and the job
+// called off.
 #[test]
 fn a_silent_worker_times_out_at_the_deadline() {
     let (scheduler, worker, _discovery) = with_worker();
@@ -93,7 +97,8 @@
     assert_eq!(worker.next().message.start, "DELETE /jobs/id-1 HTTP/1.1");
 }
 
-// Guards the passage of load reports, whose names on sockets are their own: the module waits for a free slot.
+// Guards the passage of load reports, whose names on sockets are their own: the module waits for a
+// free slot.
 #[test]
 fn a_health_check_report_decides_whether_a_job_is_dispatched() {
     let (discovery, worker) = (Server::start(), Server::start());
--- a/crates/service/spanlead/tests/duties.rs
+++ b/crates/service/spanlead/tests/duties.rs
@@ -1,6 +1,7 @@
-//! A duty of five processes, one of which holds it: killed, stopped, cut off, restarted. The judge is what the duty acts on, by its own
-//! clock: the terms of the acts that it lets through never go back, and where no process stands still they don't even without its
-//! fence. That somebody holds it in the end is waited for with `PATIENCE`.
+//! A duty of five processes, one of which holds it: killed, stopped, cut off, restarted. The judge
+//! is what the duty acts on, by its own clock: the terms of the acts that it lets through never go
+//! back, and where no process stands still they don't even without its fence. That somebody holds
+//! it in the end is waited for with `PATIENCE`.
 mod rigs;
 
 use rigs::{COUNT, PATIENCE, play};
@@ -77,7 +78,8 @@
         self.patiently("further act", async || (self.resource.acts().len() > before).then_some(())).await;
     }
 
-    /// Starts one, again or for the first time, in a set of so many; with `joint`, of which the set of the first three is the other.
+    /// Starts one, again or for the first time, in a set of so many; with `joint`, of which the set
+    /// of the first three is the other.
     async fn restart(&mut self, scheduler: usize, count: usize, joint: bool) {
         let conf = conf(&self.resource, if joint { "  joint-with 3\n" } else { "" });
         self.stop(scheduler).await;
@@ -156,7 +158,8 @@
     });
 }
 
-// It stands still past its lease and goes on: by then another holds it, and whatever it still sends is under an older term.
+// It stands still past its lease and goes on: by then another holds it, and whatever it still sends
+// is under an older term.
 #[test]
 fn one_that_stood_still_does_nothing_under_its_old_term() {
     play(async {
@@ -175,7 +178,8 @@
     });
 }
 
-/// An act that was sent in time and comes when another has acted: held up on its way. What comes of it.
+/// An act that was sent in time and comes when another has acted: held up on its way. What comes of
+/// it.
 async fn late_act(name: &str, fence: bool) -> Tier {
     let tier = Tier::start(name, fence).await;
     let (holder, term) = (tier.holder().await, tier.resource.highest());
@@ -211,8 +215,8 @@
     });
 }
 
-// A holder that is cut off from all gives up when its lease is over; the others hand it on. So does one that hears no answers any more,
-// and one whose questions nobody hears.
+// A holder that is cut off from all gives up when its lease is over; the others hand it on. So does
+// one that hears no answers any more, and one whose questions nobody hears.
 #[test]
 fn a_holder_that_is_cut_off_gives_up() {
     play(async {
@@ -235,7 +239,8 @@
     });
 }
 
-// Where no side has a majority of the configured nobody holds it, however long that lasts; when it heals, somebody does.
+// Where no side has a majority of the configured nobody holds it, however long that lasts; when it
+// heals, somebody does.
 #[test]
 fn without_a_majority_nobody_holds_it() {
     play(async {
@@ -266,7 +271,8 @@
     });
 }
 
-// All die at once and start with nothing: those who have forgotten keep silent until what they granted is over, and terms go on.
+// All die at once and start with nothing: those who have forgotten keep silent until what they
+// granted is over, and terms go on.
 #[test]
 fn all_restarted_at_once_go_on_with_later_terms() {
     play(async {
@@ -312,7 +318,8 @@
     });
 }
 
-// From three to five and back, one after the other, by way of both sets; somebody holds it again after each step.
+// From three to five and back, one after the other, by way of both sets; somebody holds it again
+// after each step.
 #[test]
 fn a_set_grows_and_shrinks_while_it_is_held() {
     play(async {
@@ -340,8 +347,8 @@
     });
 }
 
-/// Two of three stay in their set; the third starts in one of five, with the two new ones, and is cut off from those two just then. What each
-/// side does in the time of three leases.
+/// Two of three stay in their set; the third starts in one of five, with the two new ones, and is
+/// cut off from those two just then. What each side does in the time of three leases.
 async fn cut_while_it_grows(name: &str, joint: bool) -> Tier {
     let mut tier = Tier::start(name, false).await;
     tier.begin_with_three().await;
--- a/crates/service/spanlead/tests/golden.rs
+++ b/crates/service/spanlead/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What operators, scripts and the processes of the version before rely on, word for word: folders at rest, the commands'
-//! help and output, and the JSON of the operators' door.
+//! What operators, scripts and the processes of the version before rely on, word for word: folders
+//! at rest, the commands' help and output, and the JSON of the operators' door.
 #[allow(dead_code, reason = "each crate uses a part of it")]
 #[path = "../../wal/tests/golden/data.rs"]
 mod golden;
@@ -21,7 +21,8 @@
 // ---------------------------------------------------------------- a ledger's folder
 
 const LEDGER: &str = "ledger";
-/// A busy machine's disk may take longer for a sync than a client waits; what is compared here doesn't hang on it.
+/// A busy machine's disk may take longer for a sync than a client waits; what is compared here
+/// doesn't hang on it.
 const NO_SYNC: &str = "  sync no\n";
 /// The second group closes the first segment.
 const SEGMENT: u64 = 900;
@@ -37,7 +38,8 @@
     Record::Session(Session { anchor, next_job: JobNumber(next), next_token: FencingToken(next) })
 }
 
-/// A request as the ledger keeps it: method, path, headers and body, each with its length before it.
+/// A request as the ledger keeps it: method, path, headers and body, each with its length before
+/// it.
 fn text(class: &str, id: &str) -> Vec<u8> {
     let word = |text: &str| [&[text.len() as u8], text.as_bytes()].concat();
     [word("POST"), word(&format!("/{class}/x")), vec![1], word("req-id"), word(id), word("payload")].concat()
@@ -90,7 +92,8 @@
     Record::Snapshot(Box::new(Job { accepted, past_attempts, state }))
 }
 
-/// The records in their groups: open jobs at each stage, ended ones with each end, with keys and without.
+/// The records in their groups: open jobs at each stage, ended ones with each end, with keys and
+/// without.
 fn groups() -> Vec<Vec<Record>> {
     let (job, token) = (JobNumber, FencingToken);
     let window = RetrySafety::Deduplicated(25 * SEC);
@@ -192,7 +195,8 @@
     (dir, name)
 }
 
-/// What a command prints on both outputs, with this folder's name taken out, and whether it was content.
+/// What a command prints on both outputs, with this folder's name taken out, and whether it was
+/// content.
 fn output(args: &[&str], folder: &str) -> String {
     let output = run_plain(args);
     let code = output.status.code().expect("it ends by itself");
@@ -221,7 +225,8 @@
     drop(dir);
 }
 
-// Guards the writing side beside it: the same records make the same folder, but for the salts that are drawn.
+// Guards the writing side beside it: the same records make the same folder, but for the salts that
+// are drawn.
 #[test]
 fn a_ledger_written_now_is_shown_as_the_committed_one() {
     let ledger = folder().join("new");
@@ -234,12 +239,12 @@
     }
 }
 
-/// The digest of a client's repeat, `POST /once/x` with this harness's body: the line `repeat-fingerprint` in the golden data
-/// of `spanlead-net`.
+/// The digest of a client's repeat, `POST /once/x` with this harness's body: the line
+/// `repeat-fingerprint` in the golden data of `spanlead-net`.
 const DIGEST: [u8; 16] = [195, 62, 209, 179, 230, 249, 240, 91, 127, 188, 170, 165, 74, 76, 130, 125];
 
-// Guards a start on such a folder: all of it is read, the jobs whose clients have long given up are ended, and a client that
-// comes back has the answer that the version before wrote down.
+// Guards a start on such a folder: all of it is read, the jobs whose clients have long given up are
+// ended, and a client that comes back has the answer that the version before wrote down.
 #[test]
 fn a_process_goes_on_with_a_committed_ledger() {
     let (dir, ledger) = ledger_copy();
@@ -354,7 +359,8 @@
     serde_json::from_str(body).unwrap_or_else(|error| panic!("{call}: {error}: {body}"))
 }
 
-/// Keys whose values differ from run to run, beside those of times, sizes and what the membership counts.
+/// Keys whose values differ from run to run, beside those of times, sizes and what the membership
+/// counts.
 const VARYING: [&str; 16] = [
     "view",
     "incarnation",
@@ -408,7 +414,8 @@
     members.len() == states.len() && members.iter().zip(states).all(as_wanted)
 }
 
-// Guards every script that reads the door: all keys of each answer, and their forms, with all sections in use.
+// Guards every script that reads the door: all keys of each answer, and their forms, with all
+// sections in use.
 #[test]
 fn the_doors_answers_keep_their_json() {
     let mut tier = Tier::start();
@@ -569,8 +576,8 @@
     }
 }
 
-// Guards the keys' names: a value that none of them can have is refused by the key's name. One that was not known any more
-// would be passed over.
+// Guards the keys' names: a value that none of them can have is refused by the key's name. One that
+// was not known any more would be passed over.
 #[test]
 fn each_key_of_the_configuration_is_read() {
     let config: Value = serde_json::from_str(&golden::read(CONFIG)).expect("JSON");
--- a/crates/service/spanlead/tests/harness/mod.rs
+++ b/crates/service/spanlead/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! The scheduler as a process, and the clients, workers and discovery that speak to it. Everything waits for events;
-//! [`PATIENCE`] only ends a test that would hang.
+//! The scheduler as a process, and the clients, workers and discovery that speak to it. Everything
+//! waits for events; [`PATIENCE`] only ends a test that would hang.
 use rustix::process::{Pid, Signal, kill_process};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -212,7 +212,8 @@
         Message::read(&mut self.0).is_none()
     }
 
-    /// Whether the connection then ended in order, not by a reset, which can destroy what was said before.
+    /// Whether the connection then ended in order, not by a reset, which can destroy what was said
+    /// before.
     pub fn ended_in_order(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0))
     }
@@ -234,7 +235,8 @@
         Self::start_with(discovery, known, edits, |command| command)
     }
 
-    /// Starts one on a listening socket that it inherits, beside others that hold the same one and the same folder.
+    /// Starts one on a listening socket that it inherits, beside others that hold the same one and
+    /// the same folder.
     pub fn start_beside(
         platform: &TcpListener,
         folder: &Path,
@@ -285,7 +287,8 @@
         Self::start_with(discovery, known, edits, |command| command.arg("--conf").arg(conf))
     }
 
-    /// The same with files of `blocks` times 512 bytes at the most, beyond which the system refuses to write.
+    /// The same with files of `blocks` times 512 bytes at the most, beyond which the system refuses
+    /// to write.
     pub fn start_cramped(discovery: SocketAddr, known: &[String], folder: &Path, blocks: u32) -> Self {
         let conf = durable_conf(folder, "");
         let text = config(discovery, &known.join(","));
--- a/crates/service/spanlead/tests/http_requests.rs
+++ b/crates/service/spanlead/tests/http_requests.rs
@@ -67,8 +67,8 @@
     assert_eq!(scheduler.health(), "HTTP/1.1 200 OK");
 }
 
-// Guards clients whose requests come slowly, cut anywhere: they were given up 2.5 s after the connection was accepted, though
-// they went on coming. Their time counts from the last byte.
+// Guards clients whose requests come slowly, cut anywhere: they were given up 2.5 s after the
+// connection was accepted, though they went on coming. Their time counts from the last byte.
 #[test]
 fn a_slow_request_is_read_as_long_as_bytes_arrive() {
     let (scheduler, worker, _discovery) = with_worker();
@@ -86,8 +86,8 @@
     assert_eq!(client.answer().body, "r");
 }
 
-// Guards against connections held for nothing: whoever says nothing, or half a request, is answered or cut within 3 s,
-// also where a whole request came before.
+// Guards against connections held for nothing: whoever says nothing, or half a request, is answered
+// or cut within 3 s, also where a whole request came before.
 #[test]
 fn incomplete_requests_time_out() {
     let (scheduler, worker, _discovery) = with_worker();
@@ -105,7 +105,8 @@
     assert!(worker.unasked());
 }
 
-// Guards against an error that its own reset destroys: a client in the middle of a large body can read it to the end.
+// Guards against an error that its own reset destroys: a client in the middle of a large body can
+// read it to the end.
 #[test]
 fn an_early_error_reaches_a_client_that_still_sends() {
     let (scheduler, worker, _discovery) = with_worker();
@@ -113,7 +114,8 @@
     client.write(&(head("a", 60_000) + "Content-Length: 60000000\r\n\r\n" + &"x".repeat(100_000)));
     assert_eq!(client.answer().start, "HTTP/1.1 413 Payload Too Large");
     assert!(client.ended_in_order());
-    // It doesn't know of the end yet, and what it sends is no reason for a reset: of two writes the second would fail.
+    // It doesn't know of the end yet, and what it sends is no reason for a reset: of two writes the
+    // second would fail.
     client.write("x");
     scheduler.health();
     client.write("x");
@@ -137,7 +139,8 @@
     assert!(worker.unasked());
 }
 
-// Guards clients that send their bodies in chunks, perhaps asking first: they were refused, as a length told in two ways is.
+// Guards clients that send their bodies in chunks, perhaps asking first: they were refused, as a
+// length told in two ways is.
 #[test]
 fn a_chunked_body_is_accepted() {
     let (scheduler, worker, _discovery) = with_worker();
--- a/crates/service/spanlead/tests/invalid_input.rs
+++ b/crates/service/spanlead/tests/invalid_input.rs
@@ -6,7 +6,8 @@
 use std::io::Write;
 use std::time::Instant;
 
-// What comes in and can't be used is counted by its reason, and held against nobody: the next request, notice and list are taken.
+// What comes in and can't be used is counted by its reason, and held against nobody: the next
+// request, notice and list are taken.
 #[test]
 fn invalid_input_is_counted_by_reason() {
     let (scheduler, worker, discovery) = with_worker();
@@ -35,7 +36,8 @@
     assert_eq!(counted, r#"{"not HTTP":2,"not a list":1,"not a notice":1,"unknown class":1}}"#);
 }
 
-// The same of what workers and discovery answer: the job goes on to the next worker, and so does the watch.
+// The same of what workers and discovery answer: the job goes on to the next worker, and so does
+// the watch.
 #[test]
 fn invalid_answers_are_counted_by_reason() {
     let (discovery, workers) = (Server::start(), [(); 4].map(|()| Server::start()));
--- a/crates/service/spanlead/tests/inventory.rs
+++ b/crates/service/spanlead/tests/inventory.rs
@@ -1,4 +1,5 @@
-//! Inventories as operators meet them: the command line, the door, and a scheduler that goes on whatever stands in a file.
+//! Inventories as operators meet them: the command line, the door, and a scheduler that goes on
+//! whatever stands in a file.
 #[allow(dead_code, reason = "each test program uses a part of it")]
 mod harness;
 
@@ -13,7 +14,8 @@
     path
 }
 
-/// Runs a sub-command in a folder: what it prints on both outputs, without the folder's name, and whether it was content.
+/// Runs a sub-command in a folder: what it prints on both outputs, without the folder's name, and
+/// whether it was content.
 fn spanlead(folder: &Path, args: &[&str]) -> String {
     let folder = folder.to_str().expect("text");
     let args: Vec<String> = args.iter().map(|a| a.replace("DIR", folder)).collect();
--- a/crates/service/spanlead/tests/ledger.rs
+++ b/crates/service/spanlead/tests/ledger.rs
@@ -1,5 +1,6 @@
-//! Durable jobs as clients, workers and operators meet them: processes that are killed, folders that are taken, torn,
-//! damaged or full, repeats, and leases that end. One test for each thing that can go wrong.
+//! Durable jobs as clients, workers and operators meet them: processes that are killed, folders
+//! that are taken, torn, damaged or full, repeats, and leases that end. One test for each thing
+//! that can go wrong.
 #[allow(dead_code, reason = "each test program uses a part of it")]
 mod harness;
 
@@ -53,8 +54,8 @@
     (client, notices)
 }
 
-// Guards the heart of it: a job that ran while its scheduler was killed is not run again, and its client, which comes back
-// under a new id, has its answer; also again, after another crash.
+// Guards the heart of it: a job that ran while its scheduler was killed is not run again, and its
+// client, which comes back under a new id, has its answer; also again, after another crash.
 #[test]
 fn a_job_outlives_its_scheduler_and_runs_once() {
     let world = World::new(1);
@@ -79,7 +80,8 @@
     assert!(third.operate("GET /ops/stats").contains(r#""replayed":1"#));
 }
 
-// Guards the order of a result: when the worker is told that it has been heard, the result outlives the process.
+// Guards the order of a result: when the worker is told that it has been heard, the result outlives
+// the process.
 #[test]
 fn an_acknowledged_result_is_never_lost() {
     let world = World::new(1);
@@ -94,8 +96,8 @@
     assert_eq!(again.answer().body, "R");
 }
 
-// Guards against a send that isn't written down: the worker that has read the first byte of an attempt finds its lease in
-// the folder, whatever happens next.
+// Guards against a send that isn't written down: the worker that has read the first byte of an
+// attempt finds its lease in the folder, whatever happens next.
 #[test]
 fn an_attempt_is_written_down_before_it_goes_out() {
     let world = World::new(1);
@@ -121,7 +123,8 @@
     assert_eq!(again.answer().start, "HTTP/1.1 502 Bad Gateway");
 }
 
-// Guards repeats while the first runs: both are answered, each once, from one run; and nobody else's key is meant.
+// Guards repeats while the first runs: both are answered, each once, from one run; and nobody
+// else's key is meant.
 #[test]
 fn repeats_join_and_other_requests_under_the_key_are_turned_down() {
     let world = World::new(1);
@@ -151,7 +154,8 @@
     assert!(figures.contains(r#""once":{"completed":2,"rejected":0,"failed":1}"#), "{figures}");
 }
 
-// Guards the job against its first client: it goes on for whoever comes back, and a repeat's own deadline ends only that.
+// Guards the job against its first client: it goes on for whoever comes back, and a repeat's own
+// deadline ends only that.
 #[test]
 fn a_job_goes_on_when_its_client_leaves_and_a_joined_one_has_its_own_time() {
     let world = World::new(1);
@@ -196,8 +200,9 @@
     assert!(world.workers[0].unasked());
 }
 
-// Guards leases: a worker that knows them is told of one and renews it; when it falls silent its attempt ends by the
-// clock, another goes where the class allows it, and what the first says then is not wanted.
+// Guards leases: a worker that knows them is told of one and renews it; when it falls silent its
+// attempt ends by the clock, another goes where the class allows it, and what the first says then
+// is not wanted.
 #[test]
 fn a_silent_worker_s_lease_ends_and_its_late_word_is_fenced_off() {
     let world = World::new(2);
@@ -232,8 +237,9 @@
     assert_eq!(notices.leased_notice("id-1", name, &token, DONE).start, "HTTP/1.1 410 Gone");
 }
 
-// Guards a class that must never run twice, and leases over a crash: the one who recovers waits until the lease is over,
-// then gives the job up; and one who didn't know leases is waited for as ever.
+// Guards a class that must never run twice, and leases over a crash: the one who recovers waits
+// until the lease is over, then gives the job up; and one who didn't know leases is waited for as
+// ever.
 #[test]
 fn after_a_crash_a_lease_ends_when_it_would_have() {
     let world = World::new(1);
@@ -259,7 +265,8 @@
     assert_eq!(plain.answer().body, "R");
 }
 
-// Guards notices that come while the ledger is not open yet: they wait, and change what they are about.
+// Guards notices that come while the ledger is not open yet: they wait, and change what they are
+// about.
 #[test]
 fn a_notice_before_the_ledger_is_read_is_not_lost() {
     let world = World::new(1);
@@ -328,8 +335,9 @@
     assert!(said.contains("damaged at byte 32: a frame's checksum does not match"), "{said}");
 }
 
-// Guards against a disk that takes nothing more: new durable jobs are refused at once with advice, the open ones end with
-// their results, what needs no ledger is served, and operators see it. The next process goes on from what was whole.
+// Guards against a disk that takes nothing more: new durable jobs are refused at once with advice,
+// the open ones end with their results, what needs no ledger is served, and operators see it. The
+// next process goes on from what was whole.
 #[test]
 fn a_full_disk_turns_new_jobs_away_and_ends_the_open_ones() {
     let world = World::new(1);
@@ -362,8 +370,8 @@
     assert!(world.workers[0].unasked());
 }
 
-// Guards upgrades: the successor has the folder and the open jobs, with their clients' connections, and never writes
-// beside its predecessor.
+// Guards upgrades: the successor has the folder and the open jobs, with their clients' connections,
+// and never writes beside its predecessor.
 #[test]
 fn a_successor_takes_the_ledger_over_with_the_open_jobs() {
     let world = World::new(1);
--- a/crates/service/spanlead/tests/odd_settings.rs
+++ b/crates/service/spanlead/tests/odd_settings.rs
@@ -1,7 +1,8 @@
-//! Settings and reports at the edge of what a deployment can mean: the program serves by what they say.
+//! Settings and reports at the edge of what a deployment can mean: the program serves by what they
+//! say.
 #[allow(dead_code, reason = "each test program uses a part of it")]
 mod harness;
-use harness::*;
+use harness::{Client, Scheduler, Server};
 use std::time::{Duration, Instant};
 
 /// Load by probes with free slots and memory.
@@ -20,8 +21,8 @@
     client.post("/status-check/x", &headers, "payload");
 }
 
-// A report that lacks a field leaves that open, one with a field more is read for the rest, and one that can't be read says nothing:
-// jobs go out on what is known.
+// A report that lacks a field leaves that open, one with a field more is read for the rest, and one
+// that can't be read says nothing: jobs go out on what is known.
 #[test]
 fn reports_may_lack_fields_or_have_more() {
     for report in ["TEXT x0=2", "TEXT x0=2, x1=2, queue=0, eps=0, novel=7", r#"{"x0":2,"unheard":{"of":1}}"#]
@@ -94,7 +95,8 @@
     assert_eq!(worker.next().message.header("req-id"), Some("id-1"));
 }
 
-// A job that no worker has the memory for is refused at once, not held until its time is up, and not sent to be turned away.
+// A job that no worker has the memory for is refused at once, not held until its time is up, and
+// not sent to be turned away.
 #[test]
 fn a_need_that_no_worker_can_meet_is_answered_at_once() {
     let (discovery, worker) = (Server::start(), Server::start());
@@ -109,7 +111,8 @@
     let answer = other.answer();
     assert_eq!(answer.start, "HTTP/1.1 503 Service Unavailable");
     assert!(answer.header("retry-after").is_some());
-    // It may be held for 300 ms, its class's aim, and more; the bound is far from that on both sides.
+    // It may be held for 300 ms, its class's aim, and more; the bound is far from that on both
+    // sides.
     assert!(begun.elapsed() < Duration::from_millis(200), "held for {:?}", begun.elapsed());
     assert!(worker.unasked());
 }
--- a/crates/service/spanlead/tests/operators.rs
+++ b/crates/service/spanlead/tests/operators.rs
@@ -21,7 +21,8 @@
     assert_eq!(scheduler.health(), "HTTP/1.1 503 Service Unavailable");
 }
 
-// Guards the operators' door against callers who say nothing or the wrong thing: they keep nobody waiting.
+// Guards the operators' door against callers who say nothing or the wrong thing: they keep nobody
+// waiting.
 #[test]
 fn operators_are_answered_beside_silent_callers() {
     let (scheduler, _worker, _discovery) = with_worker();
@@ -41,8 +42,9 @@
     assert_eq!(scheduler.health(), "HTTP/1.1 200 OK");
 }
 
-// Guards the figures: each job is counted once, where it ended, also one that was turned away before it was taken; an
-// attempt once it was written whole; a worker that drains is listed and unavailable, one that has left is neither.
+// Guards the figures: each job is counted once, where it ended, also one that was turned away
+// before it was taken; an attempt once it was written whole; a worker that drains is listed and
+// unavailable, one that has left is neither.
 #[test]
 fn the_stats_count_each_job_where_it_ended() {
     let (discovery, worker, other) = (Server::start(), Server::start(), Server::start());
@@ -77,8 +79,8 @@
     "#);
 }
 
-// Guards the way clients are sent away and taken back: the front is told at once, jobs still come in and are served, idle
-// connections close, and nothing ends the process.
+// Guards the way clients are sent away and taken back: the front is told at once, jobs still come
+// in and are served, idle connections close, and nothing ends the process.
 #[test]
 fn draining_redirects_clients_until_it_stops() {
     let (scheduler, worker, _discovery) = with_worker();
--- a/crates/service/spanlead/tests/process_handover.rs
+++ b/crates/service/spanlead/tests/process_handover.rs
@@ -16,8 +16,8 @@
     )
 }
 
-// Guards a planned restart: what is owed is answered, notices still come in, nothing else is taken for long, and the
-// process ends by itself.
+// Guards a planned restart: what is owed is answered, notices still come in, nothing else is taken
+// for long, and the process ends by itself.
 #[test]
 fn shutdown_finishes_open_jobs() {
     let (mut scheduler, worker, _discovery) = with_worker();
@@ -67,10 +67,11 @@
     assert_eq!(client.answer().body, "r");
 }
 
-// Guards an upgrade: two processes serve by one inherited socket. Neither a file left behind nor the peers' address, which
-// the old one holds, hinders the new one; a notice that reaches the wrong process finds its job; the old one, told to end,
-// takes no connection any more, hands what is open to the new one with its clients' connections, and ends before that is
-// done; the rules on repeats go on from what was tried.
+// Guards an upgrade: two processes serve by one inherited socket. Neither a file left behind nor
+// the peers' address, which the old one holds, hinders the new one; a notice that reaches the wrong
+// process finds its job; the old one, told to end, takes no connection any more, hands what is open
+// to the new one with its clients' connections, and ends before that is done; the rules on repeats
+// go on from what was tried.
 #[test]
 fn a_successor_takes_over_without_loss() {
     let (discovery, worker) = (Server::start(), Server::start());
--- a/crates/service/spanlead/tests/retries.rs
+++ b/crates/service/spanlead/tests/retries.rs
@@ -6,7 +6,8 @@
 use insta::assert_snapshot;
 use std::time::{Duration, Instant};
 
-// Guards the repeat of what surely never ran, whatever the class: refused connections, declined and returned jobs.
+// Guards the repeat of what surely never ran, whatever the class: refused connections, declined and
+// returned jobs.
 #[test]
 fn a_job_that_never_ran_is_retried_elsewhere() {
     let (discovery, worker, other) = (Server::start(), Server::start(), Server::start());
@@ -38,8 +39,9 @@
     ");
 }
 
-// Guards workers against blame for a client's fault: a request that one turns away as unusable was tried at the next one,
-// and the next, each of them then set aside for seconds. Every job here would then wait or be refused.
+// Guards workers against blame for a client's fault: a request that one turns away as unusable was
+// tried at the next one, and the next, each of them then set aside for seconds. Every job here
+// would then wait or be refused.
 #[test]
 fn an_unprocessable_request_is_not_retried() {
     let (scheduler, worker, _discovery) = with_worker();
@@ -71,8 +73,8 @@
     assert!(worker.unasked() && other.unasked());
 }
 
-// Guards against a job that a worker took without a word: it was waited for until the client gave up. What the worker tells
-// of it, though, shows that it has it.
+// Guards against a job that a worker took without a word: it was waited for until the client gave
+// up. What the worker tells of it, though, shows that it has it.
 #[test]
 fn an_unanswered_dispatch_is_retried_elsewhere() {
     let (discovery, worker, other) = (Server::start(), Server::start(), Server::start());
--- a/crates/service/spanlead/tests/slow_start.rs
+++ b/crates/service/spanlead/tests/slow_start.rs
@@ -1,5 +1,6 @@
-//! Slow start over a fleet: twenty and thirty processes of the program, each with a part of what a worker that has just started bears, and
-//! jobs that come to all of them in the same moment. What the worker gets from all together is counted at the worker.
+//! Slow start over a fleet: twenty and thirty processes of the program, each with a part of what a
+//! worker that has just started bears, and jobs that come to all of them in the same moment. What
+//! the worker gets from all together is counted at the worker.
 mod rigs;
 
 use rigs::{PATIENCE, play};
@@ -12,8 +13,8 @@
 /// The worker that is killed and comes back cold.
 const FRESH: &str = "w00";
 
-/// Jobs of a third of a second, and a rule that binds: a fresh worker does an eighth of what a warm one does, and little more to the test's
-/// end.
+/// Jobs of a third of a second, and a rule that binds: a fresh worker does an eighth of what a warm
+/// one does, and little more to the test's end.
 fn deployment() -> Deployment {
     Deployment {
         cold: Duration::from_secs(24),
@@ -24,7 +25,8 @@
     }
 }
 
-/// So many jobs to each scheduler at this rate, at all of them at once; returns when all are done with.
+/// So many jobs to each scheduler at this rate, at all of them at once; returns when all are done
+/// with.
 async fn jobs(rig: &Rig, each: u64, rate: f64, first: u64) -> Summary {
     let classes = rig.fleet.classes().to_vec();
     let mut loads = tokio::task::JoinSet::new();
@@ -86,7 +88,8 @@
     rigs::start_fleet(name, plan, "").await
 }
 
-/// All know how long jobs run; then the worker is back cold, all are told, and a crowd of jobs comes to all at once.
+/// All know how long jobs run; then the worker is back cold, all are told, and a crowd of jobs
+/// comes to all at once.
 fn a_crowd_meets_a_fresh_worker(name: &str, schedulers: usize, restarted: bool) {
     play(async {
         let mut rig = start(name, schedulers).await;
@@ -95,7 +98,8 @@
         rig.fleet.restart(FRESH).await.expect("an address");
         told_to_all(&rig).await;
         if restarted {
-            // Schedulers that start within its slow start know nothing of what was sent before. By a few jobs they learn how long these run.
+            // Schedulers that start within its slow start know nothing of what was sent before. By
+            // a few jobs they learn how long these run.
             jobs(&rig, 1, 100.0, 10_000).await;
             for scheduler in &mut rig.schedulers {
                 scheduler.kill().await;
@@ -103,7 +107,8 @@
             }
             jobs(&rig, 3, 3.0, 15_000).await;
         }
-        // Parts of less than a job are dealt out by chance: in one window all may come up empty, in all of a slow start not.
+        // Parts of less than a job are dealt out by chance: in one window all may come up empty, in
+        // all of a slow start not.
         for crowd in 2.. {
             jobs(&rig, 6, 1000.0, 10_000 * crowd).await;
             if got(&rig) > 0 {
--- a/crates/service/spanlead/tests/standing.rs
+++ b/crates/service/spanlead/tests/standing.rs
@@ -1,5 +1,6 @@
-//! What the operators' standing test of the whole fleet asks of the process that `run` starts: it stays one process,
-//! without children, linked against the C library, with nothing but sockets of IPv4, and ends on SIGTERM in order.
+//! What the operators' standing test of the whole fleet asks of the process that `run` starts: it
+//! stays one process, without children, linked against the C library, with nothing but sockets of
+//! IPv4, and ends on SIGTERM in order.
 #[allow(dead_code, reason = "each test program uses a part of it")]
 mod harness;
 
@@ -31,13 +32,15 @@
     }
     for entry in fs::read_dir("/proc").expect("proc").flatten() {
         let stat = fs::read_to_string(entry.path().join("stat")).unwrap_or_default();
-        // proc(5): the parent is the fourth field, counted behind the name, which ends with the last bracket.
+        // proc(5): the parent is the fourth field, counted behind the name, which ends with the
+        // last bracket.
         let parent = stat.rsplit(')').next().and_then(|rest| rest.split_whitespace().nth(1));
         if parent == Some(id.to_string().as_str()) {
             faults.push(format!("it has a child: {}", stat.split(')').next().unwrap_or("")));
         }
     }
-    // A child that has ended and was waited for shows in what its parent counts of children's page faults and time.
+    // A child that has ended and was waited for shows in what its parent counts of children's page
+    // faults and time.
     let stat = fs::read_to_string(format!("/proc/{id}/stat")).expect("it runs");
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
     for (name, at) in [("minor faults", 8), ("major faults", 10), ("user time", 13), ("system time", 14)] {
@@ -114,7 +117,8 @@
     (scheduler, workers, discovery)
 }
 
-// Guards the terms of the standing test: more processes, a static link or a ring would stop the fleet's clock.
+// Guards the terms of the standing test: more processes, a static link or a ring would stop the
+// fleet's clock.
 #[test]
 fn the_program_as_deployed_stays_one_process_and_ends_in_order() {
     let (mut scheduler, workers, _discovery) = start(&run_line());
--- a/crates/service/spanlead/tests/tier.rs
+++ b/crates/service/spanlead/tests/tier.rs
@@ -1,6 +1,7 @@
-//! Five processes of the program as a tier, with faults between them: datagrams lost, doubled, late, cut off and spoilt, cuts of one
-//! direction and of sides, processes stopped, killed and restarted. What must never happen is judged from what each process has
-//! done or said over the whole run, whenever it did; what must come in the end is waited for with `PATIENCE`.
+//! Five processes of the program as a tier, with faults between them: datagrams lost, doubled,
+//! late, cut off and spoilt, cuts of one direction and of sides, processes stopped, killed and
+//! restarted. What must never happen is judged from what each process has done or said over the
+//! whole run, whenever it did; what must come in the end is waited for with `PATIENCE`.
 mod rigs;
 
 use rigs::{COUNT, PATIENCE, play};
@@ -82,7 +83,8 @@
     });
 }
 
-// The datagrams from one to another are cut, not those back: what the others pass on bears it, however long it lasts.
+// The datagrams from one to another are cut, not those back: what the others pass on bears it,
+// however long it lasts.
 #[test]
 fn a_cut_of_one_direction_makes_nobody_dead() {
     play(async {
@@ -96,7 +98,8 @@
     });
 }
 
-// One that hears all and is heard by nobody: counted out once by each, not back and forth; it accuses nobody, and is found again.
+// One that hears all and is heard by nobody: counted out once by each, not back and forth; it
+// accuses nobody, and is found again.
 #[test]
 fn one_that_nobody_hears_is_counted_out_once() {
     play(async {
@@ -119,7 +122,8 @@
     });
 }
 
-// An observer that stood still has heard nothing for as long: it accuses nobody when it goes on, and refutes what was said of it.
+// An observer that stood still has heard nothing for as long: it accuses nobody when it goes on,
+// and refutes what was said of it.
 #[test]
 fn one_that_stood_still_accuses_nobody_when_it_goes_on() {
     play(async {
@@ -153,7 +157,8 @@
     });
 }
 
-// A third of all datagrams is lost, others come twice, late, overtaken, cut off or spoilt: nobody dies of that, every drop is counted.
+// A third of all datagrams is lost, others come twice, late, overtaken, cut off or spoilt: nobody
+// dies of that, every drop is counted.
 #[test]
 fn bad_weather_makes_nobody_dead() {
     play(async {
@@ -170,7 +175,8 @@
     });
 }
 
-// The sides of a cut count each other out, and find each other again when it heals, one that died meanwhile too.
+// The sides of a cut count each other out, and find each other again when it heals, one that died
+// meanwhile too.
 #[test]
 fn sides_of_a_cut_find_each_other_again() {
     play(async {
@@ -210,7 +216,8 @@
     });
 }
 
-// Without the section nothing is sent and there is nothing to see; beside a configuration that has no place for it, it is refused.
+// Without the section nothing is sent and there is nothing to see; beside a configuration that has
+// no place for it, it is refused.
 #[test]
 fn it_is_off_without_its_section() {
     play(async {
@@ -221,7 +228,8 @@
     });
 }
 
-// All of it at once by a seed, under load, with ledgers: every job has one answer, no keyed one runs twice, and in the end all see all.
+// All of it at once by a seed, under load, with ledgers: every job has one answer, no keyed one
+// runs twice, and in the end all see all.
 #[test]
 fn a_mixture_of_faults_breaks_no_rule() {
     play(async {
--- a/crates/service/spanlead/tests/worker_connections.rs
+++ b/crates/service/spanlead/tests/worker_connections.rs
@@ -5,8 +5,9 @@
 use harness::{Scheduler, Server, take};
 use std::time::{Duration, Instant};
 
-// Guards against a reset that leaves open whether a job has run: a worker may close a kept connection at any time, so each
-// job goes out on a new one; what abandons it may use one that holds, also behind one that doesn't.
+// Guards against a reset that leaves open whether a job has run: a worker may close a kept
+// connection at any time, so each job goes out on a new one; what abandons it may use one that
+// holds, also behind one that doesn't.
 #[test]
 fn jobs_are_dispatched_on_new_connections() {
     let (discovery, worker) = (Server::start(), Server::start());
@@ -36,8 +37,9 @@
     assert_eq!(call.stream.peer_addr().expect("open"), kept);
 }
 
-// Guards the price of handshakes: where the settings name one, a job goes out on the connection that the last one left, and on a
-// new one where the worker has closed that. One that breaks under a job takes the other kept ones to that worker with it.
+// Guards the price of handshakes: where the settings name one, a job goes out on the connection
+// that the last one left, and on a new one where the worker has closed that. One that breaks under
+// a job takes the other kept ones to that worker with it.
 #[test]
 fn jobs_reuse_connections_where_handshakes_have_a_price() {
     let (discovery, worker) = (Server::start(), Server::start());
@@ -85,8 +87,8 @@
     assert_eq!(clients[3].answer().start, "HTTP/1.1 502 Bad Gateway");
 }
 
-// Guards workers against blame for our own want of descriptors: it passed for a refused connection, and the worker was
-// set aside for seconds.
+// Guards workers against blame for our own want of descriptors: it passed for a refused connection,
+// and the worker was set aside for seconds.
 #[test]
 fn no_worker_is_ejected_for_lack_of_own_descriptors() {
     let (discovery, workers) = (Server::start(), [Server::start(), Server::start(), Server::start()]);
@@ -125,7 +127,8 @@
     assert_eq!(used, names);
 }
 
-// Guards against a reset under a request: idle connections go well before the worker's limit for them.
+// Guards against a reset under a request: idle connections go well before the worker's limit for
+// them.
 #[test]
 fn an_idle_connection_is_closed_before_the_worker_would() {
     let (discovery, worker) = (Server::start(), Server::start());
