--- a/crates/service/durable-jobs/src/error.rs
+++ b/crates/service/durable-jobs/src/error.rs
@@ -37,8 +37,8 @@
     /// At most one open job has an id.
     #[error("another job of its id is open")]
     IdOpen,
-    /// A job that continues a failed one must inherit the attempts that may have run, or a second run would not be
-    /// recognised as one.
+    /// A job that continues a failed one must inherit the attempts that may have run, or a second
+    /// run would not be recognised as one.
     #[error("it lacks what the last job of its key left unsettled")]
     InheritedAttemptsMissing,
     /// A job has at most one lease.
--- a/crates/service/durable-jobs/src/job.rs
+++ b/crates/service/durable-jobs/src/job.rs
@@ -6,7 +6,8 @@
 use spanlead_balancing_policy::Nanos;
 use std::sync::Arc;
 
-/// What a job takes beside its request and result, in memory and, once snapshotted, on disk, bytes: a high estimate.
+/// What a job takes beside its request and result, in memory and, once snapshotted, on disk, bytes:
+/// a high estimate.
 const JOB_OVERHEAD_BYTES: usize = 512;
 
 /// What a second run of a job does, by the job's class when the job was accepted.
@@ -15,7 +16,8 @@
     /// The job is idempotent: a second run is harmless.
     #[serde(rename = "Harmless")]
     Idempotent,
-    /// Some workers deduplicate: they drop a second run for this long, counted from the first send that may have run.
+    /// Some workers deduplicate: they drop a second run for this long, counted from the first send
+    /// that may have run.
     #[serde(rename = "Dropped")]
     Deduplicated(Nanos),
     /// The job must not run twice.
@@ -23,7 +25,8 @@
     NonIdempotent,
 }
 
-/// What a client's retry is recognised by: the same key of the same owner and class. The key's spelling is the client's.
+/// What a client's retry is recognised by: the same key of the same owner and class. The key's
+/// spelling is the client's.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct IdempotencyKey {
     /// The tenant's name.
@@ -205,8 +208,8 @@
             .filter(|attempt| attempt.may_have_run)
     }
 
-    /// Until when a finished job must be retained: while its client may retry, and while a second run could be one too
-    /// many. `None` if the job is open; 0 if it can be forgotten at once.
+    /// Until when a finished job must be retained: while its client may retry, and while a second
+    /// run could be one too many. `None` if the job is open; 0 if it can be forgotten at once.
     pub(crate) fn retained_until(&self, retention: Nanos) -> Option<Nanos> {
         let finished_at = self.finished_at()?;
         if self.can_be_forgotten() {
@@ -216,8 +219,8 @@
         Some(client_may_retry_until.max(self.deduplicated_until()))
     }
 
-    /// Whether nothing depends on the finished job: without a key no client can retry, and a rejected job that never ran
-    /// (or may run twice) needs no guard against a second run.
+    /// Whether nothing depends on the finished job: without a key no client can retry, and a
+    /// rejected job that never ran (or may run twice) needs no guard against a second run.
     fn can_be_forgotten(&self) -> bool {
         let second_run_is_harmless = self.possibly_executed_attempts().next().is_none()
             || self.accepted.retry_safety == RetrySafety::Idempotent;
--- a/crates/service/durable-jobs/src/lease.rs
+++ b/crates/service/durable-jobs/src/lease.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A worker as it was when an attempt was sent to it. It is stored since the worker list may not name it any more when
-/// the log is replayed.
+/// A worker as it was when an attempt was sent to it. It is stored since the worker list may not
+/// name it any more when the log is replayed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerLocation {
     /// The worker's name.
@@ -30,7 +30,8 @@
     /// When the attempt was sent.
     #[serde(rename = "sent")]
     pub sent_at: Nanos,
-    /// The latest moment, by this scheduler's clock, until which the worker may believe that it has the lease.
+    /// The latest moment, by this scheduler's clock, until which the worker may believe that it has
+    /// the lease.
     #[serde(rename = "until")]
     pub expires_at: Nanos,
     /// The worker has acknowledged the job.
--- a/crates/service/durable-jobs/src/record.rs
+++ b/crates/service/durable-jobs/src/record.rs
@@ -1,6 +1,7 @@
-//! Records of the log. Their form on disk is postcard's (a published, compact serde format): new kinds of record go to
-//! the end of [`Record`], and any other change of form is a new version of the log. Names are not part of that form;
-//! the serde names are those of the JSON that `spanlead ledger export` writes.
+//! Records of the log. Their form on disk is postcard's (a published, compact serde format): new
+//! kinds of record go to the end of [`Record`], and any other change of form is a new version of
+//! the log. Names are not part of that form; the serde names are those of the JSON that `spanlead
+//! ledger export` writes.
 use crate::error::RecordCodecError;
 use crate::ids::{FencingToken, JobNumber};
 use crate::job::{AcceptedJob, Job, JobOutcome};
@@ -29,7 +30,8 @@
         /// When.
         #[serde(rename = "sent")]
         sent_at: Nanos,
-        /// The latest moment, by this scheduler's clock, until which the worker may believe that it has the lease.
+        /// The latest moment, by this scheduler's clock, until which the worker may believe that it
+        /// has the lease.
         #[serde(rename = "until")]
         expires_at: Nanos,
     },
@@ -89,7 +91,8 @@
         /// The job.
         job: JobNumber,
     },
-    /// The whole state of a job, written again so that segments with its older records can be removed.
+    /// The whole state of a job, written again so that segments with its older records can be
+    /// removed.
     #[serde(rename = "Carried")]
     Snapshot(Box<Job>),
 }
@@ -112,8 +115,8 @@
         }
     }
 
-    /// Whether no effect waits for the record to be durable: a crash that loses it costs a recovered job time, or a
-    /// counter its accuracy, and nothing else.
+    /// Whether no effect waits for the record to be durable: a crash that loses it costs a
+    /// recovered job time, or a counter its accuracy, and nothing else.
     #[must_use]
     pub fn is_deferrable(&self) -> bool {
         matches!(self, Record::Acknowledged { .. } | Record::Delivered { .. })
--- a/crates/service/durable-jobs/src/table.rs
+++ b/crates/service/durable-jobs/src/table.rs
@@ -36,8 +36,8 @@
     InProgress(JobNumber),
     /// The request retries a job that has this outcome.
     Finished(JobNumber, JobOutcome),
-    /// An earlier job of this key failed, and these attempts of it may have run; the class's rules say where a retry
-    /// may go, given these.
+    /// An earlier job of this key failed, and these attempts of it may have run; the class's rules
+    /// say where a retry may go, given these.
     Retryable(Vec<PastAttempt>),
     /// The key was used for another request.
     RequestMismatch,
@@ -57,21 +57,23 @@
 
 /// All jobs, open and retained.
 ///
-/// Invariants, kept by `indexes`: every job is in `by_id` and, if it has a key, in `by_key` unless a later job took its
-/// place there; `by_base_lsn` and `expirations` have exactly the jobs' entries; `open_count` and `live_bytes` are the sums
-/// over `entries`.
+/// Invariants, kept by `indexes`: every job is in `by_id` and, if it has a key, in `by_key` unless
+/// a later job took its place there; `by_base_lsn` and `expirations` have exactly the jobs'
+/// entries; `open_count` and `live_bytes` are the sums over `entries`.
 #[derive(Clone, Debug)]
 pub struct JobTable {
     limits: JobTableLimits,
     entries: HashMap<JobNumber, JobEntry>,
     by_key: HashMap<IdempotencyKey, JobNumber>,
     by_id: HashMap<Arc<str>, JobNumber>,
-    /// Jobs by their oldest record that is needed: the log may drop what precedes the first of these.
+    /// Jobs by their oldest record that is needed: the log may drop what precedes the first of
+    /// these.
     by_base_lsn: BTreeMap<Lsn, JobNumber>,
     /// Finished jobs by the time when their retention ends.
     expirations: BTreeSet<(Nanos, JobNumber)>,
     session: Option<Session>,
-    /// The records of sessions that are needed: the times in a record can be read only with its session.
+    /// The records of sessions that are needed: the times in a record can be read only with its
+    /// session.
     session_lsns: BTreeSet<Lsn>,
     last_lsn: Lsn,
     /// The log that this was replayed from lacks its beginning.
@@ -109,7 +111,8 @@
         self.limits = limits;
     }
 
-    /// Whether one more job can be accepted. No job is forgotten before its retention ends to free capacity.
+    /// Whether one more job can be accepted. No job is forgotten before its retention ends to free
+    /// capacity.
     #[must_use]
     pub fn has_capacity(&self) -> bool {
         self.entries.len() < self.limits.max_jobs
@@ -177,8 +180,9 @@
 
     /// What a request with this key and fingerprint is.
     ///
-    /// A failed job that may have run is not final for a class whose second runs some workers drop: the retry continues
-    /// from its attempts. For a class that must not run twice it is final, and each retry gets the same outcome.
+    /// A failed job that may have run is not final for a class whose second runs some workers drop:
+    /// the retry continues from its attempts. For a class that must not run twice it is final, and
+    /// each retry gets the same outcome.
     #[must_use]
     pub fn lookup(&self, key: &IdempotencyKey, fingerprint: &[u8; 16]) -> KeyLookup {
         let Some(job) = self.by_key.get(key).and_then(|number| self.job(*number)) else {
--- a/crates/service/durable-jobs/src/table/apply.rs
+++ b/crates/service/durable-jobs/src/table/apply.rs
@@ -1,4 +1,5 @@
-//! How a record changes the table: the transitions of the state machine that the crate's page shows.
+//! How a record changes the table: the transitions of the state machine that the crate's page
+//! shows.
 use super::JobTable;
 use crate::error::{ApplyError, RejectReason};
 use crate::ids::{FencingToken, JobNumber, Lsn};
@@ -12,8 +13,8 @@
     /// Applies one record, the next in number. Nothing else but [`JobTable::expire`] changes a job.
     ///
     /// # Errors
-    /// If the record does not fit the state; then nothing has changed, except that jobs whose retention had ended by the
-    /// time of the record may be forgotten.
+    /// If the record does not fit the state; then nothing has changed, except that jobs whose
+    /// retention had ended by the time of the record may be forgotten.
     pub fn apply(&mut self, record: &Record) -> Result<(), ApplyError> {
         let lsn = self.last_lsn + 1;
         self.apply_at(lsn, record).map_err(|reason| ApplyError {
@@ -56,8 +57,9 @@
     /// Replays the record `lsn` as it is read from the log.
     ///
     /// # Errors
-    /// As [`JobTable::apply`]; but where the log lacks its beginning, records of jobs that only the missing part knew are
-    /// passed over: the part was dropped since those jobs were not needed any more.
+    /// As [`JobTable::apply`]; but where the log lacks its beginning, records of jobs that only the
+    /// missing part knew are passed over: the part was dropped since those jobs were not needed any
+    /// more.
     pub fn replay(&mut self, lsn: Lsn, record: &Record) -> Result<(), ApplyError> {
         self.skip_to(lsn);
         let is_unknown = record.job().is_some_and(|number| self.job(number).is_none());
@@ -170,8 +172,8 @@
     }
 }
 
-/// Whether a job may take the key of `previous`: that one must not be final, and the attempts of it that may have run
-/// must go on in the new job, or a second run would not be seen as one.
+/// Whether a job may take the key of `previous`: that one must not be final, and the attempts of it
+/// that may have run must go on in the new job, or a second run would not be seen as one.
 fn check_continues(accepted: &AcceptedJob, previous: &Job) -> Result<(), RejectReason> {
     let inherits_all =
         previous.possibly_executed_attempts().all(|attempt| accepted.inherited_attempts.contains(attempt));
--- a/crates/service/durable-jobs/src/table/compaction.rs
+++ b/crates/service/durable-jobs/src/table/compaction.rs
@@ -6,16 +6,16 @@
 impl JobTable {
     /// The oldest record that is needed; the log may drop those before it.
     ///
-    /// That is the base record of the oldest job, or the session record that precedes it: without the session the times
-    /// in the job's records could not be read.
+    /// That is the base record of the oldest job, or the session record that precedes it: without
+    /// the session the times in the job's records could not be read.
     #[must_use]
     pub fn oldest_needed_lsn(&self) -> Lsn {
         let first_base = self.by_base_lsn.first_key_value().map_or(self.last_lsn + 1, |(lsn, _)| *lsn);
         self.session_lsns.range(..=first_base).next_back().copied().unwrap_or(first_base)
     }
 
-    /// Records that write again what keeps the oldest part of the log from being dropped, at most `max_records`, oldest
-    /// first. Applied, they change only where a job's base record lies.
+    /// Records that write again what keeps the oldest part of the log from being dropped, at most
+    /// `max_records`, oldest first. Applied, they change only where a job's base record lies.
     #[must_use]
     pub fn snapshot_records(&self, max_records: usize) -> Vec<Record> {
         let first_base = self.by_base_lsn.first_key_value().map_or(Lsn::MAX, |(lsn, _)| *lsn);
--- a/crates/service/durable-jobs/src/table/indexes.rs
+++ b/crates/service/durable-jobs/src/table/indexes.rs
@@ -1,5 +1,5 @@
-//! How jobs enter, change and leave the table. The indexes and sums of [`JobTable`] are changed only here, together
-//! with the jobs that they follow.
+//! How jobs enter, change and leave the table. The indexes and sums of [`JobTable`] are changed
+//! only here, together with the jobs that they follow.
 use super::JobTable;
 use crate::error::RejectReason;
 use crate::ids::{JobNumber, Lsn};
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Changes a job in place, and the indexes if that finishes it. `change` must leave the job as it was if it fails.
+    /// Changes a job in place, and the indexes if that finishes it. `change` must leave the job as
+    /// it was if it fails.
     pub(super) fn update(
         &mut self,
         number: JobNumber,
--- a/crates/service/durable-jobs/tests/job_table.rs
+++ b/crates/service/durable-jobs/tests/job_table.rs
@@ -1,5 +1,5 @@
-//! The job table: which records fit the state, what a client's retry finds, what is retained for how long, and that a
-//! replayed table equals the one that wrote the log.
+//! The job table: which records fit the state, what a client's retry finds, what is retained for
+//! how long, and that a replayed table equals the one that wrote the log.
 mod common;
 
 use common::{
@@ -116,7 +116,8 @@
     assert_eq!(table.job(JobNumber(1)), None);
 }
 
-// The deadline is at 115 s, the job finished at 105 s with 60 s of retention, and its first attempt was sent at 101 s.
+// The deadline is at 115 s, the job finished at 105 s with 60 s of retention, and its first attempt
+// was sent at 101 s.
 #[test]
 fn a_finished_job_is_retained_for_deadline_retention_and_deduplication_window() {
     let expires_at = |retry_safety, outcome| {
@@ -144,8 +145,8 @@
     assert_eq!(table.stats(), JobTableStats::default(), "no client can retry it");
 }
 
-// Guards windows and deadlines against a wall clock that was set while no process ran: on a machine that was not rebooted,
-// the time that passed is what the machine's clock says.
+// Guards windows and deadlines against a wall clock that was set while no process ran: on a machine
+// that was not rebooted, the time that passed is what the machine's clock says.
 #[test]
 fn a_wall_clock_that_was_set_moves_no_window() {
     for step_seconds in [-3600_i64, 0, 3600] {
@@ -274,8 +275,8 @@
 
 proptest! {
     #![proptest_config(seeded(1000))]
-    // Guards recovery: from any point on, snapshots and the records behind them add up to the same state as the whole log;
-    // the older part is needed no more.
+    // Guards recovery: from any point on, snapshots and the records behind them add up to the same
+    // state as the whole log; the older part is needed no more.
     #[test]
     fn a_replayed_table_equals_the_one_that_wrote_the_log(
         records in prop::collection::vec(any_record(), 0..60),
@@ -312,7 +313,8 @@
         prop_assert_eq!(describe(&table_of(&log)), describe(&table));
     }
 
-    // Guards the indexes: counts and lookups agree with the jobs whatever happens, and an open job is never forgotten.
+    // Guards the indexes: counts and lookups agree with the jobs whatever happens, and an open job
+    // is never forgotten.
     #[test]
     fn counts_and_indexes_agree_with_the_jobs(
         records in prop::collection::vec(any_record(), 0..80),
--- a/crates/service/durable-jobs/tests/lease_protocol_model.rs
+++ b/crates/service/durable-jobs/tests/lease_protocol_model.rs
@@ -1,7 +1,8 @@
-//! A model of the lease protocol, searched completely for small sizes: one scheduler that writes a log, two workers, a client
-//! that submits twice, crashes with and without what was not synced, messages that are lost, doubled and late, and workers'
-//! clocks that run slow by up to the bound. Each rule of the protocol can be taken out; then the search must find the fault
-//! that the rule prevents.
+//! A model of the lease protocol, searched completely for small sizes: one scheduler that writes a
+//! log, two workers, a client that submits twice, crashes with and without what was not synced,
+//! messages that are lost, doubled and late, and workers' clocks that run slow by up to the bound.
+//! Each rule of the protocol can be taken out; then the search must find the fault that the rule
+//! prevents.
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -190,7 +191,8 @@
         self.client_waits = false;
         self.job = Job::default();
         self.waiting_for_sync.clear();
-        // Its connections break: what it was sending does not arrive, nor does the answer to its client.
+        // Its connections break: what it was sending does not arrive, nor does the answer to its
+        // client.
         self.in_flight.retain(|message| !matches!(message, Message::Offer { .. } | Message::Answer { .. }));
     }
 
@@ -260,7 +262,8 @@
 
     fn lease(&self, state: &mut State, worker: u8) {
         let token = state.job.last_token + 1;
-        // The offer is accepted within a tick of this record, or not at all; so the worker's own time begins by then.
+        // The offer is accepted within a tick of this record, or not at all; so the worker's own
+        // time begins by then.
         let lease = Lease { worker, token, expires_at: state.now + 1 + LEASE };
         self.log(state, Record::Leased { lease });
         self.send(state, Message::Offer { worker, token });
@@ -406,7 +409,8 @@
                 self.receive(&mut state, message);
             }
             Action::Heartbeat(worker) => {
-                // A late heartbeat gives the worker less time and the scheduler more: at once is the hardest.
+                // A late heartbeat gives the worker less time and the scheduler more: at once is
+                // the hardest.
                 let token = state.worker_leases[usize::from(worker)]?.token;
                 let sent_at = state.now;
                 self.receive(&mut state, Message::Heartbeat { worker, token, sent_at });
--- a/crates/service/membership/examples/compare_with_swim.rs
+++ b/crates/service/membership/examples/compare_with_swim.rs
@@ -1,7 +1,9 @@
-//! Our gossip and SWIM (the library `foca`) under the same losses, in virtual time, one tier after another on all cores: false deaths,
-//! how soon a death is known, and what it costs. Figures: `docs/measurements/membership.md`.
+//! Our gossip and SWIM (the library `foca`) under the same losses, in virtual time, one tier after
+//! another on all cores: false deaths, how soon a death is known, and what it costs. Figures:
+//! `docs/measurements/membership.md`.
 //!
-//! `cargo run --release -p spanlead-membership --example compare_with_swim -- ours|foca COUNT LOSS% HOURS SEEDS [PERIOD_MS]`
+//! `cargo run --release -p spanlead-membership --example compare_with_swim -- ours|foca COUNT LOSS%
+//! HOURS SEEDS [PERIOD_MS]`
 use foca::{
     AccumulatingRuntime, Config, Foca, Identity, OwnedNotification, PeriodicParams, PostcardCodec, Timer,
 };
@@ -256,8 +258,8 @@
     first_known_after: Option<u64>,
 }
 
-/// A tier that is played for some minutes without a death; then members are killed one by one, each with time for the others
-/// to know.
+/// A tier that is played for some minutes without a death; then members are killed one by one, each
+/// with time for the others to know.
 struct Trial {
     params: TrialParams,
     nodes: Vec<Box<dyn Node>>,
--- a/crates/service/membership/examples/soak.rs
+++ b/crates/service/membership/examples/soak.rs
@@ -1,6 +1,6 @@
-//! Hours of a tier in virtual time, in which members are suspended, can't hear one another, are partitioned and are killed, in
-//! turn and at random: who was taken for dead though it lived and could be heard, how often a member was suspected, and how
-//! long a death takes to be known.
+//! Hours of a tier in virtual time, in which members are suspended, can't hear one another, are
+//! partitioned and are killed, in turn and at random: who was taken for dead though it lived and
+//! could be heard, how often a member was suspected, and how long a death takes to be known.
 //!
 //!     cargo run --release -p spanlead-membership --example soak -- COUNT LOSS% HOURS SEED
 #[path = "../tests/common/simulated_tier.rs"]
@@ -152,7 +152,8 @@
         }
     }
 
-    /// Passes periods until all are alive for all: whoever is taken for dead is contacted at random.
+    /// Passes periods until all are alive for all: whoever is taken for dead is contacted at
+    /// random.
     fn recover(&mut self) -> u64 {
         let mut periods = 0;
         while !self.tier.all_see_all_alive() {
--- a/crates/service/membership/src/datagram.rs
+++ b/crates/service/membership/src/datagram.rs
@@ -1,6 +1,7 @@
-//! Datagrams between schedulers. A datagram is postcard's form of [`Datagram`] with a CRC-32 behind it; whatever is not
-//! exactly that is dropped and counted by reason. Names are not part of the form; order and types of fields and variants
-//! are, and a change of them is a new [`PROTOCOL_VERSION`].
+//! Datagrams between schedulers. A datagram is postcard's form of [`Datagram`] with a CRC-32 behind
+//! it; whatever is not exactly that is dropped and counted by reason. Names are not part of the
+//! form; order and types of fields and variants are, and a change of them is a new
+//! [`PROTOCOL_VERSION`].
 use crate::digest::HeartbeatEntry;
 use crate::limits::{CHECKSUM_BYTES, MAX_DATAGRAM_BYTES, MAX_TEXT_BYTES};
 use crate::member::{Incarnation, MemberNumber};
--- a/crates/service/membership/src/digest.rs
+++ b/crates/service/membership/src/digest.rs
@@ -24,8 +24,8 @@
 }
 
 impl HeartbeatEntry {
-    /// Whether this heartbeat supersedes the other one of the same member: it is of a later incarnation, or later in the
-    /// same.
+    /// Whether this heartbeat supersedes the other one of the same member: it is of a later
+    /// incarnation, or later in the same.
     pub fn is_newer_than(&self, other: &HeartbeatEntry) -> bool {
         (self.incarnation, self.heartbeat) > (other.incarnation, other.heartbeat)
     }
--- a/crates/service/membership/src/failure_detector.rs
+++ b/crates/service/membership/src/failure_detector.rs
@@ -10,26 +10,32 @@
 /// The smallest share of probes that is expected to fail, so that the number of probes is finite.
 const MIN_PROBE_FAILURE_SHARE: f64 = 1e-4;
 
-/// Ages and probe counts are kept in thousandths of a period, since the suspicion clock advances by parts of one.
+/// Ages and probe counts are kept in thousandths of a period, since the suspicion clock advances by
+/// parts of one.
 pub(crate) const MILLIPERIODS_PER_PERIOD: u64 = 1000;
-/// The suspicion clock's first reading, milliperiods: a heartbeat may be older than the process that receives it.
+/// The suspicion clock's first reading, milliperiods: a heartbeat may be older than the process
+/// that receives it.
 const INITIAL_READING: u64 = 1 << 44;
 /// The slowest that the suspicion clock runs, as a share of its full rate.
 const MIN_CLOCK_RATE: f64 = 0.25;
 /// The weight of the last period in the mean number of datagrams received.
 const RECEIVED_MEAN_WEIGHT: f64 = 0.2;
 
-/// How old the newest heartbeat of a member is when the member is suspected, and what makes a suspect dead.
+/// How old the newest heartbeat of a member is when the member is suspected, and what makes a
+/// suspect dead.
 ///
-/// A heartbeat of a member reaches another at a rate `r` a period: `fanout` datagrams that arrive, each of which contains
-/// it if all heartbeats fit, else by chance. It spreads as an epidemic, so all but one in `1/p` members have it after
-/// `(2 ln n + ln 1/p) / r` periods. Whoever suspects a member probes it, and asks `fanout` others whether they have a newer
-/// heartbeat; a probe succeeds if neither it nor its reply is lost.
+/// A heartbeat of a member reaches another at a rate `r` a period: `fanout` datagrams that arrive,
+/// each of which contains it if all heartbeats fit, else by chance. It spreads as an epidemic, so
+/// all but one in `1/p` members have it after `(2 ln n + ln 1/p) / r` periods. Whoever suspects a
+/// member probes it, and asks `fanout` others whether they have a newer heartbeat; a probe succeeds
+/// if neither it nor its reply is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuspicionThresholds {
-    /// Periods without a new heartbeat until a member is suspected: one check in a thousand is wrong.
+    /// Periods without a new heartbeat until a member is suspected: one check in a thousand is
+    /// wrong.
     pub suspect_after_periods: u32,
-    /// Failed probes until a suspect is dead: one suspicion in ten million is wrong, at the loss that is tolerated.
+    /// Failed probes until a suspect is dead: one suspicion in ten million is wrong, at the loss
+    /// that is tolerated.
     pub probes_until_dead: u32,
     /// Periods without a new heartbeat until a member is dead, where all that can be probed are.
     pub dead_after_periods: u32,
@@ -58,9 +64,10 @@
 
 /// The clock that the age of heartbeats is measured by.
 ///
-/// It advances by the periods that this process itself lives through, so a process that was suspended suspects nobody when
-/// it wakes. It runs slower while few datagrams arrive, since then it may be this process that is partitioned, or that the
-/// others do not send to (local health: Dadgar, Phillips, Currey, "Lifeguard", 2018).
+/// It advances by the periods that this process itself lives through, so a process that was
+/// suspended suspects nobody when it wakes. It runs slower while few datagrams arrive, since then
+/// it may be this process that is partitioned, or that the others do not send to (local health:
+/// Dadgar, Phillips, Currey, "Lifeguard", 2018).
 #[derive(Clone, Debug)]
 pub(crate) struct SuspicionClock {
     /// The reading, milliperiods.
@@ -88,7 +95,8 @@
         self.reading
     }
 
-    /// How far the clock advances in this period, and what a probe of this period counts, milliperiods.
+    /// How far the clock advances in this period, and what a probe of this period counts,
+    /// milliperiods.
     pub(crate) fn rate(&self) -> u64 {
         self.rate
     }
--- a/crates/service/membership/src/gossip.rs
+++ b/crates/service/membership/src/gossip.rs
@@ -17,7 +17,8 @@
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
-/// Incarnations from here on are implausible, so that this scheduler's can always exceed one that it learns of.
+/// Incarnations from here on are implausible, so that this scheduler's can always exceed one that
+/// it learns of.
 const MAX_INCARNATION: Incarnation = u32::MAX - (1 << 16);
 /// A scheduler that shuts down notifies this many members at the most.
 const MAX_LEAVE_RECEIVERS: usize = 64;
@@ -53,7 +54,8 @@
     config: MembershipConfig,
     thresholds: SuspicionThresholds,
     rng: ChaCha8Rng,
-    /// This scheduler's incarnation: the configured one, or a higher one if others knew a later start.
+    /// This scheduler's incarnation: the configured one, or a higher one if others knew a later
+    /// start.
     incarnation: Incarnation,
     /// This scheduler's newest heartbeat.
     heartbeat: u32,
@@ -61,7 +63,8 @@
     /// Periods lived through.
     period: u64,
     clock: SuspicionClock,
-    /// Replies that may still be sent in this period, so that no member can make this one send without end.
+    /// Replies that may still be sent in this period, so that no member can make this one send
+    /// without end.
     replies_left: u32,
     /// What is known of each member, by number; of this scheduler only its state counts.
     peers: Vec<PeerRecord>,
@@ -177,8 +180,8 @@
         stats
     }
 
-    /// What this scheduler reports of itself from now on. It is sent with the next heartbeat, except the last phase, which
-    /// is sent at once.
+    /// What this scheduler reports of itself from now on. It is sent with the next heartbeat,
+    /// except the last phase, which is sent at once.
     pub fn set_phase(&mut self, phase: LifecyclePhase, actions: &mut Vec<Action>) {
         if self.phase == phase || self.phase == LifecyclePhase::Left {
             return;
--- a/crates/service/membership/src/gossip/period.rs
+++ b/crates/service/membership/src/gossip/period.rs
@@ -5,8 +5,8 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-/// In one of this many periods a member that is not live is contacted, so that the sides of a partition find each other
-/// again when it heals.
+/// In one of this many periods a member that is not live is contacted, so that the sides of a
+/// partition find each other again when it heals.
 const LOST_MEMBER_CONTACT_PERIODS: u32 = 4;
 /// A datagram asks about this many suspects at the most; the rest of it is gossip.
 const MAX_SUSPECTS_ASKED: usize = 10;
@@ -41,7 +41,8 @@
         self.clock.advance((1.0 - config.tolerated_loss) * f64::from(senders));
     }
 
-    /// Suspects a live member whose newest heartbeat is too old, and declares it dead when enough probes have failed.
+    /// Suspects a live member whose newest heartbeat is too old, and declares it dead when enough
+    /// probes have failed.
     fn detect_failure(&mut self, number: MemberNumber, actions: &mut Vec<Action>) {
         let peer = self.peer(number);
         let silent_periods = self.clock.periods_since(peer.heartbeat_made_at);
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Sends heartbeats to random members, and asks them about suspects: where one direction to a suspect is cut, others
-    /// have newer heartbeats of it.
+    /// Sends heartbeats to random members, and asks them about suspects: where one direction to a
+    /// suspect is cut, others have newer heartbeats of it.
     fn gossip(&mut self, suspects: &[MemberNumber], actions: &mut Vec<Action>) {
         let is_new = self.period <= u64::from(self.thresholds.dead_after_periods);
         let candidates =
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Asks one live member for its name and version, if those of its present incarnation are missing.
+    /// Asks one live member for its name and version, if those of its present incarnation are
+    /// missing.
     fn request_metadata(&mut self, actions: &mut Vec<Action>) {
         let nameless = self.peers_where(|peer| {
             let of_incarnation = peer.metadata.as_ref().map(|metadata| metadata.incarnation);
@@ -100,7 +102,8 @@
         }
     }
 
-    /// A probe counts as much as this process hears at present: while it hears little, its probes may be what is lost.
+    /// A probe counts as much as this process hears at present: while it hears little, its probes
+    /// may be what is lost.
     fn count_probe(&mut self, number: MemberNumber) {
         let weight = self.clock.rate();
         self.peer_mut(number).milliprobes += weight;
--- a/crates/service/membership/src/gossip/receive.rs
+++ b/crates/service/membership/src/gossip/receive.rs
@@ -5,8 +5,8 @@
 use crate::limits::MAX_DIGEST_ENTRIES;
 use crate::member::{LifecyclePhase, MemberNumber, MemberState};
 
-/// A heartbeat that is further ahead of the last one than this was never made: at ten heartbeats a second it is more than a
-/// day.
+/// A heartbeat that is further ahead of the last one than this was never made: at ten heartbeats a
+/// second it is more than a day.
 const MAX_HEARTBEAT_ADVANCE: u32 = 1 << 20;
 
 impl GossipMembership {
@@ -87,7 +87,8 @@
         may_reply
     }
 
-    /// Whether a heartbeat can have been made. A forged one far ahead would make all true ones pass for old.
+    /// Whether a heartbeat can have been made. A forged one far ahead would make all true ones pass
+    /// for old.
     fn is_plausible(&self, entry: &HeartbeatEntry) -> bool {
         let Some(peer) = self.peers.get(usize::from(entry.number)) else { return false };
         let known = peer.newest.filter(|known| known.incarnation == entry.incarnation);
@@ -128,8 +129,9 @@
         self.set_state(entry.number, entry.phase.into(), actions);
     }
 
-    /// Takes a higher incarnation if others know a later start of this scheduler: the clock that its incarnation came from
-    /// has gone back, or two processes run as one scheduler. Else its heartbeats would pass for old ones.
+    /// Takes a higher incarnation if others know a later start of this scheduler: the clock that
+    /// its incarnation came from has gone back, or two processes run as one scheduler. Else its
+    /// heartbeats would pass for old ones.
     fn renew_incarnation(&mut self, entry: &HeartbeatEntry) {
         if entry.is_newer_than(&self.own_entry()) && self.phase != LifecyclePhase::Left {
             self.incarnation = entry.incarnation + 1;
@@ -137,8 +139,8 @@
         }
     }
 
-    /// Whether a heartbeat is newer than the one that is known. A member that has left comes back by a new incarnation
-    /// only.
+    /// Whether a heartbeat is newer than the one that is known. A member that has left comes back
+    /// by a new incarnation only.
     fn supersedes(&self, entry: &HeartbeatEntry) -> bool {
         let Some(known) = &self.peer(entry.number).newest else { return true };
         let has_left = known.incarnation == entry.incarnation
--- a/crates/service/membership/src/gossip/send.rs
+++ b/crates/service/membership/src/gossip/send.rs
@@ -8,7 +8,8 @@
 use rand::seq::IndexedRandom;
 
 impl GossipMembership {
-    /// Sends a message of another protocol, at most [`MAX_PAYLOAD_BYTES`](crate::MAX_PAYLOAD_BYTES) long.
+    /// Sends a message of another protocol, at most [`MAX_PAYLOAD_BYTES`](crate::MAX_PAYLOAD_BYTES)
+    /// long.
     pub fn send_payload(
         &mut self,
         to: MemberNumber,
@@ -19,11 +20,11 @@
         self.send(to, MessageBody::Payload { protocol, bytes }, actions);
     }
 
-    /// Sends heartbeats: this scheduler's own, the receiver's as far as it is known, those of `requested`, and random ones
-    /// that may be new to the receiver.
+    /// Sends heartbeats: this scheduler's own, the receiver's as far as it is known, those of
+    /// `requested`, and random ones that may be new to the receiver.
     ///
-    /// Stale heartbeats are sent only in questions and replies: they would make a receiver that has just started take a
-    /// dead member for a live one.
+    /// Stale heartbeats are sent only in questions and replies: they would make a receiver that has
+    /// just started take a dead member for a live one.
     pub(super) fn send_heartbeats(
         &mut self,
         to: MemberNumber,
@@ -36,8 +37,8 @@
             fresh.choose_multiple(&mut self.rng, MAX_DIGEST_ENTRIES).copied().collect();
         let random = chosen.iter().filter(|number| **number != to && !requested.contains(number));
         let of_others = requested.iter().chain(random).filter_map(|number| self.newest_entry(*number));
-        // The receiver's own heartbeat, however old: a member that has started again under a clock that went back learns
-        // from it that its heartbeats pass for old ones.
+        // The receiver's own heartbeat, however old: a member that has started again under a clock
+        // that went back learns from it that its heartbeats pass for old ones.
         let of_receiver = self.newest_entry(to);
         let digest = fit_into_datagram(std::iter::once(self.own_entry()).chain(of_receiver).chain(of_others));
         self.send(to, MessageBody::Heartbeats { reply_requested, digest }, actions);
@@ -70,7 +71,8 @@
         }
     }
 
-    /// The members whose newest heartbeat is worth passing on: they are live and not nearly suspect, or have left.
+    /// The members whose newest heartbeat is worth passing on: they are live and not nearly
+    /// suspect, or have left.
     fn fresh_peers(&self) -> Vec<MemberNumber> {
         let stale_after = u64::from(self.thresholds.suspect_after_periods) * MILLIPERIODS_PER_PERIOD;
         let now = self.clock.reading();
--- a/crates/service/membership/src/lib.rs
+++ b/crates/service/membership/src/lib.rs
@@ -1,12 +1,15 @@
-//! Membership of the schedulers of a tier: which of them are alive, draining, have left or are dead.
+//! Membership of the schedulers of a tier: which of them are alive, draining, have left or are
+//! dead.
 //!
-//! Each scheduler gossips the newest heartbeats that it knows (gossip-style failure detection: van Renesse, Minsky,
-//! Hayden, Middleware 1998) and probes directly whoever is suspected. Time is counted in the periods that this process
-//! itself lives through, so a process that was suspended suspects nobody when it wakes. This crate has no sockets and no
-//! clock. Why this form was chosen: `docs/design/membership.md`.
+//! Each scheduler gossips the newest heartbeats that it knows (gossip-style failure detection: van
+//! Renesse, Minsky, Hayden, Middleware 1998) and probes directly whoever is suspected. Time is
+//! counted in the periods that this process itself lives through, so a process that was suspended
+//! suspects nobody when it wakes. This crate has no sockets and no clock. Why this form was chosen:
+//! `docs/design/membership.md`.
 //!
 //! - `config`: how a scheduler takes part.
-//! - `failure_detector`: when a member is suspected, and when a suspect is dead; the clock that suspicion goes by.
+//! - `failure_detector`: when a member is suspected, and when a suspect is dead; the clock that
+//!   suspicion goes by.
 //! - `digest`, `datagram` and `limits`: what is sent.
 //! - `member` and `stats`: what operators are shown.
 //! - `gossip`: the protocol's state machine.
--- a/crates/service/membership/src/member.rs
+++ b/crates/service/membership/src/member.rs
@@ -3,7 +3,8 @@
 
 /// The number of a scheduler in its tier: its position among the configured schedulers, from 0.
 pub type MemberNumber = u16;
-/// Grows with each start of a scheduler, so that its heartbeats supersede those of its earlier processes.
+/// Grows with each start of a scheduler, so that its heartbeats supersede those of its earlier
+/// processes.
 pub type Incarnation = u32;
 
 /// What a scheduler reports of itself.
@@ -34,7 +35,8 @@
     Draining,
     /// No new heartbeat arrived for a while: it may be dead.
     Suspect,
-    /// No new heartbeat arrived, and probes failed, for so long that it must be dead or partitioned.
+    /// No new heartbeat arrived, and probes failed, for so long that it must be dead or
+    /// partitioned.
     Dead,
     /// It has shut down gracefully.
     Left,
--- a/crates/service/membership/src/stats.rs
+++ b/crates/service/membership/src/stats.rs
@@ -16,7 +16,8 @@
     pub suspected_members: u16,
     /// How often a heartbeat arrived of a member that was suspected or dead.
     pub refutations: u64,
-    /// How often this scheduler took a higher incarnation, since others knew a later start of it than its own.
+    /// How often this scheduler took a higher incarnation, since others knew a later start of it
+    /// than its own.
     #[serde(rename = "renewals")]
     pub incarnation_renewals: u64,
     /// Datagrams sent.
@@ -27,7 +28,8 @@
     pub datagrams_in: u64,
     /// Bytes of the datagrams received from members' addresses.
     pub bytes_in: u64,
-    /// Datagrams from addresses that are no member's, or too long for any; counted by whoever holds the socket.
+    /// Datagrams from addresses that are no member's, or too long for any; counted by whoever holds
+    /// the socket.
     #[serde(rename = "strangers")]
     pub unknown_senders: u64,
     /// Datagrams that were dropped, by reason.
--- a/crates/service/membership/tests/common/datagrams.rs
+++ b/crates/service/membership/tests/common/datagrams.rs
@@ -45,7 +45,8 @@
     datagram(MessageBody::Heartbeats { reply_requested, digest: vec![entry] }).encode()
 }
 
-/// The first member of a tier of two hundred, which knows the heartbeats of all others but the last.
+/// The first member of a tier of two hundred, which knows the heartbeats of all others but the
+/// last.
 pub fn first_of_two_hundred() -> GossipMembership {
     let mut membership = GossipMembership::new(MembershipConfig { member_count: 200, ..config(0) });
     let mut actions = Vec::new();
--- a/crates/service/membership/tests/common/simulated_tier.rs
+++ b/crates/service/membership/tests/common/simulated_tier.rs
@@ -1,5 +1,5 @@
-//! A tier of members in virtual time: each lives through a period at its own phase; datagrams are lost, late, doubled and cut
-//! off.
+//! A tier of members in virtual time: each lives through a period at its own phase; datagrams are
+//! lost, late, doubled and cut off.
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use spanlead_membership::{
--- a/crates/service/membership/tests/datagrams.rs
+++ b/crates/service/membership/tests/datagrams.rs
@@ -1,4 +1,5 @@
-//! Datagrams: they are read as they were written, they fit, and nothing else is read as one; what a single datagram changes.
+//! Datagrams: they are read as they were written, they fit, and nothing else is read as one; what a
+//! single datagram changes.
 mod common;
 
 use common::datagrams::{
@@ -39,7 +40,8 @@
         prop_assert_eq!(Datagram::decode(&longer), Err(DropReason::Malformed));
     }
 
-    // Whatever arrives, of another tier or with impossible figures: it is counted or accepted, and the member goes on.
+    // Whatever arrives, of another tier or with impossible figures: it is counted or accepted, and
+    // the member goes on.
     #[test]
     fn no_datagram_stops_a_member(
         datagrams in vec((0..6_u16, any_datagram(), any::<bool>()), 1..20),
@@ -99,7 +101,8 @@
     assert!(matches!(actions[..], [Action::Send { to: 1, .. }]), "a good request gets a reply");
 }
 
-// A heartbeat far ahead of the last would make all true ones pass for old: one datagram could make a member dead.
+// A heartbeat far ahead of the last would make all true ones pass for old: one datagram could make
+// a member dead.
 #[test]
 fn a_heartbeat_far_ahead_is_implausible() {
     let (mut membership, mut actions) = (first_member(), Vec::new());
@@ -116,8 +119,8 @@
     assert_eq!(state_of(&membership, 1), Some(MemberState::Alive));
 }
 
-// Guards a member whose datagrams reach a few only: whoever is asked about it sends what it knows of it, though it can't send
-// what it knows of all.
+// Guards a member whose datagrams reach a few only: whoever is asked about it sends what it knows
+// of it, though it can't send what it knows of all.
 #[test]
 fn a_reply_contains_the_heartbeat_that_was_asked_for() {
     let outdated = heartbeat(77, 20, 40);
@@ -130,7 +133,8 @@
     }
 }
 
-// Guards the time until a death is known: a heartbeat that took long to arrive is as old as it is, not new.
+// Guards the time until a death is known: a heartbeat that took long to arrive is as old as it is,
+// not new.
 #[test]
 fn a_heartbeat_is_passed_on_with_its_age() {
     let (mut membership, mut actions) = (first_of_two_hundred(), Vec::new());
@@ -161,7 +165,8 @@
     assert_eq!(state_of(&membership, 199), Some(MemberState::Left), "that a member has left stays true");
 }
 
-// Guards a member whose datagrams do not arrive here, since one direction is cut off: the others are asked about it.
+// Guards a member whose datagrams do not arrive here, since one direction is cut off: the others
+// are asked about it.
 #[test]
 fn other_members_are_asked_about_a_suspect() {
     let (mut membership, mut actions) = (first_member(), Vec::new());
--- a/crates/service/membership/tests/simulated_tiers.rs
+++ b/crates/service/membership/tests/simulated_tiers.rs
@@ -1,11 +1,12 @@
-//! Complete tiers in virtual time, by seed: loss, cuts of one direction, suspended members and observers, restarts, late
-//! datagrams.
+//! Complete tiers in virtual time, by seed: loss, cuts of one direction, suspended members and
+//! observers, restarts, late datagrams.
 mod common;
 
 use common::simulated_tier::{SeenChange, SimulatedTier};
 use spanlead_membership::MemberState;
 
-/// Passes periods until the condition holds; returns how many. Fails if it does not hold within `max_periods`.
+/// Passes periods until the condition holds; returns how many. Fails if it does not hold within
+/// `max_periods`.
 fn pass_until(
     tier: &mut SimulatedTier,
     max_periods: u64,
@@ -90,8 +91,8 @@
     }
 }
 
-// Eight of thirty hear the member: its heartbeats arrive late at all others, who suspect it and ask. The failed probes decide,
-// not the silence.
+// Eight of thirty hear the member: its heartbeats arrive late at all others, who suspect it and
+// ask. The failed probes decide, not the silence.
 #[test]
 fn a_member_that_few_hear_is_suspected_and_never_dead() {
     for seed in 1..=3 {
@@ -106,7 +107,8 @@
     }
 }
 
-// Nobody hears the member, though it hears all: it is dead once, and alive again when the cut heals.
+// Nobody hears the member, though it hears all: it is dead once, and alive again when the cut
+// heals.
 #[test]
 fn a_member_that_nobody_hears_is_dead_once_a_cut() {
     for seed in 1..=10 {
@@ -145,7 +147,8 @@
     }
 }
 
-// All are suspended together (an overload of the machine that they share) and go on: nothing has happened.
+// All are suspended together (an overload of the machine that they share) and go on: nothing has
+// happened.
 #[test]
 fn members_that_are_suspended_together_take_nobody_for_dead() {
     let mut tier = settled_tier(5, 0.1, 3);
@@ -158,8 +161,8 @@
     assert_no_false_death(&tier, &[]);
 }
 
-// A restart within the detection time: the same number, a new incarnation. Late datagrams of the old one change nothing, also
-// where the new one's clock has gone back.
+// A restart within the detection time: the same number, a new incarnation. Late datagrams of the
+// old one change nothing, also where the new one's clock has gone back.
 #[test]
 fn late_datagrams_of_an_earlier_incarnation_change_nothing() {
     for (seed, clock_went_back) in (1..=20).zip([false, true].into_iter().cycle()) {
@@ -206,8 +209,8 @@
     }
 }
 
-// The sides of a partition take each other for dead and find each other again, also a member that died meanwhile and
-// restarts.
+// The sides of a partition take each other for dead and find each other again, also a member that
+// died meanwhile and restarts.
 #[test]
 fn a_partition_heals() {
     for seed in 1..=10 {
--- a/crates/service/singleton-roles/src/acceptor.rs
+++ b/crates/service/singleton-roles/src/acceptor.rs
@@ -1,8 +1,8 @@
 //! One scheduler's grants of one role.
 //!
-//! Invariant: an acceptor has at most one unexpired grant, and each new grant has a higher term than all before it that the
-//! acceptor knows. Since any two majorities have an acceptor in common, at most one scheduler has unexpired grants of a
-//! majority.
+//! Invariant: an acceptor has at most one unexpired grant, and each new grant has a higher term
+//! than all before it that the acceptor knows. Since any two majorities have an acceptor in common,
+//! at most one scheduler has unexpired grants of a majority.
 use crate::message::{MessageBody, Term};
 use crate::quorum::SchedulerNumber;
 use crate::time::Millis;
@@ -10,14 +10,14 @@
 /// What a scheduler has granted of one role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
-    /// Nothing is granted before: what an earlier process of this scheduler granted, and this one does not know of, has
-    /// expired by then.
+    /// Nothing is granted before: what an earlier process of this scheduler granted, and this one
+    /// does not know of, has expired by then.
     quiet_until: Millis,
     /// The highest term that was granted or learned of.
     highest_term: Term,
     granted: Option<StoredGrant>,
-    /// The last request that was rejected since another scheduler had the grant. If that one releases it just then, by a
-    /// message that was overtaken, the request is granted after all.
+    /// The last request that was rejected since another scheduler had the grant. If that one
+    /// releases it just then, by a message that was overtaken, the request is granted after all.
     rejected: Option<RejectedRequest>,
 }
 
@@ -67,7 +67,8 @@
 }
 
 impl Acceptor {
-    /// An acceptor that starts now, and grants nothing for as long as a grant may last that an earlier process made.
+    /// An acceptor that starts now, and grants nothing for as long as a grant may last that an
+    /// earlier process made.
     pub fn new(now: Millis, grant_duration: Millis) -> Self {
         Acceptor { quiet_until: now + grant_duration, highest_term: 0, granted: None, rejected: None }
     }
@@ -114,7 +115,8 @@
             Some(grant) if request.term < grant.term => return Some(self.reject(request, 0)),
             // A renewal.
             Some(grant) if request.term == grant.term => {}
-            // A new term must be higher than all before it, also for the scheduler that had the last one.
+            // A new term must be higher than all before it, also for the scheduler that had the
+            // last one.
             _ if request.term <= self.highest_term => return Some(self.reject(request, 0)),
             _ => {}
         }
@@ -133,8 +135,8 @@
         self.rejected.take_if(|rejected| rejected.request.from == from);
     }
 
-    /// The scheduler that has the grant releases it up to this term. Returns the reply to a request that was rejected less
-    /// than `reply_timeout` ago, if it is granted now.
+    /// The scheduler that has the grant releases it up to this term. Returns the reply to a request
+    /// that was rejected less than `reply_timeout` ago, if it is granted now.
     pub fn release(
         &mut self,
         now: Millis,
--- a/crates/service/singleton-roles/src/config.rs
+++ b/crates/service/singleton-roles/src/config.rs
@@ -11,7 +11,8 @@
     pub quorum: QuorumConfig,
     /// How long a lease lasts, from when it was requested.
     pub lease_duration: Millis,
-    /// By how much a grant outlasts the lease: the most by which two clocks drift apart within a lease.
+    /// By how much a grant outlasts the lease: the most by which two clocks drift apart within a
+    /// lease.
     pub clock_drift_bound: Millis,
     /// How long a reply may take.
     pub reply_timeout: Millis,
@@ -20,7 +21,8 @@
 }
 
 impl RoleConfig {
-    /// How long an acceptor's grant lasts. It must outlast the lease by the holder's clock, or two could hold a role.
+    /// How long an acceptor's grant lasts. It must outlast the lease by the holder's clock, or two
+    /// could hold a role.
     pub(crate) fn grant_duration(&self) -> Millis {
         self.lease_duration + self.clock_drift_bound
     }
--- a/crates/service/singleton-roles/src/lib.rs
+++ b/crates/service/singleton-roles/src/lib.rs
@@ -1,7 +1,8 @@
-//! Singleton roles: each is held by one scheduler of a tier at a time, under a lease that a majority of the **configured**
-//! schedulers grants (after PaxosLease: Trencseni, Gazso, Reinhardt 2009: nothing on disk, bounded by time), with terms that
-//! fence: whatever a lease holder acts on rejects an older term. This crate has no sockets and no clock: the time comes with
-//! each call. Why this form was chosen, and what it assumes: `docs/design/duties.md`.
+//! Singleton roles: each is held by one scheduler of a tier at a time, under a lease that a
+//! majority of the **configured** schedulers grants (after PaxosLease: Trencseni, Gazso, Reinhardt
+//! 2009: nothing on disk, bounded by time), with terms that fence: whatever a lease holder acts on
+//! rejects an older term. This crate has no sockets and no clock: the time comes with each call.
+//! Why this form was chosen, and what it assumes: `docs/design/duties.md`.
 //!
 //! - `config` and `quorum`: how a scheduler takes part, and whose grants make a majority.
 //! - `acceptor`: what one scheduler has granted of one role.
--- a/crates/service/singleton-roles/src/manager.rs
+++ b/crates/service/singleton-roles/src/manager.rs
@@ -1,4 +1,5 @@
-//! One scheduler's part in all roles: it grants them to others, requests them in its turn, and holds some.
+//! One scheduler's part in all roles: it grants them to others, requests them in its turn, and
+//! holds some.
 //!
 //! - `acquire`: when a lease is requested or renewed, and when a request is given up.
 //! - `receive`: what a message changes.
@@ -67,8 +68,8 @@
 
     /// The term under which this scheduler may act in the role now.
     ///
-    /// The caller asks at that moment, and passes the term to what it acts on, which rejects an older one: the process may
-    /// be suspended between this check and the act.
+    /// The caller asks at that moment, and passes the term to what it acts on, which rejects an
+    /// older one: the process may be suspended between this check and the act.
     pub fn term_to_act_under(&self, now: Millis, role: RoleIndex) -> Option<Term> {
         let held = self.roles.get(role.0)?.held;
         held.filter(|lease| now < lease.expires_at).map(|lease| lease.term)
@@ -79,8 +80,8 @@
         self.roles.get(role.0)?.acceptor.grant(now)
     }
 
-    /// Some time has passed. `is_alive` says whether a scheduler is thought to be alive: that decides who requests a role
-    /// first, never whom it is granted to.
+    /// Some time has passed. `is_alive` says whether a scheduler is thought to be alive: that
+    /// decides who requests a role first, never whom it is granted to.
     pub fn tick(
         &mut self,
         now: ClockReading,
@@ -101,7 +102,8 @@
         outbox.flush(actions);
     }
 
-    /// Makes this scheduler passive, so that it grants to others and requests nothing, or active again.
+    /// Makes this scheduler passive, so that it grants to others and requests nothing, or active
+    /// again.
     pub fn set_passive(&mut self, passive: bool) {
         self.passive = passive;
     }
--- a/crates/service/singleton-roles/src/manager/acquire.rs
+++ b/crates/service/singleton-roles/src/manager/acquire.rs
@@ -8,14 +8,15 @@
 use crate::time::{ClockReading, Millis};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A lease is renewed when less than this part of it is left, which leaves time for requests that get lost.
+/// A lease is renewed when less than this part of it is left, which leaves time for requests that
+/// get lost.
 const RENEW_WHEN_LEFT_NUMERATOR: u64 = 2;
 /// See [`RENEW_WHEN_LEFT_NUMERATOR`].
 const RENEW_WHEN_LEFT_DENOMINATOR: u64 = 3;
 
 impl RoleManager {
-    /// Whether it is time to request: the renewal of a lease that is held, or in this scheduler's turn a role that nobody
-    /// holds.
+    /// Whether it is time to request: the renewal of a lease that is held, or in this scheduler's
+    /// turn a role that nobody holds.
     pub(super) fn should_request(
         &self,
         now: Millis,
@@ -33,15 +34,15 @@
                 config.lease_duration * RENEW_WHEN_LEFT_NUMERATOR / RENEW_WHEN_LEFT_DENOMINATOR;
             return now + renew_before >= held.expires_at;
         }
-        // The first choice may be a scheduler that can't request: it has just started, or is gone and not known to be.
-        // So the others follow, each after one more reply time-out.
+        // The first choice may be a scheduler that can't request: it has just started, or is gone
+        // and not known to be. So the others follow, each after one more reply time-out.
         let vacant_since = this.vacant_since.unwrap_or(now);
         let turn = vacant_since + self.rank(now, role, is_alive) * config.reply_timeout;
         this.acceptor.grant(now).is_none() && now >= turn
     }
 
-    /// How many of the live schedulers should hold the role rather than this one: by rendezvous hashing, so that roles are
-    /// spread and few move when a scheduler goes.
+    /// How many of the live schedulers should hold the role rather than this one: by rendezvous
+    /// hashing, so that roles are spread and few move when a scheduler goes.
     fn rank(&self, now: Millis, role: RoleIndex, is_alive: &impl Fn(SchedulerNumber) -> bool) -> u64 {
         let this = &self.roles[role.0];
         let own_number = self.config.own_number;
@@ -56,15 +57,17 @@
         candidates.filter(|number| weight(*number) > weight(own_number)).count() as u64
     }
 
-    /// How long to wait before another request: other than schedulers that requested at the same time.
+    /// How long to wait before another request: other than schedulers that requested at the same
+    /// time.
     pub(super) fn backoff(&self) -> Millis {
         let reply_timeout = self.config.reply_timeout;
         let random = xxh3_64_with_seed(&self.requests_sent.to_le_bytes(), self.config.seed);
         reply_timeout + random % (2 * reply_timeout + 1)
     }
 
-    /// Gives up a request that found no majority in time, and the grants of it. Two schedulers with a part of the grants
-    /// each would keep the role from each other, and from all others, for a lease.
+    /// Gives up a request that found no majority in time, and the grants of it. Two schedulers with
+    /// a part of the grants each would keep the role from each other, and from all others, for a
+    /// lease.
     pub(super) fn cancel_unanswered(&mut self, now: Millis, role: RoleIndex, outbox: &mut Outbox) {
         let (backoff, reply_timeout) = (self.backoff(), self.config.reply_timeout);
         let this = &mut self.roles[role.0];
@@ -90,8 +93,8 @@
         let this = &mut self.roles[role.0];
         let next_term = this.acceptor.highest_term() + 1;
         let term = match this.held {
-            // A renewal keeps the term, unless an acceptor has learned of a higher one that was never granted: it would
-            // never grant this one again.
+            // A renewal keeps the term, unless an acceptor has learned of a higher one that was
+            // never granted: it would never grant this one again.
             Some(held) if next_term <= held.term + 1 => held.term,
             Some(_) => next_term,
             None => next_term.max(now.wall),
--- a/crates/service/singleton-roles/src/manager/receive.rs
+++ b/crates/service/singleton-roles/src/manager/receive.rs
@@ -33,8 +33,8 @@
         outbox.flush(actions);
     }
 
-    /// Whether the sender goes by a quorum that intersects this scheduler's. Else it may have a majority that shares no
-    /// acceptor with one of ours, and two would hold the role.
+    /// Whether the sender goes by a quorum that intersects this scheduler's. Else it may have a
+    /// majority that shares no acceptor with one of ours, and two would hold the role.
     fn is_acceptable(&self, from: SchedulerNumber, message: &RoleMessage) -> bool {
         let quorum = self.config.quorum;
         message.quorum.intersects(quorum) && from < quorum.schedulers && from != self.config.own_number
@@ -105,7 +105,8 @@
                 this.acceptor.learn(highest_term);
                 let is_current = this.pending.as_ref().is_some_and(|pending| pending.number == request);
                 if is_current && this.held.is_none() {
-                    // Another scheduler has the role; if it releases the role earlier, a message says so.
+                    // Another scheduler has the role; if it releases the role earlier, a message
+                    // says so.
                     this.delay_requests(now + remaining.min(lease_duration));
                 }
             }
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Adds a grant to the pending request. When a majority has granted, the request is done, and the time is returned
-    /// when its lease expires.
+    /// Adds a grant to the pending request. When a majority has granted, the request is done, and
+    /// the time is returned when its lease expires.
     fn add_grant(
         &mut self,
         role: RoleIndex,
--- a/crates/service/singleton-roles/src/manager/release.rs
+++ b/crates/service/singleton-roles/src/manager/release.rs
@@ -12,7 +12,8 @@
         self.lose(now, role, LossReason::Released, actions);
     }
 
-    /// What this scheduler acted on knows the later term `highest_term`: the lease is over, whatever the acceptors say.
+    /// What this scheduler acted on knows the later term `highest_term`: the lease is over,
+    /// whatever the acceptors say.
     pub fn fence(&mut self, now: Millis, role: RoleIndex, highest_term: Term, actions: &mut Vec<Action>) {
         let Some(this) = self.roles.get_mut(role.0) else { return };
         this.acceptor.learn(highest_term);
@@ -30,8 +31,8 @@
         }
     }
 
-    /// Voids what this scheduler's acceptor granted up to this term, and sends the grant to a request that it has just
-    /// rejected, if there is one.
+    /// Voids what this scheduler's acceptor granted up to this term, and sends the grant to a
+    /// request that it has just rejected, if there is one.
     pub(super) fn release_grant(
         &mut self,
         now: Millis,
@@ -53,7 +54,8 @@
         let change = LeaseChange::Lost(lease.term, reason);
         actions.push(Action::LeaseChanged { role, change });
         this.pending = None;
-        // The scheduler that released a role does not take it again before the others had their turn.
+        // The scheduler that released a role does not take it again before the others had their
+        // turn.
         let own_number = self.config.own_number;
         let until = now + self.config.lease_duration;
         this.not_before = until;
--- a/crates/service/singleton-roles/src/message.rs
+++ b/crates/service/singleton-roles/src/message.rs
@@ -1,13 +1,15 @@
-//! Messages between schedulers on roles, several in one datagram. Their form is postcard's: names are not part of it, order
-//! and types of fields and variants are.
+//! Messages between schedulers on roles, several in one datagram. Their form is postcard's: names
+//! are not part of it, order and types of fields and variants are.
 use crate::quorum::QuorumConfig;
 use crate::time::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Numbers the leases of a role, one after the other; whatever a lease holder acts on rejects an older term.
+/// Numbers the leases of a role, one after the other; whatever a lease holder acts on rejects an
+/// older term.
 pub type Term = u64;
 
-/// The most messages in a datagram: with the largest figures they take less than the 200 bytes that one carries.
+/// The most messages in a datagram: with the largest figures they take less than the 200 bytes that
+/// one carries.
 pub const MAX_MESSAGES: usize = 5;
 
 /// Terms from here on are rejected: no term could follow one that is accepted.
@@ -78,7 +80,8 @@
     postcard::to_stdvec(messages).unwrap_or_default()
 }
 
-/// Reads a datagram's payload; `None` if it is malformed, or has too many messages or an impossible term.
+/// Reads a datagram's payload; `None` if it is malformed, or has too many messages or an impossible
+/// term.
 pub fn decode(bytes: &[u8]) -> Option<Vec<RoleMessage>> {
     let (messages, rest) = postcard::take_from_bytes::<Vec<RoleMessage>>(bytes).ok()?;
     let is_plausible =
--- a/crates/service/singleton-roles/src/quorum.rs
+++ b/crates/service/singleton-roles/src/quorum.rs
@@ -4,8 +4,9 @@
 /// The number of a scheduler in its tier: its position among the configured schedulers, from 0.
 pub type SchedulerNumber = u16;
 
-/// The schedulers whose majorities grant leases: those with the first numbers. While the set is changed, majorities of both
-/// sets (joint consensus: Ongaro, "Consensus: Bridging Theory and Practice", 2014, 4.3).
+/// The schedulers whose majorities grant leases: those with the first numbers. While the set is
+/// changed, majorities of both sets (joint consensus: Ongaro, "Consensus: Bridging Theory and
+/// Practice", 2014, 4.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Deserialize, Serialize)]
 pub struct QuorumConfig {
     /// How many schedulers are configured.
@@ -33,8 +34,8 @@
         })
     }
 
-    /// Whether each majority by this configuration has a scheduler in common with each majority by the other. They do if
-    /// a set is in both.
+    /// Whether each majority by this configuration has a scheduler in common with each majority by
+    /// the other. They do if a set is in both.
     pub fn intersects(self, other: QuorumConfig) -> bool {
         self.set_sizes().any(|size| other.set_sizes().any(|other_size| size == other_size))
     }
--- a/crates/service/singleton-roles/src/role.rs
+++ b/crates/service/singleton-roles/src/role.rs
@@ -45,7 +45,8 @@
 pub(crate) struct PendingRequest {
     pub(crate) number: u32,
     pub(crate) term: Term,
-    /// When it was sent. The lease counts from then, not from when the grants arrive, so that it ends before they do.
+    /// When it was sent. The lease counts from then, not from when the grants arrive, so that it
+    /// ends before they do.
     pub(crate) sent_at: Millis,
     pub(crate) granted_by: Vec<SchedulerNumber>,
 }
--- a/crates/service/singleton-roles/src/time.rs
+++ b/crates/service/singleton-roles/src/time.rs
@@ -8,7 +8,7 @@
 pub struct ClockReading {
     /// The process's own monotonic clock, which leases are measured by.
     pub monotonic: Millis,
-    /// The time of day. It only lifts the first term above those of processes that have all forgotten theirs; nothing
-    /// that must be safe depends on it.
+    /// The time of day. It only lifts the first term above those of processes that have all
+    /// forgotten theirs; nothing that must be safe depends on it.
     pub wall: Millis,
 }
--- a/crates/service/singleton-roles/tests/common/mod.rs
+++ b/crates/service/singleton-roles/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests share: a tier whose datagrams are handed over as they are sent, in one process and without a network.
+//! What the tests share: a tier whose datagrams are handed over as they are sent, in one process
+//! and without a network.
 use spanlead_singleton_roles::{
     Action, ClockReading, LeaseChange, Millis, QuorumConfig, RoleConfig, RoleIndex, RoleManager,
     SchedulerNumber, Term, decode,
--- a/crates/service/singleton-roles/tests/lease_handover.rs
+++ b/crates/service/singleton-roles/tests/lease_handover.rs
@@ -4,7 +4,8 @@
 use common::{Delivery, LEASE, ROLE, SETTLE_TIME, Tier, role_hash};
 use spanlead_singleton_roles::{Action, LeaseChange, LossReason, MessageBody, QuorumConfig, RoleMessage};
 
-// Guards a graceful shutdown: the next scheduler must not wait for the lease, whichever message arrives first.
+// Guards a graceful shutdown: the next scheduler must not wait for the lease, whichever message
+// arrives first.
 #[test]
 fn a_released_role_is_held_again_at_once() {
     for delivery in [Delivery::OldestFirst, Delivery::NewestFirst] {
@@ -21,8 +22,9 @@
     }
 }
 
-// Guards a rolling restart: one scheduler after the other ends gracefully and starts without grants, and the next one ends
-// before that one may grant again. Those that are left are just a majority, and hand the role over within a second.
+// Guards a rolling restart: one scheduler after the other ends gracefully and starts without
+// grants, and the next one ends before that one may grant again. Those that are left are just a
+// majority, and hand the role over within a second.
 #[test]
 fn a_rolling_restart_hands_the_role_over() {
     for seed in 0..20_u64 {
@@ -44,8 +46,8 @@
     }
 }
 
-// Guards against a split vote: two schedulers that request at once get a part of the grants each, and would keep the role from
-// each other, and from all others, for a lease.
+// Guards against a split vote: two schedulers that request at once get a part of the grants each,
+// and would keep the role from each other, and from all others, for a lease.
 #[test]
 fn a_split_vote_ends_before_a_lease() {
     let mut tier = Tier::new(4, 0);
@@ -77,8 +79,8 @@
     assert!(tier.lease_holder().is_some(), "they keep the role from each other");
 }
 
-// Guards a lease holder whose acceptors have learned of a higher term that was never granted: they would never grant its own
-// again, and one holder after the other would be lost to that term.
+// Guards a lease holder whose acceptors have learned of a higher term that was never granted: they
+// would never grant its own again, and one holder after the other would be lost to that term.
 #[test]
 fn a_lease_holder_takes_a_higher_term_than_one_that_was_requested_in_vain() {
     let mut tier = Tier::settled(3, 0);
@@ -109,7 +111,8 @@
     tier.deliver_all(Delivery::OldestFirst);
     tier.pass(2 * LEASE);
     let next = tier.lease_holder().expect("it is held again");
-    // Another scheduler does not know of that term; the one that was fenced exceeds it when it is its turn.
+    // Another scheduler does not know of that term; the one that was fenced exceeds it when it is
+    // its turn.
     if next == holder {
         assert!(tier.term_of(next) > Some(term + 1_000_000));
     }
--- a/crates/service/singleton-roles/tests/lease_model.rs
+++ b/crates/service/singleton-roles/tests/lease_model.rs
@@ -1,7 +1,8 @@
-//! The leases, searched completely for small sizes by the crate's own state machine: three schedulers that grant and request,
-//! messages lost, doubled and late, a clock that runs slow by the bound, restarts without memory, a change of the set, and a
-//! suspension between the check of a lease and the act. Each rule can be taken out; then the search must find the fault that
-//! the rule prevents.
+//! The leases, searched completely for small sizes by the crate's own state machine: three
+//! schedulers that grant and request, messages lost, doubled and late, a clock that runs slow by
+//! the bound, restarts without memory, a change of the set, and a suspension between the check of a
+//! lease and the act. Each rule can be taken out; then the search must find the fault that the rule
+//! prevents.
 use spanlead_singleton_roles::{
     Action as RoleAction, ClockReading, MessageBody, Millis, QuorumConfig, RoleConfig, RoleIndex,
     RoleManager, RoleMessage, SchedulerNumber, Term, decode,
@@ -27,7 +28,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Rule {
-    /// A scheduler that restarts grants nothing until the grants that it has forgotten have expired.
+    /// A scheduler that restarts grants nothing until the grants that it has forgotten have
+    /// expired.
     QuietAfterRestart,
     /// A grant outlasts the lease by the bound on clocks.
     ClockDriftBound,
@@ -111,7 +113,8 @@
 }
 
 impl ModelBody {
-    /// `None` for a rejection: it only makes its receiver wait, or request a higher term, as if it were lost.
+    /// `None` for a rejection: it only makes its receiver wait, or request a higher term, as if it
+    /// were lost.
     fn of(body: MessageBody) -> Option<Self> {
         match body {
             MessageBody::Request { request, term } => Some(ModelBody::Request { request, term }),
@@ -142,8 +145,8 @@
     Tick(SchedulerNumber),
     Deliver(SentMessage),
     Restart(SchedulerNumber),
-    /// A scheduler starts, again or for the first time, with the configuration after the change; or ends, if it is not in
-    /// that.
+    /// A scheduler starts, again or for the first time, with the configuration after the change; or
+    /// ends, if it is not in that.
     ChangeQuorum(SchedulerNumber),
     Release(SchedulerNumber),
     Check(SchedulerNumber),
@@ -193,7 +196,8 @@
         let (clock, mut actions) = (self.clock(number), Vec::new());
         let scheduler = &mut self.schedulers[usize::from(number)];
         let before = scheduler.clone();
-        // It believes that the role is its to hold: whom it takes for alive decides nothing of safety.
+        // It believes that the role is its to hold: whom it takes for alive decides nothing of
+        // safety.
         scheduler.tick(clock, |_| false, &mut actions);
         if *scheduler == before {
             return false;
@@ -388,12 +392,14 @@
                 (0..SCHEDULERS).filter(holds).count() <= 1
             }),
             Property::always(NO_LATE_ACT, |_, state: &State| !state.accepted_older_term),
-            // That a scheduler can hold the role at all, and after another: else the rest shows nothing.
+            // That a scheduler can hold the role at all, and after another: else the rest shows
+            // nothing.
             Property::sometimes(HANDED_OVER, |model: &LeaseModel, state: &State| {
                 let mut indices = 0..state.schedulers.len();
                 match model.size.quorum_change {
                     None => state.accepted_term > 1 && indices.any(|index| state.has_lease(index)),
-                    // Each forgets the terms that it knew: that a scheduler holds the role after the change shows as much.
+                    // Each forgets the terms that it knew: that a scheduler holds the role after
+                    // the change shows as much.
                     Some(QuorumChange { after, .. }) => {
                         indices.any(|index| state.quorums[index] == Some(after) && state.has_lease(index))
                     }
@@ -454,7 +460,8 @@
     assert_eq!(broken_invariants(Some(Rule::Fencing), SMALL), [NO_LATE_ACT]);
 }
 
-// From one scheduler to three, by way of both sets: each is restarted once a step, in any order and at any time.
+// From one scheduler to three, by way of both sets: each is restarted once a step, in any order and
+// at any time.
 #[test]
 fn one_holds_the_role_while_the_set_grows() {
     for (before, after) in [(ONE, JOINT), (JOINT, ALL)] {
--- a/crates/service/singleton-roles/tests/messages.rs
+++ b/crates/service/singleton-roles/tests/messages.rs
@@ -1,4 +1,5 @@
-//! Messages and quorums: what fits into a datagram, what is rejected, and whose majorities intersect.
+//! Messages and quorums: what fits into a datagram, what is rejected, and whose majorities
+//! intersect.
 use spanlead_singleton_roles::{
     MAX_MESSAGES, MAX_TERM, MessageBody, QuorumConfig, RoleMessage, decode, encode,
 };
@@ -36,7 +37,8 @@
     assert_eq!(decode(b"rubbish"), None);
 }
 
-// Configurations that share no set need not have majorities that intersect: nothing is granted between them.
+// Configurations that share no set need not have majorities that intersect: nothing is granted
+// between them.
 #[test]
 fn majorities_intersect_where_a_set_is_in_both_configurations() {
     let three = QuorumConfig::of(3);
--- a/crates/service/wal/src/directory.rs
+++ b/crates/service/wal/src/directory.rs
@@ -17,7 +17,8 @@
     /// Returns when all that was appended is on disk.
     ///
     /// # Errors
-    /// What the system reports; then it is not known whether what was appended since the last success is on disk.
+    /// What the system reports; then it is not known whether what was appended since the last
+    /// success is on disk.
     fn sync(&mut self) -> io::Result<()>;
 }
 
@@ -69,8 +70,8 @@
 }
 
 impl DiskDirectory {
-    /// Locks a directory for writing, and creates it if it does not exist. `None` if another process has the lock. The
-    /// lock lasts as long as the returned value.
+    /// Locks a directory for writing, and creates it if it does not exist. `None` if another
+    /// process has the lock. The lock lasts as long as the returned value.
     ///
     /// # Errors
     /// What the system reports.
--- a/crates/service/wal/src/frame.rs
+++ b/crates/service/wal/src/frame.rs
@@ -22,7 +22,8 @@
 const RECORD_LENGTH_BYTES: usize = 4;
 /// The most bytes that one frame's payload may have: far more than a group commit gathers.
 const MAX_PAYLOAD_BYTES: usize = 64 << 20;
-/// A frame found behind a damaged one is believed to be a later one if its LSN is less than this far ahead.
+/// A frame found behind a damaged one is believed to be a later one if its LSN is less than this
+/// far ahead.
 const MAX_LSN_GAP: u64 = 1 << 32;
 
 /// A frame as it was read.
@@ -56,7 +57,8 @@
         HEADER_BYTES + self.payload.len()
     }
 
-    /// The records, `record_count` of them; `None` for one whose length exceeds the frame, and those behind it.
+    /// The records, `record_count` of them; `None` for one whose length exceeds the frame, and
+    /// those behind it.
     pub(crate) fn records(&self) -> impl Iterator<Item = Option<&'a [u8]>> + use<'a> {
         let mut rest = Some(self.payload);
         (0..self.record_count).map(move |_| {
@@ -91,7 +93,8 @@
     encode_frame::<&[u8]>(salt, next_lsn, &[])
 }
 
-/// Whether any complete frame of `expected_lsn` or a later record lies in these bytes, at any offset.
+/// Whether any complete frame of `expected_lsn` or a later record lies in these bytes, at any
+/// offset.
 pub(crate) fn contains_later_frame(bytes: &[u8], salt: u64, expected_lsn: Lsn) -> bool {
     let plausible = expected_lsn..expected_lsn.saturating_add(MAX_LSN_GAP);
     (0..bytes.len().saturating_sub(HEADER_BYTES - 1)).any(|offset| {
@@ -108,7 +111,8 @@
 
 fn frame_checksum(salt: u64, header: &[u8], payload: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    // The salt is the segment's own: no text of a client, and no frame of another file, passes for one of its frames.
+    // The salt is the segment's own: no text of a client, and no frame of another file, passes for
+    // one of its frames.
     hasher.update(&salt.to_le_bytes());
     hasher.update(header);
     hasher.update(payload);
--- a/crates/service/wal/src/log.rs
+++ b/crates/service/wal/src/log.rs
@@ -48,10 +48,12 @@
 }
 
 impl WriteAheadLog {
-    /// Reads the log of a directory, hands all records in order to `on_record`, and makes the log ready to be written.
+    /// Reads the log of a directory, hands all records in order to `on_record`, and makes the log
+    /// ready to be written.
     ///
     /// # Errors
-    /// If the log can't be read, is corrupt or can't be written to, or if `on_record` rejects a record.
+    /// If the log can't be read, is corrupt or can't be written to, or if `on_record` rejects a
+    /// record.
     pub fn open(
         directory: Box<dyn Directory>,
         options: LogOptions,
@@ -74,8 +76,8 @@
         Ok((log, contents.report))
     }
 
-    /// Removes what was torn, and writes the last segment again: after a failed sync, what was read of it, its closing
-    /// frame included, may be in the system's memory only.
+    /// Removes what was torn, and writes the last segment again: after a failed sync, what was read
+    /// of it, its closing frame included, may be in the system's memory only.
     fn repair_tail(&self, contents: &LogContents) -> Result<(), OpenError> {
         self.remove_temporary_files()?;
         if let Some(last) = contents.segments.last() {
@@ -99,7 +101,8 @@
         Ok(())
     }
 
-    /// Writes the readable part of a segment to a new file, and puts that in the segment's place once it is on disk.
+    /// Writes the readable part of a segment to a new file, and puts that in the segment's place
+    /// once it is on disk.
     fn rewrite_segment(&self, segment: &SegmentInfo) -> io::Result<()> {
         let bytes = self.directory.read(&segment.file_name)?;
         let temporary = format!("{}{TEMPORARY_EXTENSION}", segment.file_name);
@@ -125,7 +128,8 @@
     /// Appends records as one frame. When it returns they are durable, if the options ask for that.
     ///
     /// # Errors
-    /// What the system reports, and [`AppendError::FailedBefore`] from then on: see the crate's page.
+    /// What the system reports, and [`AppendError::FailedBefore`] from then on: see the crate's
+    /// page.
     pub fn append<R: AsRef<[u8]>>(&mut self, records: &[R]) -> Result<(), AppendError> {
         if self.failed {
             return Err(AppendError::FailedBefore);
@@ -187,10 +191,12 @@
         Ok(())
     }
 
-    /// Removes the segments whose records all precede `oldest_needed`; returns whether there were any.
+    /// Removes the segments whose records all precede `oldest_needed`; returns whether there were
+    /// any.
     ///
     /// # Errors
-    /// What the system reports. A segment that could not be removed is tried again by the next call.
+    /// What the system reports. A segment that could not be removed is tried again by the next
+    /// call.
     pub fn trim(&mut self, oldest_needed: Lsn) -> io::Result<bool> {
         let mut removed = false;
         while let Some(oldest) = self.sealed.first() {
--- a/crates/service/wal/src/reader.rs
+++ b/crates/service/wal/src/reader.rs
@@ -68,7 +68,8 @@
     /// Reads all records in order and hands each with its LSN to `on_record`.
     ///
     /// # Errors
-    /// If a file can't be read, is damaged elsewhere than at the log's end, or if `on_record` rejects a record.
+    /// If a file can't be read, is damaged elsewhere than at the log's end, or if `on_record`
+    /// rejects a record.
     pub fn read(
         &self,
         mut on_record: impl FnMut(Lsn, &[u8]) -> Result<(), RecordRejected>,
@@ -78,8 +79,8 @@
         for file in self.segment_files()? {
             let bytes = self.directory.read(&file.name).map_err(|source| file.io_error(source))?;
             file.check_follows(expected_lsn)?;
-            // A crash interrupted the creation of the file. The header is synced before anything follows it, so there
-            // never was a record in it.
+            // A crash interrupted the creation of the file. The header is synced before anything
+            // follows it, so there never was a record in it.
             if file.is_last && bytes.len() <= HEADER_BYTES && !has_complete_header(&bytes) {
                 contents.report.torn_write = Some(file.torn_write(0, bytes.len()));
                 break;
@@ -135,7 +136,8 @@
             let offset = parsed.valid_bytes;
             match Frame::decode(&bytes[offset..], salt, parsed.next_lsn) {
                 Ok(frame) => self.read_frame(frame, &mut parsed, on_record)?,
-                // Frames are synced one by one: with a readable one behind it, this one was complete once.
+                // Frames are synced one by one: with a readable one behind it, this one was
+                // complete once.
                 Err(error)
                     if !self.is_last || contains_later_frame(&bytes[offset + 1..], salt, parsed.next_lsn) =>
                 {
--- a/crates/service/wal/src/segment.rs
+++ b/crates/service/wal/src/segment.rs
@@ -23,7 +23,8 @@
     pub first_lsn: Lsn,
     /// Its size without what was torn off at its end, bytes.
     pub size_bytes: u64,
-    /// Whether the process that wrote it closed it: then a torn write can't be the reason for damage at its end.
+    /// Whether the process that wrote it closed it: then a torn write can't be the reason for
+    /// damage at its end.
     pub closed: bool,
 }
 
--- a/crates/service/wal/src/simulated.rs
+++ b/crates/service/wal/src/simulated.rs
@@ -1,5 +1,6 @@
-//! A directory in memory that does to a log what disks and machines do: it fails a sync, runs out of space, and at a crash
-//! loses or tears whatever was not synced. Everything random comes from a seed.
+//! A directory in memory that does to a log what disks and machines do: it fails a sync, runs out
+//! of space, and at a crash loses or tears whatever was not synced. Everything random comes from a
+//! seed.
 use crate::directory::{AppendFile, Directory};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -60,7 +61,8 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets `successes` more syncs succeed; the next one fails, and what it should have written is lost at the next crash.
+    /// Lets `successes` more syncs succeed; the next one fails, and what it should have written is
+    /// lost at the next crash.
     pub fn fail_sync_after(&self, successes: u64) {
         self.state().syncs_until_failure = Some(successes);
     }
@@ -83,8 +85,8 @@
         self.state().syncs
     }
 
-    /// The machine stops and starts again: what was not synced is there, gone, or torn anywhere, as the seed says, and
-    /// nothing that is still open can be written to.
+    /// The machine stops and starts again: what was not synced is there, gone, or torn anywhere, as
+    /// the seed says, and nothing that is still open can be written to.
     pub fn crash(&self, seed: u64) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut state = self.state();
@@ -174,7 +176,8 @@
         let mut state = self.state()?;
         state.syncs += 1;
         match state.syncs_until_failure {
-            // As the kernel does: the pages count as clean from here, though they never reached the disk.
+            // As the kernel does: the pages count as clean from here, though they never reached the
+            // disk.
             Some(0) => return Err(io::Error::other("the disk has failed")),
             Some(left) => state.syncs_until_failure = Some(left - 1),
             None => {}
--- a/crates/service/wal/src/writer.rs
+++ b/crates/service/wal/src/writer.rs
@@ -1,5 +1,5 @@
-//! The thread that writes the log. It takes the records that have gathered while it was busy, so that one sync serves
-//! many records (group commit).
+//! The thread that writes the log. It takes the records that have gathered while it was busy, so
+//! that one sync serves many records (group commit).
 use crate::format::Lsn;
 use crate::log::WriteAheadLog;
 use bytes::Bytes;
@@ -29,8 +29,8 @@
         /// The log's size on disk, bytes.
         log_bytes: u64,
     },
-    /// The log has failed, and takes no more records for the life of this process. Records behind the last that was
-    /// reported durable may be on disk or not.
+    /// The log has failed, and takes no more records for the life of this process. Records behind
+    /// the last that was reported durable may be on disk or not.
     Failed,
 }
 
@@ -54,7 +54,8 @@
     Trim { oldest_needed: Lsn },
 }
 
-/// A handle of the thread that writes a log. Dropping it writes what was appended, and closes the log.
+/// A handle of the thread that writes a log. Dropping it writes what was appended, and closes the
+/// log.
 pub struct LogWriter {
     commands: Option<Sender<WriterCommand>>,
     /// Records that were appended and not flushed yet.
@@ -72,8 +73,8 @@
 }
 
 impl LogWriter {
-    /// Starts the thread, which reports its progress to `on_progress`. A commit begins `group_delay` after its first
-    /// record, so that more records share its sync.
+    /// Starts the thread, which reports its progress to `on_progress`. A commit begins
+    /// `group_delay` after its first record, so that more records share its sync.
     ///
     /// # Errors
     /// If the system gives no thread.
@@ -92,8 +93,8 @@
         Ok(LogWriter { commands: Some(commands), buffer: Vec::new(), thread: Some(thread), next_lsn, stats })
     }
 
-    /// Takes a record; returns its LSN. It is written with the next [`LogWriter::flush`], and durable once that was
-    /// reported.
+    /// Takes a record; returns its LSN. It is written with the next [`LogWriter::flush`], and
+    /// durable once that was reported.
     pub fn append(&mut self, record: Bytes) -> Lsn {
         self.buffer.push(record);
         self.next_lsn += 1;
@@ -196,7 +197,8 @@
     }
 }
 
-/// The thread's work: one group commit after the other, until the handle is dropped or the log fails.
+/// The thread's work: one group commit after the other, until the handle is dropped or the log
+/// fails.
 fn run(
     mut log: WriteAheadLog,
     group_delay: Duration,
@@ -217,7 +219,8 @@
             let mut stats = stats.lock().unwrap_or_else(PoisonError::into_inner);
             stats.record_commit(group.records.len(), started.elapsed());
         }
-        // A segment that can't be removed now is tried again with the next trim; a full disk shows at an append.
+        // A segment that can't be removed now is tried again with the next trim; a full disk shows
+        // at an append.
         let trimmed = group.trim_before.is_some_and(|oldest_needed| log.trim(oldest_needed).unwrap_or(false));
         if !group.records.is_empty() || trimmed {
             let last_lsn = log.next_lsn() - 1;
--- a/crates/service/wal/tests/write_ahead_log.rs
+++ b/crates/service/wal/tests/write_ahead_log.rs
@@ -1,4 +1,5 @@
-//! The log on a disk that fails: what was reported durable is read back, and what can't be trusted is reported.
+//! The log on a disk that fails: what was reported durable is read back, and what can't be trusted
+//! is reported.
 mod common;
 
 use bytes::Bytes;
@@ -52,8 +53,8 @@
     assert_eq!(records[..records.len() - 1], written[lsns[0] as usize - 1..]);
 }
 
-// Guards the one thing that may be cut off: whatever length the last write has, the frames before it are read back and the
-// log goes on.
+// Guards the one thing that may be cut off: whatever length the last write has, the frames before
+// it are read back and the log goes on.
 #[test]
 fn a_torn_tail_is_cut_off_at_any_byte() {
     let directory = SimulatedDirectory::new();
@@ -77,8 +78,9 @@
     assert_eq!(records_read.into_iter().collect::<Vec<_>>(), [0, 2]);
 }
 
-// Guards against silent damage: each byte of each file, changed in several ways, either stops the start with the file and an
-// offset no later than the byte, or lies in the last frame and costs no more than that frame.
+// Guards against silent damage: each byte of each file, changed in several ways, either stops the
+// start with the file and an offset no later than the byte, or lies in the last frame and costs no
+// more than that frame.
 #[test]
 fn a_corrupt_byte_anywhere_is_found() {
     let directory = SimulatedDirectory::new();
@@ -112,7 +114,8 @@
     assert!(found > 1000, "{found}");
 }
 
-// Guards what is said of a log that was closed: there damage in the last frame can't pass for a torn write.
+// Guards what is said of a log that was closed: there damage in the last frame can't pass for a
+// torn write.
 #[test]
 fn in_a_closed_log_a_corrupt_last_frame_is_found_too() {
     let directory = SimulatedDirectory::new();
@@ -152,8 +155,8 @@
     assert!(error.ends_with("record 1 is not known"), "{error}");
 }
 
-// Guards against a sync that is retried after it failed and then "succeeds": nothing is appended any more, and what the next
-// process may read back of it is written again before it is relied on.
+// Guards against a sync that is retried after it failed and then "succeeds": nothing is appended
+// any more, and what the next process may read back of it is written again before it is relied on.
 #[test]
 fn a_failed_sync_is_final_and_the_next_process_makes_its_tail_durable() {
     let directory = SimulatedDirectory::new();
@@ -196,8 +199,9 @@
 
 proptest! {
     #![proptest_config(seeded(2000))]
-    // Guards durability: whatever frames are written and wherever the machine stops, again and again, all records that an
-    // append returned for are read back, in order, and nothing that was never written.
+    // Guards durability: whatever frames are written and wherever the machine stops, again and
+    // again, all records that an append returned for are read back, in order, and nothing that was
+    // never written.
     #[test]
     fn durable_records_survive_every_crash(
         rounds in prop::collection::vec(
@@ -241,7 +245,8 @@
     }
 }
 
-// Guards group commit: records that gather while a sync runs go with the next one, in order, and all are reported.
+// Guards group commit: records that gather while a sync runs go with the next one, in order, and
+// all are reported.
 #[test]
 fn one_sync_serves_many_records() {
     let directory = SimulatedDirectory::new();
