--- a/crates/cluster/job-scheduler/src/scheduler/commits.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/commits.rs
@@ -3,7 +3,7 @@
 use crate::commit::DeferredAction;
 use crate::config::Now;
 use crate::protocol::Effect;
-use crate::record::RecordChange;
+use crate::record::{RecordChange, RecordKey};
 
 impl Scheduler {
     /// The changes of the key space since the last call. What depends on them is done when they are
@@ -11,7 +11,7 @@
     pub fn take_changes(&mut self) -> Vec<RecordChange> {
         let dirty = self.commits.take_dirty();
         let worker_id = |worker| self.workers[worker].id().to_string();
-        let change = |key: crate::record::RecordKey| RecordChange {
+        let change = |key: RecordKey| RecordChange {
             key: key.encode(),
             value: self.jobs.encode_record(key, worker_id),
         };
--- a/crates/cluster/job-scheduler/src/scheduler/hedging.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/hedging.rs
@@ -5,6 +5,7 @@
 use super::Scheduler;
 use crate::ids::{RunId, TaskId, WorkerIndex};
 use crate::jobs::Run;
+use crate::spec::Stage;
 
 /// The largest number of runs of a task at a time.
 const MAX_ACTIVE_RUNS: usize = 2;
@@ -27,7 +28,7 @@
 
     /// Whether a task that has runs may start once more.
     pub(super) fn allows_hedged_run(&self, task: TaskId) -> bool {
-        let is_allowed = |stage: &crate::spec::Stage| stage.speculative && !stage.gang && !stage.long_running;
+        let is_allowed = |stage: &Stage| stage.speculative && !stage.gang && !stage.long_running;
         if !self.jobs.stage(task).is_some_and(is_allowed) {
             return false;
         }
--- a/crates/cluster/job-scheduler/tests/golden.rs
+++ b/crates/cluster/job-scheduler/tests/golden.rs
@@ -1,7 +1,9 @@
-//! The keys and records that are kept of jobs, the names of tasks and the form of a client's job: they must not change.
+//! The keys and records that are kept of jobs, the names of tasks and the form of a client's job:
+//! they must not change.
 //!
-//! Records are private to the scheduler. It is made to write them and to take them over; [`JobForm`] and its like
-//! are the same forms, written down here a second time, so that each field of an example is known.
+//! Records are private to the scheduler. It is made to write them and to take them over;
+//! [`JobForm`] and its like are the same forms, written down here a second time, so that each field
+//! of an example is known.
 #[path = "../../replication/tests/golden/support.rs"]
 mod support;
 
@@ -331,7 +333,8 @@
     assert_eq!(to_hex(&closed), to_hex(&golden("closed_cancelled")));
 }
 
-/// The time of a job's end is read: it is forgotten when its state need not be told any more, not before.
+/// The time of a job's end is read: it is forgotten when its state need not be told any more, not
+/// before.
 #[test]
 fn a_scheduler_forgets_a_golden_end_in_time() {
     let entries =
@@ -394,7 +397,8 @@
     }
 }
 
-/// All records of a job that fails once, saves a checkpoint and is done, and of one that fails too often.
+/// All records of a job that fails once, saves a checkpoint and is done, and of one that fails too
+/// often.
 #[test]
 fn records_of_a_run_stay() {
     let mut harness = Harness::new();
--- a/crates/cluster/job-scheduler/tests/placement.rs
+++ b/crates/cluster/job-scheduler/tests/placement.rs
@@ -1,6 +1,6 @@
 //! Which worker a task goes to, and when it goes to none.
 mod common;
-use common::{ManualScheduler, ONE_TASK, first_task, is_stop, renewal_to, single_start, started_run, starts};
+use common::{ManualScheduler, ONE_TASK, first_task, is_stop, single_start, started_run, starts};
 use spanlead_job_scheduler::{JobId, JobOutcome, JobState, WorkerCall, WorkerRequest, WorkerResponse};
 use std::collections::BTreeSet;
 
