--- a/crates/cluster/job-scheduler/tests/common/mod.rs
+++ b/crates/cluster/job-scheduler/tests/common/mod.rs
@@ -7,16 +7,16 @@
 pub use manual::ManualScheduler;
 pub use simulated::SimulatedCluster;
 
-use spanlead_cluster_testbed::{GANG_MS, MAX_HOLD_MS, STOP_MS};
+use spanlead_cluster_testbed::{GANG_ASSEMBLY_TIMEOUT_MS, MAX_LEASE_MS, STOP_TIMEOUT_MS};
 use spanlead_job_scheduler::{
     JobId, QueueId, QueuePolicy, RecordChange, SchedulerConfig, TaskId, WorkerCall, WorkerRequest,
 };
 use std::collections::BTreeMap;
 
 pub const CONFIG: SchedulerConfig = SchedulerConfig {
-    max_lease_ms: MAX_HOLD_MS,
-    gang_assembly_timeout_ms: GANG_MS,
-    stop_timeout_ms: STOP_MS,
+    max_lease_ms: MAX_LEASE_MS,
+    gang_assembly_timeout_ms: GANG_ASSEMBLY_TIMEOUT_MS,
+    stop_timeout_ms: STOP_TIMEOUT_MS,
     checkpoint_restore_ms: 600,
     closed_job_retention_ms: 120_000,
     remote_data_slowdown: 3.0,
--- a/crates/cluster/job-scheduler/tests/common/simulated.rs
+++ b/crates/cluster/job-scheduler/tests/common/simulated.rs
@@ -4,7 +4,7 @@
 use super::{CONFIG, Records, apply_changes, policy};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use spanlead_cluster_testbed::{Rules, Worker};
+use spanlead_cluster_testbed::{SafetyChecker, SimulatedWorker, finish_gangs};
 use spanlead_job_scheduler::{
     Admission, Effect, JobId, JobSpec, JobState, ListedWorker, Now, RecordChange, Scheduler, WorkerCall,
     WorkerRequest, WorkerResponse,
@@ -60,10 +60,10 @@
 
 pub struct SimulatedCluster {
     pub now_ms: u64,
-    pub workers: Vec<Worker>,
+    pub workers: Vec<SimulatedWorker>,
     /// `None` while it is killed.
     pub scheduler: Option<Scheduler>,
-    pub rules: Rules,
+    pub checker: SafetyChecker,
     /// Jobs that were acknowledged as accepted.
     pub accepted: BTreeSet<JobId>,
     /// Jobs that were cancelled.
@@ -88,12 +88,12 @@
 impl SimulatedCluster {
     pub fn new(seed: u64, workers: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let workers = (0..workers).map(|index| Worker::new(index, 0, START_MS, &mut rng)).collect();
+        let workers = (0..workers).map(|index| SimulatedWorker::new(index, 0, START_MS, &mut rng)).collect();
         let mut cluster = SimulatedCluster {
             now_ms: START_MS,
             workers,
             scheduler: None,
-            rules: Rules::default(),
+            checker: SafetyChecker::default(),
             accepted: BTreeSet::new(),
             cancelled: BTreeSet::new(),
             delayed_share: 0.0,
@@ -145,9 +145,9 @@
 
     /// Replaces a worker by a new incarnation; what ran on the old one is gone.
     pub fn crash_worker(&mut self, index: usize) {
-        let generation = self.workers[index].generation + 1;
-        self.rules.crashed(&self.workers[index].id);
-        self.workers[index] = Worker::new(index, generation, self.now_ms, &mut self.rng);
+        let incarnation = self.workers[index].incarnation + 1;
+        self.checker.record_crash(&self.workers[index].id);
+        self.workers[index] = SimulatedWorker::new(index, incarnation, self.now_ms, &mut self.rng);
     }
 
     // Clients.
@@ -158,7 +158,7 @@
         let now = self.now();
         let scheduler = self.scheduler.as_mut()?;
         self.next_job += 1;
-        self.rules.asked(job.0, &spec);
+        self.checker.record_submission(job, &spec);
         assert_eq!(scheduler.submit(now, job, policy(), spec), Admission::Accepted);
         self.flush();
         self.uncommitted_jobs.push(UncommittedJob { batch: self.last_batch, job });
@@ -193,9 +193,9 @@
         }
         self.commit();
         for worker in &mut self.workers {
-            worker.pass(self.now_ms, &mut self.rng, &mut self.rules);
+            worker.advance(self.now_ms, &mut self.rng, &mut self.checker);
         }
-        self.rules.finish_gangs(&mut self.workers, self.now_ms);
+        finish_gangs(&mut self.workers, self.now_ms, &mut self.checker);
         self.deliver();
         self.answer_renewals();
         self.list_workers();
@@ -206,7 +206,7 @@
             scheduler.tick(now);
         }
         self.flush();
-        assert!(self.rules.broken.is_empty(), "at {}: {:?}", self.now_ms, self.rules.broken);
+        assert!(self.checker.violations.is_empty(), "at {}: {:?}", self.now_ms, self.checker.violations);
     }
 
     fn commit(&mut self) {
@@ -309,15 +309,15 @@
     /// `None` for a renewal that waits at the worker.
     fn carry_out(&mut self, call: &WorkerCall) -> Option<WorkerResponse> {
         let worker = &mut self.workers[worker_index(call)];
-        if worker.cut_until > self.now_ms {
+        if worker.partitioned_until_ms > self.now_ms {
             return Some(WorkerResponse::NoResponse);
         }
         if *worker.id != *call.worker_id {
             return Some(WorkerResponse::WrongIncarnation);
         }
         match &call.request {
-            WorkerRequest::RenewLease { .. } => worker.hold(self.now_ms, call, &mut self.rules),
-            _ => Some(worker.obey(self.now_ms, call, &mut self.rules)),
+            WorkerRequest::RenewLease { .. } => worker.renew_lease(self.now_ms, call, &mut self.checker),
+            _ => Some(worker.handle_order(self.now_ms, call, &mut self.checker)),
         }
     }
 
@@ -327,8 +327,8 @@
             let WaitingRenewal { due_at_ms, call } = renewal;
             let WorkerRequest::RenewLease { acknowledged_end, .. } = call.request else { continue };
             let worker = &self.workers[worker_index(&call)];
-            let has_end = worker.finished.iter().any(|end| end.number > acknowledged_end);
-            if worker.cut_until > self.now_ms || *worker.id != *call.worker_id {
+            let has_end = worker.has_end_after(acknowledged_end);
+            if worker.partitioned_until_ms > self.now_ms || *worker.id != *call.worker_id {
                 self.respond(call, WorkerResponse::NoResponse, BROKEN_RENEWAL_MS);
             } else if self.now_ms >= due_at_ms || has_end {
                 let report = worker.report(self.now_ms, acknowledged_end);
@@ -344,8 +344,11 @@
             return;
         }
         self.listed_at_ms = self.now_ms;
-        let is_listed = |worker: &&Worker| self.now_ms >= worker.born + LIST_LAG_MS || worker.generation == 0;
-        let list: Vec<ListedWorker> = self.workers.iter().filter(is_listed).map(Worker::listed).collect();
+        let is_listed = |worker: &&SimulatedWorker| {
+            self.now_ms >= worker.started_at_ms + LIST_LAG_MS || worker.incarnation == 0
+        };
+        let list: Vec<ListedWorker> =
+            self.workers.iter().filter(is_listed).map(SimulatedWorker::to_listed).collect();
         let now = self.now();
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.update_workers(now, &list);
--- a/crates/cluster/job-scheduler/tests/simulation.rs
+++ b/crates/cluster/job-scheduler/tests/simulation.rs
@@ -49,11 +49,11 @@
         0 => cluster.kill_scheduler(rng.random_range(5..3_000)),
         1 => cluster.kill_scheduler(rng.random_range(5_000..9_000)),
         2 => cluster.crash_worker(index),
-        3 => cluster.workers[index].cut_until = cluster.now_ms + rng.random_range(200..7_000),
+        3 => cluster.workers[index].partitioned_until_ms = cluster.now_ms + rng.random_range(200..7_000),
         4 => cluster.delayed_share = 0.06,
         5 => {
             let worker = &mut cluster.workers[index];
-            worker.failing = if worker.failing > 0.5 { 0.02 } else { 0.9 };
+            worker.failure_share = if worker.failure_share > 0.5 { 0.02 } else { 0.9 };
         }
         _ => cluster.delayed_share = 0.0,
     }
@@ -82,13 +82,13 @@
     }
     cluster.delayed_share = 0.0;
     for worker in &mut cluster.workers {
-        worker.failing = 0.0;
+        worker.failure_share = 0.0;
     }
     cluster.run(SETTLE_MS);
     for job in &cluster.accepted {
         assert_closed_rightly(&cluster, seed, *job);
     }
-    cluster.rules.starts
+    cluster.checker.starts
 }
 
 fn assert_closed_rightly(cluster: &SimulatedCluster, seed: u64, job: JobId) {
@@ -96,7 +96,7 @@
     let view = cluster.scheduler.as_ref().and_then(|scheduler| scheduler.inspect_job(job));
     assert!(matches!(state, Some(JobState::Closed(_))), "seed {seed}: job {job} at the end: {view:#?}");
     if state == Some(JobState::Closed(JobOutcome::Succeeded)) {
-        assert!(cluster.rules.all_done(job.0), "seed {seed}: MIXED: {job}");
+        assert!(cluster.checker.is_job_done(job), "seed {seed}: MIXED: {job}");
     }
     if state == Some(JobState::Closed(JobOutcome::Cancelled)) {
         assert!(cluster.cancelled.contains(&job), "seed {seed}: LOST: {job} was never cancelled");
--- a/crates/tools/cluster-testbed/src/bin/cluster.rs
+++ b/crates/tools/cluster-testbed/src/bin/cluster.rs
@@ -1,11 +1,17 @@
-//! The operators' program: tries a whole system out, and asks one that runs.
+//! The operators' program: runs a trial of a whole system, and calls a control plane.
+//!
+//! The comments of commands and options are the texts of `--help`.
+#![warn(clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
+
 use async_std::task;
 use clap::{Parser, Subcommand};
 use http_types::Method;
 use spanlead_cluster_config::{Configuration, ConfigurationError};
-use spanlead_cluster_testbed::operate::control;
-use spanlead_cluster_testbed::run::{TrialOptions, run};
-use std::path::PathBuf;
+use spanlead_cluster_testbed::http_client::{CallError, HttpRequest, HttpResponse, call_control_plane};
+use spanlead_cluster_testbed::trial::run;
+use spanlead_cluster_testbed::trial_options::TrialOptions;
+use std::fmt::Display;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 /// Tries a whole system out, and asks one that runs.
@@ -18,16 +24,17 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs the whole system on loopback addresses among stand-ins, troubles it, and judges the rules.
+    /// Runs the whole system on loopback addresses among stand-ins, troubles it, and judges the
+    /// rules.
     Try(TrialOptions),
     /// Who belongs to the control plane, who is primary, and how far each is.
-    Members(At),
+    Members(ControlPlaneAddress),
     /// The workers, with their room and what runs there.
-    Workers(At),
+    Workers(ControlPlaneAddress),
     /// A job: its tasks, where they run, and what waits.
     Job {
         #[command(flatten)]
-        at: At,
+        control_plane: ControlPlaneAddress,
         /// Its identifier, 16 hex digits.
         id: String,
     },
@@ -39,7 +46,7 @@
 #[derive(Subcommand)]
 enum ConfigCommand {
     /// Prints the one in force.
-    Show(At),
+    Show(ControlPlaneAddress),
     /// Reads a file and tells all that is wrong with it.
     Check {
         /// The file.
@@ -48,7 +55,7 @@
     /// Puts a file in force.
     Put {
         #[command(flatten)]
-        at: At,
+        control_plane: ControlPlaneAddress,
         /// The file.
         file: PathBuf,
         /// The version that it builds on.
@@ -59,57 +66,63 @@
 
 /// Where the control plane is asked.
 #[derive(clap::Args)]
-struct At {
+struct ControlPlaneAddress {
     /// The control address of any of its machines.
-    #[arg(long)]
-    at: String,
+    #[arg(long = "at", value_name = "AT")]
+    address: String,
 }
 
+/// The exit status if a rule was broken, or a call was rejected.
+const EXIT_REJECTED: u8 = 1;
+/// The exit status if a command could not be carried out.
+const EXIT_ERROR: u8 = 2;
+
 fn main() -> ExitCode {
     match Arguments::parse().command {
         Command::Try(options) => match run(&options) {
             Ok(true) => ExitCode::SUCCESS,
-            Ok(false) => ExitCode::from(1),
-            Err(error) => fault(&error),
+            Ok(false) => ExitCode::from(EXIT_REJECTED),
+            Err(error) => print_error(&error),
         },
-        Command::Members(at) => ask(&at, "/status/members"),
-        Command::Workers(at) => ask(&at, "/status/workers"),
-        Command::Job { at, id } => ask(&at, &format!("/status/jobs/{id}")),
-        Command::Config(ConfigCommand::Show(at)) => ask(&at, "/config/get"),
-        Command::Config(ConfigCommand::Check { file }) => check(&file),
-        Command::Config(ConfigCommand::Put { at, file, base }) => put(&at, &file, base),
+        Command::Members(control_plane) => get(&control_plane, "/status/members"),
+        Command::Workers(control_plane) => get(&control_plane, "/status/workers"),
+        Command::Job { control_plane, id } => get(&control_plane, &format!("/status/jobs/{id}")),
+        Command::Config(ConfigCommand::Show(control_plane)) => get(&control_plane, "/config/get"),
+        Command::Config(ConfigCommand::Check { file }) => check_configuration(&file),
+        Command::Config(ConfigCommand::Put { control_plane, file, base }) => {
+            replace_configuration(&control_plane, &file, base)
+        }
     }
 }
 
-fn fault(error: &dyn std::fmt::Display) -> ExitCode {
+fn print_error(error: &dyn Display) -> ExitCode {
     eprintln!("{error}");
-    ExitCode::from(2)
+    ExitCode::from(EXIT_ERROR)
 }
 
-fn ask(at: &At, path: &str) -> ExitCode {
-    show(task::block_on(control(Method::Get, &at.at, path, &[], None)))
+fn get(control_plane: &ControlPlaneAddress, path: &str) -> ExitCode {
+    let request = HttpRequest { method: Method::Get, host: None, path, headers: &[], body: None };
+    print_response(task::block_on(call_control_plane(&control_plane.address, &request)))
 }
 
-fn show(
-    answer: Result<spanlead_cluster_testbed::operate::Answer, spanlead_cluster_testbed::operate::CallError>,
-) -> ExitCode {
-    match answer {
-        Ok(answer) if answer.status == 200 => {
-            println!("{}", answer.body);
+fn print_response(response: Result<HttpResponse, CallError>) -> ExitCode {
+    match response {
+        Ok(response) if response.status == 200 => {
+            println!("{}", response.body);
             ExitCode::SUCCESS
         }
-        Ok(answer) => {
-            eprintln!("{}: {}", answer.status, answer.body);
-            ExitCode::from(1)
+        Ok(response) => {
+            eprintln!("{}: {}", response.status, response.body);
+            ExitCode::from(EXIT_REJECTED)
         }
-        Err(error) => fault(&error),
+        Err(error) => print_error(&error),
     }
 }
 
-fn check(file: &PathBuf) -> ExitCode {
+fn check_configuration(file: &Path) -> ExitCode {
     let text = match std::fs::read_to_string(file) {
         Ok(text) => text,
-        Err(error) => return fault(&format!("{}: {error}", file.display())),
+        Err(error) => return print_error(&format!("{}: {error}", file.display())),
     };
     match Configuration::parse(&text) {
         Ok(configuration) => {
@@ -117,18 +130,27 @@
             ExitCode::SUCCESS
         }
         Err(ConfigurationError::Invalid(faults)) => {
-            faults.iter().for_each(|fault| eprintln!("{}: {fault}", file.display()));
-            ExitCode::from(2)
+            for fault in faults {
+                eprintln!("{}: {fault}", file.display());
+            }
+            ExitCode::from(EXIT_ERROR)
         }
-        Err(error) => fault(&format!("{}: {error}", file.display())),
+        Err(error) => print_error(&format!("{}: {error}", file.display())),
     }
 }
 
-fn put(at: &At, file: &PathBuf, base: u64) -> ExitCode {
+fn replace_configuration(control_plane: &ControlPlaneAddress, file: &Path, base: u64) -> ExitCode {
     let text = match std::fs::read_to_string(file) {
         Ok(text) => text,
-        Err(error) => return fault(&format!("{}: {error}", file.display())),
+        Err(error) => return print_error(&format!("{}: {error}", file.display())),
     };
     let headers = [("Spanlead-Base-Version", base.to_string())];
-    show(task::block_on(control(Method::Post, &at.at, "/config/replace", &headers, Some(text))))
+    let request = HttpRequest {
+        method: Method::Post,
+        host: None,
+        path: "/config/replace",
+        headers: &headers,
+        body: Some(text),
+    };
+    print_response(task::block_on(call_control_plane(&control_plane.address, &request)))
 }
--- a/crates/tools/cluster-testbed/src/clients.rs
+++ b/crates/tools/cluster-testbed/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: each hands one job in and asks until it is over.
-use crate::operate::{Answer, call};
+//! Clients: each submits one job, and polls it until it is closed.
+use crate::http_client::{HttpRequest, HttpResponse, call};
 use crate::platform::Platform;
 use async_std::task;
 use http_types::Method;
@@ -7,158 +7,193 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
-use spanlead_job_scheduler::JobSpec;
-use std::sync::{Arc, Mutex, MutexGuard};
+use spanlead_job_scheduler::{JobId, JobSpec};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
 /// The host of the trial's queue.
 pub const HOST: &str = "jobs.example";
 /// The prefix of its paths.
-pub const PREFIX: &str = "/q/";
-/// How often a client tries to hand a job in.
-const TRIES: usize = 8;
-/// How long a client waits for an answer, milliseconds.
+pub const PATH_PREFIX: &str = "/q/";
+/// How often a client attempts to submit its job.
+const MAX_ATTEMPTS: usize = 8;
+/// The deadline that a client sends with a request, milliseconds.
 const DEADLINE_MS: u64 = 3_000;
-/// Between two tries.
-const PAUSE: Duration = Duration::from_millis(400);
-/// Between two questions for a job's state.
-const POLL: Duration = Duration::from_millis(300);
+/// Between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(400);
+/// Between two requests for a job's state.
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
+/// The share of stages that are gangs.
+const GANG_SHARE: f64 = 0.1;
+
+const OK: u16 = 200;
+const GONE: u16 = 410;
+const BAD_GATEWAY: u16 = 502;
+const GATEWAY_TIMEOUT: u16 = 504;
 
 /// What became of the jobs.
 #[derive(Debug, Default)]
-pub struct Tally {
-    /// Jobs that clients began to hand in.
-    pub asked: usize,
-    /// Accepted ones.
-    pub accepted: Vec<u64>,
-    /// Refused ones: never accepted in all tries, the last answer clear.
-    pub refused: usize,
-    /// Of which nobody knows.
-    pub unclear: usize,
-    /// Milliseconds from the first try to the first answer 200.
+pub struct JobTally {
+    /// Jobs that clients began to submit.
+    pub submitted: usize,
+    /// The accepted ones.
+    pub accepted: Vec<JobId>,
+    /// Jobs that every attempt's response rejected.
+    pub rejected: usize,
+    /// Jobs without acceptance of which an attempt may have been carried out.
+    pub unknown: usize,
+    /// Milliseconds from the first attempt to the first response 200, of each accepted job.
     pub accept_ms: Vec<u64>,
-    /// Milliseconds from the first try until the job was shown as over.
-    pub over_ms: Vec<u64>,
+    /// Milliseconds from the first attempt until a job was shown as succeeded.
+    pub close_ms: Vec<u64>,
     /// Jobs that were shown as succeeded.
     pub succeeded: usize,
     /// Jobs that were shown as failed.
     pub failed: usize,
-    /// What clients saw that may not be.
-    pub broken: Vec<String>,
+    /// What clients saw that must not happen.
+    pub violations: Vec<String>,
 }
 
-/// The tally as the clients share it.
-pub type Shared = Arc<Mutex<Tally>>;
+/// The tally, shared by the clients.
+pub type SharedTally = Arc<Mutex<JobTally>>;
 
 /// Locks the tally.
-pub fn lock(tally: &Shared) -> MutexGuard<'_, Tally> {
-    tally.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+pub fn lock(tally: &SharedTally) -> MutexGuard<'_, JobTally> {
+    tally.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+/// What all clients of a trial share.
+#[derive(Clone, Debug)]
+pub struct ClientContext {
+    /// The platform, whose checker is notified of submissions.
+    pub platform: Platform,
+    /// The addresses of the data plane for clients, `IP:port`.
+    pub fronts: Arc<Vec<String>>,
+    /// The tally.
+    pub tally: SharedTally,
+    /// When a job must be closed.
+    pub until: Instant,
 }
 
-/// A job of one to three steps, drawn.
+/// A random job of one to three stages, each after the one before.
 #[must_use]
-pub fn draw(rng: &mut ChaCha8Rng) -> Value {
-    let steps = rng.random_range(1..4);
-    let stages: Vec<Value> = (0..steps)
-        .map(|number: u32| {
-            let gang = rng.random_bool(0.1);
-            json!({
-                "count": rng.random_range(1..5),
-                "cpu": rng.random_range(200..2_000),
-                "memMb": rng.random_range(100..3_000),
-                "estRuntimeMs": rng.random_range(50..900),
-                "dependsOn": if number > 0 { vec![number - 1] } else { Vec::new() },
-                "gang": gang,
-            })
-        })
-        .collect();
+pub fn random_job(rng: &mut ChaCha8Rng) -> Value {
+    let count = rng.random_range(1..4);
+    let stages: Vec<Value> = (0..count).map(|number| random_stage(number, rng)).collect();
     json!({ "spec": "trial", "stages": stages })
 }
 
-/// Hands one job in and follows it until it is over or `until`.
-pub async fn client(platform: Platform, fronts: Arc<Vec<String>>, shared: Shared, seed: u64, until: Instant) {
+fn random_stage(number: u32, rng: &mut ChaCha8Rng) -> Value {
+    let is_gang = rng.random_bool(GANG_SHARE);
+    json!({
+        "count": rng.random_range(1..5),
+        "cpu": rng.random_range(200..2_000),
+        "memMb": rng.random_range(100..3_000),
+        "estRuntimeMs": rng.random_range(50..900),
+        "dependsOn": if number > 0 { vec![number - 1] } else { Vec::new() },
+        "gang": is_gang,
+    })
+}
+
+/// One job, from its client's view.
+struct Client {
+    context: ClientContext,
+    job: JobId,
+    started_at: Instant,
+    rng: ChaCha8Rng,
+}
+
+/// Submits one job, and follows it until it is closed or the trial is over.
+pub async fn run_client(context: ClientContext, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let id: u64 = rng.random();
-    let job = draw(&mut rng);
-    let body = job.to_string();
+    let job = JobId(rng.random());
+    let body = random_job(&mut rng).to_string();
     if let Ok(spec) = JobSpec::from_json(body.as_bytes()) {
-        platform.fleet().rules.asked(id, &spec);
+        context.platform.fleet().checker.record_submission(job, &spec);
     }
-    lock(&shared).asked += 1;
-    let began = Instant::now();
-    let mut clear = true;
-    for _ in 0..TRIES {
-        let Some(answer) = ask(Method::Post, &fronts, id, Some(body.clone()), &mut rng).await else {
-            clear = false;
-            task::sleep(PAUSE).await;
-            continue;
-        };
-        match answer.status {
-            200 => {
-                accepted(&shared, id, began);
-                return follow(&fronts, &platform, &shared, id, began, until, &mut rng).await;
-            }
-            502 | 504 => clear = false,
-            _ => {}
-        }
-        task::sleep(PAUSE).await;
+    lock(&context.tally).submitted += 1;
+    let mut client = Client { context, job, started_at: Instant::now(), rng };
+    if client.submit(&body).await {
+        client.follow().await;
     }
-    let mut tally = lock(&shared);
-    if clear { tally.refused += 1 } else { tally.unclear += 1 }
-}
-
-fn accepted(shared: &Shared, id: u64, began: Instant) {
-    let mut tally = lock(shared);
-    tally.accepted.push(id);
-    tally.accept_ms.push(began.elapsed().as_millis() as u64);
 }
 
-async fn follow(
-    fronts: &[String],
-    platform: &Platform,
-    tally: &Shared,
-    id: u64,
-    began: Instant,
-    until: Instant,
-    rng: &mut ChaCha8Rng,
-) {
-    while Instant::now() < until {
-        task::sleep(POLL).await;
-        let Some(answer) = ask(Method::Get, fronts, id, None, rng).await else { continue };
-        if answer.status == 410 {
-            lock(tally).broken.push(format!("LOST: {id:016x} is not known any more"));
-            return;
-        }
-        if answer.body.contains("succeeded") {
-            if !platform.fleet().rules.all_done(id) {
-                lock(tally).broken.push(format!("MIXED: {id:016x} is shown as succeeded and is not"));
+impl Client {
+    /// Attempts to submit the job; `true` once it is accepted.
+    async fn submit(&mut self, body: &str) -> bool {
+        let mut is_unknown = false;
+        for _ in 0..MAX_ATTEMPTS {
+            match self.send(Method::Post, Some(body.to_owned())).await.map(|response| response.status) {
+                Some(OK) => {
+                    self.count_accepted();
+                    return true;
+                }
+                None | Some(BAD_GATEWAY | GATEWAY_TIMEOUT) => is_unknown = true,
+                Some(_) => {}
             }
-            let mut tally = lock(tally);
-            tally.succeeded += 1;
-            tally.over_ms.push(began.elapsed().as_millis() as u64);
-            return;
+            task::sleep(RETRY_INTERVAL).await;
         }
-        if answer.body.contains("failed") {
-            lock(tally).failed += 1;
-            return;
+        let mut tally = lock(&self.context.tally);
+        if is_unknown {
+            tally.unknown += 1;
+        } else {
+            tally.rejected += 1;
         }
-        if answer.body.contains("cancelled") {
-            lock(tally).broken.push(format!("LOST: {id:016x} was never cancelled"));
-            return;
+        false
+    }
+
+    /// Polls the job until it is closed.
+    async fn follow(&mut self) {
+        while Instant::now() < self.context.until {
+            task::sleep(POLL_INTERVAL).await;
+            let Some(response) = self.send(Method::Get, None).await else { continue };
+            if response.status == GONE {
+                return self.add_violation("LOST", "is not known any more");
+            }
+            if response.body.contains("succeeded") {
+                return self.count_succeeded();
+            }
+            if response.body.contains("failed") {
+                lock(&self.context.tally).failed += 1;
+                return;
+            }
+            if response.body.contains("cancelled") {
+                return self.add_violation("LOST", "was never cancelled");
+            }
         }
+        self.add_violation("LOST", "was not over in time");
+    }
+
+    fn count_accepted(&self) {
+        let mut tally = lock(&self.context.tally);
+        tally.accepted.push(self.job);
+        tally.accept_ms.push(self.elapsed_ms());
+    }
+
+    fn count_succeeded(&self) {
+        if !self.context.platform.fleet().checker.is_job_done(self.job) {
+            self.add_violation("MIXED", "is shown as succeeded and is not");
+        }
+        let mut tally = lock(&self.context.tally);
+        tally.succeeded += 1;
+        tally.close_ms.push(self.elapsed_ms());
+    }
+
+    fn elapsed_ms(&self) -> u64 {
+        self.started_at.elapsed().as_millis() as u64
     }
-    lock(tally).broken.push(format!("LOST: {id:016x} was not over in time"));
-}
 
-async fn ask(
-    method: Method,
-    fronts: &[String],
-    id: u64,
-    body: Option<String>,
-    rng: &mut ChaCha8Rng,
-) -> Option<Answer> {
-    let front = fronts.choose(rng)?;
-    let path = format!("{PREFIX}{id:016x}");
-    let headers = [("Spanlead-Request-Deadline", DEADLINE_MS.to_string())];
-    call(method, front, Some(HOST), &path, &headers, body).await.ok().map(|(answer, _)| answer)
+    fn add_violation(&self, kind: &str, what: &str) {
+        let JobId(job) = self.job;
+        lock(&self.context.tally).violations.push(format!("{kind}: {job:016x} {what}"));
+    }
+
+    /// Sends a request for the job to a random machine of the data plane; `None` without response.
+    async fn send(&mut self, method: Method, body: Option<String>) -> Option<HttpResponse> {
+        let front = self.context.fronts.choose(&mut self.rng)?;
+        let path = format!("{PATH_PREFIX}{:016x}", self.job.0);
+        let headers = [("Spanlead-Request-Deadline", DEADLINE_MS.to_string())];
+        let request = HttpRequest { method, host: Some(HOST), path: &path, headers: &headers, body };
+        call(front, &request).await.ok()
+    }
 }
--- a/crates/tools/cluster-testbed/src/lib.rs
+++ b/crates/tools/cluster-testbed/src/lib.rs
@@ -1,16 +1,30 @@
-//! The cluster scheduler tried out.
+//! A testbed for the cluster scheduler.
 //!
-//! [`Worker`] behaves as the protocol says and [`Rules`] judges what it sees; the scheduler's seeded runs use both. The
-//! program `spanlead-cluster try` puts sockets round them, starts the real programs and troubles them.
-mod rules;
-mod worker;
+//! [`SimulatedWorker`] follows the worker protocol, and [`SafetyChecker`] judges what it observes;
+//! the scheduler's seeded simulations use both. `spanlead-cluster try` ([`trial`]) serves them over
+//! HTTP ([`platform`]), starts the real programs ([`process_control`]), submits jobs ([`clients`]),
+//! injects faults ([`fault_plan`]) and reports what came of it ([`report`]).
+#![warn(missing_docs, unreachable_pub, clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
+
+mod gang;
+mod run_id;
+mod safety_checker;
+mod simulated_worker;
 
 pub mod clients;
-pub mod operate;
+pub mod fault_plan;
+pub mod http_client;
 pub mod platform;
-pub mod processes;
+pub mod process_control;
 pub mod report;
-pub mod run;
+pub mod trial;
+pub mod trial_options;
+mod worker_server;
 
-pub use rules::Rules;
-pub use worker::{CAPACITY, GANG_MS, HeldRun, MAX_HOLD_MS, STOP_MS, Worker};
+pub use gang::finish_gangs;
+pub use run_id::{RunEnd, RunId, RunOutcome};
+pub use safety_checker::SafetyChecker;
+pub use simulated_worker::{
+    CAPACITY, GANG_ASSEMBLY_TIMEOUT_MS, MAX_LEASE_MS, STOP_TIMEOUT_MS, SimulatedRun, SimulatedWorker,
+    WorkerCapacity,
+};
--- a/crates/tools/cluster-testbed/src/platform.rs
+++ b/crates/tools/cluster-testbed/src/platform.rs
@@ -1,60 +1,51 @@
-//! The platform and its workers over HTTP.
-use crate::rules::Rules;
-use crate::worker::Worker;
+//! The simulated platform: the workers, their clock, and the list of them over HTTP.
+use crate::gang::finish_gangs;
+use crate::safety_checker::SafetyChecker;
+use crate::simulated_worker::SimulatedWorker;
+use crate::worker_server::json_response;
 use async_std::task;
 use compact_str::CompactString;
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use serde::{Deserialize, Serialize};
+use serde::Serialize;
 use serde_json::{Value, json};
-use spanlead_job_scheduler::{TaskId, WorkerCall, WorkerRequest, WorkerResponse};
-use std::sync::{Arc, Mutex, MutexGuard};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
-use tide::{Request, Response, StatusCode};
+use tide::Request;
 
+/// The address at which the list of workers is served.
+pub const WORKER_LIST_IP: &str = "127.71.4.1";
 /// How often time passes for the workers.
-const STEP: Duration = Duration::from_millis(10);
-/// Where the clock starts, milliseconds.
-const BASE_MS: u64 = 1_000_000;
-/// How long the list is behind when a worker is new, milliseconds.
+pub(crate) const STEP_INTERVAL: Duration = Duration::from_millis(10);
+/// Where the platform's clock starts, milliseconds.
+const CLOCK_START_MS: u64 = 1_000_000;
+/// How long a new incarnation is missing from the list, milliseconds.
 const LIST_LAG_MS: u64 = 800;
-/// The header that names the incarnation that is meant.
-const TARGET: &str = "Spanlead-Target-Instance";
+/// The requests that a worker serves at once, as the list shows them.
+const LISTED_SLOTS: u32 = 8;
 
-/// All workers, and the rules that watch them.
+/// All workers, and the checker that watches them.
 #[derive(Debug)]
 pub struct Fleet {
     /// The workers.
-    pub workers: Vec<Worker>,
+    pub workers: Vec<SimulatedWorker>,
     /// The checker.
-    pub rules: Rules,
-    /// The share of orders that go unanswered and are carried out late.
+    pub checker: SafetyChecker,
+    /// The share of calls to workers that get no response and are carried out late, 0 to 1.
     pub late_share: f64,
-    rng: ChaCha8Rng,
+    pub(crate) rng: ChaCha8Rng,
 }
 
-/// The fleet as its servers share it.
+/// The fleet, shared by its servers.
 #[derive(Clone, Debug)]
 pub struct Platform {
     fleet: Arc<Mutex<Fleet>>,
-    started: Instant,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase")]
-struct OrderBody {
-    task: Option<String>,
-    run: Option<u32>,
-    until_ms: Option<u64>,
-    #[serde(default)]
-    fence_token: u64,
-    #[serde(default)]
-    last_seen: u64,
-    #[serde(default)]
-    wait_ms: u64,
+    started_at: Instant,
 }
 
+/// A worker in the list.
 #[derive(Serialize)]
+#[serde(rename_all = "camelCase")]
 struct Instance {
     id: String,
     service: String,
@@ -68,228 +59,91 @@
 }
 
 impl Platform {
-    /// A fleet whose workers are reached at these addresses.
+    /// A fleet of workers with these addresses, `IP:port`.
     #[must_use]
     pub fn new(addresses: &[String], seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let worker = |(i, address): (usize, &String)| {
-            let mut worker = Worker::new(i, 0, BASE_MS, &mut rng);
+        let new_worker = |(index, address): (usize, &String)| {
+            let mut worker = SimulatedWorker::new(index, 0, CLOCK_START_MS, &mut rng);
             worker.address.clone_from(address);
             worker
         };
-        let workers = addresses.iter().enumerate().map(worker).collect();
-        let fleet = Fleet { workers, rules: Rules::default(), late_share: 0.0, rng };
-        Platform { fleet: Arc::new(Mutex::new(fleet)), started: Instant::now() }
+        let workers = addresses.iter().enumerate().map(new_worker).collect();
+        let fleet = Fleet { workers, checker: SafetyChecker::default(), late_share: 0.0, rng };
+        Platform { fleet: Arc::new(Mutex::new(fleet)), started_at: Instant::now() }
     }
 
-    /// The fleet.
+    /// Locks the fleet.
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
-        self.fleet.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.fleet.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Milliseconds of the fleet's clock.
+    /// The platform's clock, milliseconds.
     #[must_use]
-    pub fn now(&self) -> u64 {
-        BASE_MS + self.started.elapsed().as_millis() as u64
+    pub fn now_ms(&self) -> u64 {
+        CLOCK_START_MS + self.started_at.elapsed().as_millis() as u64
     }
 
     /// Replaces a worker by a new incarnation at the same address.
-    pub fn crash(&self, i: usize) {
-        let now = self.now();
+    pub fn crash_worker(&self, worker_index: usize) {
+        let now_ms = self.now_ms();
         let mut fleet = self.fleet();
-        let fleet = &mut *fleet;
-        let (generation, address) = (fleet.workers[i].generation + 1, fleet.workers[i].address.clone());
-        fleet.rules.crashed(&fleet.workers[i].id);
-        fleet.workers[i] = Worker::new(i, generation, now, &mut fleet.rng);
-        fleet.workers[i].address = address;
+        let Fleet { workers, checker, rng, .. } = &mut *fleet;
+        let worker = &mut workers[worker_index];
+        checker.record_crash(&worker.id);
+        let mut successor = SimulatedWorker::new(worker_index, worker.incarnation + 1, now_ms, rng);
+        successor.address.clone_from(&worker.address);
+        *worker = successor;
     }
 
-    /// Lets the workers' time pass for ever.
-    pub async fn pass(self) {
+    /// Lets time pass for the workers, without end.
+    pub async fn advance_workers(self) {
         loop {
-            task::sleep(STEP).await;
-            let now = self.now();
+            task::sleep(STEP_INTERVAL).await;
+            let now_ms = self.now_ms();
             let mut fleet = self.fleet();
-            let Fleet { workers, rules, rng, .. } = &mut *fleet;
+            let Fleet { workers, checker, rng, .. } = &mut *fleet;
             for worker in workers.iter_mut() {
-                worker.pass(now, rng, rules);
+                worker.advance(now_ms, rng, checker);
             }
-            rules.finish_gangs(workers, now);
+            finish_gangs(workers, now_ms, checker);
         }
     }
 
-    /// Serves the list.
+    /// Serves the list of workers at an address, `IP:port`.
     ///
     /// # Errors
     /// If the address can't be listened at.
     pub async fn serve_list(self, address: String) -> std::io::Result<()> {
         let mut app = tide::with_state(self);
         app.at("/instances").get(|request: Request<Platform>| async move {
-            let platform = request.state();
-            let now = platform.now();
-            let fleet = platform.fleet();
-            let known = |w: &&Worker| w.generation == 0 || now >= w.born + LIST_LAG_MS;
-            let instances: Vec<Instance> = fleet.workers.iter().filter(known).map(instance).collect();
+            let instances = request.state().list();
             json_response(200, &json!({ "instances": instances, "nextToken": null }))
         });
         app.listen(address).await
     }
 
-    /// Serves one worker.
-    ///
-    /// # Errors
-    /// If the address can't be listened at.
-    pub async fn serve_worker(self, i: usize, address: String) -> std::io::Result<()> {
-        let mut app = tide::with_state((self, i));
-        app.at("/run-start").post(|request| order(request, "run-start"));
-        app.at("/run-stop").post(|request| order(request, "run-stop"));
-        app.at("/hold").post(|request| order(request, "hold"));
-        app.listen(address).await
-    }
-
-    /// Lets an order reach a worker: `None` if its answer is lost.
-    async fn reach(&self, i: usize, call: WorkerCall) -> Option<WorkerResponse> {
-        let late = {
-            let mut fleet = self.fleet();
-            let share = fleet.late_share;
-            fleet.rng.random_bool(share)
+    /// The workers that the list shows now.
+    fn list(&self) -> Vec<Instance> {
+        let now_ms = self.now_ms();
+        let is_listed = |worker: &&SimulatedWorker| {
+            worker.incarnation == 0 || now_ms >= worker.started_at_ms + LIST_LAG_MS
         };
-        if late {
-            let platform = self.clone();
-            let after = Duration::from_millis(self.fleet().rng.random_range(2_000..12_000));
-            task::spawn(async move {
-                task::sleep(after).await;
-                platform.carry_out(i, &call);
-            });
-            return None;
-        }
-        match self.carry_out(i, &call) {
-            Some(reply) => Some(reply),
-            None => Some(self.wait(i, &call).await),
-        }
-    }
-
-    /// Carries an order out: `None` for a hold that is obeyed and may wait for its answer.
-    fn carry_out(&self, i: usize, call: &WorkerCall) -> Option<WorkerResponse> {
-        let now = self.now();
-        let mut fleet = self.fleet();
-        let Fleet { workers, rules, .. } = &mut *fleet;
-        let worker = &mut workers[i];
-        if *worker.id != *call.worker_id {
-            return Some(WorkerResponse::WrongIncarnation);
-        }
-        match call.request {
-            WorkerRequest::RenewLease { .. } => worker.hold(now, call, rules),
-            _ => Some(worker.obey(now, call, rules)),
-        }
-    }
-
-    async fn wait(&self, i: usize, call: &WorkerCall) -> WorkerResponse {
-        let WorkerRequest::RenewLease { acknowledged_end: last_seen, wait_ms, .. } = call.request else {
-            return WorkerResponse::NoResponse;
-        };
-        let due = self.now() + wait_ms;
-        loop {
-            {
-                let now = self.now();
-                let fleet = self.fleet();
-                let worker = &fleet.workers[i];
-                if *worker.id != *call.worker_id {
-                    return WorkerResponse::WrongIncarnation;
-                }
-                if now >= due || worker.finished.iter().any(|end| end.number > last_seen) {
-                    return WorkerResponse::Report(worker.report(now, last_seen));
-                }
-            }
-            task::sleep(STEP).await;
-        }
+        self.fleet().workers.iter().filter(is_listed).map(instance).collect()
     }
 }
 
-fn instance(worker: &Worker) -> Instance {
-    let listed = worker.listed();
+fn instance(worker: &SimulatedWorker) -> Instance {
+    let listed = worker.to_listed();
     Instance {
         id: listed.id.to_string(),
         service: listed.service.to_string(),
         address: listed.address.to_string(),
         zone: listed.zone.to_string(),
         version: "v1",
-        slots: 8,
+        slots: LISTED_SLOTS,
         state: "ready",
         capacity: json!({ "cpu": listed.cpu_millicores, "memMb": listed.memory_mb, "gpus": listed.gpus }),
         labels: listed.labels,
     }
 }
-
-async fn order(mut request: Request<(Platform, usize)>, path: &'static str) -> tide::Result {
-    let (platform, i) = request.state().clone();
-    let target = request.header(TARGET).map(|value| value.as_str().to_owned()).unwrap_or_default();
-    let body: OrderBody = match serde_json::from_slice(&request.body_bytes().await?) {
-        Ok(body) => body,
-        Err(error) => return json_response(400, &json!({ "reason": error.to_string() })),
-    };
-    let task = body.task.as_deref().and_then(TaskId::parse);
-    let request = match (path, task, body.run) {
-        ("run-start", Some(task), Some(run)) => WorkerRequest::Start {
-            task,
-            run,
-            payload: "".into(),
-            lease_expires_at_ms: body.until_ms.unwrap_or(0),
-            checkpoint: CompactString::default(),
-        },
-        ("run-stop", Some(task), Some(run)) => WorkerRequest::Stop { task, run },
-        ("hold", ..) => WorkerRequest::RenewLease {
-            serial: 0,
-            lease_expires_at_ms: body.until_ms,
-            acknowledged_end: body.last_seen,
-            wait_ms: body.wait_ms.min(2_000),
-        },
-        _ => return json_response(400, &json!({ "reason": "no such order" })),
-    };
-    let call = WorkerCall {
-        worker_id: target.into(),
-        address: "".into(),
-        request,
-        timeout_ms: 0,
-        fencing_token: body.fence_token,
-    };
-    match platform.reach(i, call).await {
-        Some(reply) => answer(reply),
-        None => {
-            task::sleep(Duration::from_secs(15)).await;
-            Ok(Response::new(StatusCode::ServiceUnavailable))
-        }
-    }
-}
-
-fn answer(reply: WorkerResponse) -> tide::Result {
-    match reply {
-        WorkerResponse::Acknowledged { clock_ms } => json_response(200, &json!({ "clockMs": clock_ms })),
-        WorkerResponse::Rejected { status, reason } => {
-            json_response(status, &json!({ "clockMs": 0, "reason": reason }))
-        }
-        WorkerResponse::WrongIncarnation => json_response(421, &json!({})),
-        WorkerResponse::NoResponse => json_response(503, &json!({})),
-        WorkerResponse::Report(report) => {
-            let running: Vec<Value> = report
-                .running
-                .iter()
-                .map(|r| json!([r.task.to_string(), r.run, r.checkpoint, r.progress_percent]))
-                .collect();
-            let finished: Vec<Value> = report
-                .finished
-                .iter()
-                .map(|f| json!([f.number, f.task.to_string(), f.run, f.outcome, f.checkpoint]))
-                .collect();
-            let body = json!({ "clockMs": report.clock_ms, "running": running, "finished": finished });
-            json_response(200, &body)
-        }
-    }
-}
-
-fn json_response(status: u16, body: &Value) -> tide::Result {
-    let mut response = Response::new(StatusCode::try_from(status)?);
-    response.set_body(body.to_string());
-    response.set_content_type(tide::http::mime::JSON);
-    Ok(response)
-}
