--- a/crates/tools/testbed/src/check.rs
+++ b/crates/tools/testbed/src/check.rs
@@ -6,7 +6,8 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The platform's tolerance for sockets, beside the grace after which nothing new may go to a worker that drains.
+/// The platform's tolerance for sockets: for late answers, and beside the grace after which nothing
+/// new may go to a worker that drains.
 const SLACK: Duration = Duration::from_millis(50);
 
 /// A broken rule.
@@ -23,7 +24,8 @@
     OneAnswer,
     /// Each job has a final answer before its client gives up, whatever was killed in between.
     Settled,
-    /// What must never run twice does not; what is dropped as a repeat is repeated only where that is so.
+    /// What must never run twice does not; what is dropped as a repeat is repeated only where that
+    /// is so.
     OneRun,
     /// Never two attempts of a request out at once.
     OneAttempt,
@@ -68,168 +70,236 @@
     Rule::Together,
 ];
 
-struct Asked {
+/// A request that a client has written.
+struct OpenRequest {
     scheduler: u32,
     job: u64,
     key: Option<String>,
     due: Duration,
-    ends: u32,
+    answers: u32,
     /// No scheduler ran, or it was killed or stopped since.
-    excused: bool,
-    /// It was stopped meanwhile: nobody could answer in time.
-    stopped: bool,
+    is_excused: bool,
+    /// Its scheduler was stopped meanwhile: nobody could answer in time.
+    was_stopped: bool,
 }
 
-/// Reads the record of a load on this deployment. A request that is open when a scheduler is killed is owed nothing; its
-/// job still is.
+/// What the checker knows of the events so far.
+struct Checker<'a> {
+    drain_grace: Duration,
+    broken: Vec<Broken>,
+    requests: HashMap<&'a str, OpenRequest>,
+    /// Whether each job had a final answer.
+    settled: BTreeMap<u64, bool>,
+    /// The groups and requests of the runs that began, by class and key.
+    began: HashMap<(&'a str, &'a str), Vec<(&'a str, &'a str)>>,
+    /// How often a class's key ran to its end.
+    ran: HashMap<(&'a str, &'a str), u32>,
+    /// The worker that has a request.
+    in_flight: HashMap<&'a str, &'a str>,
+    /// When a scheduler was notified that a worker drains.
+    draining: HashMap<(u32, &'a str), Duration>,
+    /// The workers that the list has named to a scheduler.
+    listed: HashSet<(u32, &'a str)>,
+    down: HashSet<u32>,
+    stopped: HashSet<u32>,
+}
+
+/// Reads the record of a load on this deployment. A request that is open when a scheduler is killed
+/// is owed nothing; its job still is.
 pub fn check(events: &[Event], deployment: &Deployment) -> Vec<Broken> {
-    let (classes, grace) = (&deployment.classes, deployment.drain_grace);
-    let mut broken = check_cold(events, deployment);
-    let mut bad = |rule, what: String| broken.push(Broken { rule, what });
-    let scope: HashMap<&str, Scope> = classes.iter().map(|c| (c.name.as_str(), c.scope)).collect();
-    let mut asked: HashMap<&str, Asked> = HashMap::new();
-    let mut settled: BTreeMap<u64, bool> = BTreeMap::new();
-    let mut began: HashMap<(&str, &str), Vec<(&str, &str)>> = HashMap::new();
-    let mut ran: HashMap<(&str, &str), u32> = HashMap::new();
-    let mut out: HashMap<&str, &str> = HashMap::new();
-    let mut draining: HashMap<(u32, &str), Duration> = HashMap::new();
-    let mut listed: HashSet<(u32, &str)> = HashSet::new();
-    let mut down: HashSet<u32> = HashSet::new();
-    let mut stopped: HashSet<u32> = HashSet::new();
-    for Event { at, what } in events {
-        match what {
+    let mut checker = Checker {
+        drain_grace: deployment.drain_grace,
+        broken: check_cold(events, deployment),
+        requests: HashMap::new(),
+        settled: BTreeMap::new(),
+        began: HashMap::new(),
+        ran: HashMap::new(),
+        in_flight: HashMap::new(),
+        draining: HashMap::new(),
+        listed: HashSet::new(),
+        down: HashSet::new(),
+        stopped: HashSet::new(),
+    };
+    for event in events {
+        checker.handle(event);
+    }
+    checker.check_settled();
+    checker.check_runs(deployment);
+    checker.broken
+}
+
+impl<'a> Checker<'a> {
+    fn add(&mut self, rule: Rule, what: String) {
+        self.broken.push(Broken { rule, what });
+    }
+
+    fn handle(&mut self, event: &'a Event) {
+        let at = event.at;
+        match &event.what {
             What::Asked { scheduler, request, job, key, due, .. } => {
-                let (scheduler, job, key, excused) =
-                    (*scheduler, *job, key.clone(), down.contains(scheduler));
-                asked.insert(
-                    request,
-                    Asked {
-                        scheduler,
-                        job,
-                        key,
-                        due: *due,
-                        ends: 0,
-                        excused,
-                        stopped: stopped.contains(&scheduler),
-                    },
-                );
-            }
-            What::Answered { request, status, body } => {
-                let Some(a) = asked.get_mut(request.as_str()) else {
-                    bad(Rule::OneAnswer, format!("{request} was answered and never asked"));
-                    continue;
-                };
-                a.ends += 1;
-                if a.ends > 1 {
-                    bad(Rule::OneAnswer, format!("{request} was answered {} times", a.ends));
-                }
-                if *at > a.due + Duration::from_millis(50) && !a.excused {
-                    bad(Rule::OneAnswer, format!("{request} was answered {:?} late", *at - a.due));
-                }
-                let mine = match &a.key {
-                    Some(key) => body.split(' ').next() == Some(key),
-                    None => body.contains(&format!("-{} by ", a.job)),
-                };
-                if *status == 200 && !mine {
-                    bad(Rule::OwnResult, format!("{request} of job {} was answered `{body}`", a.job));
-                }
+                let (scheduler, job, key) = (*scheduler, *job, key.clone());
+                let is_excused = self.down.contains(&scheduler);
+                let was_stopped = self.stopped.contains(&scheduler);
+                let open =
+                    OpenRequest { scheduler, job, key, due: *due, answers: 0, is_excused, was_stopped };
+                self.requests.insert(request, open);
             }
-            What::Broke { request } if asked.get(request.as_str()).is_none_or(|a| !a.excused) => {
-                bad(Rule::OneAnswer, format!("{request} lost its connection to a running scheduler"));
+            What::Answered { request, status, body } => self.check_answer(at, request, *status, body),
+            What::Broke { request } if self.is_owed(request) => {
+                self.add(Rule::OneAnswer, format!("{request} lost its connection to a running scheduler"));
             }
-            What::Impatient { request } if asked.get(request.as_str()).is_none_or(|a| !a.excused) => {
-                bad(Rule::OneAnswer, format!("{request} had no answer in time"));
+            What::Impatient { request } if self.is_owed(request) => {
+                self.add(Rule::OneAnswer, format!("{request} had no answer in time"));
             }
             What::Settled { job, answered } => {
-                settled.entry(*job).and_modify(|a| *a &= answered).or_insert(*answered);
+                self.settled.entry(*job).and_modify(|all| *all &= answered).or_insert(*answered);
             }
             What::Received { scheduler, request, worker, .. } => {
-                let way = (*scheduler, worker.as_str());
-                if !listed.contains(&way) {
-                    bad(Rule::Listed, format!("{request} went to {worker}, which no list has named"));
-                }
-                if let Some(other) = out.insert(request, worker) {
-                    bad(Rule::OneAttempt, format!("{request} went to {worker} while {other} had it"));
-                }
-                if let Some(told) = draining.get(&way).filter(|told| *at > **told + grace + SLACK) {
-                    bad(Rule::Drain, format!("{request} went to {worker} {:?} after its drain", *at - *told));
-                }
+                self.check_attempt(at, *scheduler, request, worker);
             }
-            What::Over { request, worker, .. } if out.get(request.as_str()) == Some(&worker.as_str()) => {
-                out.remove(request.as_str());
+            What::Over { request, worker, .. }
+                if self.in_flight.get(request.as_str()) == Some(&worker.as_str()) =>
+            {
+                self.in_flight.remove(request.as_str());
             }
             What::Began { request, key: Some(key), class, group, .. } => {
-                began.entry((class, key)).or_default().push((group, request));
+                self.began.entry((class, key)).or_default().push((group, request));
             }
-            What::Ran { key: Some(key), class, .. } => *ran.entry((class, key)).or_default() += 1,
+            What::Ran { key: Some(key), class, .. } => *self.ran.entry((class, key)).or_default() += 1,
             What::Told { scheduler, worker } => {
-                listed.insert((*scheduler, worker));
-                draining.entry((*scheduler, worker)).or_insert(*at);
+                self.listed.insert((*scheduler, worker));
+                self.draining.entry((*scheduler, worker)).or_insert(at);
             }
             What::Lives { scheduler, worker } => {
-                listed.insert((*scheduler, worker));
-                draining.remove(&(*scheduler, worker.as_str()));
+                self.listed.insert((*scheduler, worker));
+                self.draining.remove(&(*scheduler, worker.as_str()));
             }
-            // One that stands still owes nothing while it does, nor does one that is told to end owe what comes later.
-            What::Killed { scheduler }
-            | What::Paused { scheduler, on: true }
-            | What::Ending { scheduler } => {
-                down.insert(*scheduler);
-                let open = |a: &&mut Asked| a.scheduler == *scheduler && a.ends == 0;
-                if !matches!(what, What::Ending { .. }) {
-                    asked.values_mut().filter(open).for_each(|a| a.excused = true);
-                }
-                if matches!(what, What::Paused { .. }) {
-                    stopped.insert(*scheduler);
-                    let open = |a: &&mut Asked| a.scheduler == *scheduler && a.ends == 0;
-                    asked.values_mut().filter(open).for_each(|a| a.stopped = true);
-                }
-                if matches!(what, What::Killed { .. }) {
-                    // What a process was told, the next one has not heard.
-                    draining.retain(|(of, _), _| of != scheduler);
-                }
+            what => self.handle_scheduler(at, what),
+        }
+    }
+
+    /// Whether a request must be answered: also one that was never asked.
+    fn is_owed(&self, request: &str) -> bool {
+        self.requests.get(request).is_none_or(|open| !open.is_excused)
+    }
+
+    fn check_answer(&mut self, at: Duration, request: &str, status: u16, body: &str) {
+        let Some(open) = self.requests.get_mut(request) else {
+            return self.add(Rule::OneAnswer, format!("{request} was answered and never asked"));
+        };
+        open.answers += 1;
+        let (answers, job, due, is_excused) = (open.answers, open.job, open.due, open.is_excused);
+        let is_own = match &open.key {
+            Some(key) => body.split(' ').next() == Some(key),
+            None => body.contains(&format!("-{job} by ")),
+        };
+        if answers > 1 {
+            self.add(Rule::OneAnswer, format!("{request} was answered {answers} times"));
+        }
+        if at > due + SLACK && !is_excused {
+            self.add(Rule::OneAnswer, format!("{request} was answered {:?} late", at - due));
+        }
+        if status == 200 && !is_own {
+            self.add(Rule::OwnResult, format!("{request} of job {job} was answered `{body}`"));
+        }
+    }
+
+    fn check_attempt(&mut self, at: Duration, scheduler: u32, request: &'a str, worker: &'a str) {
+        if !self.listed.contains(&(scheduler, worker)) {
+            self.add(Rule::Listed, format!("{request} went to {worker}, which no list has named"));
+        }
+        if let Some(other) = self.in_flight.insert(request, worker) {
+            self.add(Rule::OneAttempt, format!("{request} went to {worker} while {other} had it"));
+        }
+        let drained_at = self.draining.get(&(scheduler, worker)).copied();
+        if let Some(drained_at) = drained_at.filter(|since| at > *since + self.drain_grace + SLACK) {
+            let late = at - drained_at;
+            self.add(Rule::Drain, format!("{request} went to {worker} {late:?} after its drain"));
+        }
+    }
+
+    /// A scheduler that is stopped owes nothing meanwhile; one that shuts down owes nothing that
+    /// comes later.
+    fn handle_scheduler(&mut self, at: Duration, what: &What) {
+        match what {
+            What::Ending { scheduler } => {
+                self.down.insert(*scheduler);
+            }
+            What::Killed { scheduler } => {
+                self.down.insert(*scheduler);
+                self.open_requests(*scheduler).for_each(|open| open.is_excused = true);
+                // The next process has not received the notices of this one.
+                self.draining.retain(|(notified, _), _| notified != scheduler);
             }
-            What::Serving { scheduler } | What::Paused { scheduler, on: false } => {
-                down.remove(scheduler);
-                stopped.remove(scheduler);
-                if matches!(what, What::Paused { .. }) {
-                    // What came while it stood still it could not hear before it went on.
-                    draining
-                        .iter_mut()
-                        .filter(|((of, _), _)| of == scheduler)
-                        .for_each(|(_, told)| *told = *at);
+            What::Paused { scheduler, on: true } => {
+                self.down.insert(*scheduler);
+                self.stopped.insert(*scheduler);
+                for open in self.open_requests(*scheduler) {
+                    open.is_excused = true;
+                    open.was_stopped = true;
                 }
             }
+            What::Serving { scheduler } => {
+                self.down.remove(scheduler);
+                self.stopped.remove(scheduler);
+            }
+            What::Paused { scheduler, on: false } => {
+                self.down.remove(scheduler);
+                self.stopped.remove(scheduler);
+                // It could not read notices before it went on.
+                let notices = self.draining.iter_mut();
+                notices.filter(|((of, _), _)| of == scheduler).for_each(|(_, since)| *since = at);
+            }
             _ => {}
         }
     }
-    let stopped: HashSet<u64> = asked.values().filter(|a| a.stopped).map(|a| a.job).collect();
-    for (job, _) in settled.iter().filter(|(job, answered)| !**answered && !stopped.contains(job)) {
-        bad(Rule::Settled, format!("job {job} had no final answer"));
+
+    /// The requests to a scheduler that have no answer yet.
+    fn open_requests(&mut self, scheduler: u32) -> impl Iterator<Item = &mut OpenRequest> {
+        let requests = self.requests.values_mut();
+        requests.filter(move |open| open.scheduler == scheduler && open.answers == 0)
     }
-    for ((class, key), runs) in began {
-        let groups: HashSet<&str> = runs.iter().map(|(group, _)| *group).collect();
-        match scope.get(class) {
-            Some(Scope::Never) if runs.len() > 1 => {
-                bad(Rule::OneRun, format!("{class} {key} began {runs:?}"))
-            }
-            Some(Scope::Cell | Scope::Zone | Scope::All) if groups.len() > 1 => {
-                bad(Rule::OneRun, format!("{class} {key} began where no one drops its repeats: {runs:?}"));
+
+    /// Each job has a final answer, unless its scheduler was stopped.
+    fn check_settled(&mut self) {
+        let stopped = self.requests.values().filter(|open| open.was_stopped);
+        let stopped: HashSet<u64> = stopped.map(|open| open.job).collect();
+        for (job, answered) in std::mem::take(&mut self.settled) {
+            if !answered && !stopped.contains(&job) {
+                self.add(Rule::Settled, format!("job {job} had no final answer"));
             }
-            _ => {}
         }
     }
-    for ((class, key), times) in ran {
-        if times > 1 && scope.get(class) != Some(&Scope::Safe) {
-            bad(Rule::OneRun, format!("{class} {key} ran {times} times"));
+
+    /// No job runs more often than its class allows.
+    fn check_runs(&mut self, deployment: &Deployment) {
+        let classes = deployment.classes.iter();
+        let scopes: HashMap<&str, Scope> = classes.map(|c| (c.name.as_str(), c.scope)).collect();
+        for ((class, key), runs) in std::mem::take(&mut self.began) {
+            let groups: HashSet<&str> = runs.iter().map(|(group, _)| *group).collect();
+            match scopes.get(class) {
+                Some(Scope::Never) if runs.len() > 1 => {
+                    self.add(Rule::OneRun, format!("{class} {key} began {runs:?}"));
+                }
+                Some(Scope::Cell | Scope::Zone | Scope::All) if groups.len() > 1 => {
+                    let what = format!("{class} {key} began where no one drops its repeats: {runs:?}");
+                    self.add(Rule::OneRun, what);
+                }
+                _ => {}
+            }
+        }
+        for ((class, key), times) in std::mem::take(&mut self.ran) {
+            if times > 1 && scopes.get(class) != Some(&Scope::Safe) {
+                self.add(Rule::OneRun, format!("{class} {key} ran {times} times"));
+            }
         }
     }
-    broken
 }
 
-/// Whether workers that had just started were sent more, by all schedulers together, than the deployment's rule lets them bear: within
-/// `tip` more than `tip_multiple` times the jobs of mean length that they do at their capacity of then, N, and for chance twice
-/// the root of N and two jobs.
+/// Checks that workers that had just started were not sent more, by all schedulers together, than
+/// the deployment's rule lets them bear: within `tip` at most `tip_multiple` times the jobs of mean
+/// length that they do at their capacity of then, N, and for chance twice the root of N and two
+/// jobs.
 pub fn check_cold(events: &[Event], deployment: &Deployment) -> Vec<Broken> {
     let d = deployment;
     let shares: f64 = d.classes.iter().map(|c| c.share).sum();
