--- a/crates/service/conf-file/tests/conf.rs
+++ b/crates/service/conf-file/tests/conf.rs
@@ -2,7 +2,7 @@
 use insta::assert_snapshot;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use spanlead_conf_file::{Conf, Durable, Format, Level, parse};
+use spanlead_conf_file::{ConfFile, LogFormat, LogLevel, RecordedJobs, parse};
 use std::time::Duration;
 
 fn errors(text: &str) -> String {
@@ -15,13 +15,16 @@
                 lease 4s\n    keep 1min 30s\n    disk 64MiB\n    segment 256KiB\r\n    durable all\n";
     // A span of two words is two arguments: quoted it is one.
     let conf = parse("f", text.replace("1min 30s", "'1min 30s'").as_bytes()).expect("good");
-    assert_eq!((conf.log.format, conf.log.level), (Format::Json, Level::Debug));
-    let ledger = conf.ledger.expect("a section");
-    assert_eq!(ledger.folder.to_str(), Some("/var/lib/two words"));
-    assert_eq!((ledger.lease, ledger.keep), (Duration::from_secs(4), Duration::from_secs(90)));
-    assert_eq!((ledger.disk, ledger.segment), (64 << 20, 256 << 10));
-    assert_eq!((ledger.sync, ledger.durable, ledger.jobs), (true, Durable::All, 200_000));
-    assert_eq!(parse("f", b"").expect("an empty one"), Conf::default());
+    assert_eq!((conf.log.format, conf.log.level), (LogFormat::Json, LogLevel::Debug));
+    let ledger = conf.durable_log.expect("a section");
+    assert_eq!(ledger.directory.to_str(), Some("/var/lib/two words"));
+    assert_eq!((ledger.lease_duration, ledger.retention), (Duration::from_secs(4), Duration::from_secs(90)));
+    assert_eq!((ledger.max_disk_bytes, ledger.max_segment_bytes), (64 << 20, 256 << 10));
+    assert_eq!(
+        (ledger.sync_on_commit, ledger.recorded_jobs, ledger.max_jobs),
+        (true, RecordedJobs::All, 200_000)
+    );
+    assert_eq!(parse("f", b"").expect("an empty one"), ConfFile::default());
 }
 
 // Guards the one pass: an operator must not have to mend one line to be told of the next.
@@ -96,11 +99,11 @@
         .map(|l| format!("{}\n", l.strip_prefix("  # ").map_or(l.to_owned(), |l| format!("  {l}"))))
         .collect();
     let all = parse("example", shown.as_bytes()).expect("good with every line");
-    assert_eq!(all.ledger, plain.ledger);
+    assert_eq!(all.durable_log, plain.durable_log);
     let (shown, mut plain) = (&all.inventories[0], plain.inventories[0].clone());
     // These have no default, or are told from the file.
-    (plain.form, plain.keep) = (shown.form, shown.keep.clone());
-    (plain.fields, plain.defaults) = (shown.fields.clone(), shown.defaults.clone());
+    (plain.form, plain.archive_directory) = (shown.form, shown.archive_directory.clone());
+    (plain.columns, plain.defaults) = (shown.columns.clone(), shown.defaults.clone());
     assert_eq!(*shown, plain);
 }
 
@@ -123,7 +126,10 @@
     spanlead.conf:5: evry: is unknown in section `membership`; `every` is near
     ");
     let good = parse("f", b"membership\n").expect("a bare line").membership.expect("a section");
-    assert_eq!((good.every, good.fanout, good.tier.as_str()), (Duration::from_millis(100), 4, "default"));
+    assert_eq!(
+        (good.heartbeat_interval, good.fanout, good.tier.as_str()),
+        (Duration::from_millis(100), 4, "default")
+    );
 }
 
 #[test]
@@ -142,9 +148,9 @@
     let alone = errors("log\nduty x\n  call http://127.0.0.1:9/\n");
     assert_snapshot!(alone, @"spanlead.conf:2: duty: needs the section `membership`: duties are granted by its datagrams");
     let good = "membership\nduty x\n  call http://127.0.0.1:9/a/b\n  every 50ms\n";
-    let duty = parse("f", good.as_bytes()).expect("good").duties.remove(0);
+    let duty = parse("f", good.as_bytes()).expect("good").roles.remove(0);
     assert_eq!(
-        (duty.name.as_str(), duty.call.1.as_str(), duty.every),
+        (duty.name.as_str(), duty.call.path.as_str(), duty.call_interval),
         ("x", "/a/b", Duration::from_millis(50))
     );
 }
--- a/crates/service/conf-file/tests/golden.rs
+++ b/crates/service/conf-file/tests/golden.rs
@@ -5,8 +5,8 @@
 mod golden;
 
 use spanlead_conf_file::{
-    Conf, Delimiter, Durable, Duty, Format, Inventory, InventoryForm, Leases, Ledger, Level, Log, Membership,
-    Watch, parse,
+    ChangeDetection, ConfFile, Delimiter, DurableLogSettings, InventoryForm, InventorySettings, LogFormat,
+    LogLevel, LogSettings, MembershipSettings, RecordedJobs, RoleLeaseSettings, RoleSettings, parse,
 };
 use std::fmt::Display;
 
@@ -79,7 +79,7 @@
   call http://127.0.0.1:9000
 ";
 
-fn read(text: &str) -> Conf {
+fn read(text: &str) -> ConfFile {
     parse("spanlead.conf", text.as_bytes()).unwrap_or_else(|errors| panic!("{errors}"))
 }
 
@@ -97,44 +97,44 @@
         }
     }
 
-    fn pairs(&mut self, keyword: &str, values: &[(String, String)]) {
-        let values: Vec<String> = values.iter().map(|(name, value)| format!("{name} {value}")).collect();
+    fn pairs<'a>(&mut self, keyword: &str, values: impl Iterator<Item = (&'a String, &'a String)>) {
+        let values: Vec<String> = values.map(|(name, value)| format!("{name} {value}")).collect();
         self.put(keyword, values.join(", "));
     }
 
-    fn log(&mut self, log: &Log) {
+    fn log(&mut self, log: &LogSettings) {
         let format = match log.format {
-            Format::Text => "text",
-            Format::Json => "json",
+            LogFormat::Text => "text",
+            LogFormat::Json => "json",
         };
         self.put("log format", format);
         let level = match log.level {
-            Level::Error => "error",
-            Level::Warn => "warn",
-            Level::Info => "info",
-            Level::Debug => "debug",
+            LogLevel::Error => "error",
+            LogLevel::Warn => "warn",
+            LogLevel::Info => "info",
+            LogLevel::Debug => "debug",
         };
         self.put("log level", level);
     }
 
-    fn ledger(&mut self, ledger: &Ledger) {
-        self.put("ledger folder", ledger.folder.display());
-        self.put("ledger sync", ledger.sync);
-        self.put("ledger gather", format!("{:?}", ledger.gather));
-        let durable = match ledger.durable {
-            Durable::Keyed => "keyed",
-            Durable::All => "all",
+    fn ledger(&mut self, ledger: &DurableLogSettings) {
+        self.put("ledger folder", ledger.directory.display());
+        self.put("ledger sync", ledger.sync_on_commit);
+        self.put("ledger gather", format!("{:?}", ledger.group_delay));
+        let durable = match ledger.recorded_jobs {
+            RecordedJobs::Keyed => "keyed",
+            RecordedJobs::All => "all",
         };
         self.put("ledger durable", durable);
-        self.put("ledger lease", format!("{:?}", ledger.lease));
-        self.put("ledger clock-bound", format!("{:?}", ledger.clock_bound));
-        self.put("ledger keep", format!("{:?}", ledger.keep));
-        self.put("ledger jobs", ledger.jobs);
-        self.put("ledger disk", ledger.disk);
-        self.put("ledger segment", ledger.segment);
+        self.put("ledger lease", format!("{:?}", ledger.lease_duration));
+        self.put("ledger clock-bound", format!("{:?}", ledger.clock_drift_bound));
+        self.put("ledger keep", format!("{:?}", ledger.retention));
+        self.put("ledger jobs", ledger.max_jobs);
+        self.put("ledger disk", ledger.max_disk_bytes);
+        self.put("ledger segment", ledger.max_segment_bytes);
     }
 
-    fn inventory(&mut self, inventory: &Inventory) {
+    fn inventory(&mut self, inventory: &InventorySettings) {
         self.put("inventory", &inventory.name);
         self.put("inventory file", inventory.file.display());
         let form = inventory.form.map(|form| match form {
@@ -150,56 +150,63 @@
             Delimiter::Tab => "tab",
         };
         self.put("inventory delimiter", delimiter);
-        self.pairs("inventory field", &inventory.fields);
-        self.pairs("inventory default", &inventory.defaults);
+        self.pairs(
+            "inventory field",
+            inventory.columns.iter().map(|column| (&column.attribute, &column.column)),
+        );
+        self.pairs(
+            "inventory default",
+            inventory.defaults.iter().map(|default| (&default.attribute, &default.value)),
+        );
         self.put("inventory weight file-first", inventory.weight_first);
-        self.put("inventory size", inventory.size);
-        self.put("inventory hosts", inventory.hosts);
-        self.put("inventory refuse-over", inventory.refuse_over);
-        self.put("inventory hold-over", inventory.hold_over);
-        self.put_option("inventory keep", inventory.keep.as_ref().map(|path| path.display()));
-        self.put("inventory history", inventory.history);
-        let watch = match inventory.watch {
-            Watch::Notify => "notify",
-            Watch::Poll => "poll",
-            Watch::No => "no",
+        self.put("inventory size", inventory.max_bytes);
+        self.put("inventory hosts", inventory.max_hosts);
+        self.put("inventory refuse-over", inventory.max_skipped_fraction);
+        self.put("inventory hold-over", inventory.max_changed_fraction);
+        self.put_option("inventory keep", inventory.archive_directory.as_ref().map(|path| path.display()));
+        self.put("inventory history", inventory.max_archived_versions);
+        let watch = match inventory.change_detection {
+            ChangeDetection::Notify => "notify",
+            ChangeDetection::Poll => "poll",
+            ChangeDetection::Manual => "no",
         };
         self.put("inventory watch", watch);
-        self.put("inventory poll", format!("{:?}", inventory.poll));
-        self.put("inventory settle", format!("{:?}", inventory.settle));
+        self.put("inventory poll", format!("{:?}", inventory.poll_interval));
+        self.put("inventory settle", format!("{:?}", inventory.settle_time));
     }
 
-    fn membership(&mut self, membership: &Membership) {
-        self.put("membership", &membership.place);
-        self.put("membership every", format!("{:?}", membership.every));
+    fn membership(&mut self, membership: &MembershipSettings) {
+        self.put("membership", &membership.location);
+        self.put("membership every", format!("{:?}", membership.heartbeat_interval));
         self.put("membership fanout", membership.fanout);
-        self.put("membership loss", membership.loss);
+        self.put("membership loss", membership.tolerated_loss);
         self.put("membership tier", &membership.tier);
     }
 
-    fn leases(&mut self, leases: &Leases) {
-        self.put("leases lease", format!("{:?}", leases.lease));
-        self.put("leases clock-bound", format!("{:?}", leases.clock_bound));
-        self.put("leases patience", format!("{:?}", leases.patience));
-        let joint = leases.joint.as_ref().map(|(count, place)| format!("{count} ({place})"));
+    fn leases(&mut self, leases: &RoleLeaseSettings) {
+        self.put("leases lease", format!("{:?}", leases.lease_duration));
+        self.put("leases clock-bound", format!("{:?}", leases.clock_drift_bound));
+        self.put("leases patience", format!("{:?}", leases.reply_timeout));
+        let joint =
+            leases.joint_quorum.as_ref().map(|joint| format!("{} ({})", joint.schedulers, joint.location));
         self.put_option("leases joint-with", joint);
     }
 
-    fn duty(&mut self, duty: &Duty) {
-        self.put("duty", format!("{} ({})", duty.name, duty.place));
-        self.put("duty call", format!("{} {}", duty.call.0, duty.call.1));
-        self.put("duty every", format!("{:?}", duty.every));
+    fn duty(&mut self, duty: &RoleSettings) {
+        self.put("duty", format!("{} ({})", duty.name, duty.location));
+        self.put("duty call", format!("{} {}", duty.call.address, duty.call.path));
+        self.put("duty every", format!("{:?}", duty.call_interval));
     }
 }
 
-fn shown(conf: &Conf) -> String {
+fn shown(conf: &ConfFile) -> String {
     let mut lines = Lines(String::new());
     lines.log(&conf.log);
-    conf.ledger.iter().for_each(|ledger| lines.ledger(ledger));
+    conf.durable_log.iter().for_each(|ledger| lines.ledger(ledger));
     conf.inventories.iter().for_each(|inventory| lines.inventory(inventory));
     conf.membership.iter().for_each(|membership| lines.membership(membership));
-    lines.leases(&conf.leases);
-    conf.duties.iter().for_each(|duty| lines.duty(duty));
+    lines.leases(&conf.role_leases);
+    conf.roles.iter().for_each(|duty| lines.duty(duty));
     lines.0
 }
 
--- a/crates/service/engine/examples/facts.rs
+++ b/crates/service/engine/examples/facts.rs
@@ -10,7 +10,9 @@
 };
 use spanlead_deployment_settings::Names;
 use spanlead_engine::{Engine, Input, InventoryUpdate, Job, WorkerEndpoint};
-use spanlead_worker_attributes::{Defaults, Place, Row, Said, Sheet, Source, Version};
+use spanlead_worker_attributes::{
+    AttributeValue, DefaultAttributes, HostRecord, InventorySource, MergedInventory, SourceLocation, Version,
+};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -61,18 +63,20 @@
     }
 }
 
-fn sheet(names: &[Arc<str>], weight: f64) -> InventoryUpdate {
-    let row = |i: usize| Row {
-        pod: Said::This(Arc::from(format!("{}", i / 2)), Place::default()),
-        weight: Said::This(weight, Place::default()),
-        ..Row::default()
+fn merged_inventory(names: &[Arc<str>], weight: f64) -> InventoryUpdate {
+    let row = |i: usize| HostRecord {
+        pod: AttributeValue::Known(Arc::from(format!("{}", i / 2)), SourceLocation::default()),
+        weight: AttributeValue::Known(weight, SourceLocation::default()),
+        ..HostRecord::default()
     };
     let rows = names.iter().enumerate().map(|(i, n)| (n.clone(), row(i))).collect();
     let files = vec!["hosts.csv".into()];
-    let version = Version { number: 1, digest: "d".into(), read_ms: 1, files, rows, refusals: Vec::new() };
-    let source = Source { name: "clubs".into(), weight_first: true, version: version.into() };
+    let version =
+        Version { number: 1, digest: "d".into(), read_ms: 1, files, hosts: rows, diagnostics: Vec::new() };
+    let source = InventorySource { name: "clubs".into(), weight_first: true, version: version.into() };
     InventoryUpdate {
-        sheet: Sheet { sources: vec![source], defaults: Defaults::default() }.into(),
+        merged_inventory: MergedInventory { sources: vec![source], defaults: DefaultAttributes::default() }
+            .into(),
         by: None,
         forced: false,
     }
@@ -109,8 +113,8 @@
             ("first list", whole(1, list(1.0))),
             ("the same again", whole(2, list(1.0))),
             ("all weights change", whole(3, list(0.5))),
-            ("a first file", Input::InventoryUpdated(sheet(&names, 2.0))),
-            ("all its facts change", Input::InventoryUpdated(sheet(&names, 3.0))),
+            ("a first file", Input::InventoryUpdated(merged_inventory(&names, 2.0))),
+            ("all its facts change", Input::InventoryUpdated(merged_inventory(&names, 3.0))),
             ("all gone", whole(4, Vec::new())),
         ] {
             let (longest, all) = world.measure(input);
--- a/crates/service/engine/src/input.rs
+++ b/crates/service/engine/src/input.rs
@@ -7,7 +7,7 @@
 };
 use spanlead_deployment_settings::Names;
 use spanlead_durable_jobs::JobNumber;
-use spanlead_worker_attributes::Sheet;
+use spanlead_worker_attributes::MergedInventory;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub struct InventoryUpdate {
     /// The attributes of all inventories.
-    pub sheet: Arc<Sheet>,
+    pub merged_inventory: Arc<MergedInventory>,
     /// The inventory whose new version caused this update.
     pub by: Option<InventoryVersion>,
     /// An operator accepted it: it is used even if it leaves a class without workers.
--- a/crates/service/engine/src/stats.rs
+++ b/crates/service/engine/src/stats.rs
@@ -1,7 +1,7 @@
 //! The figures and views that operators are shown. Field names are keys of `/ops` JSON and must not
 //! change.
 use serde::Serialize;
-use spanlead_worker_attributes::Known;
+use spanlead_worker_attributes::AttributeProvenance;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -80,7 +80,7 @@
     /// `ready`, `draining` or `gone`.
     pub state: &'static str,
     /// Its attributes and their sources.
-    pub facts: Vec<Known>,
+    pub facts: Vec<AttributeProvenance>,
     /// Attributes that have changed and count as its own alone until no repeat can go wrong.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub apart: Vec<&'static str>,
--- a/crates/service/engine/src/workers.rs
+++ b/crates/service/engine/src/workers.rs
@@ -2,8 +2,8 @@
 //! balancing policy was told.
 //!
 //! The endpoint list is the one authority on who is there: state, start and address come from
-//! nowhere else, and a host that it has not named gets no jobs. Inventories ([`Sheet`]) only fill
-//! what the list leaves open, and the weight where that is set so.
+//! nowhere else, and a host that it has not named gets no jobs. Inventories
+//! ([`MergedInventory`]) only fill what the list leaves open, and the weight where that is set so.
 //!
 //! - `endpoint_list`: changes of the list, in slices if there are many;
 //! - `attributes`: what is known of one worker, from the list and from inventories;
@@ -20,7 +20,7 @@
 use isolation::IsolatedAttribute;
 use rustc_hash::FxHashMap;
 use spanlead_balancing_policy::{Endpoint, Nanos, WorkerState};
-use spanlead_worker_attributes::{Sheet, normal};
+use spanlead_worker_attributes::{MergedInventory, normalize_host_name};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -87,7 +87,7 @@
     /// The timer of the next slice is set.
     is_slice_due: bool,
     /// What inventories say; `None` as long as there are none.
-    sheet: Option<Arc<Sheet>>,
+    merged_inventory: Option<Arc<MergedInventory>>,
     named_pods: NamedPods,
     /// How many own numbers were given.
     own_numbers: u32,
@@ -136,7 +136,7 @@
 
 /// The name by which inventories know a host; one that is no name in DNS is known as it is.
 fn normal_name(name: &Arc<str>) -> Arc<str> {
-    match normal(name) {
+    match normalize_host_name(name) {
         Ok(same) if same.len() == name.len() && *same == **name => name.clone(),
         Ok(normal) => Arc::from(&*normal),
         Err(_) => name.clone(),
--- a/crates/service/engine/src/workers/attributes.rs
+++ b/crates/service/engine/src/workers/attributes.rs
@@ -4,7 +4,7 @@
 use crate::timers::Timer;
 use spanlead_balancing_policy::Nanos;
 use spanlead_deployment_settings::{Names, index_of};
-use spanlead_worker_attributes::Sheet;
+use spanlead_worker_attributes::MergedInventory;
 use std::sync::Arc;
 
 /// The weight of a worker of which none is stated.
@@ -29,7 +29,7 @@
     fn attributes(
         &mut self,
         names: &Names,
-        sheet: Option<&Sheet>,
+        merged_inventory: Option<&MergedInventory>,
         named_pods: &mut NamedPods,
     ) -> WorkerAttributes {
         let listed = WorkerAttributes {
@@ -38,8 +38,8 @@
             pod: self.host.cell.filter(|cell| *cell < FIRST_NAMED_POD),
             weight: self.host.weight,
         };
-        match sheet {
-            Some(sheet) => self.merge_inventory(names, listed, sheet, named_pods),
+        match merged_inventory {
+            Some(merged_inventory) => self.merge_inventory(names, listed, merged_inventory, named_pods),
             None => listed,
         }
     }
@@ -49,39 +49,40 @@
         &mut self,
         names: &Names,
         listed: WorkerAttributes,
-        sheet: &Sheet,
+        merged_inventory: &MergedInventory,
         named_pods: &mut NamedPods,
     ) -> WorkerAttributes {
         let normal = &**self.normal_name.get_or_insert_with(|| normal_name(&self.host.name));
-        self.is_in_inventory = sheet.names(normal);
+        self.is_in_inventory = merged_inventory.names(normal);
         let number =
             |names: &[String], stated: Option<&Arc<str>>| stated.and_then(|name| index_of(names, name));
-        let zone = listed.zone.or_else(|| number(&names.zones, sheet.zone(normal)?.value));
-        let default_kind = || number(&names.kinds, sheet.defaults.kind.as_ref());
-        let stated_kind = || number(&names.kinds, sheet.kind(normal)?.value);
+        let zone = listed.zone.or_else(|| number(&names.zones, merged_inventory.zone(normal)?.value));
+        let default_kind = || number(&names.kinds, merged_inventory.defaults.kind.as_ref());
+        let stated_kind = || number(&names.kinds, merged_inventory.kind(normal)?.value);
         let kind = listed.kind.or_else(stated_kind).or_else(default_kind);
-        let pod = listed.pod.or_else(|| Some(named_pods.number(sheet.pod(normal)?.value?)));
-        let weight = merged_weight(listed.weight, normal, sheet);
+        let pod = listed.pod.or_else(|| Some(named_pods.number(merged_inventory.pod(normal)?.value?)));
+        let weight = merged_weight(listed.weight, normal, merged_inventory);
         WorkerAttributes { zone, kind, pod, weight }
     }
 }
 
 /// The weight of the list, unless the inventory that states one goes first.
-fn merged_weight(listed: Option<f64>, normal_name: &str, sheet: &Sheet) -> Option<f64> {
-    let stated = sheet.weight(normal_name);
-    let inventory_goes_first = stated.as_ref().is_some_and(|fact| sheet.sources[fact.source].weight_first);
+fn merged_weight(listed: Option<f64>, normal_name: &str, merged_inventory: &MergedInventory) -> Option<f64> {
+    let stated = merged_inventory.weight(normal_name);
+    let inventory_goes_first =
+        stated.as_ref().is_some_and(|fact| merged_inventory.sources[fact.source].weight_first);
     let stated = stated.and_then(|fact| fact.value.copied());
     let merged = if inventory_goes_first { stated.or(listed) } else { listed.or(stated) };
-    merged.or(sheet.defaults.weight)
+    merged.or(merged_inventory.defaults.weight)
 }
 
 impl Engine {
     /// What the policy must be told of a worker, if that is anything new.
     pub(super) fn recheck(&mut self, now: Nanos, name: &Arc<str>) -> Option<ReportedWorker> {
         let window = self.classes.longest_deduplication_window();
-        let WorkerTable { workers, sheet, named_pods, .. } = &mut self.workers;
+        let WorkerTable { workers, merged_inventory, named_pods, .. } = &mut self.workers;
         let worker = workers.get_mut(name)?;
-        let attributes = worker.attributes(&self.classes.names, sheet.as_deref(), named_pods);
+        let attributes = worker.attributes(&self.classes.names, merged_inventory.as_deref(), named_pods);
         let isolated_before = (worker.pod.isolated_until, worker.zone.isolated_until);
         let reported = ReportedWorker {
             state: worker.host.state,
--- a/crates/service/engine/src/workers/inventory.rs
+++ b/crates/service/engine/src/workers/inventory.rs
@@ -3,31 +3,32 @@
 use crate::{Effect, Engine, InventoryUpdate, InventoryVersion};
 use spanlead_balancing_policy::{EndpointUpdate, Nanos, WorkerState};
 use spanlead_deployment_settings::index_of;
-use spanlead_worker_attributes::Sheet;
+use spanlead_worker_attributes::MergedInventory;
 use std::sync::Arc;
 
 impl Engine {
     /// Inventories say something else from now on. If a class that has a worker would have none by
     /// it, nothing changes, unless an operator wants it all the same.
     pub(crate) fn inventory_updated(&mut self, now: Nanos, update: InventoryUpdate, out: &mut Vec<Effect>) {
-        let InventoryUpdate { sheet, by, forced } = update;
-        if !forced && let Some(reason) = self.class_without_worker(&sheet) {
+        let InventoryUpdate { merged_inventory, by, forced } = update;
+        if !forced && let Some(reason) = self.class_without_worker(&merged_inventory) {
             if let Some(InventoryVersion { name, number }) = by {
                 out.push(Effect::InventoryRejected { name, version: number, reason });
             }
             return;
         }
-        self.workers.sheet = Some(sheet).filter(|sheet| !sheet.is_empty());
+        self.workers.merged_inventory =
+            Some(merged_inventory).filter(|merged_inventory| !merged_inventory.is_empty());
         self.workers.to_recheck = self.workers.workers.keys().cloned().collect();
         self.process_slice(now, EndpointUpdate::Delta, out);
     }
 
     /// Why these inventories cannot be used: a class has a worker now and would have none by them.
-    fn class_without_worker(&self, sheet: &Sheet) -> Option<String> {
+    fn class_without_worker(&self, merged_inventory: &MergedInventory) -> Option<String> {
         let ready = || self.workers.iter().filter(|worker| worker.host.state == WorkerState::Ready);
         for needed in self.classes.machine_kinds() {
             let has_now = ready().any(|worker| worker.reported.is_some_and(|it| it.kind == needed.kind));
-            if has_now && !ready().any(|worker| self.kind_by(worker, sheet) == Some(needed.kind)) {
+            if has_now && !ready().any(|worker| self.kind_by(worker, merged_inventory) == Some(needed.kind)) {
                 let names = &self.classes.names;
                 let class = &names.classes[needed.class as usize];
                 let kind = &names.kinds[needed.kind as usize];
@@ -38,11 +39,12 @@
     }
 
     /// The kind of a worker by these inventories.
-    fn kind_by(&self, worker: &Worker, sheet: &Sheet) -> Option<u32> {
+    fn kind_by(&self, worker: &Worker, merged_inventory: &MergedInventory) -> Option<u32> {
         let listed = worker.host.kind.filter(|kind| *kind != UNKNOWN_NUMBER);
         let name = normal_name(&worker.host.name);
-        let stated: Option<Arc<str>> =
-            sheet.kind(&name).and_then(|fact| fact.value.or(sheet.defaults.kind.as_ref()).cloned());
+        let stated: Option<Arc<str>> = merged_inventory
+            .kind(&name)
+            .and_then(|fact| fact.value.or(merged_inventory.defaults.kind.as_ref()).cloned());
         listed.or_else(|| index_of(&self.classes.names.kinds, &stated?))
     }
 }
--- a/crates/service/engine/src/workers/views.rs
+++ b/crates/service/engine/src/workers/views.rs
@@ -3,13 +3,13 @@
 use crate::{Engine, HostView, InventoryStats, MS};
 use rustc_hash::FxHashMap;
 use spanlead_balancing_policy::{Nanos, WorkerState};
-use spanlead_worker_attributes::{LiveHost, Sheet, normal, provenance};
+use spanlead_worker_attributes::{LiveHost, MergedInventory, normalize_host_name, provenance};
 use std::sync::Arc;
 
 impl Engine {
     /// What inventories say.
-    pub fn sheet(&self) -> Option<&Arc<Sheet>> {
-        self.workers.sheet.as_ref()
+    pub fn merged_inventory(&self) -> Option<&Arc<MergedInventory>> {
+        self.workers.merged_inventory.as_ref()
     }
 
     /// The endpoint list with names for numbers, to compare it with what inventories say.
@@ -27,7 +27,7 @@
             let pod = |cell| pods.entry(cell).or_insert_with(|| cell.to_string().into()).clone();
             LiveHost {
                 name: host.name.clone(),
-                normal: worker.normal_name.clone().unwrap_or_else(|| normal_name(&host.name)),
+                normalized_name: worker.normal_name.clone().unwrap_or_else(|| normal_name(&host.name)),
                 zone: name_of(&zones, host.zone),
                 pod: host.cell.map(pod),
                 kind: name_of(&kinds, host.kind),
@@ -43,8 +43,8 @@
     pub fn worker_view(&self, now: Nanos, name: &str) -> Option<HostView> {
         let worker = self.worker_by_any_name(name)?;
         let host = &worker.host;
-        let empty = Sheet::default();
-        let sheet = self.workers.sheet.as_deref().unwrap_or(&empty);
+        let empty = MergedInventory::default();
+        let merged_inventory = self.workers.merged_inventory.as_deref().unwrap_or(&empty);
         let state = match host.state {
             WorkerState::Ready => "ready",
             WorkerState::Draining => "draining",
@@ -55,15 +55,16 @@
         Some(HostView {
             host: host.name.clone(),
             state,
-            facts: provenance(&self.listed_attributes(worker), sheet),
+            facts: provenance(&self.listed_attributes(worker), merged_inventory),
             apart: isolated.map(|(name, _)| name).collect(),
         })
     }
 
     /// The worker of this name, or of another spelling of it.
     fn worker_by_any_name(&self, name: &str) -> Option<&Worker> {
-        let wanted = normal(name).ok()?;
-        let is_wanted = |worker: &&Worker| normal(&worker.host.name).is_ok_and(|name| name == wanted);
+        let wanted = normalize_host_name(name).ok()?;
+        let is_wanted =
+            |worker: &&Worker| normalize_host_name(&worker.host.name).is_ok_and(|name| name == wanted);
         self.workers.get(name).or_else(|| self.workers.iter().find(is_wanted))
     }
 
@@ -76,7 +77,7 @@
         };
         LiveHost {
             name: host.name.clone(),
-            normal: normal_name(&host.name),
+            normalized_name: normal_name(&host.name),
             zone: name_of(&names.zones, host.zone),
             pod: host.cell.map(|cell| cell.to_string().into()),
             kind: name_of(&names.kinds, host.kind),
@@ -87,11 +88,11 @@
     }
 
     pub(crate) fn inventory_stats(&self, now: Nanos) -> Option<InventoryStats> {
-        let sheet = self.workers.sheet.as_ref()?;
+        let merged_inventory = self.workers.merged_inventory.as_ref()?;
         let is_isolated = |worker: &&Worker| worker.pod.is_isolated(now) || worker.zone.is_isolated(now);
         Some(InventoryStats {
-            inventories: sheet.sources.len(),
-            hosts: sheet.sources.iter().map(|source| source.version.rows.len()).sum(),
+            inventories: merged_inventory.sources.len(),
+            hosts: merged_inventory.sources.iter().map(|source| source.version.hosts.len()).sum(),
             matched: self.workers.listed().filter(|worker| worker.is_in_inventory).count(),
             apart: self.workers.listed().filter(is_isolated).count(),
             pending: self.workers.incoming.len() + self.workers.to_recheck.len(),
--- a/crates/service/engine/tests/members.rs
+++ b/crates/service/engine/tests/members.rs
@@ -7,7 +7,9 @@
 use spanlead_engine::{
     AttemptId, DispatchResult, Effect, Engine, Input, InventoryUpdate, InventoryVersion, Job, WorkerEndpoint,
 };
-use spanlead_worker_attributes::{Defaults, Place, Row, Said, Sheet, Source, Version};
+use spanlead_worker_attributes::{
+    AttributeValue, DefaultAttributes, HostRecord, InventorySource, MergedInventory, SourceLocation, Version,
+};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -93,10 +95,10 @@
         (request_id, effects)
     }
 
-    fn offer(&mut self, rows: &[(&str, Row)]) -> Vec<Effect> {
-        let sheet = sheet(rows);
+    fn offer(&mut self, rows: &[(&str, HostRecord)]) -> Vec<Effect> {
+        let merged_inventory = merged_inventory(rows);
         self.step(Input::InventoryUpdated(InventoryUpdate {
-            sheet: sheet.into(),
+            merged_inventory: merged_inventory.into(),
             by: Some(InventoryVersion { name: "clubs".into(), number: 1 }),
             forced: false,
         }))
@@ -133,26 +135,26 @@
     }
 }
 
-fn sheet(rows: &[(&str, Row)]) -> Sheet {
+fn merged_inventory(rows: &[(&str, HostRecord)]) -> MergedInventory {
     let rows = rows.iter().map(|(name, row)| (Arc::from(*name), row.clone())).collect();
     let version = Version {
         number: 1,
         digest: "d".into(),
         read_ms: 1,
         files: vec!["hosts.csv".into()],
-        rows,
-        refusals: Vec::new(),
+        hosts: rows,
+        diagnostics: Vec::new(),
     };
-    let source = Source { name: "clubs".into(), weight_first: false, version: version.into() };
-    Sheet { sources: vec![source], defaults: Defaults::default() }
+    let source = InventorySource { name: "clubs".into(), weight_first: false, version: version.into() };
+    MergedInventory { sources: vec![source], defaults: DefaultAttributes::default() }
 }
 
-fn this<T>(value: T) -> Said<T> {
-    Said::This(value, Place::default())
+fn this<T>(value: T) -> AttributeValue<T> {
+    AttributeValue::Known(value, SourceLocation::default())
 }
 
-fn pod(name: &str) -> Row {
-    Row { pod: this(name.into()), ..Row::default() }
+fn pod(name: &str) -> HostRecord {
+    HostRecord { pod: this(name.into()), ..HostRecord::default() }
 }
 
 /// Where a request whose first attempt broke goes next, with these pods; the same for many
@@ -178,8 +180,11 @@
     assert!(followers(&mut world, 12).iter().all(|(_, next)| next.is_none()));
     // A file that says it: within the pod, and nowhere else. One whose word is in dispute is in
     // none.
-    let disputed = Row {
-        pod: Said::Disputed(vec![("a".into(), Place::default()), ("b".into(), Place::default())]),
+    let disputed = HostRecord {
+        pod: AttributeValue::Conflicting(vec![
+            ("a".into(), SourceLocation::default()),
+            ("b".into(), SourceLocation::default()),
+        ]),
         ..pod("a")
     };
     world.offer(&[("w1", pod("a")), ("w2", pod("a")), ("w3", pod("b")), ("w4", disputed)]);
@@ -215,11 +220,12 @@
     let mut known = host("w1", 1);
     (known.cell, known.weight) = (Some(7), Some(1.0));
     let mut world = World::new(vec![known]);
-    let other = Row { zone: this("kista".into()), kind: this("slow".into()), weight: this(9.0), ..pod("8") };
+    let other =
+        HostRecord { zone: this("kista".into()), kind: this("slow".into()), weight: this(9.0), ..pod("8") };
     world.offer(&[("w1", other.clone()), ("ghost", other)]);
     let view = world.engine.worker_view(world.now, "W1.").expect("listed");
     let said = |fact: &str| {
-        let known = view.facts.iter().find(|k| k.fact.name() == fact).expect("a fact");
+        let known = view.facts.iter().find(|k| k.attribute.name() == fact).expect("a fact");
         (known.value.clone().unwrap_or_default(), known.from.clone())
     };
     let list = |value: &str| (value.to_owned(), "list".to_owned());
@@ -244,14 +250,14 @@
 fn a_version_that_leaves_a_class_without_a_worker_is_turned_down_unless_forced() {
     let silent = WorkerEndpoint { kind: None, ..host("w1", 1) };
     let mut world = World::new(vec![silent, host("w2", 2)]);
-    let slow = Row { kind: this("slow".into()), ..Row::default() };
+    let slow = HostRecord { kind: this("slow".into()), ..HostRecord::default() };
     world.offer(&[("w1", slow)]);
     let (request_id, mut effects) = world.request(1);
     effects.extend(world.pass(world.now + 500 * MS));
     assert_eq!(World::sent(&effects).map(|(_, port)| port), Some(1));
     world.step(Input::ClientDisconnected { request_id });
 
-    let std = Row { kind: this("std".into()), ..Row::default() };
+    let std = HostRecord { kind: this("std".into()), ..HostRecord::default() };
     let effects = world.offer(&[("w1", std.clone())]);
     assert!(
         matches!(&effects[..], [Effect::InventoryRejected { reason, version: 1, .. }] if reason.contains("class settle")),
@@ -260,7 +266,8 @@
     let kind =
         |world: &World| world.engine.worker_view(world.now, "w1").expect("listed").facts[2].value.clone();
     assert_eq!(kind(&world).as_deref(), Some("slow"), "the one before goes on");
-    let forced = InventoryUpdate { sheet: sheet(&[("w1", std)]).into(), by: None, forced: true };
+    let forced =
+        InventoryUpdate { merged_inventory: merged_inventory(&[("w1", std)]).into(), by: None, forced: true };
     world.step(Input::InventoryUpdated(forced));
     assert_eq!(kind(&world).as_deref(), Some("std"));
 }
@@ -325,8 +332,8 @@
     let mut world = World::new((0..3000).map(|i| host(&format!("w{i}"), i)).collect());
     world.pass(world.now + 20 * MS);
     let names: Vec<String> = (0..3000).map(|i| format!("w{i}")).collect();
-    let rows: Vec<(&str, Row)> =
-        names.iter().map(|n| (n.as_str(), Row { weight: this(2.0), ..pod("a") })).collect();
+    let rows: Vec<(&str, HostRecord)> =
+        names.iter().map(|n| (n.as_str(), HostRecord { weight: this(2.0), ..pod("a") })).collect();
     world.offer(&rows);
     assert!(world.engine.has_pending_list_changes());
     world.pass(world.now + 20 * MS);
--- a/crates/service/inventory/examples/read.rs
+++ b/crates/service/inventory/examples/read.rs
@@ -3,9 +3,10 @@
 //! For each size and form: the file's size, the time to read it, to judge it, to compare it with the version before and with
 //! a live list of the same hosts, and the peak of memory beyond the file itself. Medians of some rounds.
 use peak_alloc::PeakAlloc;
-use spanlead_inventory::{Bundle, Form, Reading, Text, read};
+use spanlead_inventory::{Form, InventoryFiles, ReadOptions, SourceFile, read};
 use spanlead_worker_attributes::{
-    Defaults, Limits, LiveHost, Schema, Sheet, Shelf, Source, Verdict, Vocabulary, judge, reconcile,
+    DefaultAttributes, InventorySource, InventoryVersions, LiveHost, MergedInventory, Schema, UpdateLimits,
+    UpdateOutcome, Vocabulary, reconcile, validate,
 };
 use std::fmt::Write;
 use std::sync::Arc;
@@ -57,14 +58,14 @@
         for hosts in [100, 1_000, 10_000, 100_000] {
             let mut rounds = Vec::new();
             let (mut peak, mut size) = (0, 0);
-            let limits = Limits { refuse_over: 1.0, hold_over: 1.0 };
-            let mut shelf = Shelf::new("clubs", limits);
+            let limits = UpdateLimits { max_skipped_fraction: 1.0, max_changed_fraction: 1.0 };
+            let mut versions = InventoryVersions::new("clubs", limits);
             for round in 0..ROUNDS {
                 let text = file(form, hosts, round);
                 size = text.len();
-                let main = Some(Text { name: "hosts".into(), bytes: text.into_bytes() });
-                let reading = Reading { form: Some(form), ..Reading::default() };
-                let bundle = Bundle { main, ..Bundle::default() };
+                let main = Some(SourceFile { name: "hosts".into(), bytes: text.into_bytes() });
+                let options = ReadOptions { form: Some(form), ..ReadOptions::default() };
+                let files = InventoryFiles { main, ..InventoryFiles::default() };
                 PEAK.reset_peak_usage();
                 let before = PEAK.current_usage();
                 let mut times = Vec::new();
@@ -73,29 +74,32 @@
                     times.push(begun.elapsed().as_secs_f64() * 1000.0);
                     begun = Instant::now();
                 };
-                let raw = read(&bundle, &reading);
+                let raw = read(&files, &options);
                 lap();
-                let judged = judge(raw, &schema);
+                let validated = validate(raw, &schema);
                 lap();
-                assert!(judged.refusals.is_empty(), "{:?}", judged.refusals.first());
-                let verdict = shelf.offer(judged, &format!("{round}"), 1);
+                assert!(validated.diagnostics.is_empty(), "{:?}", validated.diagnostics.first());
+                let verdict = versions.update(validated, &format!("{round}"), 1);
                 lap();
                 peak = peak.max(PEAK.peak_usage().saturating_sub(before));
-                let Verdict::Taken(version) = verdict else { panic!("it is taken") };
+                let UpdateOutcome::Accepted(version) = verdict else { panic!("it is taken") };
                 let live: Vec<LiveHost> = version
-                    .rows
+                    .hosts
                     .keys()
                     .map(|name| LiveHost {
                         name: name.clone(),
-                        normal: name.clone(),
+                        normalized_name: name.clone(),
                         weight: Some(1.0),
                         ..LiveHost::default()
                     })
                     .collect();
-                let source = Source { name: "clubs".into(), weight_first: false, version };
-                let sheet = Arc::new(Sheet { sources: vec![source], defaults: Defaults::default() });
+                let source = InventorySource { name: "clubs".into(), weight_first: false, version };
+                let merged_inventory = Arc::new(MergedInventory {
+                    sources: vec![source],
+                    defaults: DefaultAttributes::default(),
+                });
                 let begun = Instant::now();
-                let report = reconcile(&live, &sheet, 2, 1000);
+                let report = reconcile(&live, &merged_inventory, 2, 1000);
                 times.push(begun.elapsed().as_secs_f64() * 1000.0);
                 assert_eq!(report.counts.matched, hosts);
                 rounds.push(times);
--- a/crates/service/inventory/src/archive.rs
+++ b/crates/service/inventory/src/archive.rs
@@ -64,7 +64,7 @@
     }
 
     /// Forgets a version that turned out not to be usable.
-    pub fn withdraw(&self, number: u64) {
+    pub fn remove(&self, number: u64) {
         if let Err(error) = fs::remove_file(self.path(number)) {
             tracing::warn!(%error, number, "a version that is not used could not be removed");
         }
--- a/crates/service/inventory/src/convert.rs
+++ b/crates/service/inventory/src/convert.rs
@@ -1,12 +1,12 @@
 //! An inventory written anew, in the form that is wanted.
 use csv::Writer;
 use serde_json::{Map, Value, json};
-use spanlead_worker_attributes::{Fact, Row, Said, Version};
+use spanlead_worker_attributes::{Attribute, AttributeValue, HostRecord, Version};
 use std::io;
 
 /// The form to write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum To {
+pub enum OutputFormat {
     /// A table with a header.
     Csv,
     /// A list of hosts in YAML.
@@ -15,22 +15,23 @@
     Json,
 }
 
-fn hosts(version: &Version) -> Vec<(&str, &Row)> {
-    let mut hosts: Vec<(&str, &Row)> = version.rows.iter().map(|(name, row)| (&**name, row)).collect();
+fn hosts(version: &Version) -> Vec<(&str, &HostRecord)> {
+    let mut hosts: Vec<(&str, &HostRecord)> =
+        version.hosts.iter().map(|(name, record)| (&**name, record)).collect();
     hosts.sort_unstable_by_key(|(name, _)| *name);
     hosts
 }
 
 /// A fact's one value. One that is in dispute has none: it would come back as something that was said.
-fn value(row: &Row, fact: Fact) -> Option<Value> {
-    match fact {
-        Fact::Zone => row.zone.value().map(|w| json!(&**w)),
-        Fact::Pod => row.pod.value().map(|w| json!(&**w)),
-        Fact::Kind => row.kind.value().map(|w| json!(&**w)),
-        Fact::Weight => row.weight.value().map(|n| json!(n)),
-        Fact::Slots => row.slots.value().map(|n| json!(n)),
-        Fact::Labels => match &row.labels {
-            Said::This(labels, _) if !labels.is_empty() => Some(json!(&**labels)),
+fn value(record: &HostRecord, attribute: Attribute) -> Option<Value> {
+    match attribute {
+        Attribute::Zone => record.zone.value().map(|w| json!(&**w)),
+        Attribute::Pod => record.pod.value().map(|w| json!(&**w)),
+        Attribute::Kind => record.kind.value().map(|w| json!(&**w)),
+        Attribute::Weight => record.weight.value().map(|n| json!(n)),
+        Attribute::Slots => record.slots.value().map(|n| json!(n)),
+        Attribute::Labels => match &record.labels {
+            AttributeValue::Known(labels, _) if !labels.is_empty() => Some(json!(&**labels)),
             _ => None,
         },
     }
@@ -40,14 +41,14 @@
 ///
 /// # Errors
 /// If `out` can't be written to.
-pub fn write(version: &Version, to: To, mut out: impl io::Write) -> io::Result<()> {
+pub fn write(version: &Version, to: OutputFormat, mut out: impl io::Write) -> io::Result<()> {
     match to {
-        To::Csv => table(version, out),
-        To::Json => {
+        OutputFormat::Csv => table(version, out),
+        OutputFormat::Json => {
             serde_json::to_writer_pretty(&mut out, &objects(version))?;
             writeln!(out)
         }
-        To::Yaml => {
+        OutputFormat::Yaml => {
             // JSON is YAML: a flow mapping a line needs no quoting rules of our own.
             for object in objects(version) {
                 writeln!(out, "- {object}")?;
@@ -58,9 +59,11 @@
 }
 
 fn objects(version: &Version) -> Vec<Value> {
-    let object = |(name, row): (&str, &Row)| {
+    let object = |(name, record): (&str, &HostRecord)| {
         let mut object = Map::from_iter([("host".to_owned(), json!(name))]);
-        object.extend(Fact::ALL.into_iter().filter_map(|f| Some((f.name().to_owned(), value(row, f)?))));
+        object.extend(
+            Attribute::ALL.into_iter().filter_map(|f| Some((f.name().to_owned(), value(record, f)?))),
+        );
         Value::Object(object)
     };
     hosts(version).into_iter().map(object).collect()
@@ -68,16 +71,16 @@
 
 fn table(version: &Version, out: impl io::Write) -> io::Result<()> {
     let mut table = Writer::from_writer(out);
-    let names = Fact::ALL.into_iter().map(Fact::name);
+    let names = Attribute::ALL.into_iter().map(Attribute::name);
     table.write_record(std::iter::once("host").chain(names))?;
-    for (name, row) in hosts(version) {
-        let cell = |fact| match value(row, fact) {
+    for (name, record) in hosts(version) {
+        let cell = |attribute| match value(record, attribute) {
             Some(Value::String(text)) => text,
-            Some(Value::Object(_)) => row.show(fact).unwrap_or_default(),
+            Some(Value::Object(_)) => record.describe(attribute).unwrap_or_default(),
             Some(other) => other.to_string(),
             None => String::new(),
         };
-        table.write_record(std::iter::once(name.to_owned()).chain(Fact::ALL.into_iter().map(cell)))?;
+        table.write_record(std::iter::once(name.to_owned()).chain(Attribute::ALL.into_iter().map(cell)))?;
     }
     table.flush()
 }
--- a/crates/service/inventory/src/lib.rs
+++ b/crates/service/inventory/src/lib.rs
@@ -1,68 +1,59 @@
-//! Inventories as tools keep them: tables in CSV, lists of hosts in YAML, and the nested form of Ansible's inventories.
+//! Inventories as operators' tools keep them: tables in CSV, lists of hosts in YAML, and the nested
+//! groups of Ansible's inventories.
 //!
-//! Reading is apart from judging (`spanlead-facts`): a reader says what stands where, with line and column, and never fails
-//! otherwise than by a refusal that names its place. The readers take bytes; only [`files`], [`archive`] and [`desk`] know
-//! of disks.
+//! Reading is separate from validation (`spanlead-worker-attributes`): a reader extracts what is
+//! stated where, with line and column, and reports what it cannot use as diagnostics with locations.
+//! The readers take bytes; only [`files`], [`archive`] and [`service`] use the disk.
+#![warn(missing_docs, unreachable_pub, clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
 mod ansible;
 pub mod archive;
+mod change_notifier;
 pub mod convert;
-pub mod desk;
+mod examine;
 pub mod files;
+mod managed_inventory;
+mod manager;
 mod mapping;
 mod plain;
 mod ranges;
+pub mod service;
+mod settings;
+mod source;
+mod status;
 mod table;
+mod variable_files;
 mod yaml;
 
-pub use mapping::{Form, Mapping, Reading, Target};
+pub use examine::{ExaminedInventory, FileChanging, examine};
+pub use mapping::{ColumnTarget, Form, MappedColumn, Mapping, ReadOptions};
+pub use settings::{default_attributes, read_options};
+pub use source::{InventoryFiles, SourceFile};
 pub use spanlead_conf_file::Delimiter;
 
-use spanlead_worker_attributes::{Place, RawFile, Refusal};
-use std::collections::BTreeMap;
+use spanlead_worker_attributes::{Diagnostic, RawInventory, SourceLocation};
 use std::sync::Arc;
 
-/// A file's name, as it stands in messages, and its bytes.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Text {
-    /// The name.
-    pub name: Arc<str>,
-    /// The bytes.
-    pub bytes: Vec<u8>,
-}
-
-/// An inventory's file and those that belong to it, read but not understood.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Bundle {
-    /// The inventory itself.
-    pub main: Option<Text>,
-    /// Variables of groups beside it, `group_vars/NAME`; several files of one group in their order.
-    pub group_vars: BTreeMap<String, Vec<Text>>,
-    /// Variables of hosts beside it, `host_vars/NAME`.
-    pub host_vars: BTreeMap<String, Vec<Text>>,
-}
-
-/// Reads an inventory.
-pub fn read(bundle: &Bundle, reading: &Reading) -> RawFile {
-    let Some(main) = &bundle.main else {
-        return refused(Arc::from("?"), Refusal::whole(Place::default(), "", "there is no file"));
+/// Reads an inventory. A file that cannot be read yields no hosts, and a diagnostic.
+pub fn read(files: &InventoryFiles, options: &ReadOptions) -> RawInventory {
+    let Some(main) = &files.main else {
+        let diagnostic = Diagnostic::file_rejected(SourceLocation::default(), "", "there is no file");
+        return rejected(Arc::from("?"), diagnostic);
+    };
+    let form = options.form_of(&main.name);
+    if form == Form::Csv {
+        return table::read(&main.name, main.text(), options);
+    }
+    let tree = match yaml::load(main.text(), 0) {
+        Ok(tree) => tree,
+        Err(diagnostic) => return rejected(main.name.clone(), diagnostic),
     };
-    let bytes = main.bytes.strip_prefix(b"\xef\xbb\xbf").unwrap_or(&main.bytes);
-    match reading.form_of(&main.name) {
-        Form::Csv => table::read(&main.name, bytes, reading),
-        form => {
-            let tree = match yaml::load(bytes, 0) {
-                Ok(tree) => tree,
-                Err(refusal) => return refused(main.name.clone(), refusal),
-            };
-            match form {
-                Form::Hosts => plain::read(&main.name, &tree, reading),
-                Form::Yaml if plain::is_list(&tree) => plain::read(&main.name, &tree, reading),
-                _ => ansible::read(&main.name, &tree, bundle, reading),
-            }
-        }
+    match form {
+        Form::Hosts => plain::read(&main.name, &tree, options),
+        Form::Yaml if plain::is_list(&tree) => plain::read(&main.name, &tree, options),
+        _ => ansible::read(&main.name, &tree, files, options),
     }
 }
 
-fn refused(name: Arc<str>, refusal: Refusal) -> RawFile {
-    RawFile { files: vec![name], refusals: vec![refusal], ..RawFile::default() }
+fn rejected(name: Arc<str>, diagnostic: Diagnostic) -> RawInventory {
+    RawInventory { files: vec![name], diagnostics: vec![diagnostic], ..RawInventory::default() }
 }
--- a/crates/service/inventory/src/mapping.rs
+++ b/crates/service/inventory/src/mapping.rs
@@ -1,9 +1,11 @@
-//! Which column or key is which fact.
+//! Which column or key of a file has which attribute, and how a file is read.
 use spanlead_conf_file::Delimiter;
-use spanlead_worker_attributes::Fact;
+use spanlead_worker_attributes::Attribute;
 
-/// The names that a host's column or key has where nothing else is set.
-const HOST: [&str; 3] = ["host", "hostname", "name"];
+/// The names of a host's column or key, unless the settings give another one.
+const HOST_COLUMNS: [&str; 3] = ["host", "hostname", "name"];
+/// The most hosts, unless the settings give another limit.
+const DEFAULT_MAX_HOSTS: usize = 100_000;
 
 /// The form of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -14,77 +16,93 @@
     Yaml,
     /// A list of hosts in YAML.
     Hosts,
-    /// Groups in YAML, as Ansible keeps them.
+    /// Nested groups in YAML, as Ansible's inventories are.
     Ansible,
 }
 
-/// What a column or key is.
+/// What a column or key states.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Target {
-    /// A fact.
-    Fact(Fact),
-    /// A label of that name.
+pub enum ColumnTarget {
+    /// An attribute.
+    Attribute(Attribute),
+    /// A label of this name.
     Label(String),
 }
 
-/// Which column or key is which fact.
+/// A column or key whose name the settings give.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct MappedColumn {
+    /// What it states.
+    pub target: ColumnTarget,
+    /// Its name in the file.
+    pub column: String,
+}
+
+/// Which column or key states what. Names are compared without regard to case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Mapping {
-    /// The host's, if it is set.
+    /// The host's column, if the settings name it.
     pub host: Option<String>,
-    /// Those that are set; the others are sought under the fact's own name.
-    pub set: Vec<(Target, String)>,
+    /// The columns that the settings name; other attributes have columns of their own names.
+    pub columns: Vec<MappedColumn>,
 }
 
 impl Mapping {
-    /// What a column or key is, if it is anything. Names are compared without regard to case.
-    pub fn target(&self, key: &str) -> Option<Target> {
-        if let Some((target, _)) = self.set.iter().find(|(_, k)| k.eq_ignore_ascii_case(key)) {
-            return Some(target.clone());
+    /// What a column or key states, if anything.
+    pub fn target(&self, key: &str) -> Option<ColumnTarget> {
+        let is_mapped = |mapped: &&MappedColumn| mapped.column.eq_ignore_ascii_case(key);
+        if let Some(mapped) = self.columns.iter().find(is_mapped) {
+            return Some(mapped.target.clone());
         }
-        let fact = Fact::ALL.into_iter().find(|f| f.name().eq_ignore_ascii_case(key))?;
-        let elsewhere = self.set.iter().any(|(t, _)| *t == Target::Fact(fact));
-        (!elsewhere).then_some(Target::Fact(fact))
+        let is_named = |attribute: &Attribute| attribute.name().eq_ignore_ascii_case(key);
+        let target = ColumnTarget::Attribute(Attribute::ALL.into_iter().find(is_named)?);
+        let has_other_column = self.columns.iter().any(|mapped| mapped.target == target);
+        (!has_other_column).then_some(target)
     }
 
-    /// Whether a column or key is the host's.
+    /// Whether a column or key names the host.
     pub fn is_host(&self, key: &str) -> bool {
         match &self.host {
             Some(host) => host.eq_ignore_ascii_case(key),
-            None => HOST.iter().any(|h| h.eq_ignore_ascii_case(key)),
+            None => HOST_COLUMNS.iter().any(|host| host.eq_ignore_ascii_case(key)),
         }
     }
 
-    /// The host's column or key, for messages.
-    pub fn host_name(&self) -> &str {
-        self.host.as_deref().unwrap_or(HOST[0])
+    /// The name of the host's column or key, for messages.
+    pub fn host_column(&self) -> &str {
+        self.host.as_deref().unwrap_or(HOST_COLUMNS[0])
     }
 }
 
 /// How a file is read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reading {
-    /// Its form; by its name's ending where that is not set.
+pub struct ReadOptions {
+    /// Its form; if unset, it follows from the ending of its name.
     pub form: Option<Form>,
-    /// What stands between fields.
+    /// The delimiter of a table's fields.
     pub delimiter: Delimiter,
-    /// Which column or key is which fact.
+    /// Which column or key states what.
     pub mapping: Mapping,
     /// The most hosts.
-    pub hosts: usize,
+    pub max_hosts: usize,
 }
 
-impl Default for Reading {
+impl Default for ReadOptions {
     fn default() -> Self {
-        Reading { form: None, delimiter: Delimiter::Auto, mapping: Mapping::default(), hosts: 100_000 }
+        ReadOptions {
+            form: None,
+            delimiter: Delimiter::Auto,
+            mapping: Mapping::default(),
+            max_hosts: DEFAULT_MAX_HOSTS,
+        }
     }
 }
 
-impl Reading {
-    /// The form of a file of that name.
+impl ReadOptions {
+    /// The form of a file of this name.
     pub fn form_of(&self, name: &str) -> Form {
         let ending = name.rsplit('.').next().unwrap_or("").to_ascii_lowercase();
-        let by_ending = || if matches!(&*ending, "yml" | "yaml" | "json") { Form::Yaml } else { Form::Csv };
-        self.form.unwrap_or_else(by_ending)
+        let is_yaml = matches!(&*ending, "yml" | "yaml" | "json");
+        self.form.unwrap_or(if is_yaml { Form::Yaml } else { Form::Csv })
     }
 }
--- a/crates/service/inventory/src/plain.rs
+++ b/crates/service/inventory/src/plain.rs
@@ -1,8 +1,10 @@
 //! A plain list of hosts in YAML: a list of mappings, alone or under the key `hosts`; a bare word in it is a host of which
 //! nothing is said.
-use crate::mapping::{Reading, Target};
+use crate::mapping::{ColumnTarget, ReadOptions};
 use crate::yaml::{Node, Tree};
-use spanlead_worker_attributes::{Done, Fact, Item, Rank, Raw, RawFile, Refusal, Value};
+use spanlead_worker_attributes::{
+    Attribute, Diagnostic, DiagnosticEffect, Precedence, RawHost, RawInventory, RawValue, Statement,
+};
 use std::rc::Rc;
 use std::sync::Arc;
 
@@ -25,77 +27,97 @@
     list(tree).is_some()
 }
 
-pub(crate) fn read(name: &Arc<str>, tree: &Tree, reading: &Reading) -> RawFile {
-    let mut raw = RawFile {
+pub(crate) fn read(name: &Arc<str>, tree: &Tree, options: &ReadOptions) -> RawInventory {
+    let mut raw = RawInventory {
         files: vec![name.clone()],
         by_line: true,
-        host_key: Arc::from(reading.mapping.host_name()),
-        ..RawFile::default()
+        host_key: Arc::from(options.mapping.host_column()),
+        ..RawInventory::default()
     };
     let Some(list) = list(tree) else {
-        raw.refusals.push(Refusal::whole(tree.at, "", format!("is {}, not a list of hosts", tree.kind())));
+        raw.diagnostics.push(Diagnostic::file_rejected(
+            tree.location,
+            "",
+            format!("is {}, not a list of hosts", tree.kind()),
+        ));
         return raw;
     };
-    if list.len() > reading.hosts {
-        let why = format!("there are more than {} hosts", reading.hosts);
-        raw.refusals.push(Refusal::whole(list[reading.hosts].at, "", why));
+    if list.len() > options.max_hosts {
+        let why = format!("there are more than {} hosts", options.max_hosts);
+        raw.diagnostics.push(Diagnostic::file_rejected(list[options.max_hosts].location, "", why));
         return raw;
     }
     for entry in list {
-        let left_out = |key: &str, reason: String| Refusal {
-            at: entry.at,
+        let left_out = |key: &str, reason: String| Diagnostic {
+            location: entry.location,
             key: key.into(),
             reason,
-            done: Done::LineLeftOut,
+            effect: DiagnosticEffect::LineSkipped,
         };
         match &entry.node {
             Node::Map(pairs) => {
                 let mut names =
-                    pairs.iter().filter(|(k, _)| k.text().is_some_and(|k| reading.mapping.is_host(k)));
+                    pairs.iter().filter(|(k, _)| k.text().is_some_and(|k| options.mapping.is_host(k)));
                 let (Some((_, host)), None) = (names.next(), names.next()) else {
                     let why = "must stand once in each entry: it names the host";
-                    raw.refusals.push(left_out(reading.mapping.host_name(), why.into()));
+                    raw.diagnostics.push(left_out(options.mapping.host_column(), why.into()));
                     continue;
                 };
                 let Some(text) = host.text().filter(|_| !host.null()) else {
-                    raw.refusals.push(left_out(
-                        reading.mapping.host_name(),
+                    raw.diagnostics.push(left_out(
+                        options.mapping.host_column(),
                         format!("is {}, not a name", host.kind()),
                     ));
                     continue;
                 };
-                let items = items(pairs, reading, Rank::default());
-                raw.hosts.push(Raw { host: text.to_owned(), at: host.at, items });
+                let statements = statements(pairs, options, Precedence::default());
+                raw.hosts.push(RawHost { host: text.to_owned(), location: host.location, statements });
             }
             Node::Scalar { text, .. } if !entry.null() => {
-                raw.hosts.push(Raw { host: text.clone(), at: entry.at, items: Vec::new() });
+                raw.hosts.push(RawHost {
+                    host: text.clone(),
+                    location: entry.location,
+                    statements: Vec::new(),
+                });
             }
-            _ => raw.refusals.push(left_out("", format!("is {}, not a host", entry.kind()))),
+            _ => raw.diagnostics.push(left_out("", format!("is {}, not a host", entry.kind()))),
         }
     }
     raw
 }
 
 /// What a mapping states of facts.
-pub(crate) fn items(pairs: &[(Rc<Tree>, Rc<Tree>)], reading: &Reading, rank: Rank) -> Vec<Item> {
-    let mut items = Vec::new();
+pub(crate) fn statements(
+    pairs: &[(Rc<Tree>, Rc<Tree>)],
+    options: &ReadOptions,
+    precedence: Precedence,
+) -> Vec<Statement> {
+    let mut statements = Vec::new();
     for (key, value) in pairs {
-        let Some(name) = key.text().filter(|k| !reading.mapping.is_host(k)) else { continue };
-        let Some(target) = reading.mapping.target(name) else { continue };
+        let Some(name) = key.text().filter(|k| !options.mapping.is_host(k)) else { continue };
+        let Some(target) = options.mapping.target(name) else { continue };
         if value.null() {
             continue;
         }
-        let (fact, read) = match target {
-            Target::Fact(Fact::Labels) => (Fact::Labels, labels(value)),
-            Target::Fact(fact) => (fact, word(value).map_or_else(Value::Unreadable, Value::Text)),
-            Target::Label(label) => {
-                let one = word(value).map(|text| Value::Labels(vec![(label, text, value.at)]));
-                (Fact::Labels, one.unwrap_or_else(Value::Unreadable))
+        let (attribute, read) = match target {
+            ColumnTarget::Attribute(Attribute::Labels) => (Attribute::Labels, labels(value)),
+            ColumnTarget::Attribute(attribute) => {
+                (attribute, word(value).map_or_else(RawValue::Unreadable, RawValue::Text))
+            }
+            ColumnTarget::Label(label) => {
+                let one = word(value).map(|text| RawValue::Labels(vec![(label, text, value.location)]));
+                (Attribute::Labels, one.unwrap_or_else(RawValue::Unreadable))
             }
         };
-        items.push(Item { fact, key: Arc::from(name), value: read, at: value.at, rank });
+        statements.push(Statement {
+            attribute,
+            key: Arc::from(name),
+            value: read,
+            location: value.location,
+            precedence,
+        });
     }
-    items
+    statements
 }
 
 fn word(value: &Tree) -> Result<String, String> {
@@ -106,15 +128,19 @@
     }
 }
 
-fn labels(value: &Tree) -> Value {
+fn labels(value: &Tree) -> RawValue {
     let Node::Map(pairs) = &value.node else {
-        return word(value).map_or_else(Value::Unreadable, Value::Text);
+        return word(value).map_or_else(RawValue::Unreadable, RawValue::Text);
     };
     let pair = |(key, value): &(Rc<Tree>, Rc<Tree>)| {
         let key = key.text().ok_or_else(|| format!("a label's name is {}", key.kind()))?;
         let text =
             if value.null() { String::new() } else { word(value).map_err(|why| format!("{key}: {why}"))? };
-        Ok((key.to_owned(), text, value.at))
+        Ok((key.to_owned(), text, value.location))
     };
-    pairs.iter().map(pair).collect::<Result<Vec<_>, String>>().map_or_else(Value::Unreadable, Value::Labels)
+    pairs
+        .iter()
+        .map(pair)
+        .collect::<Result<Vec<_>, String>>()
+        .map_or_else(RawValue::Unreadable, RawValue::Labels)
 }
--- a/crates/service/inventory/src/table.rs
+++ b/crates/service/inventory/src/table.rs
@@ -2,9 +2,12 @@
 //! blank ones are passed over. Fields are the csv crate's; where they stand is found by walking the same bytes once more,
 //! since it tells neither columns nor the line of a record behind comments.
 use crate::Delimiter;
-use crate::mapping::{Reading, Target};
+use crate::mapping::{ColumnTarget, ReadOptions};
 use csv::{ByteRecord, ReaderBuilder, Trim};
-use spanlead_worker_attributes::{Done, Fact, Item, Place, Rank, Raw, RawFile, Refusal, Value};
+use spanlead_worker_attributes::{
+    Attribute, Diagnostic, DiagnosticEffect, Precedence, RawHost, RawInventory, RawValue, SourceLocation,
+    Statement,
+};
 use std::sync::Arc;
 
 /// A row longer than this is no host's: a quote that closes too late.
@@ -23,7 +26,7 @@
 enum Ended {
     Record,
     /// A quote that was opened there is never closed.
-    OpenQuote(Place),
+    OpenQuote(SourceLocation),
 }
 
 impl Walk<'_> {
@@ -45,17 +48,17 @@
     }
 
     /// Walks one record; the places of its fields go to `places`.
-    fn record(&mut self, places: &mut Vec<Place>) -> Ended {
+    fn record(&mut self, places: &mut Vec<SourceLocation>) -> Ended {
         places.clear();
-        let mut quoted: Option<Place> = None;
+        let mut quoted: Option<SourceLocation> = None;
         let (mut fresh, mut column) = (true, 1);
         while let Some(&byte) = self.text.get(self.byte) {
             if fresh {
-                let at = Place { file: 0, line: self.line, column };
-                places.push(at);
+                let location = SourceLocation { file: 0, line: self.line, column };
+                places.push(location);
                 fresh = false;
                 if byte == b'"' {
-                    quoted = Some(at);
+                    quoted = Some(location);
                     self.byte += 1;
                     column += 1;
                     continue;
@@ -86,7 +89,7 @@
             }
         }
         if fresh {
-            places.push(Place { file: 0, line: self.line, column });
+            places.push(SourceLocation { file: 0, line: self.line, column });
         }
         quoted.map_or(Ended::Record, Ended::OpenQuote)
     }
@@ -108,26 +111,26 @@
 /// What a column is.
 enum Column {
     Host,
-    Fact(Fact, Option<String>, Arc<str>),
+    Attribute(Attribute, Option<String>, Arc<str>),
     Other,
 }
 
-pub(crate) fn read(name: &Arc<str>, text: &[u8], reading: &Reading) -> RawFile {
-    let mut raw = RawFile {
+pub(crate) fn read(name: &Arc<str>, text: &[u8], options: &ReadOptions) -> RawInventory {
+    let mut raw = RawInventory {
         files: vec![name.clone()],
         by_line: true,
-        host_key: Arc::from(reading.mapping.host_name()),
-        ..RawFile::default()
+        host_key: Arc::from(options.mapping.host_column()),
+        ..RawInventory::default()
     };
-    if let Err(refusal) = rows(text, reading, &mut raw) {
+    if let Err(diagnostic) = rows(text, options, &mut raw) {
         raw.hosts.clear();
-        raw.refusals.push(refusal);
+        raw.diagnostics.push(diagnostic);
     }
     raw
 }
 
-fn rows(text: &[u8], reading: &Reading, raw: &mut RawFile) -> Result<(), Refusal> {
-    let delimiter = delimiter(text, reading.delimiter);
+fn rows(text: &[u8], options: &ReadOptions, raw: &mut RawInventory) -> Result<(), Diagnostic> {
+    let delimiter = delimiter(text, options.delimiter);
     let mut reader = ReaderBuilder::new()
         .delimiter(delimiter)
         .comment(Some(b'#'))
@@ -143,81 +146,109 @@
             break;
         }
         let begin = walk.byte;
-        if let Ended::OpenQuote(at) = walk.record(&mut places) {
-            return Err(Refusal::whole(at, "", "a quote that is opened here is never closed"));
+        if let Ended::OpenQuote(location) = walk.record(&mut places) {
+            return Err(Diagnostic::file_rejected(
+                location,
+                "",
+                "a quote that is opened here is never closed",
+            ));
         }
-        let at = places.first().copied().unwrap_or_default();
-        let there =
-            reader.read_byte_record(&mut record).map_err(|e| Refusal::whole(at, "", e.to_string()))?;
+        let location = places.first().copied().unwrap_or_default();
+        let there = reader
+            .read_byte_record(&mut record)
+            .map_err(|e| Diagnostic::file_rejected(location, "", e.to_string()))?;
         if !there || record.len() != places.len() {
             // A guard: the two ways to read it must never part, or a place would be a lie.
-            return Err(Refusal::whole(at, "", "the fields of this line can't be told apart"));
+            return Err(Diagnostic::file_rejected(
+                location,
+                "",
+                "the fields of this line can't be told apart",
+            ));
         }
         let Some(columns) = &columns else {
-            columns = Some(header(&record, &places, reading)?);
+            columns = Some(header(&record, &places, options)?);
             continue;
         };
-        let mut left_out = |at: Place, key: &str, reason: String| {
-            raw.refusals.push(Refusal { at, key: key.into(), reason, done: Done::LineLeftOut });
+        let mut left_out = |location: SourceLocation, key: &str, reason: String| {
+            raw.diagnostics.push(Diagnostic {
+                location,
+                key: key.into(),
+                reason,
+                effect: DiagnosticEffect::LineSkipped,
+            });
         };
         if walk.byte - begin > MAX_RECORD {
-            left_out(at, "", format!("is longer than {MAX_RECORD} bytes"));
+            left_out(location, "", format!("is longer than {MAX_RECORD} bytes"));
             continue;
         }
         if record.len() != columns.len() {
-            left_out(at, "", format!("has {} fields, the header {}", record.len(), columns.len()));
+            left_out(location, "", format!("has {} fields, the header {}", record.len(), columns.len()));
             continue;
         }
         match row(&record, &places, columns, &raw.host_key) {
             Ok(host) => raw.hosts.push(host),
-            Err((at, key, reason)) => left_out(at, &key, reason),
+            Err((location, key, reason)) => left_out(location, &key, reason),
         }
-        if raw.hosts.len() > reading.hosts {
-            return Err(Refusal::whole(at, "", format!("there are more than {} hosts", reading.hosts)));
+        if raw.hosts.len() > options.max_hosts {
+            return Err(Diagnostic::file_rejected(
+                location,
+                "",
+                format!("there are more than {} hosts", options.max_hosts),
+            ));
         }
     }
     match columns {
         Some(_) => Ok(()),
-        None => Err(Refusal::whole(Place::default(), "", "there is no header row")),
+        None => Err(Diagnostic::file_rejected(SourceLocation::default(), "", "there is no header row")),
     }
 }
 
-fn header(record: &ByteRecord, places: &[Place], reading: &Reading) -> Result<Vec<Column>, Refusal> {
-    let mapping = &reading.mapping;
+fn header(
+    record: &ByteRecord,
+    places: &[SourceLocation],
+    options: &ReadOptions,
+) -> Result<Vec<Column>, Diagnostic> {
+    let mapping = &options.mapping;
     if record.len() > MAX_COLUMNS {
-        return Err(Refusal::whole(places[0], "", format!("the header has more than {MAX_COLUMNS} columns")));
+        return Err(Diagnostic::file_rejected(
+            places[0],
+            "",
+            format!("the header has more than {MAX_COLUMNS} columns"),
+        ));
     }
     let mut columns = Vec::new();
-    let mut seen: Vec<(String, Place)> = Vec::new();
-    for (field, at) in record.iter().zip(places) {
+    let mut seen: Vec<(String, SourceLocation)> = Vec::new();
+    for (field, location) in record.iter().zip(places) {
         let Ok(name) = std::str::from_utf8(field) else {
-            return Err(Refusal::whole(*at, "", "the header is not UTF-8 text"));
+            return Err(Diagnostic::file_rejected(*location, "", "the header is not UTF-8 text"));
         };
         let host = mapping.is_host(name) && !columns.iter().any(|c| matches!(c, Column::Host));
         let target = if host { None } else { mapping.target(name) };
         if host || target.is_some() {
             if let Some((_, first)) = seen.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)) {
                 let why = format!("the column stands at {}:{} already", first.line, first.column);
-                return Err(Refusal::whole(*at, name, why));
+                return Err(Diagnostic::file_rejected(*location, name, why));
             }
-            seen.push((name.to_owned(), *at));
+            seen.push((name.to_owned(), *location));
         }
         columns.push(match target {
             _ if host => Column::Host,
-            Some(Target::Fact(fact)) => Column::Fact(fact, None, Arc::from(name)),
-            Some(Target::Label(label)) => Column::Fact(Fact::Labels, Some(label), Arc::from(name)),
+            Some(ColumnTarget::Attribute(attribute)) => Column::Attribute(attribute, None, Arc::from(name)),
+            Some(ColumnTarget::Label(label)) => {
+                Column::Attribute(Attribute::Labels, Some(label), Arc::from(name))
+            }
             None => Column::Other,
         });
     }
     let has = |wanted: &str| record.iter().any(|f| f.eq_ignore_ascii_case(wanted.as_bytes()));
     if !columns.iter().any(|c| matches!(c, Column::Host)) {
         let why = "the header has no such column, and it names the hosts";
-        return Err(Refusal::whole(places[0], mapping.host_name(), why));
+        return Err(Diagnostic::file_rejected(places[0], mapping.host_column(), why));
     }
-    match mapping.set.iter().find(|(_, column)| !has(column)) {
-        Some((_, column)) => Err(Refusal::whole(
+    match mapping.columns.iter().find(|mapped| !has(&mapped.column)) {
+        Some(mapped) => Err(Diagnostic::file_rejected(
             places[0],
-            column.as_str(),
+            mapped.column.as_str(),
             "the settings name this column, the header doesn't",
         )),
         None => Ok(columns),
@@ -227,29 +258,35 @@
 /// A row's host and what is said of it, or what is wrong with the row, and where.
 fn row(
     record: &ByteRecord,
-    places: &[Place],
+    places: &[SourceLocation],
     columns: &[Column],
     host_key: &str,
-) -> Result<Raw, (Place, String, String)> {
-    let mut raw = Raw { host: String::new(), at: places[0], items: Vec::new() };
-    for ((field, at), column) in record.iter().zip(places).zip(columns) {
+) -> Result<RawHost, (SourceLocation, String, String)> {
+    let mut raw = RawHost { host: String::new(), location: places[0], statements: Vec::new() };
+    for ((field, location), column) in record.iter().zip(places).zip(columns) {
         let key = match column {
             Column::Other => continue,
             Column::Host => host_key,
-            Column::Fact(_, _, key) => key,
+            Column::Attribute(_, _, key) => key,
         };
-        let text =
-            std::str::from_utf8(field).map_err(|_| (*at, key.to_owned(), "is not UTF-8 text".to_owned()))?;
+        let text = std::str::from_utf8(field)
+            .map_err(|_| (*location, key.to_owned(), "is not UTF-8 text".to_owned()))?;
         match column {
             Column::Other => {}
-            Column::Host => (raw.host, raw.at) = (text.to_owned(), *at),
-            Column::Fact(..) if text.is_empty() => {}
-            Column::Fact(fact, label, key) => {
+            Column::Host => (raw.host, raw.location) = (text.to_owned(), *location),
+            Column::Attribute(..) if text.is_empty() => {}
+            Column::Attribute(attribute, label, key) => {
                 let value = match label {
-                    Some(label) => Value::Labels(vec![(label.clone(), text.to_owned(), *at)]),
-                    None => Value::Text(text.to_owned()),
+                    Some(label) => RawValue::Labels(vec![(label.clone(), text.to_owned(), *location)]),
+                    None => RawValue::Text(text.to_owned()),
                 };
-                raw.items.push(Item { fact: *fact, key: key.clone(), value, at: *at, rank: Rank::default() });
+                raw.statements.push(Statement {
+                    attribute: *attribute,
+                    key: key.clone(),
+                    value,
+                    location: *location,
+                    precedence: Precedence::default(),
+                });
             }
         }
     }
--- a/crates/service/inventory/src/yaml.rs
+++ b/crates/service/inventory/src/yaml.rs
@@ -2,7 +2,7 @@
 //! in what its aliases stand for, so that no file takes more memory than a small multiple of its size (the "billion
 //! laughs"), and nothing is looked at twice for being named twice.
 use saphyr_parser::{Event, Parser, ScalarStyle, Span};
-use spanlead_worker_attributes::{Place, Refusal};
+use spanlead_worker_attributes::{Diagnostic, SourceLocation};
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -16,8 +16,8 @@
 /// A node and its place.
 #[derive(Clone, Debug)]
 pub(crate) struct Tree {
-    pub at: Place,
-    pub node: Node,
+    pub(crate) location: SourceLocation,
+    pub(crate) node: Node,
     /// Nodes in it, aliases worked out.
     size: usize,
 }
@@ -37,7 +37,7 @@
 
 impl Tree {
     /// The text of a scalar.
-    pub fn text(&self) -> Option<&str> {
+    pub(crate) fn text(&self) -> Option<&str> {
         match &self.node {
             Node::Scalar { text, .. } => Some(text),
             _ => None,
@@ -45,12 +45,12 @@
     }
 
     /// Whether it says nothing: an empty or null plain scalar.
-    pub fn null(&self) -> bool {
+    pub(crate) fn null(&self) -> bool {
         matches!(&self.node, Node::Scalar { text, plain: true, .. } if matches!(&**text, "" | "~" | "null" | "Null" | "NULL"))
     }
 
     /// What it is, for messages.
-    pub fn kind(&self) -> &'static str {
+    pub(crate) fn kind(&self) -> &'static str {
         match &self.node {
             Node::Scalar { .. } if self.null() => "nothing",
             Node::Scalar { .. } => "a word",
@@ -62,7 +62,7 @@
 
 /// A collection that is still open.
 struct Open {
-    at: Place,
+    location: SourceLocation,
     anchor: usize,
     size: usize,
     /// A map's key that waits for its value.
@@ -71,20 +71,20 @@
 }
 
 /// Reads the first document. `file` is the number that its places get.
-pub(crate) fn load(bytes: &[u8], file: u16) -> Result<Rc<Tree>, Refusal> {
+pub(crate) fn load(bytes: &[u8], file: u16) -> Result<Rc<Tree>, Diagnostic> {
     let text = std::str::from_utf8(bytes).map_err(|e| {
         let before = &bytes[..e.valid_up_to()];
         let line = before.iter().filter(|b| **b == b'\n').count() as u32 + 1;
-        Refusal::whole(Place { file, line, column: 0 }, "", "is not UTF-8 text")
+        Diagnostic::file_rejected(SourceLocation { file, line, column: 0 }, "", "is not UTF-8 text")
     })?;
-    let place = |span: &Span| Place {
+    let place = |span: &Span| SourceLocation {
         file,
         line: u32::try_from(span.start.line()).unwrap_or(u32::MAX),
         column: u32::try_from(span.start.col()).unwrap_or(u32::MAX).saturating_add(1),
     };
     if text.starts_with("$ANSIBLE_VAULT;") {
-        return Err(Refusal::whole(
-            Place { file, line: 1, column: 1 },
+        return Err(Diagnostic::file_rejected(
+            SourceLocation { file, line: 1, column: 1 },
             "",
             "is encrypted, and is not opened here",
         ));
@@ -94,20 +94,20 @@
     for event in Parser::new_from_str(text) {
         let (event, span) = event.map_err(|e| {
             let mark = e.marker();
-            let at = Place { file, line: mark.line() as u32, column: mark.col() as u32 + 1 };
-            Refusal::whole(at, "", format!("is not YAML: {}", e.info()))
+            let location = SourceLocation { file, line: mark.line() as u32, column: mark.col() as u32 + 1 };
+            Diagnostic::file_rejected(location, "", format!("is not YAML: {}", e.info()))
         })?;
-        let at = place(&span);
+        let location = place(&span);
         let done = match event {
             Event::Scalar(text, style, anchor, tag) => {
                 let tag = tag.filter(|t| !t.is_yaml_core_schema()).map(|t| t.to_string());
                 let node = Node::Scalar { text: text.into_owned(), plain: style == ScalarStyle::Plain, tag };
-                Some((Tree { at, node, size: 1 }, anchor))
+                Some((Tree { location, node, size: 1 }, anchor))
             }
             Event::Alias(anchor) => {
                 let Some(known) = anchors.get(&anchor) else {
-                    return Err(Refusal::whole(
-                        at,
+                    return Err(Diagnostic::file_rejected(
+                        location,
                         "",
                         "an alias of something that is not there, or holds this",
                     ));
@@ -115,26 +115,30 @@
                 aliased = aliased.saturating_add(known.size);
                 if aliased > MAX_ALIASED {
                     let why = format!("the aliases stand for more than {MAX_ALIASED} parts");
-                    return Err(Refusal::whole(at, "", why));
+                    return Err(Diagnostic::file_rejected(location, "", why));
                 }
                 // The place is the alias's: that is where it says so of this host.
-                Some((Tree { at, ..Tree::clone(known) }, 0))
+                Some((Tree { location, ..Tree::clone(known) }, 0))
             }
             Event::SequenceStart(anchor, _) | Event::MappingStart(anchor, _) => {
                 if stack.len() >= MAX_DEPTH {
-                    return Err(Refusal::whole(at, "", format!("is nested more than {MAX_DEPTH} deep")));
+                    return Err(Diagnostic::file_rejected(
+                        location,
+                        "",
+                        format!("is nested more than {MAX_DEPTH} deep"),
+                    ));
                 }
                 let list = matches!(event, Event::SequenceStart(..));
                 let node = if list { Node::List(Vec::new()) } else { Node::Map(Vec::new()) };
-                stack.push(Open { at, anchor, size: 1, key: None, node });
+                stack.push(Open { location, anchor, size: 1, key: None, node });
                 None
             }
             Event::SequenceEnd | Event::MappingEnd => stack.pop().map(|open| {
-                let Open { at, anchor, size, mut node, .. } = open;
+                let Open { location, anchor, size, mut node, .. } = open;
                 if let Node::Map(pairs) = &mut node {
                     merge(pairs);
                 }
-                (Tree { at, node, size }, anchor)
+                (Tree { location, node, size }, anchor)
             }),
             Event::DocumentEnd => break,
             Event::Nothing | Event::StreamStart | Event::StreamEnd | Event::DocumentStart(_) => None,
@@ -149,7 +153,11 @@
             Some(open) => {
                 open.size = open.size.saturating_add(tree.size);
                 if open.size > MAX_NODES {
-                    return Err(Refusal::whole(at, "", format!("has more than {MAX_NODES} parts")));
+                    return Err(Diagnostic::file_rejected(
+                        location,
+                        "",
+                        format!("has more than {MAX_NODES} parts"),
+                    ));
                 }
                 match (&mut open.node, open.key.take()) {
                     (Node::List(list), _) => list.push(tree),
@@ -160,7 +168,7 @@
             }
         }
     }
-    root.ok_or_else(|| Refusal::whole(Place { file, line: 0, column: 0 }, "", "is empty"))
+    root.ok_or_else(|| Diagnostic::file_rejected(SourceLocation { file, line: 0, column: 0 }, "", "is empty"))
 }
 
 /// Works out `<<`, the merge key that inventories go on using (YAML 1.1, type "merge"): what a mapping doesn't say itself it
@@ -181,10 +189,10 @@
         for map in maps {
             let Node::Map(more) = &map.node else { continue };
             for (key, value) in more {
-                let said = pairs.iter().any(|(k, _)| k.text().is_some() && k.text() == key.text());
-                if !said {
+                let stated = pairs.iter().any(|(k, _)| k.text().is_some() && k.text() == key.text());
+                if !stated {
                     // Named where the mapping takes it over.
-                    let value = Tree { at: map.at, ..Tree::clone(value) };
+                    let value = Tree { location: map.location, ..Tree::clone(value) };
                     pairs.push((key.clone(), Rc::new(value)));
                 }
             }
--- a/crates/service/inventory/tests/desk.rs
+++ b/crates/service/inventory/tests/desk.rs
@@ -1,9 +1,9 @@
 //! Inventories while a scheduler serves: files that are replaced, half written, broken, too different, and processes that start
 //! on what is left.
-use spanlead_conf_file::{Inventory, Watch};
+use spanlead_conf_file::{ChangeDetection, InventorySettings};
 use spanlead_inventory::archive::Archive;
-use spanlead_inventory::desk::{Desk, News, Status};
-use spanlead_worker_attributes::{Said, Sheet, Vocabulary};
+use spanlead_inventory::service::{InventoryChange, InventoryService, InventoryStatus, VersionId};
+use spanlead_worker_attributes::{AttributeValue, MergedInventory, Vocabulary};
 use std::fs;
 use std::io::Write;
 use std::path::Path;
@@ -15,7 +15,7 @@
 /// Only ends a test that would hang.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-fn settings(folder: &Path, more: &str) -> Inventory {
+fn settings(folder: &Path, more: &str) -> InventorySettings {
     let settle = if more.contains("settle") { "" } else { "  settle 30ms\n" };
     let text = format!(
         "inventory clubs\n  file '{0}/hosts.csv'\n  keep '{0}/kept'\n{settle}  poll 100ms\n{more}",
@@ -31,8 +31,8 @@
 
 struct Office {
     folder: TempDir,
-    desk: Desk,
-    news: Receiver<News>,
+    service: InventoryService,
+    news: Receiver<InventoryChange>,
 }
 
 impl Office {
@@ -40,8 +40,8 @@
         let (to, news) = channel();
         let inventory = settings(folder.path(), more);
         let tell = move |n| drop(to.send(n));
-        let desk = Desk::start(vec![inventory], vocabulary(&["solna", "kista"]), tell);
-        Office { folder, desk, news }
+        let service = InventoryService::start(vec![inventory], vocabulary(&["solna", "kista"]), tell);
+        Office { folder, service, news }
     }
 
     fn with(text: &str, more: &str) -> Self {
@@ -51,7 +51,7 @@
     }
 
     /// The next news.
-    fn next(&self) -> News {
+    fn next(&self) -> InventoryChange {
         self.news.recv_timeout(PATIENCE).expect("news")
     }
 
@@ -62,12 +62,12 @@
         fs::rename(new, self.folder.path().join("hosts.csv")).expect("renamed");
     }
 
-    fn status(&self) -> Status {
-        self.desk.status().remove(0)
+    fn status(&self) -> InventoryStatus {
+        self.service.status().remove(0)
     }
 
     /// Waits until the desk's state is as wanted.
-    fn until(&self, wanted: impl Fn(&Status) -> bool) -> Status {
+    fn until(&self, wanted: impl Fn(&InventoryStatus) -> bool) -> InventoryStatus {
         let until = Instant::now() + PATIENCE;
         loop {
             let status = self.status();
@@ -90,20 +90,26 @@
     format!("host,zone,weight\n{lines}")
 }
 
-fn zone(sheet: &Arc<Sheet>, host: &str) -> Option<String> {
-    sheet.zone(host)?.value.map(|z| z.to_string())
+fn zone(merged_inventory: &Arc<MergedInventory>, host: &str) -> Option<String> {
+    merged_inventory.zone(host)?.value.map(|z| z.to_string())
 }
 
 #[test]
 fn a_file_that_is_replaced_is_taken_whole() {
     let office = Office::with(&hosts(0, 10, "kista"), "");
     let first = office.next();
-    assert_eq!(first.by.as_ref().map(|(n, v)| (&**n, *v)), Some(("clubs", 1)));
-    assert_eq!(zone(&first.sheet, "w3").as_deref(), Some("kista"));
+    assert_eq!(
+        first.version.as_ref().map(|version| (&*version.inventory, version.number)),
+        Some(("clubs", 1))
+    );
+    assert_eq!(zone(&first.merged_inventory, "w3").as_deref(), Some("kista"));
     office.replace(&hosts(0, 11, "kista"));
     let second = office.next();
-    assert_eq!(second.by.map(|(_, v)| v), Some(2));
-    assert!(second.sheet.names("w10") && !first.sheet.names("w10"), "what was handed on does not change");
+    assert_eq!(second.version.map(|version| version.number), Some(2));
+    assert!(
+        second.merged_inventory.names("w10") && !first.merged_inventory.names("w10"),
+        "what was handed on does not change"
+    );
     assert_eq!(office.status().version.map(|v| (v.number, v.hosts)), Some((2, 11)));
 }
 
@@ -123,8 +129,8 @@
     }
     drop(file);
     let next = office.next();
-    assert_eq!(next.by.map(|(_, v)| v), Some(2));
-    assert_eq!(next.sheet.sources[0].version.rows.len(), 12, "whole or not at all");
+    assert_eq!(next.version.map(|version| version.number), Some(2));
+    assert_eq!(next.merged_inventory.sources[0].version.hosts.len(), 12, "whole or not at all");
 }
 
 #[test]
@@ -132,21 +138,21 @@
     let office = Office::with(&hosts(0, 10, "kista"), "");
     office.next();
     office.replace("host,zone\nw1,\"kista\n");
-    let status = office.until(|s| s.refused.is_some());
+    let status = office.until(|s| s.rejected.is_some());
     assert_eq!(status.version.expect("still in use").number, 1);
-    assert!(status.refused.expect("refused").why.contains("hosts.csv:2:4"), "it names the place");
+    assert!(status.rejected.expect("refused").reason.contains("hosts.csv:2:4"), "it names the place");
     // Too many bad lines are no version either.
     office.replace(&hosts(0, 10, "kista").replace("w1,kista", "w1,malmo").replace("w2,kista", "w2,malmo"));
-    let status = office.until(|s| s.refused.as_ref().is_some_and(|r| r.why.contains("2 of 10 lines")));
+    let status = office.until(|s| s.rejected.as_ref().is_some_and(|r| r.reason.contains("2 of 10 lines")));
     assert_eq!(status.version.expect("still in use").number, 1);
     fs::remove_file(office.folder.path().join("hosts.csv")).expect("removed");
-    office.until(|s| s.refused.as_ref().is_some_and(|r| r.why.contains("can't be read")));
+    office.until(|s| s.rejected.as_ref().is_some_and(|r| r.reason.contains("can't be read")));
     fs::create_dir(office.folder.path().join("hosts.csv")).expect("a folder");
-    office.until(|s| s.refused.as_ref().is_some_and(|r| r.why.contains("is a folder, not a file")));
+    office.until(|s| s.rejected.as_ref().is_some_and(|r| r.reason.contains("is a folder, not a file")));
     fs::remove_dir(office.folder.path().join("hosts.csv")).expect("removed");
     office.replace(&hosts(0, 11, "kista"));
-    assert_eq!(office.next().by.map(|(_, v)| v), Some(2));
-    assert!(office.status().refused.is_none());
+    assert_eq!(office.next().version.map(|version| version.number), Some(2));
+    assert!(office.status().rejected.is_none());
 }
 
 #[test]
@@ -154,23 +160,23 @@
     let office = Office::with(&hosts(0, 10, "kista"), "");
     office.next();
     office.replace(&hosts(0, 10, "solna"));
-    let held = office.until(|s| s.held.is_some()).held.expect("held back");
-    assert!(held.why.contains("changes 10 of 10 hosts, more than 25%"), "{}", held.why);
-    assert_eq!(held.changes, 10);
-    assert!(office.desk.accept("clubs", "000000").is_err(), "another digest");
-    assert!(office.desk.accept("clubs", &held.digest[..3]).is_err(), "too short to mean it");
-    assert!(office.desk.accept("other", &held.digest).is_err(), "no such inventory");
+    let held = office.until(|s| s.pending.is_some()).pending.expect("held back");
+    assert!(held.reason.contains("changes 10 of 10 hosts, more than 25%"), "{}", held.reason);
+    assert_eq!(held.changed_hosts, 10);
+    assert!(office.service.confirm("clubs", "000000").is_err(), "another digest");
+    assert!(office.service.confirm("clubs", &held.digest[..3]).is_err(), "too short to mean it");
+    assert!(office.service.confirm("other", &held.digest).is_err(), "no such inventory");
     assert!(office.news.try_recv().is_err(), "nothing of it was handed on");
-    office.desk.accept("clubs", &held.digest).expect("confirmed");
+    office.service.confirm("clubs", &held.digest).expect("confirmed");
     let news = office.next();
     assert!(news.forced);
-    assert_eq!(zone(&news.sheet, "w3").as_deref(), Some("solna"));
-    assert!(office.desk.accept("clubs", &held.digest).is_err(), "once");
+    assert_eq!(zone(&news.merged_inventory, "w3").as_deref(), Some("solna"));
+    assert!(office.service.confirm("clubs", &held.digest).is_err(), "once");
     // What is held back is over when the file is again what is in use.
     office.replace(&hosts(0, 3, "solna"));
-    office.until(|s| s.held.is_some());
+    office.until(|s| s.pending.is_some());
     office.replace(&hosts(0, 10, "solna"));
-    office.until(|s| s.held.is_none());
+    office.until(|s| s.pending.is_none());
 }
 
 #[test]
@@ -178,13 +184,13 @@
     let office = Office::with(&hosts(0, 10, "kista"), "");
     office.next();
     office.replace(&hosts(0, 11, "kista"));
-    let (name, number) = office.next().by.expect("a version");
-    office.desk.object(name, number, "class x would be left without a worker".into());
-    let status = office.until(|s| s.held.is_some());
+    let VersionId { inventory, number } = office.next().version.expect("a version");
+    office.service.roll_back(inventory, number, "class x would be left without a worker".into());
+    let status = office.until(|s| s.pending.is_some());
     assert_eq!(status.version.map(|v| v.number), Some(1));
-    let held = status.held.expect("held back");
-    assert!(held.why.contains("class x"), "{}", held.why);
-    office.desk.accept("clubs", &held.digest).expect("confirmed all the same");
+    let held = status.pending.expect("held back");
+    assert!(held.reason.contains("class x"), "{}", held.reason);
+    office.service.confirm("clubs", &held.digest).expect("confirmed all the same");
     assert!(office.next().forced);
 }
 
@@ -210,13 +216,13 @@
 
     let office = Office::open(folder, "");
     let news = office.next();
-    assert_eq!(news.by, None, "it was put back, not read");
-    assert_eq!(news.sheet.sources[0].version.rows.len(), 11);
-    office.until(|s| s.refused.is_some());
+    assert_eq!(news.version, None, "it was put back, not read");
+    assert_eq!(news.merged_inventory.sources[0].version.hosts.len(), 11);
+    office.until(|s| s.rejected.is_some());
     // The next good version counts on from there, and takes the damaged one's place.
     office.replace(&hosts(0, 13, "kista"));
-    assert_eq!(office.next().by.map(|(_, v)| v), Some(3));
-    assert_eq!(archive.read(3).expect("whole").rows.len(), 13);
+    assert_eq!(office.next().version.map(|version| version.number), Some(3));
+    assert_eq!(archive.read(3).expect("whole").hosts.len(), 13);
 }
 
 #[test]
@@ -233,7 +239,7 @@
     fs::write(&full, "a file in its place").expect("writable");
     office.replace(&hosts(0, 15, "kista"));
     // It can't be kept, and is in use all the same.
-    assert_eq!(office.next().by.map(|(_, v)| v), Some(5));
+    assert_eq!(office.next().version.map(|version| version.number), Some(5));
 }
 
 #[test]
@@ -241,9 +247,9 @@
     let office = Office::with(&hosts(0, 10, "kista"), "  watch no\n");
     office.next();
     office.replace(&hosts(0, 11, "kista"));
-    office.desk.look();
-    assert_eq!(office.next().by.map(|(_, v)| v), Some(2));
-    assert_eq!(settings(Path::new("/x"), "  watch poll\n").watch, Watch::Poll);
+    office.service.reload();
+    assert_eq!(office.next().version.map(|version| version.number), Some(2));
+    assert_eq!(settings(Path::new("/x"), "  watch poll\n").change_detection, ChangeDetection::Poll);
 }
 
 // Guards retuned settings: a zone that was unknown is known from then on, without a change of the file.
@@ -251,11 +257,11 @@
 fn other_zones_are_heard_of() {
     let office = Office::with(&format!("{}w10,haninge,1\n", hosts(0, 10, "kista")), "");
     let first = office.next();
-    assert!(!first.sheet.names("w10"), "its zone is not known: the line is left out");
-    office.desk.vocabulary(vocabulary(&["solna", "kista", "haninge"]));
+    assert!(!first.merged_inventory.names("w10"), "its zone is not known: the line is left out");
+    office.service.set_vocabulary(vocabulary(&["solna", "kista", "haninge"]));
     let second = office.next();
-    assert_eq!(zone(&second.sheet, "w10").as_deref(), Some("haninge"));
-    assert_eq!(second.sheet.sources[0].version.refusals, []);
+    assert_eq!(zone(&second.merged_inventory, "w10").as_deref(), Some("haninge"));
+    assert_eq!(second.merged_inventory.sources[0].version.diagnostics, []);
 }
 
 // Guards what is shown of a host's age: a fact that stays through versions keeps its time.
@@ -266,9 +272,10 @@
     std::thread::sleep(Duration::from_millis(5));
     office.replace(&hosts(0, 10, "kista").replace("w1,kista,1", "w1,kista,2"));
     let second = office.next();
-    let row = |news: &News, host: &str| news.sheet.sources[0].version.rows[host].clone();
+    let row =
+        |news: &InventoryChange, host: &str| news.merged_inventory.sources[0].version.hosts[host].clone();
     let (a, b) = (row(&first, "w1"), row(&second, "w1"));
-    assert_eq!((a.since_ms, a.fact_ms[0]), (b.since_ms, b.fact_ms[0]));
-    assert!(b.fact_ms[3] > a.fact_ms[3], "its weight is new");
-    assert!(matches!(b.weight, Said::This(w, _) if w == 2.0));
+    assert_eq!((a.since_ms, a.attribute_since_ms[0]), (b.since_ms, b.attribute_since_ms[0]));
+    assert!(b.attribute_since_ms[3] > a.attribute_since_ms[3], "its weight is new");
+    assert!(matches!(b.weight, AttributeValue::Known(w, _) if w == 2.0));
 }
--- a/crates/service/inventory/tests/fuzz.rs
+++ b/crates/service/inventory/tests/fuzz.rs
@@ -7,8 +7,10 @@
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, RngCore, SeedableRng};
-use spanlead_inventory::{Bundle, Form, Reading, Text, read};
-use spanlead_worker_attributes::{Done, Fact, Judged, Schema, Vocabulary, judge};
+use spanlead_inventory::{Form, InventoryFiles, ReadOptions, SourceFile, read};
+use spanlead_worker_attributes::{
+    Attribute, DiagnosticEffect, Schema, ValidatedInventory, Vocabulary, validate,
+};
 use std::sync::Mutex;
 use std::time::Duration;
 
@@ -36,11 +38,11 @@
     Schema::new(&Vocabulary { zones, kinds }).expect("a schema")
 }
 
-fn taken(bytes: &[u8], form: Form, schema: &Schema) -> Judged {
+fn taken(bytes: &[u8], form: Form, schema: &Schema) -> ValidatedInventory {
     let name = if form == Form::Csv { "h.csv" } else { "h.yml" };
-    let main = Some(Text { name: name.into(), bytes: bytes.to_vec() });
-    let reading = Reading { form: Some(form), hosts: HOSTS, ..Reading::default() };
-    judge(read(&Bundle { main, ..Bundle::default() }, &reading), schema)
+    let main = Some(SourceFile { name: name.into(), bytes: bytes.to_vec() });
+    let options = ReadOptions { form: Some(form), max_hosts: HOSTS, ..ReadOptions::default() };
+    validate(read(&InventoryFiles { main, ..InventoryFiles::default() }, &options), schema)
 }
 
 /// A line of a good file, and the facts that it states.
@@ -96,8 +98,8 @@
     }
 }
 
-fn states(judged: &Judged, line: &Line) -> bool {
-    let Some(row) = judged.rows.get(line.host.as_str()) else { return false };
+fn states(validated: &ValidatedInventory, line: &Line) -> bool {
+    let Some(row) = validated.hosts.get(line.host.as_str()) else { return false };
     row.zone.value().is_some_and(|z| **z == *line.zone)
         && row.pod.value().is_some_and(|p| **p == line.pod.to_string())
         && row.weight.value() == Some(&line.weight)
@@ -115,7 +117,7 @@
         let lines = lines(&mut rng);
         let (mut text, at) = good(form, &lines, &mut rng);
         let clean = taken(text.join("\n").as_bytes(), form, &schema);
-        assert!(clean.refusals.is_empty(), "case {case}: {:?}", clean.refusals);
+        assert!(clean.diagnostics.is_empty(), "case {case}: {:?}", clean.diagnostics);
         assert!(lines.iter().all(|l| states(&clean, l)), "case {case}: {clean:?}");
 
         let which = rng.random_range(0..lines.len());
@@ -124,12 +126,12 @@
         let (pod, weight) = (pod.to_string(), weight.to_string());
         // A fact in a host's variables is lost alone, a line of a list or table as a whole.
         let (fault, key, doubled) = match rng.random_range(0..6) {
-            0 => (bad("malmo", &pod, &weight), Fact::Zone, false),
-            1 => (bad(zone, "'a b'", &weight), Fact::Pod, false),
-            2 => (bad(zone, &pod, "-1"), Fact::Weight, false),
-            3 => (bad(zone, &pod, "heavy"), Fact::Weight, false),
-            4 => (bad(zone, &pod, "99999"), Fact::Weight, false),
-            _ => (bad(zone, "77", &weight), Fact::Pod, true),
+            0 => (bad("malmo", &pod, &weight), Attribute::Zone, false),
+            1 => (bad(zone, "'a b'", &weight), Attribute::Pod, false),
+            2 => (bad(zone, &pod, "-1"), Attribute::Weight, false),
+            3 => (bad(zone, &pod, "heavy"), Attribute::Weight, false),
+            4 => (bad(zone, &pod, "99999"), Attribute::Weight, false),
+            _ => (bad(zone, "77", &weight), Attribute::Pod, true),
         };
         if doubled {
             text.insert(at[which], fault);
@@ -137,24 +139,24 @@
             text[at[which] - 1] = fault;
         }
         let line = at[which] + usize::from(doubled);
-        let judged = taken(text.join("\n").as_bytes(), form, &schema);
-        let told: Vec<String> = judged.refusals.iter().map(|r| r.show(&judged.files)).collect();
+        let validated = taken(text.join("\n").as_bytes(), form, &schema);
+        let told: Vec<String> = validated.diagnostics.iter().map(|r| r.describe(&validated.files)).collect();
         assert_eq!(told.len(), 1, "case {case}: {told:?}\n{}", text.join("\n"));
-        let refusal = &judged.refusals[0];
-        assert_eq!(refusal.at.line as usize, line, "case {case}: {told:?}\n{}", text.join("\n"));
-        assert_eq!(refusal.key, key.name(), "case {case}: {told:?}");
+        let diagnostic = &validated.diagnostics[0];
+        assert_eq!(diagnostic.location.line as usize, line, "case {case}: {told:?}\n{}", text.join("\n"));
+        assert_eq!(diagnostic.key, key.name(), "case {case}: {told:?}");
         let whole = !doubled && form != Form::Ansible;
         assert_eq!(
-            refusal.done,
-            if whole { Done::LineLeftOut } else { Done::FactUnknown },
+            diagnostic.effect,
+            if whole { DiagnosticEffect::LineSkipped } else { DiagnosticEffect::AttributeUnknown },
             "case {case}: {told:?}"
         );
-        assert_eq!(judged.rows.contains_key(host.as_str()), !whole, "case {case}");
+        assert_eq!(validated.hosts.contains_key(host.as_str()), !whole, "case {case}");
         let others = lines.iter().enumerate().filter(|(i, _)| *i != which);
-        assert!(others.into_iter().all(|(_, l)| states(&judged, l)), "case {case}: {told:?}");
-        if let Some(row) = judged.rows.get(host.as_str()) {
+        assert!(others.into_iter().all(|(_, l)| states(&validated, l)), "case {case}: {told:?}");
+        if let Some(row) = validated.hosts.get(host.as_str()) {
             assert!(
-                row.show(key).is_none_or(|shown| shown.starts_with("unknown")),
+                row.describe(key).is_none_or(|shown| shown.starts_with("unknown")),
                 "case {case}: a guess: {row:?}"
             );
         }
@@ -233,7 +235,7 @@
 fn bounded(bytes: &[u8], form: Form, schema: &Schema, case: &str) {
     PEAK.reset_peak_usage();
     let (before, begun) = (PEAK.current_usage(), processor_time());
-    let judged = taken(bytes, form, schema);
+    let validated = taken(bytes, form, schema);
     let took = PEAK.peak_usage().saturating_sub(before);
     let allowed = BASE + PER_BYTE * bytes.len() + PER_HOST * HOSTS;
     assert!(
@@ -244,11 +246,18 @@
     let worked = processor_time() - begun;
     assert!(worked < PATIENCE, "{case}: took {worked:?}");
     let last = bytes.split(|b| *b == b'\n' || *b == b'\r').count() + 1;
-    for refusal in &judged.refusals {
-        assert!(refusal.at.line as usize <= last, "{case}: {} of {last} lines", refusal.show(&judged.files));
+    for diagnostic in &validated.diagnostics {
+        assert!(
+            diagnostic.location.line as usize <= last,
+            "{case}: {} of {last} lines",
+            diagnostic.describe(&validated.files)
+        );
     }
-    assert!(judged.rows.len() <= HOSTS, "{case}: {} hosts", judged.rows.len());
-    assert!(judged.refused().is_none() || judged.rows.is_empty(), "{case}: refused whole, and yet in use");
+    assert!(validated.hosts.len() <= HOSTS, "{case}: {} hosts", validated.hosts.len());
+    assert!(
+        validated.file_rejection().is_none() || validated.hosts.is_empty(),
+        "{case}: refused whole, and yet in use"
+    );
 }
 
 #[test]
--- a/crates/service/inventory/tests/golden.rs
+++ b/crates/service/inventory/tests/golden.rs
@@ -4,7 +4,9 @@
 mod golden;
 
 use spanlead_inventory::archive::Archive;
-use spanlead_worker_attributes::{Done, Place, Refusal, Row, Said, Version};
+use spanlead_worker_attributes::{
+    AttributeValue, Diagnostic, DiagnosticEffect, HostRecord, SourceLocation, Version,
+};
 use std::fs;
 use std::path::Path;
 use std::sync::Arc;
@@ -14,83 +16,90 @@
 /// The committed folder, as one process of the version before kept it.
 const FOLDER: &str = "archive";
 
-fn place(file: u16, line: u32, column: u32) -> Place {
-    Place { file, line, column }
+fn place(file: u16, line: u32, column: u32) -> SourceLocation {
+    SourceLocation { file, line, column }
 }
 
-fn version(number: u64, rows: Vec<(&str, Row)>) -> Version {
+fn version(number: u64, rows: Vec<(&str, HostRecord)>) -> Version {
     Version {
         number,
         digest: "00112233445566778899aabbccddeeff".into(),
         read_ms: 1_767_225_600_123,
         files: vec!["hosts.csv".into(), "group_vars/é.yml".into()],
-        rows: rows.into_iter().map(|(host, row)| (Arc::from(host), row)).collect(),
-        refusals: Vec::new(),
+        hosts: rows.into_iter().map(|(host, row)| (Arc::from(host), row)).collect(),
+        diagnostics: Vec::new(),
     }
 }
 
-fn stated_row() -> Row {
+fn stated_row() -> HostRecord {
     let labels = [("rack", "r7"), ("room", "")].map(|(k, v)| (k.to_owned(), v.to_owned()));
-    Row {
-        at: place(0, 2, 1),
+    HostRecord {
+        location: place(0, 2, 1),
         since_ms: 1_767_225_600_000,
-        fact_ms: [1, 200, 30_000, 4_000_000, 500_000_000, u64::MAX],
-        zone: Said::This("kista".into(), place(0, 2, 5)),
-        pod: Said::This("3".into(), place(0, 2, 11)),
-        kind: Said::This("std-2c".into(), place(1, 70_000, 300)),
-        weight: Said::This(0.5, place(0, 2, 13)),
-        slots: Said::This(300, place(0, 2, 17)),
-        labels: Said::This(Arc::new(labels.into()), place(u16::MAX, u32::MAX, u32::MAX)),
+        attribute_since_ms: [1, 200, 30_000, 4_000_000, 500_000_000, u64::MAX],
+        zone: AttributeValue::Known("kista".into(), place(0, 2, 5)),
+        pod: AttributeValue::Known("3".into(), place(0, 2, 11)),
+        kind: AttributeValue::Known("std-2c".into(), place(1, 70_000, 300)),
+        weight: AttributeValue::Known(0.5, place(0, 2, 13)),
+        slots: AttributeValue::Known(300, place(0, 2, 17)),
+        labels: AttributeValue::Known(Arc::new(labels.into()), place(u16::MAX, u32::MAX, u32::MAX)),
     }
 }
 
-fn disputed_row() -> Row {
+fn disputed_row() -> HostRecord {
     let places = [place(0, 2, 1), place(0, 3, 1)];
-    let word = |a: &str, b: &str| Said::Disputed(vec![(Arc::from(a), places[0]), (Arc::from(b), places[1])]);
-    Row {
-        at: places[0],
+    let word = |a: &str, b: &str| {
+        AttributeValue::Conflicting(vec![(Arc::from(a), places[0]), (Arc::from(b), places[1])])
+    };
+    HostRecord {
+        location: places[0],
         zone: word("kista", "solna"),
         pod: word("3", "4"),
         kind: word("a", "b"),
-        weight: Said::Disputed(vec![(1.0, places[0]), (2.0, places[1])]),
-        slots: Said::Disputed(vec![(1, places[0]), (2, places[1])]),
-        labels: Said::Disputed(vec![(Arc::default(), places[0])]),
-        ..Row::default()
+        weight: AttributeValue::Conflicting(vec![(1.0, places[0]), (2.0, places[1])]),
+        slots: AttributeValue::Conflicting(vec![(1, places[0]), (2, places[1])]),
+        labels: AttributeValue::Conflicting(vec![(Arc::default(), places[0])]),
+        ..HostRecord::default()
     }
 }
 
-fn refusals() -> Vec<Refusal> {
-    [Done::Nothing, Done::FactUnknown, Done::LineLeftOut, Done::FileRefused]
-        .into_iter()
-        .zip(4..)
-        .map(|(done, line)| Refusal {
-            at: place(1, line, 0),
-            key: "weight".into(),
-            reason: format!("reason {line}"),
-            done,
-        })
-        .collect()
+fn diagnostics() -> Vec<Diagnostic> {
+    [
+        DiagnosticEffect::Warning,
+        DiagnosticEffect::AttributeUnknown,
+        DiagnosticEffect::LineSkipped,
+        DiagnosticEffect::FileRejected,
+    ]
+    .into_iter()
+    .zip(4..)
+    .map(|(effect, line)| Diagnostic {
+        location: place(1, line, 0),
+        key: "weight".into(),
+        reason: format!("reason {line}"),
+        effect,
+    })
+    .collect()
 }
 
 /// A host each: the order of several in a file is the map's.
 fn versions() -> Vec<(&'static str, Version)> {
     vec![
         ("empty", Version { digest: String::new(), read_ms: 0, files: vec![], ..version(1, vec![]) }),
-        ("silent", version(2, vec![("w01.kista.example.org", Row::default())])),
+        ("silent", version(2, vec![("w01.kista.example.org", HostRecord::default())])),
         ("stated", version(3, vec![("w02.kista.example.org", stated_row())])),
         ("disputed", version(4, vec![("w03.kista.example.org", disputed_row())])),
-        ("refusals", Version { refusals: refusals(), ..version(99_999_999_999, vec![]) }),
+        ("refusals", Version { diagnostics: diagnostics(), ..version(99_999_999_999, vec![]) }),
     ]
 }
 
 /// All in one, as a version in service is.
 fn whole() -> Version {
     let rows = vec![
-        ("w01.kista.example.org", Row::default()),
+        ("w01.kista.example.org", HostRecord::default()),
         ("w02.kista.example.org", stated_row()),
         ("w03.kista.example.org", disputed_row()),
     ];
-    Version { refusals: refusals(), ..version(12, rows) }
+    Version { diagnostics: diagnostics(), ..version(12, rows) }
 }
 
 fn file_name(number: u64) -> String {
--- a/crates/service/inventory/tests/refusals.rs
+++ b/crates/service/inventory/tests/refusals.rs
@@ -1,8 +1,10 @@
 //! What operators are told of files that can't be used as they are: the file, the line, the column, the key, why, and what was
 //! done instead. One hand-made file for each thing that goes wrong.
 use insta::assert_snapshot;
-use spanlead_inventory::{Bundle, Delimiter, Form, Reading, Target, Text, read};
-use spanlead_worker_attributes::{Judged, Schema, Vocabulary, judge};
+use spanlead_inventory::{
+    ColumnTarget, Delimiter, Form, InventoryFiles, MappedColumn, ReadOptions, SourceFile, read,
+};
+use spanlead_worker_attributes::{Attribute, Schema, ValidatedInventory, Vocabulary, validate};
 use std::fmt::Write;
 
 fn vocabulary() -> Vocabulary {
@@ -10,41 +12,45 @@
     Vocabulary { zones: words(&["solna", "kista", "haninge"]), kinds: words(&["std-2c", "slow-2c"]) }
 }
 
-fn text(name: &str, bytes: impl Into<Vec<u8>>) -> Text {
-    Text { name: name.into(), bytes: bytes.into() }
+fn text(name: &str, bytes: impl Into<Vec<u8>>) -> SourceFile {
+    SourceFile { name: name.into(), bytes: bytes.into() }
 }
 
-fn judged(bundle: &Bundle, reading: &Reading) -> Judged {
-    judge(read(bundle, reading), &Schema::new(&vocabulary()).expect("a schema"))
+fn validated(files: &InventoryFiles, options: &ReadOptions) -> ValidatedInventory {
+    validate(read(files, options), &Schema::new(&vocabulary()).expect("a schema"))
 }
 
-fn file(name: &str, bytes: impl Into<Vec<u8>>) -> Bundle {
-    Bundle { main: Some(text(name, bytes)), ..Bundle::default() }
+fn file(name: &str, bytes: impl Into<Vec<u8>>) -> InventoryFiles {
+    InventoryFiles { main: Some(text(name, bytes)), ..InventoryFiles::default() }
 }
 
 /// The messages, and what is known all the same.
-fn told(bundle: &Bundle, reading: &Reading) -> String {
-    let judged = judged(bundle, reading);
+fn told(files: &InventoryFiles, options: &ReadOptions) -> String {
+    let validated = validated(files, options);
     let mut out = String::new();
-    for refusal in &judged.refusals {
-        writeln!(out, "{}", refusal.show(&judged.files)).expect("a string");
+    for diagnostic in &validated.diagnostics {
+        writeln!(out, "{}", diagnostic.describe(&validated.files)).expect("a string");
     }
-    let mut hosts: Vec<_> = judged.rows.iter().collect();
+    let mut hosts: Vec<_> = validated.hosts.iter().collect();
     hosts.sort_by_key(|(name, _)| (*name).clone());
     for (name, row) in hosts {
-        let facts = spanlead_worker_attributes::Fact::ALL.into_iter();
-        let facts: Vec<String> = facts.filter_map(|f| Some(format!("{f} {}", row.show(f)?))).collect();
+        let facts = Attribute::ALL.into_iter();
+        let facts: Vec<String> = facts.filter_map(|f| Some(format!("{f} {}", row.describe(f)?))).collect();
         writeln!(out, "  {name}: {}", facts.join(", ")).expect("a string");
     }
     out
 }
 
+fn mapped(target: ColumnTarget, column: &str) -> MappedColumn {
+    MappedColumn { target, column: column.into() }
+}
+
 fn csv(bytes: impl Into<Vec<u8>>) -> String {
-    told(&file("hosts.csv", bytes), &Reading::default())
+    told(&file("hosts.csv", bytes), &ReadOptions::default())
 }
 
 fn yaml(bytes: impl Into<Vec<u8>>) -> String {
-    told(&file("hosts.yml", bytes), &Reading::default())
+    told(&file("hosts.yml", bytes), &ReadOptions::default())
 }
 
 #[test]
@@ -56,14 +62,14 @@
       w02.kista.example.org: zone solna, pod 7, weight 1
       w03.kista.example.org: 
     ");
-    let mut reading = Reading { delimiter: Delimiter::Semicolon, ..Reading::default() };
-    reading.mapping.host = Some("Server".into());
-    reading.mapping.set = vec![
-        (Target::Fact(spanlead_worker_attributes::Fact::Zone), "datacentre".into()),
-        (Target::Label("rack".into()), "rack".into()),
+    let mut options = ReadOptions { delimiter: Delimiter::Semicolon, ..ReadOptions::default() };
+    options.mapping.host = Some("Server".into());
+    options.mapping.columns = vec![
+        mapped(ColumnTarget::Attribute(Attribute::Zone), "datacentre"),
+        mapped(ColumnTarget::Label("rack".into()), "rack"),
     ];
     let table = "server;datacentre;zone;rack;labels\nw1;kista;other;r 1;a=b;\nw2;solna;;r2;c=d\n";
-    assert_snapshot!(told(&file("hosts.csv", table), &reading), @r"
+    assert_snapshot!(told(&file("hosts.csv", table), &options), @r"
     hosts.csv:2:1: has 6 fields, the header 5; the line is left out
       w2: zone solna, labels c=d;rack=r2
     ");
@@ -112,21 +118,21 @@
 #[test]
 fn a_table_that_can_not_be_used_at_all_says_why() {
     let mut out = String::new();
-    let mut case = |what: &str, bytes: &[u8], reading: &Reading| {
-        write!(out, "{what}: {}", told(&file("hosts.csv", bytes), reading)).expect("a string");
+    let mut case = |what: &str, bytes: &[u8], options: &ReadOptions| {
+        write!(out, "{what}: {}", told(&file("hosts.csv", bytes), options)).expect("a string");
     };
-    let plain = Reading::default();
+    let plain = ReadOptions::default();
     case("empty", b"", &plain);
     case("only comments", b"# nothing\n\n#\n", &plain);
     case("no host", b"zone,pod\nkista,3\n", &plain);
     case("twice", b"host,pod,zone,POD\nw1,1,kista,2\n", &plain);
     case("quote", b"host,zone\nw1,kista\nw2,\"kista\nw3,kista\n", &plain);
     case("utf-16", b"\xff\xfeh\0o\0s\0t\0\n\0", &plain);
-    case("too many", b"host\na\nb\nc\n", &Reading { hosts: 2, ..Reading::default() });
-    let mut mapped = Reading::default();
-    mapped.mapping.set = vec![(Target::Fact(spanlead_worker_attributes::Fact::Pod), "group".into())];
-    case("no such column", b"host,pod\nw1,3\n", &mapped);
-    let none = told(&Bundle::default(), &plain);
+    case("too many", b"host\na\nb\nc\n", &ReadOptions { max_hosts: 2, ..ReadOptions::default() });
+    let mut options = ReadOptions::default();
+    options.mapping.columns = vec![mapped(ColumnTarget::Attribute(Attribute::Pod), "group")];
+    case("no such column", b"host,pod\nw1,3\n", &options);
+    let none = told(&InventoryFiles::default(), &plain);
     write!(out, "none: {none}").expect("a string");
     assert_snapshot!(out);
 }
@@ -190,30 +196,30 @@
         b_sibling:\n      vars: {weight: 7, zone: solna}\n      hosts: {sib: , prio: }\n    a_sibling:\n      vars: {weight: 8, zone: solna}\n      hosts: {sib: }\n    \
         strong:\n      vars: {weight: 9, ansible_group_priority: 10}\n      hosts: {sib2: }\n    weak:\n      vars: {weight: 9.5}\n      hosts: {sib2: }\n    \
         filed:\n      vars: {weight: 4}\n      hosts: {filed1: }\n";
-    let mut bundle = file("hosts.yml", main);
-    bundle.group_vars.insert(
+    let mut files = file("hosts.yml", main);
+    files.group_vars.insert(
         "filed".into(),
         vec![
             text("group_vars/filed/a.yml", "weight: 5\nslots: 2\n"),
             text("group_vars/filed/b.yml", "weight: 5.5\n"),
         ],
     );
-    bundle.group_vars.insert("all".into(), vec![text("group_vars/all.yml", "pod: 1\n")]);
-    bundle.host_vars.insert("folder".into(), vec![text("host_vars/folder.yml", "weight: 7.5\npod: 2\n")]);
-    assert_snapshot!(told(&bundle, &Reading::default()));
+    files.group_vars.insert("all".into(), vec![text("group_vars/all.yml", "pod: 1\n")]);
+    files.host_vars.insert("folder".into(), vec![text("host_vars/folder.yml", "weight: 7.5\npod: 2\n")]);
+    assert_snapshot!(told(&files, &ReadOptions::default()));
 }
 
 #[test]
 fn broken_variables_beside_an_inventory_refuse_it_whole() {
-    let mut bundle = file("hosts.yml", "all:\n  hosts: {w1: }\n");
-    bundle.group_vars.insert("all".into(), vec![text("group_vars/all.yml", "pod: [1\nzone: kista\n")]);
-    bundle.group_vars.insert("others".into(), vec![text("group_vars/others.yml", "{{{{")]);
-    assert_snapshot!("broken_group_vars", told(&bundle, &Reading::default()));
-    bundle.group_vars.insert("all".into(), vec![text("group_vars/all.yml", "- a\n")]);
-    assert_snapshot!("group_vars_that_are_no_variables", told(&bundle, &Reading::default()));
+    let mut files = file("hosts.yml", "all:\n  hosts: {w1: }\n");
+    files.group_vars.insert("all".into(), vec![text("group_vars/all.yml", "pod: [1\nzone: kista\n")]);
+    files.group_vars.insert("others".into(), vec![text("group_vars/others.yml", "{{{{")]);
+    assert_snapshot!("broken_group_vars", told(&files, &ReadOptions::default()));
+    files.group_vars.insert("all".into(), vec![text("group_vars/all.yml", "- a\n")]);
+    assert_snapshot!("group_vars_that_are_no_variables", told(&files, &ReadOptions::default()));
     // Of a group that the inventory does not know nothing is read.
-    bundle.group_vars.insert("all".into(), vec![text("group_vars/all.yml", "pod: 4\n")]);
-    assert_snapshot!(told(&bundle, &Reading::default()), @"  w1: pod 4");
+    files.group_vars.insert("all".into(), vec![text("group_vars/all.yml", "pod: 4\n")]);
+    assert_snapshot!(told(&files, &ReadOptions::default()), @"  w1: pod 4");
 }
 
 #[test]
@@ -224,9 +230,9 @@
 
 #[test]
 fn a_form_that_is_named_goes_before_the_ending() {
-    let reading = |form| Reading { form: Some(form), ..Reading::default() };
-    assert_snapshot!(told(&file("hosts.txt", "- w1\n"), &reading(Form::Hosts)), @"  w1:");
-    assert_snapshot!(told(&file("hosts.txt", "a:\n  hosts: {w1: }\n"), &reading(Form::Ansible)), @"  w1:");
-    assert_snapshot!(told(&file("hosts.yml", "host\nw1\n"), &reading(Form::Csv)), @"  w1:");
-    assert_snapshot!(told(&file("hosts.yml", "- w1\n"), &reading(Form::Ansible)), @"hosts.yml:1:1: is a list, neither a list of hosts nor a mapping of groups; nothing of the file is taken");
+    let options = |form| ReadOptions { form: Some(form), ..ReadOptions::default() };
+    assert_snapshot!(told(&file("hosts.txt", "- w1\n"), &options(Form::Hosts)), @"  w1:");
+    assert_snapshot!(told(&file("hosts.txt", "a:\n  hosts: {w1: }\n"), &options(Form::Ansible)), @"  w1:");
+    assert_snapshot!(told(&file("hosts.yml", "host\nw1\n"), &options(Form::Csv)), @"  w1:");
+    assert_snapshot!(told(&file("hosts.yml", "- w1\n"), &options(Form::Ansible)), @"hosts.yml:1:1: is a list, neither a list of hosts nor a mapping of groups; nothing of the file is taken");
 }
--- a/crates/service/net/src/wire/endpoint_list.rs
+++ b/crates/service/net/src/wire/endpoint_list.rs
@@ -6,7 +6,7 @@
 use spanlead_balancing_policy::WorkerState;
 use spanlead_deployment_settings::{Names, index_of};
 use spanlead_engine::WorkerEndpoint;
-use spanlead_worker_attributes::{LiveHost, normal};
+use spanlead_worker_attributes::{LiveHost, normalize_host_name};
 use std::sync::Arc;
 
 /// The number of a name that the deployment's settings do not have.
@@ -92,7 +92,8 @@
     fn live_host(self) -> LiveHost {
         let stated = |name: Option<String>| name.filter(|name| !name.is_empty()).map(Arc::from);
         LiveHost {
-            normal: normal(&self.host).map_or_else(|_| Arc::from(&*self.host), |name| Arc::from(&*name)),
+            normalized_name: normalize_host_name(&self.host)
+                .map_or_else(|_| Arc::from(&*self.host), |name| Arc::from(&*name)),
             name: Arc::from(self.host),
             zone: stated(self.zone),
             pod: self.pod.map(|pod| Arc::from(pod.to_string())),
--- a/crates/service/spanlead/src/check_command.rs
+++ b/crates/service/spanlead/src/check_command.rs
@@ -1,14 +1,14 @@
 //! `spanlead check`: what the configuration and the operators' settings mean.
 use crate::config::{Config, MembershipError};
 use humantime::format_duration;
-use spanlead_conf_file::{Conf, Ledger, Membership};
+use spanlead_conf_file::{ConfFile, DurableLogSettings, MembershipSettings};
 use spanlead_membership::SuspicionThresholds;
 
 /// Prints what the configuration and the settings mean.
 ///
 /// # Errors
 /// If the settings do not fit the configuration.
-pub(crate) fn print_config(config: &Config, conf: &Conf) -> Result<(), MembershipError> {
+pub(crate) fn print_config(config: &Config, conf: &ConfFile) -> Result<(), MembershipError> {
     let names = &config.deployment.names;
     println!("name       {}", config.name);
     println!("listen     {}", config.listen);
@@ -30,22 +30,26 @@
     if let Some(membership) = &conf.membership {
         print_membership(config, conf, membership)?;
     }
-    if let Some(ledger) = &conf.ledger {
-        print_durable_log(ledger);
+    if let Some(durable_log) = &conf.durable_log {
+        print_durable_log(durable_log);
     }
     Ok(())
 }
 
-fn print_membership(config: &Config, conf: &Conf, membership: &Membership) -> Result<(), MembershipError> {
+fn print_membership(
+    config: &Config,
+    conf: &ConfFile,
+    membership: &MembershipSettings,
+) -> Result<(), MembershipError> {
     let members = config.membership(membership)?.settings;
     let thresholds =
         SuspicionThresholds::for_tier(members.member_count, members.fanout, members.tolerated_loss);
-    let dead = format_duration(membership.every * thresholds.dead_after_periods);
+    let dead = format_duration(membership.heartbeat_interval * thresholds.dead_after_periods);
     println!(
         "members    {} schedulers, this is {}; one is dead after {dead}",
         members.member_count, members.own_number
     );
-    let sets = Config::quorum_sets(&conf.leases, members.member_count)?;
+    let sets = Config::quorum_sets(&conf.role_leases, members.member_count)?;
     if sets.joint_schedulers > 0 {
         println!(
             "duties     by majorities of {} and of the first {}: the set is being changed",
@@ -55,6 +59,10 @@
     Ok(())
 }
 
-fn print_durable_log(ledger: &Ledger) {
-    println!("ledger     {}, leases of {}", ledger.folder.display(), format_duration(ledger.lease));
+fn print_durable_log(settings: &DurableLogSettings) {
+    println!(
+        "ledger     {}, leases of {}",
+        settings.directory.display(),
+        format_duration(settings.lease_duration)
+    );
 }
--- a/crates/service/spanlead/src/config/membership.rs
+++ b/crates/service/spanlead/src/config/membership.rs
@@ -24,9 +24,12 @@
     ///
     /// # Errors
     /// If the configuration has no peers for it; with the place of the section that wants them.
-    pub(crate) fn membership(&self, wanted: &conf::Membership) -> Result<MembershipParams, MembershipError> {
+    pub(crate) fn membership(
+        &self,
+        wanted: &conf::MembershipSettings,
+    ) -> Result<MembershipParams, MembershipError> {
         let settings = &self.deployment.settings;
-        let place = || wanted.place.clone();
+        let place = || wanted.location.to_string();
         if !settings.limits.can_message_peers {
             return Err(MembershipError::MessagesBarred(place()));
         }
@@ -52,10 +55,10 @@
             version: env!("CARGO_PKG_VERSION").to_owned(),
             incarnation,
             fanout: wanted.fanout,
-            tolerated_loss: wanted.loss,
+            tolerated_loss: wanted.tolerated_loss,
             seed: self.seed ^ u64::from(incarnation),
         };
-        Ok(MembershipParams { settings, heartbeat_interval: wanted.every.as_nanos() as Nanos })
+        Ok(MembershipParams { settings, heartbeat_interval: wanted.heartbeat_interval.as_nanos() as Nanos })
     }
 
     /// The sets whose majorities grant singleton roles, of so many configured schedulers.
@@ -63,16 +66,17 @@
     /// # Errors
     /// If the other set of a change is not the smaller one; with the place of the keyword.
     pub(crate) fn quorum_sets(
-        leases: &conf::Leases,
+        leases: &conf::RoleLeaseSettings,
         count: u16,
     ) -> Result<spanlead_singleton_roles::QuorumConfig, MembershipError> {
-        match &leases.joint {
-            Some((joint, place)) if *joint >= count => {
-                Err(MembershipError::JointSetNotSmaller { place: place.clone(), count })
-            }
-            Some((joint, _)) => {
-                Ok(spanlead_singleton_roles::QuorumConfig { schedulers: count, joint_schedulers: *joint })
+        match &leases.joint_quorum {
+            Some(joint) if joint.schedulers >= count => {
+                Err(MembershipError::JointSetNotSmaller { place: joint.location.to_string(), count })
             }
+            Some(joint) => Ok(spanlead_singleton_roles::QuorumConfig {
+                schedulers: count,
+                joint_schedulers: joint.schedulers,
+            }),
             None => Ok(spanlead_singleton_roles::QuorumConfig { schedulers: count, joint_schedulers: 0 }),
         }
     }
--- a/crates/service/spanlead/src/driver.rs
+++ b/crates/service/spanlead/src/driver.rs
@@ -30,7 +30,7 @@
 use spanlead_balancing_policy::RequestId;
 use spanlead_deployment_settings::{Deployment, Names, ReportMapping};
 use spanlead_engine::{Answer, AttemptId, Effect, Engine, Input, NoticeReply};
-use spanlead_inventory::desk::Desk;
+use spanlead_inventory::service::InventoryService;
 use spanlead_net::clients::ClientListener;
 use spanlead_net::peers::{PeerAddresses, PeerSocket};
 use spanlead_net::wire::ClientRequest;
@@ -104,7 +104,7 @@
     /// The log of durable jobs, if they are kept.
     durable_log: Option<DurableLog>,
     /// The inventories, if there are any.
-    inventories: Option<Desk>,
+    inventories: Option<InventoryService>,
     notices: PendingNotices,
     /// Why this process cannot go on.
     failure: Option<DurableJobsError>,
--- a/crates/service/spanlead/src/driver/effects.rs
+++ b/crates/service/spanlead/src/driver/effects.rs
@@ -73,7 +73,7 @@
             Effect::Log(text) => tracing::info!("{text}"),
             Effect::InventoryRejected { name, version, reason } => {
                 if let Some(inventories) = &self.inventories {
-                    inventories.object(name, version, reason);
+                    inventories.roll_back(name, version, reason);
                 }
             }
             Effect::Acknowledge { notice, reply } => self.acknowledge(notice, reply),
--- a/crates/service/spanlead/src/driver/operators.rs
+++ b/crates/service/spanlead/src/driver/operators.rs
@@ -2,10 +2,10 @@
 use super::Driver;
 use serde::Serialize;
 use spanlead_engine::{EngineStats, Input, RoleView};
-use spanlead_inventory::desk::{Desk, Status};
+use spanlead_inventory::service::{InventoryService, InventoryStatus};
 use spanlead_net::operator::OperatorRequest;
 use spanlead_net::wire::{AcceptedVersion, OperatorCall, OperatorReply};
-use spanlead_worker_attributes::{Report, reconcile};
+use spanlead_worker_attributes::{ReconciliationReport, reconcile};
 use tokio::sync::oneshot;
 
 /// Findings that one answer to an operator shows; the others are counted.
@@ -18,8 +18,8 @@
 /// The inventories, and where they differ from the endpoint list.
 #[derive(Serialize)]
 struct InventoryOverview {
-    inventories: Vec<Status>,
-    report: Report,
+    inventories: Vec<InventoryStatus>,
+    report: ReconciliationReport,
 }
 
 /// The singleton roles, as JSON.
@@ -51,7 +51,7 @@
     }
 
     /// The inventories, or a reply that there are none.
-    fn inventories(&self) -> Result<Desk, OperatorReply> {
+    fn inventories(&self) -> Result<InventoryService, OperatorReply> {
         self.inventories.clone().ok_or_else(|| OperatorReply::Refused("no inventory is set".into()))
     }
 
@@ -61,11 +61,11 @@
             Err(none) => return drop(reply.send(none)),
         };
         let live = self.engine.live_hosts();
-        let sheet = self.engine.sheet().cloned().unwrap_or_default();
+        let merged_inventory = self.engine.merged_inventory().cloned().unwrap_or_default();
         let now_ms = self.clock.now() / NANOS_PER_MS;
         // What takes its time is not done where jobs are decided.
         tokio::task::spawn_blocking(move || {
-            let report = reconcile(&live, &sheet, now_ms, MAX_FINDINGS);
+            let report = reconcile(&live, &merged_inventory, now_ms, MAX_FINDINGS);
             let overview = InventoryOverview { inventories: inventories.status(), report };
             let text = serde_json::to_vec(&overview);
             let _ = reply.send(
@@ -80,9 +80,12 @@
             Err(none) => return drop(reply.send(none)),
         };
         tokio::task::spawn_blocking(move || {
-            let done = inventories.accept(&accepted.inventory, &accepted.digest);
-            let done = done.map(|done| serde_json::json!({ "done": done }).to_string().into_bytes());
-            let _ = reply.send(done.map_or_else(OperatorReply::Refused, OperatorReply::Json));
+            let done = inventories.confirm(&accepted.inventory, &accepted.digest);
+            let done =
+                done.map(|done| serde_json::json!({ "done": done.to_string() }).to_string().into_bytes());
+            let _ = reply.send(
+                done.map_or_else(|error| OperatorReply::Refused(error.to_string()), OperatorReply::Json),
+            );
         });
     }
 
--- a/crates/service/spanlead/src/driver/reload.rs
+++ b/crates/service/spanlead/src/driver/reload.rs
@@ -3,7 +3,7 @@
 use super::startup::vocabulary;
 use crate::config::Config;
 use spanlead_engine::{Input, SettingsChange};
-use spanlead_inventory::desk::Desk;
+use spanlead_inventory::service::InventoryService;
 use std::sync::Arc;
 
 impl Driver {
@@ -14,7 +14,7 @@
             Err(error) => {
                 tracing::error!("configuration not used: {error}");
                 self.step(Input::ReloadFailed);
-                self.inventories.iter().for_each(Desk::look);
+                self.inventories.iter().for_each(InventoryService::reload);
             }
         }
     }
@@ -38,7 +38,7 @@
         tracing::info!(%discovery, settings = settings.is_some(), "configuration reloaded");
         self.step(Input::ConfigurationReloaded { discovery, settings, names });
         if let Some(inventories) = &self.inventories {
-            inventories.vocabulary(vocabulary(&self.names.borrow()));
+            inventories.set_vocabulary(vocabulary(&self.names.borrow()));
         }
     }
 }
--- a/crates/service/spanlead/src/driver/startup.rs
+++ b/crates/service/spanlead/src/driver/startup.rs
@@ -9,7 +9,7 @@
 use spanlead_conf_file as conf;
 use spanlead_deployment_settings::Names;
 use spanlead_engine::{Engine, Input, InventoryUpdate, InventoryVersion, RoleTask};
-use spanlead_inventory::desk::{Desk, News};
+use spanlead_inventory::service::{InventoryChange, InventoryService};
 use spanlead_net::clients::{ClientListener, ListenerParams, inherited_listener};
 use spanlead_net::handover::{connect_to_predecessor, listen_for_successors, socket_path};
 use spanlead_net::operator::{self, OperatorRequest};
@@ -90,7 +90,7 @@
 }
 
 /// Serves until told to shut down, then until nothing is open.
-pub(crate) async fn serve(config: Config, conf: conf::Conf) -> Result<(), ServeError> {
+pub(crate) async fn serve(config: Config, conf: conf::ConfFile) -> Result<(), ServeError> {
     let tier = tier_params(&config, &conf)?;
     // Before anything is accepted: until then these signals end the process.
     let signals = Signals::new()?;
@@ -99,7 +99,7 @@
     let ClientSocket { socket, predecessor } = open_client_socket(&config, &messages).await?;
     let listen_address = socket.local_addr()?;
     let operators = open_operator_socket(config.operator).await?;
-    if let Some(settings) = conf.ledger.clone() {
+    if let Some(settings) = conf.durable_log.clone() {
         open_log(settings, clock, predecessor.is_some(), messages.clone());
     }
     let known = Input::EndpointList {
@@ -112,7 +112,7 @@
     let mut driver = Driver::new(config, &conf, resources)?;
     driver.open_peer_socket()?;
     if let Some(tier) = tier {
-        driver.join_tier(tier, conf.leases, conf.duties);
+        driver.join_tier(tier, conf.role_leases, conf.roles);
     }
     driver.step(known);
     tracing::info!(name, address = %listen_address, "listening");
@@ -125,10 +125,10 @@
     Ok(())
 }
 
-fn tier_params(config: &Config, conf: &conf::Conf) -> Result<Option<TierParams>, MembershipError> {
+fn tier_params(config: &Config, conf: &conf::ConfFile) -> Result<Option<TierParams>, MembershipError> {
     let Some(wanted) = &conf.membership else { return Ok(None) };
     let membership = config.membership(wanted)?;
-    let quorum_sets = Config::quorum_sets(&conf.leases, membership.settings.member_count)?;
+    let quorum_sets = Config::quorum_sets(&conf.role_leases, membership.settings.member_count)?;
     Ok(Some(TierParams { membership, quorum_sets }))
 }
 
@@ -172,20 +172,20 @@
 
 /// Watches the inventories, if there are any; their versions come as inputs.
 fn start_inventories(
-    inventories: Vec<conf::Inventory>,
+    inventories: Vec<conf::InventorySettings>,
     names: &Names,
     messages: &UnboundedSender<Message>,
-) -> Option<Desk> {
+) -> Option<InventoryService> {
     if inventories.is_empty() {
         return None;
     }
     let messages = messages.clone();
-    let notify = move |News { sheet, by, forced }| {
-        let by = by.map(|(name, number)| InventoryVersion { name, number });
-        let update = InventoryUpdate { sheet, by, forced };
+    let notify = move |InventoryChange { merged_inventory, version, forced }| {
+        let by = version.map(|version| InventoryVersion { name: version.inventory, number: version.number });
+        let update = InventoryUpdate { merged_inventory, by, forced };
         let _ = messages.send(Message::Input(Input::InventoryUpdated(update)));
     };
-    Some(Desk::start(inventories, vocabulary(names), notify))
+    Some(InventoryService::start(inventories, vocabulary(names), notify))
 }
 
 /// What the driver owns from the start.
@@ -197,9 +197,9 @@
 }
 
 impl Driver {
-    fn new(config: Config, conf: &conf::Conf, resources: Resources) -> Result<Self, ServeError> {
+    fn new(config: Config, conf: &conf::ConfFile, resources: Resources) -> Result<Self, ServeError> {
         let Resources { clock, messages, socket, predecessor } = resources;
-        let keeps_durable_jobs = conf.ledger.is_some();
+        let keeps_durable_jobs = conf.durable_log.is_some();
         let capacities = Capacities { alone: config.capacity, shared: config.shared_capacity };
         let capacity = if predecessor.is_some() { capacities.shared } else { capacities.alone };
         let pool_config = config.pool_config();
@@ -247,7 +247,12 @@
     }
 
     /// Joins the membership, and takes part in the singleton roles if there are any.
-    fn join_tier(&mut self, tier: TierParams, leases: conf::Leases, roles: Vec<conf::Duty>) {
+    fn join_tier(
+        &mut self,
+        tier: TierParams,
+        leases: conf::RoleLeaseSettings,
+        roles: Vec<conf::RoleSettings>,
+    ) {
         let MembershipParams { settings, heartbeat_interval } = tier.membership;
         let (me, seed) = (settings.own_number, settings.seed);
         self.step(Input::JoinMembership { settings: Box::new(settings), heartbeat_interval });
@@ -258,9 +263,9 @@
         let settings = spanlead_singleton_roles::RoleConfig {
             own_number: me,
             quorum: tier.quorum_sets,
-            lease_duration: ms(leases.lease),
-            clock_drift_bound: ms(leases.clock_bound),
-            reply_timeout: ms(leases.patience),
+            lease_duration: ms(leases.lease_duration),
+            clock_drift_bound: ms(leases.clock_drift_bound),
+            reply_timeout: ms(leases.reply_timeout),
             seed,
         };
         let tasks = roles.into_iter().map(role_task).collect();
@@ -268,7 +273,12 @@
     }
 }
 
-fn role_task(role: conf::Duty) -> RoleTask {
-    let (addr, path) = role.call;
-    RoleTask { name: role.name, addr, path: path.into(), every: role.every.as_nanos() as Nanos }
+fn role_task(role: conf::RoleSettings) -> RoleTask {
+    let conf::RoleCallTarget { address, path } = role.call;
+    RoleTask {
+        name: role.name,
+        addr: address,
+        path: path.into(),
+        every: role.call_interval.as_nanos() as Nanos,
+    }
 }
--- a/crates/service/spanlead/src/durable_log.rs
+++ b/crates/service/spanlead/src/durable_log.rs
@@ -52,7 +52,7 @@
 /// Takes the folder and reads it, in a thread of its own, and tells the driver. With a predecessor
 /// it waits until that one lets go.
 pub(crate) fn open_log(
-    settings: conf::Ledger,
+    settings: conf::DurableLogSettings,
     clock: Clock,
     has_predecessor: bool,
     messages: UnboundedSender<Message>,
@@ -60,22 +60,23 @@
     std::thread::spawn(move || {
         let Some(disk) = take_folder(&settings, has_predecessor, &messages) else { return };
         let opened = disk.and_then(|disk| read_log(disk, &settings, clock, messages.clone()));
-        let opened = opened
-            .map(Box::new)
-            .map_err(|error| DurableJobsError { folder: settings.folder.clone(), reason: error.to_string() });
+        let opened = opened.map(Box::new).map_err(|error| DurableJobsError {
+            folder: settings.directory.clone(),
+            reason: error.to_string(),
+        });
         let _ = messages.send(Message::DurableJobsOpened(opened));
     });
 }
 
 /// Takes the folder; `None` if this process ends meanwhile.
 fn take_folder(
-    settings: &conf::Ledger,
+    settings: &conf::DurableLogSettings,
     has_predecessor: bool,
     messages: &UnboundedSender<Message>,
 ) -> Option<Result<DiskDirectory, OpenLogError>> {
     let until = Instant::now() + FOLDER_WAIT_TIMEOUT;
     loop {
-        match DiskDirectory::lock(&settings.folder) {
+        match DiskDirectory::lock(&settings.directory) {
             Ok(Some(disk)) => return Some(Ok(disk)),
             Ok(None) if has_predecessor || Instant::now() < until => {
                 std::thread::sleep(FOLDER_RETRY_INTERVAL);
@@ -98,14 +99,16 @@
 
 fn read_log(
     disk: DiskDirectory,
-    settings: &conf::Ledger,
+    settings: &conf::DurableLogSettings,
     clock: Clock,
     messages: UnboundedSender<Message>,
 ) -> Result<OpenedDurableJobs, OpenLogError> {
     let begun = Instant::now();
-    let limits = JobTableLimits { retention: settings.keep.as_nanos() as Nanos, max_jobs: settings.jobs };
+    let limits =
+        JobTableLimits { retention: settings.retention.as_nanos() as Nanos, max_jobs: settings.max_jobs };
     let mut ledger = JobTable::new(limits);
-    let options = LogOptions { max_segment_bytes: settings.segment, sync_on_commit: settings.sync };
+    let options =
+        LogOptions { max_segment_bytes: settings.max_segment_bytes, sync_on_commit: settings.sync_on_commit };
     let (log, opened) = WriteAheadLog::open(Box::new(disk), options, |number, bytes| {
         replay_record(&mut ledger, number, bytes).map(drop).map_err(RecordRejected::new)
     })?;
@@ -119,12 +122,12 @@
     let setup = DurableSetup {
         ledger,
         anchor: clock.anchor(),
-        all: settings.durable == conf::Durable::All,
-        lease: settings.lease.as_nanos() as Nanos,
-        clock_bound: settings.clock_bound.as_nanos() as Nanos,
-        disk: settings.disk,
-        segment: settings.segment,
+        all: settings.recorded_jobs == conf::RecordedJobs::All,
+        lease: settings.lease_duration.as_nanos() as Nanos,
+        clock_bound: settings.clock_drift_bound.as_nanos() as Nanos,
+        disk: settings.max_disk_bytes,
+        segment: settings.max_segment_bytes,
     };
-    let writer = LogWriter::spawn(log, settings.gather, report_progress)?;
+    let writer = LogWriter::spawn(log, settings.group_delay, report_progress)?;
     Ok(OpenedDurableJobs { setup, writer })
 }
--- a/crates/service/spanlead/src/inventory_command.rs
+++ b/crates/service/spanlead/src/inventory_command.rs
@@ -20,7 +20,7 @@
 use crate::operator_client::call;
 use comfy_table::{Table, presets};
 use error::InventoryCommandError;
-use spanlead_worker_attributes::document;
+use spanlead_worker_attributes::schema_document;
 
 /// Shown where something is not known.
 const UNKNOWN: &str = "-";
@@ -41,7 +41,7 @@
             }
             InventoryCommand::Convert { file, to, reading } => convert::convert(&file, to, &reading),
             InventoryCommand::Schema { reading } => {
-                let schema = document(&reading.vocabulary()?);
+                let schema = schema_document(&reading.vocabulary()?);
                 println!("{}", serde_json::to_string_pretty(&schema)?);
                 Ok(())
             }
--- a/crates/service/spanlead/src/inventory_command/check.rs
+++ b/crates/service/spanlead/src/inventory_command/check.rs
@@ -2,14 +2,15 @@
 use super::args::SelectionArgs;
 use super::error::InventoryCommandError;
 use super::sources::Examined;
-use spanlead_worker_attributes::Done;
+use spanlead_worker_attributes::DiagnosticEffect;
 
 /// Prints what is wrong with files; fails if a line, an attribute or a file is refused.
 pub(super) fn check(selection: &SelectionArgs, json: bool) -> Result<(), InventoryCommandError> {
     let mut refused = 0;
     for examined in selection.examine()? {
-        let refusals = &examined.judged.refusals;
-        let count = refusals.iter().filter(|refusal| refusal.done != Done::Nothing).count();
+        let diagnostics = &examined.validated.diagnostics;
+        let count =
+            diagnostics.iter().filter(|diagnostic| diagnostic.effect != DiagnosticEffect::Warning).count();
         refused += count;
         if json {
             print_json(&examined);
@@ -25,19 +26,19 @@
 }
 
 fn print_json(examined: &Examined) {
-    let Examined { inventory, judged, digest } = examined;
-    let refusals = judged.refusals.iter().map(|refusal| {
+    let Examined { inventory, validated, digest } = examined;
+    let diagnostics = validated.diagnostics.iter().map(|diagnostic| {
         serde_json::json!({
-            "file": judged.files.get(usize::from(refusal.at.file)),
-            "line": refusal.at.line,
-            "column": refusal.at.column,
-            "key": refusal.key,
-            "reason": refusal.reason,
-            "done": refusal.done,
+            "file": validated.files.get(usize::from(diagnostic.location.file)),
+            "line": diagnostic.location.line,
+            "column": diagnostic.location.column,
+            "key": diagnostic.key,
+            "reason": diagnostic.reason,
+            "done": diagnostic.effect,
         })
     });
-    let refusals: Vec<_> = refusals.collect();
-    let (hosts, lines) = (judged.rows.len(), judged.entries);
+    let diagnostics: Vec<_> = diagnostics.collect();
+    let (hosts, lines) = (validated.hosts.len(), validated.entries);
     println!(
         "{}",
         serde_json::json!({
@@ -45,21 +46,21 @@
             "digest": digest,
             "lines": lines,
             "hosts": hosts,
-            "refusals": refusals,
+            "refusals": diagnostics,
         })
     );
 }
 
 fn print_text(examined: &Examined, refused: usize) {
-    let Examined { inventory, judged, .. } = examined;
-    for refusal in &judged.refusals {
-        println!("{}", refusal.show(&judged.files));
+    let Examined { inventory, validated, .. } = examined;
+    for diagnostic in &validated.diagnostics {
+        println!("{}", diagnostic.describe(&validated.files));
     }
-    let warnings = judged.refusals.len() - refused;
+    let warnings = validated.diagnostics.len() - refused;
     println!(
         "{}: {} lines, {} hosts, {refused} refusals, {warnings} warnings",
         inventory.file.display(),
-        judged.entries,
-        judged.rows.len()
+        validated.entries,
+        validated.hosts.len()
     );
 }
--- a/crates/service/spanlead/src/inventory_command/convert.rs
+++ b/crates/service/spanlead/src/inventory_command/convert.rs
@@ -2,7 +2,7 @@
 use super::args::{OutputForm, ReadingArgs};
 use super::error::InventoryCommandError;
 use super::sources::examine_inventory;
-use spanlead_inventory::convert::{self, To};
+use spanlead_inventory::convert::{self, OutputFormat};
 use std::path::Path;
 
 /// Writes a file in another form. What is refused is left out.
@@ -13,16 +13,16 @@
 ) -> Result<(), InventoryCommandError> {
     let schema = reading.schema()?;
     let examined = examine_inventory(reading.inventory(file)?, &schema)?;
-    for refusal in &examined.judged.refusals {
-        eprintln!("{}", refusal.show(&examined.judged.files));
+    for diagnostic in &examined.validated.diagnostics {
+        eprintln!("{}", diagnostic.describe(&examined.validated.files));
     }
-    if examined.judged.refused().is_some() {
+    if examined.validated.file_rejection().is_some() {
         return Err(InventoryCommandError::NothingWritten);
     }
     let to = match to {
-        OutputForm::Csv => To::Csv,
-        OutputForm::Yaml => To::Yaml,
-        OutputForm::Json => To::Json,
+        OutputForm::Csv => OutputFormat::Csv,
+        OutputForm::Yaml => OutputFormat::Yaml,
+        OutputForm::Json => OutputFormat::Json,
     };
     convert::write(&examined.into_version(), to, std::io::stdout().lock())?;
     Ok(())
--- a/crates/service/spanlead/src/inventory_command/diff.rs
+++ b/crates/service/spanlead/src/inventory_command/diff.rs
@@ -3,7 +3,7 @@
 use super::error::InventoryCommandError;
 use super::sources::{archive, examine_inventory};
 use super::{UNKNOWN, table};
-use spanlead_worker_attributes::{Fact, Schema, Version, diff};
+use spanlead_worker_attributes::{Attribute, Schema, Version, changes_between};
 use std::path::{Path, PathBuf};
 
 /// The versions that the options name: two files, or two kept versions.
@@ -40,25 +40,27 @@
     schema: &Schema,
 ) -> Result<Version, InventoryCommandError> {
     let examined = examine_inventory(reading.inventory(path)?, schema)?;
-    match examined.judged.refused() {
-        Some(refusal) => Err(InventoryCommandError::FileRefused(refusal.show(&examined.judged.files))),
+    match examined.validated.file_rejection() {
+        Some(diagnostic) => {
+            Err(InventoryCommandError::FileRefused(diagnostic.describe(&examined.validated.files)))
+        }
         None => Ok(examined.into_version()),
     }
 }
 
 fn print_differences(old: &Version, new: &Version) {
-    let changes = diff(old, new);
+    let changes = changes_between(old, new);
     let mut shown = table(["host", "fact", "from", "to"]);
     let mut hosts: Vec<&str> = Vec::new();
     for change in &changes {
         hosts.push(&change.host);
         let or_unknown = |text: &Option<String>| text.clone().unwrap_or_else(|| UNKNOWN.into());
-        let fact = change.fact.map_or(UNKNOWN.to_owned(), |fact: Fact| fact.to_string());
+        let fact = change.attribute.map_or(UNKNOWN.to_owned(), |fact: Attribute| fact.to_string());
         shown.add_row([change.host.to_string(), fact, or_unknown(&change.from), or_unknown(&change.to)]);
     }
     hosts.dedup();
     if !changes.is_empty() {
         println!("{shown}");
     }
-    println!("{} hosts differ ({} before, {} now)", hosts.len(), old.rows.len(), new.rows.len());
+    println!("{} hosts differ ({} before, {} now)", hosts.len(), old.hosts.len(), new.hosts.len());
 }
--- a/crates/service/spanlead/src/inventory_command/history.rs
+++ b/crates/service/spanlead/src/inventory_command/history.rs
@@ -28,8 +28,8 @@
     [
         number.to_string(),
         version.digest.chars().take(SHOWN_DIGEST_CHARS).collect(),
-        version.rows.len().to_string(),
-        version.refusals.len().to_string(),
+        version.hosts.len().to_string(),
+        version.diagnostics.len().to_string(),
         humantime::format_rfc3339_seconds(read).to_string(),
     ]
 }
--- a/crates/service/spanlead/src/inventory_command/report.rs
+++ b/crates/service/spanlead/src/inventory_command/report.rs
@@ -5,7 +5,7 @@
 use super::{table, text_of};
 use crate::operator_client::call;
 use serde_json::Value;
-use spanlead_worker_attributes::{Report, reconcile};
+use spanlead_worker_attributes::{ReconciliationReport, reconcile};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -22,8 +22,8 @@
     if let Some(address) = live.at {
         return report_of_scheduler(address, json);
     }
-    let (sheet, live) = (selection.sheet()?, live.hosts()?);
-    let report: Report = reconcile(&live, &sheet, unix_ms(), most);
+    let (merged_inventory, live) = (selection.merged_inventory()?, live.hosts()?);
+    let report: ReconciliationReport = reconcile(&live, &merged_inventory, unix_ms(), most);
     let report = serde_json::to_value(&report)?;
     if json {
         println!("{report}");
--- a/crates/service/spanlead/src/inventory_command/sources.rs
+++ b/crates/service/spanlead/src/inventory_command/sources.rs
@@ -2,11 +2,14 @@
 use super::args::{LiveArgs, ReadingArgs, SelectionArgs, SettingsArgs};
 use super::error::InventoryCommandError;
 use crate::config::Config;
-use spanlead_conf_file::{self as conf, Inventory};
+use spanlead_conf_file::{self as conf, InventorySettings};
 use spanlead_inventory::archive::Archive;
-use spanlead_inventory::desk::{defaults, examine};
+use spanlead_inventory::{ExaminedInventory, default_attributes, examine};
 use spanlead_net::wire::EndpointList;
-use spanlead_worker_attributes::{Defaults, Judged, LiveHost, Schema, Sheet, Source, Version, Vocabulary};
+use spanlead_worker_attributes::{
+    DefaultAttributes, InventorySource, LiveHost, MergedInventory, Schema, ValidatedInventory, Version,
+    Vocabulary,
+};
 use std::path::Path;
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -16,28 +19,28 @@
 
 /// An inventory that was read and checked.
 pub(super) struct Examined {
-    pub(super) inventory: Inventory,
-    pub(super) judged: Judged,
+    pub(super) inventory: InventorySettings,
+    pub(super) validated: ValidatedInventory,
     pub(super) digest: String,
 }
 
 impl Examined {
     /// It as a version that was read now.
     pub(super) fn into_version(self) -> Version {
-        let Judged { files, rows, refusals, .. } = self.judged;
-        Version { number: 0, digest: self.digest, read_ms: unix_ms(), files, rows, refusals }
+        let ValidatedInventory { files, hosts, diagnostics, .. } = self.validated;
+        Version { number: 0, digest: self.digest, read_ms: unix_ms(), files, hosts, diagnostics }
     }
 }
 
 /// Reads and checks an inventory.
 pub(super) fn examine_inventory(
-    inventory: Inventory,
+    inventory: InventorySettings,
     schema: &Schema,
 ) -> Result<Examined, InventoryCommandError> {
     let examined = examine(&inventory, schema);
-    let (judged, digest) =
+    let ExaminedInventory { inventory: validated, digest } =
         examined.map_err(|_| InventoryCommandError::FileChanges(inventory.file.clone()))?;
-    Ok(Examined { inventory, judged, digest })
+    Ok(Examined { inventory, validated, digest })
 }
 
 /// Milliseconds since 1970.
@@ -69,7 +72,7 @@
     }
 
     /// The settings that these options would have as a section.
-    pub(super) fn inventory(&self, file: &Path) -> Result<Inventory, InventoryCommandError> {
+    pub(super) fn inventory(&self, file: &Path) -> Result<InventorySettings, InventoryCommandError> {
         let quoted = |text: &str| format!("'{}'", text.replace('\'', r"'\''"));
         let mut text = format!("inventory file\n  file {}\n", quoted(&file.to_string_lossy()));
         if let Some(format) = &self.format {
@@ -87,11 +90,12 @@
 }
 
 impl SettingsArgs {
-    fn inventories(&self) -> Result<Vec<Inventory>, InventoryCommandError> {
+    fn inventories(&self) -> Result<Vec<InventorySettings>, InventoryCommandError> {
         let Some(path) = &self.conf else { return Err(InventoryCommandError::NoInventory) };
         let conf = conf::read(path).map_err(|errors| InventoryCommandError::Settings(errors.to_string()))?;
-        let is_wanted = |inventory: &Inventory| self.name.as_ref().is_none_or(|name| *name == inventory.name);
-        let wanted: Vec<Inventory> = conf.inventories.into_iter().filter(is_wanted).collect();
+        let is_wanted =
+            |inventory: &InventorySettings| self.name.as_ref().is_none_or(|name| *name == inventory.name);
+        let wanted: Vec<InventorySettings> = conf.inventories.into_iter().filter(is_wanted).collect();
         if wanted.is_empty() {
             let name = self.name.clone().unwrap_or_else(|| "NAME".to_owned());
             return Err(InventoryCommandError::NoSection { conf: path.clone(), name });
@@ -100,7 +104,7 @@
     }
 
     /// The only inventory.
-    pub(super) fn only(&self) -> Result<Inventory, InventoryCommandError> {
+    pub(super) fn only(&self) -> Result<InventorySettings, InventoryCommandError> {
         let mut inventories = self.inventories()?;
         if inventories.len() > 1 {
             return Err(InventoryCommandError::SeveralInventories);
@@ -110,7 +114,7 @@
 }
 
 impl SelectionArgs {
-    fn inventories(&self) -> Result<Vec<Inventory>, InventoryCommandError> {
+    fn inventories(&self) -> Result<Vec<InventorySettings>, InventoryCommandError> {
         match &self.file {
             Some(file) => Ok(vec![self.reading.inventory(file)?]),
             None => self.settings.inventories(),
@@ -125,21 +129,26 @@
     }
 
     /// What they say together. A file that cannot be used adds nothing, and says so.
-    pub(super) fn sheet(&self) -> Result<Sheet, InventoryCommandError> {
-        let mut sheet = Sheet { sources: Vec::new(), defaults: Defaults::default() };
+    pub(super) fn merged_inventory(&self) -> Result<MergedInventory, InventoryCommandError> {
+        let mut merged_inventory =
+            MergedInventory { sources: Vec::new(), defaults: DefaultAttributes::default() };
         let mut settings = Vec::new();
         for examined in self.examine()? {
-            if let Some(refusal) = examined.judged.refused() {
-                eprintln!("spanlead: {}", refusal.show(&examined.judged.files));
+            if let Some(diagnostic) = examined.validated.file_rejection() {
+                eprintln!("spanlead: {}", diagnostic.describe(&examined.validated.files));
             }
             let inventory = examined.inventory.clone();
             let name = Arc::from(inventory.name.as_str());
             let version = Arc::new(examined.into_version());
-            sheet.sources.push(Source { name, weight_first: inventory.weight_first, version });
+            merged_inventory.sources.push(InventorySource {
+                name,
+                weight_first: inventory.weight_first,
+                version,
+            });
             settings.push(inventory);
         }
-        sheet.defaults = defaults(&settings);
-        Ok(sheet)
+        merged_inventory.defaults = default_attributes(&settings);
+        Ok(merged_inventory)
     }
 }
 
@@ -161,8 +170,8 @@
 }
 
 /// The versions of an inventory that are kept.
-pub(super) fn archive(inventory: &Inventory) -> Result<Archive, InventoryCommandError> {
-    let folder = inventory.keep.as_ref();
+pub(super) fn archive(inventory: &InventorySettings) -> Result<Archive, InventoryCommandError> {
+    let folder = inventory.archive_directory.as_ref();
     let folder = folder.ok_or_else(|| InventoryCommandError::NoArchive(inventory.name.clone()))?;
-    Ok(Archive::new(folder, &inventory.name, inventory.history))
+    Ok(Archive::new(folder, &inventory.name, inventory.max_archived_versions))
 }
--- a/crates/service/spanlead/src/main.rs
+++ b/crates/service/spanlead/src/main.rs
@@ -29,7 +29,7 @@
 use clap::Parser;
 use cli::{Cli, Command, ConfArgs, LedgerCommand};
 use config::Config;
-use spanlead_conf_file::{Conf, Format, Level};
+use spanlead_conf_file::{ConfFile, LogFormat, LogLevel, LogSettings};
 use std::error::Error;
 use std::process::ExitCode;
 use tracing_subscriber::filter::LevelFilter;
@@ -74,24 +74,24 @@
 }
 
 /// The operators' settings; defaults if there is no file.
-fn read_conf(args: &ConfArgs) -> Result<Conf, Failure> {
+fn read_conf(args: &ConfArgs) -> Result<ConfFile, Failure> {
     let conf = args.conf.as_deref().map(spanlead_conf_file::read).transpose();
     let conf = conf.map_err(|errors| format!("the settings can't be used:\n{errors}"))?;
     Ok(conf.unwrap_or_default())
 }
 
 /// The log goes to standard error, as the operators want it.
-fn start_log(log: &spanlead_conf_file::Log) {
+fn start_log(log: &LogSettings) {
     let level = match log.level {
-        Level::Error => LevelFilter::ERROR,
-        Level::Warn => LevelFilter::WARN,
-        Level::Info => LevelFilter::INFO,
-        Level::Debug => LevelFilter::DEBUG,
+        LogLevel::Error => LevelFilter::ERROR,
+        LogLevel::Warn => LevelFilter::WARN,
+        LogLevel::Info => LevelFilter::INFO,
+        LogLevel::Debug => LevelFilter::DEBUG,
     };
     let lines = tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false);
     match log.format {
-        Format::Text => lines.init(),
-        Format::Json => lines.json().init(),
+        LogFormat::Text => lines.init(),
+        LogFormat::Json => lines.json().init(),
     }
 }
 
--- a/crates/service/worker-attributes/src/place.rs
+++ b/crates/service/worker-attributes/src/diagnostic.rs
@@ -6,7 +6,7 @@
 /// A place in one of a version's files; lines and columns count from 1, columns in characters. Line 0 is the file as a
 /// whole.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Place {
+pub struct SourceLocation {
     /// The file's number in [`crate::Version::files`].
     pub file: u16,
     /// The line.
@@ -15,9 +15,9 @@
     pub column: u32,
 }
 
-impl Place {
+impl SourceLocation {
     /// The place as it is written in messages.
-    pub fn show(self, files: &[Arc<str>]) -> String {
+    pub fn describe(self, files: &[Arc<str>]) -> String {
         let file = files.get(usize::from(self.file)).map_or("?", |f| f);
         match (self.line, self.column) {
             (0, _) => file.to_owned(),
@@ -29,51 +29,63 @@
 
 /// What was done in place of what a line asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Done {
+pub enum DiagnosticEffect {
     /// Nothing else: this is a warning, and the line holds.
-    Nothing,
+    #[serde(rename = "nothing")]
+    Warning,
     /// The fact counts as unknown; the rest of the line holds.
-    FactUnknown,
+    #[serde(rename = "fact_unknown")]
+    AttributeUnknown,
     /// The line is left out, the others hold.
-    LineLeftOut,
+    #[serde(rename = "line_left_out")]
+    LineSkipped,
     /// Nothing of the file was taken; the last good version goes on.
-    FileRefused,
+    #[serde(rename = "file_refused")]
+    FileRejected,
 }
 
-impl fmt::Display for Done {
+impl fmt::Display for DiagnosticEffect {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Done::Nothing => "the line holds",
-            Done::FactUnknown => "the fact counts as unknown",
-            Done::LineLeftOut => "the line is left out",
-            Done::FileRefused => "nothing of the file is taken",
+            DiagnosticEffect::Warning => "the line holds",
+            DiagnosticEffect::AttributeUnknown => "the fact counts as unknown",
+            DiagnosticEffect::LineSkipped => "the line is left out",
+            DiagnosticEffect::FileRejected => "nothing of the file is taken",
         })
     }
 }
 
 /// Something in a file that can't be used, or should be looked at.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct Diagnostic {
     /// Where.
-    pub at: Place,
+    pub location: SourceLocation,
     /// The key or column, where it is about one.
     pub key: String,
     /// Why.
     pub reason: String,
     /// What was done instead.
-    pub done: Done,
+    pub effect: DiagnosticEffect,
 }
 
-impl Refusal {
+impl Diagnostic {
     /// A refusal of the file as a whole, at some place.
-    pub fn whole(at: Place, key: impl Into<String>, reason: impl Into<String>) -> Self {
-        Refusal { at, key: key.into(), reason: reason.into(), done: Done::FileRefused }
+    pub fn file_rejected(
+        location: SourceLocation,
+        key: impl Into<String>,
+        reason: impl Into<String>,
+    ) -> Self {
+        Diagnostic {
+            location,
+            key: key.into(),
+            reason: reason.into(),
+            effect: DiagnosticEffect::FileRejected,
+        }
     }
 
     /// As a line: `FILE:LINE:COLUMN: KEY: why; what was done`.
-    pub fn show(&self, files: &[Arc<str>]) -> String {
+    pub fn describe(&self, files: &[Arc<str>]) -> String {
         let key = if self.key.is_empty() { String::new() } else { format!("{}: ", self.key) };
-        format!("{}: {key}{}; {}", self.at.show(files), self.reason, self.done)
+        format!("{}: {key}{}; {}", self.location.describe(files), self.reason, self.effect)
     }
 }
--- a/crates/service/worker-attributes/src/name.rs
+++ b/crates/service/worker-attributes/src/host_name.rs
@@ -9,7 +9,7 @@
 
 /// Why a text is no host's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BadName {
+pub enum HostNameError {
     /// Nothing is left of it.
     Empty,
     /// More than 253 octets.
@@ -22,30 +22,32 @@
     International,
 }
 
-impl fmt::Display for BadName {
+impl fmt::Display for HostNameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BadName::Empty => write!(f, "is empty"),
-            BadName::TooLong => write!(f, "has more than {MAX_NAME} characters"),
-            BadName::Label => {
+            HostNameError::Empty => write!(f, "is empty"),
+            HostNameError::TooLong => write!(f, "has more than {MAX_NAME} characters"),
+            HostNameError::Label => {
                 write!(f, "has a part between dots that is empty or over {MAX_LABEL} characters")
             }
-            BadName::Character(c) => write!(f, "holds {c:?}, which stands in no host's name"),
-            BadName::International => write!(f, "is an international name that can't be written in DNS"),
+            HostNameError::Character(c) => write!(f, "holds {c:?}, which stands in no host's name"),
+            HostNameError::International => {
+                write!(f, "is an international name that can't be written in DNS")
+            }
         }
     }
 }
 
-impl std::error::Error for BadName {}
+impl std::error::Error for HostNameError {}
 
 /// The one spelling by which a name is compared.
 ///
 /// # Errors
 /// If it can't be a host's name.
-pub fn normal(name: &str) -> Result<Cow<'_, str>, BadName> {
+pub fn normalize_host_name(name: &str) -> Result<Cow<'_, str>, HostNameError> {
     let name = name.strip_suffix('.').unwrap_or(name);
     if name.is_empty() {
-        return Err(BadName::Empty);
+        return Err(HostNameError::Empty);
     }
     let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-' || b == b'_' || b == b'.';
     let known = name.bytes().all(plain);
@@ -54,16 +56,16 @@
     } else if name.is_ascii() {
         Cow::Owned(name.to_ascii_lowercase())
     } else {
-        idna::domain_to_ascii(name).map(Cow::Owned).map_err(|_| BadName::International)?
+        idna::domain_to_ascii(name).map(Cow::Owned).map_err(|_| HostNameError::International)?
     };
     if let Some(c) = normal.chars().find(|c| !c.is_ascii() || !plain(*c as u8)) {
-        return Err(BadName::Character(c));
+        return Err(HostNameError::Character(c));
     }
     if normal.len() > MAX_NAME {
-        return Err(BadName::TooLong);
+        return Err(HostNameError::TooLong);
     }
     if normal.split('.').any(|label| label.is_empty() || label.len() > MAX_LABEL) {
-        return Err(BadName::Label);
+        return Err(HostNameError::Label);
     }
     Ok(normal)
 }
--- a/crates/service/worker-attributes/src/lib.rs
+++ b/crates/service/worker-attributes/src/lib.rs
@@ -1,27 +1,33 @@
 //! What is known of workers beside the live list. An inventory that some tool keeps says of a host in which zone and pod it
-//! stands, of which kind it is, what it can bear; here that is judged ([`judge`]), kept in versions ([`Shelf`]), laid beside
-//! the live list ([`Sheet`]) and compared with it ([`reconcile`]). Nothing here reads or writes: files come as what their
-//! readers made of them ([`Raw`]), the time comes as a number.
+//! stands, of which kind it is, what it can bear; here that is judged ([`judge`]), kept in versions ([`InventoryVersions`]), laid beside
+//! the live list ([`MergedInventory`]) and compared with it ([`reconcile`]). Nothing here reads or writes: files come as what their
+//! readers made of them ([`RawHost`]), the time comes as a number.
 //!
 //! Three things hold throughout:
 //!
-//! - **Nothing is guessed.** What two lines of a file say differently is unknown ([`Said::Disputed`]), and both are named.
-//! - **Every refusal names its place** and what was done instead ([`Refusal`]).
+//! - **Nothing is guessed.** What two lines of a file say differently is unknown ([`AttributeValue::Conflicting`]), and both are named.
+//! - **Every refusal names its place** and what was done instead ([`Diagnostic`]).
 //! - **A file adds facts to hosts; it never makes one.** Only the live list does that.
-mod judge;
-mod name;
-mod place;
+mod diagnostic;
+mod host_name;
+mod host_record;
+mod merged_inventory;
 mod reconcile;
-mod row;
 mod schema;
-mod sheet;
+mod validate;
 mod version;
 
-pub use judge::{Item, Judged, Rank, Raw, RawFile, Value, judge};
-pub use name::{BadName, normal};
-pub use place::{Done, Place, Refusal};
-pub use reconcile::{Counts, Finding, Known, LiveHost, Report, What, provenance, reconcile};
-pub use row::{Fact, Labels, Row, Said};
-pub use schema::{Schema, Vocabulary, document};
-pub use sheet::{Defaults, Found, Sheet, Source};
-pub use version::{Change, Held, Limits, Shelf, Turned, Verdict, Version, diff, differing};
+pub use diagnostic::{Diagnostic, DiagnosticEffect, SourceLocation};
+pub use host_name::{HostNameError, normalize_host_name};
+pub use host_record::{Attribute, AttributeValue, HostRecord, Labels};
+pub use merged_inventory::{DefaultAttributes, InventorySource, MergedInventory, ResolvedValue};
+pub use reconcile::{
+    AttributeProvenance, Finding, FindingKind, LiveHost, ReconciliationCounts, ReconciliationReport,
+    provenance, reconcile,
+};
+pub use schema::{Schema, SchemaError, Vocabulary, schema_document};
+pub use validate::{Precedence, RawHost, RawInventory, RawValue, Statement, ValidatedInventory, validate};
+pub use version::{
+    Change, ConfirmError, InventoryVersions, PendingVersion, RejectedVersion, UpdateLimits, UpdateOutcome,
+    Version, changes_between, count_changed_hosts,
+};
--- a/crates/service/worker-attributes/src/schema.rs
+++ b/crates/service/worker-attributes/src/schema.rs
@@ -1,5 +1,5 @@
 //! The JSON Schema of a host's facts, made from the type below, and the check by it (JSON Schema, draft 2020-12).
-use crate::row::Labels;
+use crate::host_record::Labels;
 use jsonschema::Validator;
 use schemars::{JsonSchema, schema_for};
 use serde_json::{Map, Value};
@@ -43,7 +43,7 @@
 }
 
 /// The schema as a document.
-pub fn document(vocabulary: &Vocabulary) -> Value {
+pub fn schema_document(vocabulary: &Vocabulary) -> Value {
     let mut schema = schema_for!(HostFacts).to_value();
     // What is not stated is left out, not null: that no message should speak of null.
     for property in schema["properties"].as_object_mut().into_iter().flat_map(|p| p.values_mut()) {
@@ -61,10 +61,15 @@
     schema
 }
 
+/// The schema could not be built, which would be a fault of this module.
+#[derive(Debug, thiserror::Error)]
+#[error("the schema of a host's facts is faulty: {0}")]
+pub struct SchemaError(Box<jsonschema::ValidationError<'static>>);
+
 /// The schema, ready to check with.
 pub struct Schema {
     validator: Validator,
-    mark: u64,
+    fingerprint: u64,
 }
 
 impl Schema {
@@ -72,21 +77,21 @@
     ///
     /// # Errors
     /// If it could not be made, which would be a fault of this module.
-    pub fn new(vocabulary: &Vocabulary) -> Result<Self, String> {
-        let validator = jsonschema::validator_for(&document(vocabulary));
-        let mark = xxh3_64(document(vocabulary).to_string().as_bytes());
-        let schema = validator.map(|validator| Schema { validator, mark });
-        schema.map_err(|e| format!("the schema of a host's facts is faulty: {e}"))
+    pub fn new(vocabulary: &Vocabulary) -> Result<Self, SchemaError> {
+        let validator = jsonschema::validator_for(&schema_document(vocabulary));
+        let fingerprint = xxh3_64(schema_document(vocabulary).to_string().as_bytes());
+        let schema = validator.map(|validator| Schema { validator, fingerprint });
+        schema.map_err(|error| SchemaError(Box::new(error)))
     }
 
     /// The same for schemas that judge alike: with it and a file's bytes what comes of them is settled.
-    pub fn mark(&self) -> u64 {
-        self.mark
+    pub fn fingerprint(&self) -> u64 {
+        self.fingerprint
     }
 
     /// What is wrong with a host's facts: the key and why.
-    pub(crate) fn faults(&self, facts: Map<String, Value>) -> Vec<(String, String)> {
-        let value = Value::Object(facts);
+    pub(crate) fn faults(&self, attributes: Map<String, Value>) -> Vec<(String, String)> {
+        let value = Value::Object(attributes);
         if self.validator.is_valid(&value) {
             return Vec::new();
         }
