--- a/crates/cluster/control-plane/tests/operator_simulation/mod.rs
+++ b/crates/cluster/control-plane/tests/operator_simulation/mod.rs
@@ -85,7 +85,7 @@
         let operators = (0..3).map(|_| Operator::default()).collect();
         OperatorSimulation {
             cluster,
-            rng: ChaCha8Rng::seed_from_u64(seed ^ 0x0FF1CE),
+            rng: ChaCha8Rng::seed_from_u64(seed ^ 0x000F_F1CE),
             primaries: BTreeMap::new(),
             operators,
             confirmed: BTreeMap::new(),
@@ -242,7 +242,10 @@
             ReplaceOutcome::AlreadyAccepted => Answer::Confirmed,
             ReplaceOutcome::VersionConflict | ReplaceOutcome::Rejected(_) => Answer::Refused,
         };
-        let committed = self.cluster.machines[machine].replica.as_ref().map_or(0, |r| r.committed_sequence());
+        let committed = self.cluster.machines[machine]
+            .replica
+            .as_ref()
+            .map_or(0, spanlead_replication::Replica::committed_sequence);
         let primary_state = self.primaries.get_mut(&machine).expect("a primary");
         if committed >= primary_state.sequence {
             self.answer(operator, answer);
--- a/crates/cluster/control-plane/tests/store_power_loss.rs
+++ b/crates/cluster/control-plane/tests/store_power_loss.rs
@@ -92,7 +92,8 @@
 
     fn sync_data(&self) -> Result<(), io::Error> {
         let mut file = self.operate()?;
-        file.synced = file.current.clone();
+        let current = file.current.clone();
+        file.synced = current;
         file.unsynced_writes.clear();
         file.unsynced_lengths.clear();
         Ok(())
--- a/crates/cluster/job-scheduler/src/jobs/run.rs
+++ b/crates/cluster/job-scheduler/src/jobs/run.rs
@@ -187,7 +187,7 @@
     pub(crate) fn report_running(&mut self, now_ms: u64, reported: &RunningTask) {
         self.mark_started(now_ms);
         if !reported.checkpoint.is_empty() {
-            self.checkpoint = reported.checkpoint.clone();
+            self.checkpoint.clone_from(&reported.checkpoint);
         }
         self.reported_at_ms = now_ms;
         if reported.progress_percent > self.progress_percent {
--- a/crates/cluster/job-scheduler/src/jobs/task.rs
+++ b/crates/cluster/job-scheduler/src/jobs/task.rs
@@ -84,7 +84,7 @@
     pub(crate) fn remove_run(&mut self, number: u32, checkpoint: &CompactString) -> Option<Run> {
         let position = self.active_runs.iter().position(|run| run.number() == number)?;
         if !checkpoint.is_empty() {
-            self.checkpoint = checkpoint.clone();
+            self.checkpoint.clone_from(checkpoint);
         }
         Some(self.active_runs.remove(position))
     }
--- a/crates/cluster/job-scheduler/src/placement/gang.rs
+++ b/crates/cluster/job-scheduler/src/placement/gang.rs
@@ -16,7 +16,7 @@
         &mut self,
         jobs: &JobTable,
         workers: &mut WorkerRegistry,
-        request: &PlacementRequest,
+        request: &PlacementRequest<'_>,
     ) -> Placement<Vec<WorkerIndex>> {
         let members: Vec<TaskId> = jobs.tasks_of_stage(request.task).collect();
         if request.stage.rack_local {
@@ -36,7 +36,7 @@
         &mut self,
         jobs: &JobTable,
         workers: &mut WorkerRegistry,
-        request: &PlacementRequest,
+        request: &PlacementRequest<'_>,
         members: &[TaskId],
     ) -> Placement<Vec<WorkerIndex>> {
         let Some(rack) = self.rack_with_most_capacity(jobs, workers, request, members.len()) else {
@@ -50,7 +50,7 @@
         &self,
         jobs: &JobTable,
         workers: &WorkerRegistry,
-        request: &PlacementRequest,
+        request: &PlacementRequest<'_>,
         member_count: usize,
     ) -> Option<String> {
         let eligibility = self.eligibility(jobs, request, false);
@@ -73,7 +73,7 @@
         &mut self,
         jobs: &JobTable,
         workers: &mut WorkerRegistry,
-        request: &PlacementRequest,
+        request: &PlacementRequest<'_>,
         members: &[TaskId],
         rack: Option<&str>,
     ) -> Placement<Vec<WorkerIndex>> {
--- a/crates/cluster/job-scheduler/src/placement/placer.rs
+++ b/crates/cluster/job-scheduler/src/placement/placer.rs
@@ -77,7 +77,7 @@
         &mut self,
         jobs: &JobTable,
         workers: &WorkerRegistry,
-        request: &PlacementRequest,
+        request: &PlacementRequest<'_>,
     ) -> Placement<WorkerIndex> {
         self.choose(jobs, workers, request, None)
     }
@@ -87,7 +87,7 @@
         &mut self,
         jobs: &JobTable,
         workers: &WorkerRegistry,
-        request: &PlacementRequest,
+        request: &PlacementRequest<'_>,
         rack: Option<&str>,
     ) -> Placement<WorkerIndex> {
         if let Some(data_rack) = request.stage.affinity.as_deref().filter(|_| rack.is_none()) {
@@ -110,7 +110,7 @@
         &mut self,
         jobs: &JobTable,
         workers: &WorkerRegistry,
-        request: &PlacementRequest,
+        request: &PlacementRequest<'_>,
         rack: Option<&str>,
     ) -> Option<WorkerIndex> {
         let mut eligibility = self.eligibility(jobs, request, true);
@@ -123,7 +123,7 @@
     }
 
     /// The time that a task loses far from its data or its gang, milliseconds.
-    pub(super) fn remote_loss_ms(&self, request: &PlacementRequest) -> f64 {
+    pub(super) fn remote_loss_ms(&self, request: &PlacementRequest<'_>) -> f64 {
         request.stage.estimated_runtime_ms as f64 * (self.remote_data_slowdown - 1.0)
     }
 
@@ -146,7 +146,7 @@
     fn choose_eligible(
         &mut self,
         workers: &WorkerRegistry,
-        eligibility: &Eligibility,
+        eligibility: &Eligibility<'_>,
         rack: Option<&str>,
     ) -> Option<WorkerIndex> {
         let mut labels = eligibility.request.stage.constraints.clone();
--- a/crates/cluster/job-scheduler/src/scheduler/reports.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/reports.rs
@@ -59,7 +59,7 @@
     }
 
     /// Starts that timed out and are reported were carried out; the others must not be any more.
-    fn resolve_timed_out_starts(&mut self, received: &ReceivedReport, running: &BTreeSet<RunId>) {
+    fn resolve_timed_out_starts(&mut self, received: &ReceivedReport<'_>, running: &BTreeSet<RunId>) {
         let mut not_carried_out = Vec::new();
         for id in self.workers[received.worker].allocation.runs() {
             let Some(run) = self.jobs.run_mut(*id) else { continue };
@@ -77,7 +77,7 @@
         }
     }
 
-    fn end_finished_runs(&mut self, received: &ReceivedReport) {
+    fn end_finished_runs(&mut self, received: &ReceivedReport<'_>) {
         for finished in &received.report.finished {
             if !self.workers[received.worker].lease.receive_end(finished.number) {
                 continue;
@@ -99,7 +99,7 @@
         is_new && self.jobs.is_open(run.task.job)
     }
 
-    fn update_running(&mut self, received: &ReceivedReport) {
+    fn update_running(&mut self, received: &ReceivedReport<'_>) {
         let now_ms = received.now.monotonic_ms;
         for running in &received.report.running {
             let id = RunId { task: running.task, run: running.run };
@@ -111,7 +111,7 @@
     }
 
     /// Ends runs that are neither reported as running nor as ended: they never began, or are over.
-    fn end_missing_runs(&mut self, received: &ReceivedReport, running: &BTreeSet<RunId>) {
+    fn end_missing_runs(&mut self, received: &ReceivedReport<'_>, running: &BTreeSet<RunId>) {
         let runs = self.workers[received.worker].allocation.runs();
         let missing: Vec<RunId> = runs.difference(running).copied().collect();
         for id in missing {
@@ -127,7 +127,7 @@
     }
 
     /// Stops runs that no record names. They occupy capacity until they are no longer reported.
-    fn stop_orphans(&mut self, received: &ReceivedReport) {
+    fn stop_orphans(&mut self, received: &ReceivedReport<'_>) {
         let mut orphans = Vec::new();
         for running in &received.report.running {
             let run = RunId { task: running.task, run: running.run };
--- a/crates/cluster/job-scheduler/src/workers/worker.rs
+++ b/crates/cluster/job-scheduler/src/workers/worker.rs
@@ -132,9 +132,9 @@
             return false;
         }
         self.address = entry.address.as_str().into();
-        self.service = entry.service.clone();
+        self.service.clone_from(&entry.service);
         self.labels.clone_from(&entry.labels);
-        self.zone = entry.zone.clone();
+        self.zone.clone_from(&entry.zone);
         self.capacity = capacity;
         if self.listing != ListingState::Draining {
             self.listing = listing;
--- a/crates/cluster/job-scheduler/tests/simulation.rs
+++ b/crates/cluster/job-scheduler/tests/simulation.rs
@@ -24,7 +24,7 @@
         depends_on: if number > 0 && rng.random_bool(0.8) { vec![number - 1] } else { Vec::new() },
         gang: rng.random_bool(0.15),
         speculative: rng.random_bool(0.3),
-        anti_affinity: if rng.random_bool(0.2) { 1 } else { 0 },
+        anti_affinity: u32::from(rng.random_bool(0.2)),
         affinity: rng.random_bool(0.2).then(|| format!("r{}", rng.random_range(0..3))),
         ..Stage::default()
     }
--- a/crates/cluster/runtime/src/peer_links.rs
+++ b/crates/cluster/runtime/src/peer_links.rs
@@ -134,12 +134,11 @@
         if reconnects && !self.queue.is_closed() {
             return Some(self.queue.try_recv().unwrap_or_else(|_| encode_counted(&Frame::Ping)));
         }
-        match timeout(IDLE_TIMEOUT, self.queue.recv()).await {
-            Ok(Ok(first)) => Some(first),
-            _ => {
-                self.queue.close();
-                None
-            }
+        if let Ok(Ok(first)) = timeout(IDLE_TIMEOUT, self.queue.recv()).await {
+            Some(first)
+        } else {
+            self.queue.close();
+            None
         }
     }
 
--- a/crates/cluster/runtime/tests/http_framing.rs
+++ b/crates/cluster/runtime/tests/http_framing.rs
@@ -108,21 +108,21 @@
 #[test]
 fn a_connection_is_reusable_only_after_exactly_one_complete_response() {
     let good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-    assert_eq!(response(good.as_bytes()), expected(200, "ok", true));
+    assert_eq!(response(good.as_bytes()), Some(expected(200, "ok", true)));
     let two = [good, good].concat();
-    assert_eq!(response(two.as_bytes()), expected(200, "ok", false), "two answers");
+    assert_eq!(response(two.as_bytes()), Some(expected(200, "ok", false)), "two answers");
     let more = [good, "x"].concat();
-    assert_eq!(response(more.as_bytes()), expected(200, "ok", false), "bytes that belong to nothing");
+    assert_eq!(response(more.as_bytes()), Some(expected(200, "ok", false)), "bytes that belong to nothing");
     let interim = ["HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", good].concat();
-    assert_eq!(response(interim.as_bytes()), expected(200, "ok", true));
+    assert_eq!(response(interim.as_bytes()), Some(expected(200, "ok", true)));
     let closes = "HTTP/1.1 200 OK\r\nConnection: Close\r\nContent-Length: 2\r\n\r\nok";
-    assert_eq!(response(closes.as_bytes()), expected(200, "ok", false));
-    assert_eq!(response(b"HTTP/1.1 200 OK\r\n\r\nto the end"), expected(200, "to the end", false));
-    assert_eq!(response(b"HTTP/1.1 204 None\r\n\r\n"), expected(204, "", true));
+    assert_eq!(response(closes.as_bytes()), Some(expected(200, "ok", false)));
+    assert_eq!(response(b"HTTP/1.1 200 OK\r\n\r\nto the end"), Some(expected(200, "to the end", false)));
+    assert_eq!(response(b"HTTP/1.1 204 None\r\n\r\n"), Some(expected(204, "", true)));
     assert_eq!(response(&good.as_bytes()[..good.len() - 1]), None, "cut");
     assert_eq!(response(b"HTTP/1.1 101 Other\r\n\r\n"), None, "another protocol");
 }
 
-fn expected(status: u16, body: &str, reusable: bool) -> Option<ReceivedResponse> {
-    Some(ReceivedResponse { status, body: body.as_bytes().to_vec(), reusable })
+fn expected(status: u16, body: &str, reusable: bool) -> ReceivedResponse {
+    ReceivedResponse { status, body: body.as_bytes().to_vec(), reusable }
 }
--- a/crates/service/balancing-policy/tests/admission.rs
+++ b/crates/service/balancing-policy/tests/admission.rs
@@ -78,11 +78,11 @@
                 ..LoadReport::default()
             });
             world.advance(5 * MS, false);
-            if !full {
+            if full {
+                world.advance(2 * SEC, false);
+            } else {
                 world.advance(if class == 0 { 5 * MS } else { 80 * MS }, false);
                 world.end_attempt(id, 0, Outcome::Ok);
-            } else {
-                world.advance(2 * SEC, false);
             }
         }
         taken[0] / asked[0] / (taken[1] / asked[1])
--- a/crates/service/balancing-policy/tests/many_dispatchers.rs
+++ b/crates/service/balancing-policy/tests/many_dispatchers.rs
@@ -203,7 +203,7 @@
         let mut sent = 0;
         for seed in 0..DISPATCHERS {
             let mut world = dispatcher_with_history(&settings, seed, |world| {
-                WARM_WORKERS.into_iter().for_each(|w| report_free_slots(world, w, 4.0))
+                WARM_WORKERS.into_iter().for_each(|w| report_free_slots(world, w, 4.0));
             });
             let started = Some(world.now);
             world.update_endpoints(
--- a/crates/service/engine/src/durable/repeats.rs
+++ b/crates/service/engine/src/durable/repeats.rs
@@ -1,4 +1,4 @@
-//! RetrySafety of a request: they join one that is open, or are answered as the first was.
+//! Retries of a request: they join one that is open, or are answered as the first was.
 use super::recording::recorded_answer;
 use super::{DURABLE_RETRY_AFTER, after_durable};
 use crate::request_table::JoinedClient;
--- a/crates/service/engine/src/workers/endpoint_list.rs
+++ b/crates/service/engine/src/workers/endpoint_list.rs
@@ -54,12 +54,11 @@
     /// Notes what the list says of a host.
     fn update_host(&mut self, now: Nanos, host: WorkerEndpoint, out: &mut Vec<Effect>) -> Arc<str> {
         let name = host.name.clone();
-        match self.workers.get_mut(&name) {
-            Some(worker) => worker.update_host(now, host, out),
-            None => {
-                let own_number = self.next_own_number();
-                self.workers.insert(name.clone(), Worker::new(now, host, own_number));
-            }
+        if let Some(worker) = self.workers.get_mut(&name) {
+            worker.update_host(now, host, out);
+        } else {
+            let own_number = self.next_own_number();
+            self.workers.insert(name.clone(), Worker::new(now, host, own_number));
         }
         name
     }
--- a/crates/service/engine/src/workers/isolation.rs
+++ b/crates/service/engine/src/workers/isolation.rs
@@ -1,4 +1,4 @@
-//! Pods and zones that change are nobody's for a while. RetrySafety of a keyed job are dropped
+//! Pods and zones that change are nobody's for a while. Retries of a keyed job are dropped
 //! within its worker's pod or zone, for the class's window. A worker that another file puts
 //! elsewhere may hold jobs of the place before: until the longest window is over it is in a pod, or
 //! zone, of its own. So is one of which nothing is known.
--- a/crates/service/engine/tests/crash.rs
+++ b/crates/service/engine/tests/crash.rs
@@ -1,7 +1,7 @@
 //! The reducer, its ledger and the real log, simulated whole: clients, workers, network, disk and
 //! clock are drawn from a seed, messages are lost, doubled and late, processes and the machine are
 //! stopped between any record, its sync and what follows, and the rules are checked at each step.
-//! In the manner of FoundationDB's and TigerBeetle's simulators: one thread, virtual time, the same
+//! In the manner of `FoundationDB`'s and `TigerBeetle`'s simulators: one thread, virtual time, the same
 //! seed the same story. `SEED=n` plays one story, `STORIES=n` so many.
 use bytes::Bytes;
 use rand::rngs::SmallRng;
@@ -420,12 +420,11 @@
                 self.keys.insert(id.clone(), key);
                 self.offers.insert(attempt);
                 let (worker, delay) = (addr.port() as usize - 1, self.delay());
-                match self.rng.random_bool(0.97) {
-                    true => self.after(delay, Happening::Arrive { worker, attempt, id, key, lease, epoch }),
-                    false => {
-                        let result = DispatchResult::Ended(Outcome::ConnectFailed, None);
-                        self.after(delay, Happening::Handed { attempt, result, epoch });
-                    }
+                if self.rng.random_bool(0.97) {
+                    self.after(delay, Happening::Arrive { worker, attempt, id, key, lease, epoch });
+                } else {
+                    let result = DispatchResult::Ended(Outcome::ConnectFailed, None);
+                    self.after(delay, Happening::Handed { attempt, result, epoch });
                 }
             }
             Effect::CancelAttempt { attempt, addr, job_id: id, .. } => match barrier.cancel(attempt) {
--- a/crates/service/net/src/clients/requests.rs
+++ b/crates/service/net/src/clients/requests.rs
@@ -118,7 +118,7 @@
         if !was_adopted && guard.connection.is_disconnected().await {
             // Nobody waits for it: it is not accepted.
             self.count_rejected(class);
-            guard.connection.drop_disconnected().await
+            guard.connection.drop_disconnected().await;
         }
         let request = ClientRequest::new(head, body);
         if self.keeps_durable_jobs {
--- a/crates/service/spanlead/examples/tier.rs
+++ b/crates/service/spanlead/examples/tier.rs
@@ -52,14 +52,14 @@
     }
     rig.wires.change_all(|way| *way = Way { loss, ..Way::default() });
     let marks: Vec<usize> = (0..count).map(|n| rig.logged(n).len()).collect();
-    let ids: Vec<u32> = rig.schedulers.iter().filter_map(|s| s.id()).collect();
+    let ids: Vec<u32> = rig.schedulers.iter().filter_map(spanlead_testbed::Scheduler::id).collect();
     let cpu_by_now = || ids.iter().copied().map(cpu_of).sum::<Duration>();
     let (before, begun) = (cpu_by_now(), Instant::now());
     let passed = rig.wires.passed();
     sleep_until(begun + Duration::from_secs_f64(minutes * 60.0)).await;
     let seconds = begun.elapsed().as_secs_f64();
     let (sent, bytes) = (rig.wires.passed().sent - passed.sent, rig.wires.passed().bytes - passed.bytes);
-    let cpu = (cpu_by_now() - before).as_secs_f64() * 1000.0;
+    let cpu = cpu_by_now().checked_sub(before).unwrap().as_secs_f64() * 1000.0;
     let memory = ids.iter().copied().map(memory_of).max().unwrap_or(0);
     let logged = |rig: &Rig, to: &str| -> usize {
         (0..count).map(|n| rig.logged(n).iter().skip(marks[n]).filter(|c| c.to == to).count()).sum()
--- a/crates/service/spanlead/src/driver/operators.rs
+++ b/crates/service/spanlead/src/driver/operators.rs
@@ -136,7 +136,7 @@
     /// The engine's figures, and those of the log and the peers.
     fn stats(&self) -> EngineStats {
         let mut stats = self.engine.stats(self.clock.now(), &self.names.borrow().classes);
-        let log_stats = self.durable_log.as_ref().and_then(|log| log.stats());
+        let log_stats = self.durable_log.as_ref().and_then(super::durable_log::DurableLog::stats);
         if let (Some(jobs), Some(log)) = (&mut stats.ledger, log_stats) {
             (jobs.commits, jobs.records) = (log.commits, log.records);
             jobs.commit_p50_us = log.latency_p50.as_micros() as u64;
--- a/crates/service/spanlead/tests/standing.rs
+++ b/crates/service/spanlead/tests/standing.rs
@@ -128,8 +128,8 @@
     let (mut client, mut notices) = (scheduler.client(), scheduler.client());
     client.job("status-check", "last", 20_000);
     let (name, call) = loop {
-        let calls = workers.iter().zip(["s-a", "s-b", "s-c"]);
-        if let Some(found) = calls.filter_map(|(w, name)| Some((name, w.try_next()?))).next() {
+        let mut calls = workers.iter().zip(["s-a", "s-b", "s-c"]);
+        if let Some(found) = calls.find_map(|(w, name)| Some((name, w.try_next()?))) {
             break found;
         }
     };
--- a/crates/service/spanlead/tests/tier.rs
+++ b/crates/service/spanlead/tests/tier.rs
@@ -27,8 +27,8 @@
     (0..COUNT).map(|by| rig.logged(by).len()).collect()
 }
 
-fn sees(view: &Option<Vec<Seen>>, of: usize, state: &str) -> bool {
-    view.as_ref().is_some_and(|v| v[of].state == state)
+fn sees(view: Option<&Vec<Seen>>, of: usize, state: &str) -> bool {
+    view.is_some_and(|v| v[of].state == state)
 }
 
 /// Nobody was taken for dead but those, by anyone but those.
@@ -52,7 +52,8 @@
         let marks = marks(&rig);
         let before = rig.members(0).await.expect("a view")[3].incarnation.clone();
         rig.schedulers[3].kill().await;
-        let known = |views: &[Option<Vec<Seen>>]| (0..COUNT).all(|by| by == 3 || sees(&views[by], 3, "dead"));
+        let known =
+            |views: &[Option<Vec<Seen>>]| (0..COUNT).all(|by| by == 3 || sees(views[by].as_ref(), 3, "dead"));
         assert!(rig.until(PATIENCE, known).await, "a kill is not noticed");
         rig.schedulers[3].start().await.expect("it starts");
         assert!(rig.whole(PATIENCE).await, "it is not found again");
@@ -69,7 +70,8 @@
         let mut rig = rig("leave", SECTION).await;
         let marks = marks(&rig);
         rig.schedulers[1].terminate();
-        let left = |views: &[Option<Vec<Seen>>]| (0..COUNT).all(|by| by == 1 || sees(&views[by], 1, "left"));
+        let left =
+            |views: &[Option<Vec<Seen>>]| (0..COUNT).all(|by| by == 1 || sees(views[by].as_ref(), 1, "left"));
         assert!(rig.until(PATIENCE, left).await, "an orderly end is not known");
         for by in (0..COUNT).filter(|by| *by != 1) {
             let seen = changes(&rig, by, 1, marks[by]);
@@ -107,7 +109,7 @@
         let marks = marks(&rig);
         let others: Vec<usize> = (1..COUNT).collect();
         rig.wires.cut(&[0], &others, true);
-        let out = |views: &[Option<Vec<Seen>>]| (1..COUNT).all(|by| sees(&views[by], 0, "dead"));
+        let out = |views: &[Option<Vec<Seen>>]| (1..COUNT).all(|by| sees(views[by].as_ref(), 0, "dead"));
         assert!(rig.until(PATIENCE, out).await, "it is not counted out");
         pass(Duration::from_secs(2)).await;
         for (by, mark) in marks.iter().enumerate().skip(1) {
@@ -130,7 +132,8 @@
         let rig = rig("pause", SECTION).await;
         let marks = marks(&rig);
         rig.schedulers[2].pause(true);
-        let out = |views: &[Option<Vec<Seen>>]| (0..COUNT).all(|by| by == 2 || sees(&views[by], 2, "dead"));
+        let out =
+            |views: &[Option<Vec<Seen>>]| (0..COUNT).all(|by| by == 2 || sees(views[by].as_ref(), 2, "dead"));
         assert!(rig.until(PATIENCE, out).await, "it is not counted out");
         pass(Duration::from_secs(2)).await;
         rig.schedulers[2].pause(false);
@@ -184,14 +187,17 @@
         let (few, many) = ([0, 1], [2, 3, 4]);
         rig.act(Act::Cut { from: few.into(), to: many.into(), both: true }).await.expect("done");
         let apart = |views: &[Option<Vec<Seen>>]| {
-            few.iter()
-                .all(|a| many.iter().all(|b| sees(&views[*a], *b, "dead") && sees(&views[*b], *a, "dead")))
+            few.iter().all(|a| {
+                many.iter()
+                    .all(|b| sees(views[*a].as_ref(), *b, "dead") && sees(views[*b].as_ref(), *a, "dead"))
+            })
         };
         assert!(rig.until(PATIENCE, apart).await, "they don't notice");
         rig.schedulers[4].kill().await;
         rig.act(Act::Heal).await.expect("done");
-        let together =
-            |views: &[Option<Vec<Seen>>]| (0..4).all(|by| (0..4).all(|of| sees(&views[by], of, "alive")));
+        let together = |views: &[Option<Vec<Seen>>]| {
+            (0..4).all(|by| (0..4).all(|of| sees(views[by].as_ref(), of, "alive")))
+        };
         assert!(rig.until(PATIENCE, together).await, "they don't find each other");
         rig.schedulers[4].start().await.expect("it starts");
         assert!(rig.whole(PATIENCE).await);
--- a/crates/tools/experiments/src/rival.rs
+++ b/crates/tools/experiments/src/rival.rs
@@ -158,12 +158,11 @@
             self.workers.iter_mut().for_each(|w| w.host.state = WorkerState::Removed);
         }
         for host in hosts {
-            match self.by_name.get(&host.name) {
-                Some(&known) => self.workers[known as usize].host = host,
-                None => {
-                    self.by_name.insert(host.name.clone(), self.workers.len() as u32);
-                    self.workers.push(Known { host, own: 0.0, avoid: 0 });
-                }
+            if let Some(&known) = self.by_name.get(&host.name) {
+                self.workers[known as usize].host = host;
+            } else {
+                self.by_name.insert(host.name.clone(), self.workers.len() as u32);
+                self.workers.push(Known { host, own: 0.0, avoid: 0 });
             }
         }
         let ready = |(_, w): &(usize, &Known)| w.host.state == WorkerState::Ready;
--- a/crates/tools/experiments/src/sockets.rs
+++ b/crates/tools/experiments/src/sockets.rs
@@ -140,7 +140,7 @@
     let load = Load::new(addr, record);
     let plan = Plan { jobs, first: 0, rate, at_once: 4096, doubled: 0.0, only: Vec::new(), owners, seed };
     let summary = load.play(&plan, &listed).await;
-    let cpu = cpu_of(id) - before;
+    let cpu = cpu_of(id).checked_sub(before).unwrap();
     if let Some(mut process) = scheduler {
         process.kill().await;
     }
--- a/crates/tools/experiments/src/world.rs
+++ b/crates/tools/experiments/src/world.rs
@@ -65,7 +65,7 @@
     /// Its work, nanoseconds of a core of speed 1.
     work: f64,
     asked: Nanos,
-    /// The try that is out: node, request_id, until when.
+    /// The try that is out: node, `request_id`, until when.
     out: Option<(u32, RequestId, u32)>,
     /// Attempts at workers that have neither ended nor been called off.
     flying: u8,
@@ -589,15 +589,12 @@
             }
             Effect::SendAttempt { attempt, addr, .. } => self.send(node, epoch, attempt, addr),
             Effect::CancelAttempt { attempt, until, .. } => {
-                match self.by_attempt.get(&(node, epoch, attempt)).copied() {
-                    Some(flying) => {
-                        let span = 2 * self.delay();
-                        self.after(span, Event::CallOff { flying, until });
-                    }
-                    None => {
-                        let span = self.delay();
-                        self.hand_to(span, node, epoch, Input::AttemptCancelled { attempt });
-                    }
+                if let Some(flying) = self.by_attempt.get(&(node, epoch, attempt)).copied() {
+                    let span = 2 * self.delay();
+                    self.after(span, Event::CallOff { flying, until });
+                } else {
+                    let span = self.delay();
+                    self.hand_to(span, node, epoch, Input::AttemptCancelled { attempt });
                 }
             }
             Effect::HealthCheck { addr, until, .. } => {
@@ -661,15 +658,14 @@
     fn send(&mut self, node: u32, epoch: u32, attempt: AttemptId, addr: SocketAddr) {
         let now = self.now;
         let Some(&job) = self.nodes[node as usize].tickets.get(&attempt.request) else { return };
-        let worker = match addr == ANYWHERE {
-            true => {
-                let worker = self.least_loaded();
-                if let Brain::Rival(rival) = &mut self.nodes[node as usize].brain {
-                    rival.sent_to(attempt, &self.worker_names[worker as usize]);
-                }
-                worker
+        let worker = if addr == ANYWHERE {
+            let worker = self.least_loaded();
+            if let Brain::Rival(rival) = &mut self.nodes[node as usize].brain {
+                rival.sent_to(attempt, &self.worker_names[worker as usize]);
             }
-            false => number(addr).unwrap_or(0),
+            worker
+        } else {
+            number(addr).unwrap_or(0)
         };
         let wanted = &self.jobs[job as usize];
         let id: Arc<str> = Arc::from(format!("{job}-{}-{node}", wanted.tries));
@@ -942,15 +938,14 @@
         self.discovery_busy = self.discovery_busy.max(now) + ns(self.spec.discovery.call_ms);
         let span = self.discovery_busy - now + self.delay();
         let latest = self.log.last().map_or(1, |(v, _)| *v);
-        let (scope, hosts) = match version {
-            0 => (EndpointUpdate::Snapshot, self.listed.clone()),
-            _ => {
-                let from = self.log.partition_point(|(v, _)| *v <= version);
-                let mut changed: Vec<u32> = self.log[from..].iter().map(|(_, w)| *w).collect();
-                changed.sort_unstable();
-                changed.dedup();
-                (EndpointUpdate::Delta, changed.iter().map(|w| self.listed[*w as usize].clone()).collect())
-            }
+        let (scope, hosts) = if version == 0 {
+            (EndpointUpdate::Snapshot, self.listed.clone())
+        } else {
+            let from = self.log.partition_point(|(v, _)| *v <= version);
+            let mut changed: Vec<u32> = self.log[from..].iter().map(|(_, w)| *w).collect();
+            changed.sort_unstable();
+            changed.dedup();
+            (EndpointUpdate::Delta, changed.iter().map(|w| self.listed[*w as usize].clone()).collect())
         };
         self.out.list_lines += hosts.len() as u64;
         self.nodes[node as usize].watching = true;
--- a/crates/tools/testbed/src/client.rs
+++ b/crates/tools/testbed/src/client.rs
@@ -202,15 +202,14 @@
             let (shared, room, seed) = (self.shared.clone(), room.clone(), rng.random());
             tasks.spawn(async move {
                 let Ok(_room) = room.acquire().await else { return };
-                match doubled {
-                    true => {
-                        // The member taps twice: two clients, one key.
-                        tokio::join!(
-                            shared.client(&job, at, seed, true),
-                            shared.client(&job, at, seed ^ 1, false)
-                        );
-                    }
-                    false => shared.client(&job, at, seed, true).await,
+                if doubled {
+                    // The member taps twice: two clients, one key.
+                    tokio::join!(
+                        shared.client(&job, at, seed, true),
+                        shared.client(&job, at, seed ^ 1, false)
+                    );
+                } else {
+                    shared.client(&job, at, seed, true).await;
                 }
                 shared.settled.fetch_add(1, Ordering::Relaxed);
             });
--- a/crates/tools/testbed/src/deployment.rs
+++ b/crates/tools/testbed/src/deployment.rs
@@ -294,7 +294,7 @@
             return Vec::new();
         };
         let mut names: Vec<String> = Vec::new();
-        for entry in list.iter() {
+        for entry in list {
             let at = entry.span().start;
             match entry.get_ref() {
                 DeValue::String(name) if known.is_some_and(|k| !k.contains(&&**name)) => {
@@ -393,6 +393,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "one key a line; to be split with the rest of this file")]
     fn deployment(&mut self, scale: Option<f64>) -> Option<Deployment> {
         let about = self.text("about", Some(""));
         let own = self.number("scale", 1e-4, 100.0, Some(1.0));
@@ -506,6 +507,7 @@
         })
     }
 
+    #[expect(clippy::unnecessary_wraps, reason = "read as `class` is, by the same caller")]
     fn kind(&mut self) -> Option<Kind> {
         let slots = self.whole("slots", 1, 1000, Some(2));
         Some(Kind {
--- a/crates/tools/testbed/src/discovery.rs
+++ b/crates/tools/testbed/src/discovery.rs
@@ -74,6 +74,9 @@
 
 impl Discovery {
     /// Starts it with an empty list, of which changes are told so late.
+    ///
+    /// # Errors
+    /// If no socket can be opened on loopback.
     pub async fn start(record: Record, late: Duration, schedulers: usize) -> io::Result<Self> {
         let cut = watch::Sender::new(vec![false; schedulers]);
         let shared = Arc::new(Shared { state: Mutex::default(), changed: Notify::new(), record, late, cut });
--- a/crates/tools/testbed/src/fleet.rs
+++ b/crates/tools/testbed/src/fleet.rs
@@ -126,6 +126,9 @@
 
 impl Fleet {
     /// Starts discovery and all workers.
+    ///
+    /// # Errors
+    /// If a socket can't be opened on loopback.
     pub async fn start(plan: FleetPlan, record: Record) -> io::Result<Self> {
         let discovery = Discovery::start(record.clone(), plan.deployment.list_late, plan.schedulers).await?;
         let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
@@ -233,6 +236,9 @@
     }
 
     /// Starts a worker that was killed, cold, at another address.
+    ///
+    /// # Errors
+    /// If a socket can't be opened on loopback.
     pub async fn restart(&mut self, name: &str) -> io::Result<()> {
         let born = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
         self.record.add(What::Born { worker: name.to_owned() });
--- a/crates/tools/testbed/src/worker.rs
+++ b/crates/tools/testbed/src/worker.rs
@@ -238,6 +238,9 @@
 
 impl Worker {
     /// Starts one at a free address.
+    ///
+    /// # Errors
+    /// If no socket can be opened there.
     pub async fn start(plan: WorkerPlan, callbacks: Callbacks, record: Record) -> io::Result<Self> {
         let schedulers = callbacks.read().unwrap_or_else(PoisonError::into_inner).len();
         let (mut addrs, mut listeners) = (Vec::new(), Vec::new());
@@ -429,12 +432,11 @@
             if never || behaviour.leaving || !free && state.waiting.len() >= self.plan.queue {
                 None
             } else {
-                match free {
-                    true => {
-                        state.running.insert(id.clone(), task.clone());
-                        let _ = run.send(task);
-                    }
-                    false => state.waiting.push_back(task),
+                if free {
+                    state.running.insert(id.clone(), task.clone());
+                    let _ = run.send(task);
+                } else {
+                    state.waiting.push_back(task);
                 }
                 Some(())
             }
