--- a/crates/service/inventory/src/table.rs
+++ b/crates/service/inventory/src/table.rs
@@ -38,9 +38,10 @@
             if !comment && !matches!(rest[0], b'\r' | b'\n') {
                 return Some(());
             }
-            let end = match comment {
-                true => rest.iter().position(|b| *b == b'\n').map_or(rest.len(), |p| p + 1),
-                false => 1 + usize::from(rest.starts_with(b"\r\n")),
+            let end = if comment {
+                rest.iter().position(|b| *b == b'\n').map_or(rest.len(), |p| p + 1)
+            } else {
+                1 + usize::from(rest.starts_with(b"\r\n"))
             };
             self.byte += end;
             self.line += 1;
