--- a/crates/service/inventory/src/service.rs
+++ b/crates/service/inventory/src/service.rs
@@ -20,7 +20,7 @@
 
 impl InventoryService {
     /// Starts the thread, which calls `on_change` whenever other versions are in use. It ends when
-    /// the last handle is dropped.
+    /// the last handle is dropped, but not where files are watched: the watcher keeps a handle.
     pub fn start(
         inventories: Vec<InventorySettings>,
         vocabulary: Vocabulary,
--- a/crates/service/worker-attributes/src/host_record.rs
+++ b/crates/service/worker-attributes/src/host_record.rs
@@ -97,7 +97,7 @@
             AttributeValue::Missing => *self = AttributeValue::Known(value, location),
             AttributeValue::Known(old, place) if old == value => *self = AttributeValue::Known(old, place),
             AttributeValue::Known(old, place) => {
-                *self = AttributeValue::Conflicting(vec![(old, place), (value, location)])
+                *self = AttributeValue::Conflicting(vec![(old, place), (value, location)]);
             }
             AttributeValue::Conflicting(mut all) => {
                 let known = all.iter().any(|(v, _)| *v == value);
