--- a/crates/cluster/cluster-config/tests/golden.rs
+++ b/crates/cluster/cluster-config/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The forms of a configuration, on the wire and for data planes, and what operators are told of faults: they must not
+//! The forms of a configuration, on the wire and for data planes, and what operators are told of
+//! faults: they must not
 //! change.
 #[path = "../../replication/tests/golden/support.rs"]
 mod support;
--- a/crates/cluster/control-plane/tests/golden.rs
+++ b/crates/cluster/control-plane/tests/golden.rs
@@ -1,4 +1,5 @@
-//! What workers and the platform are asked and answer, and the help of the program: none of it may change.
+//! What workers and the platform are asked and answer, and the help of the program: none of it may
+//! change.
 #[path = "../../replication/tests/golden/support.rs"]
 mod support;
 
--- a/crates/cluster/control-plane/tests/golden/binary.rs
+++ b/crates/cluster/control-plane/tests/golden/binary.rs
@@ -1,7 +1,9 @@
 //! The binaries of the two programs.
 //!
-//! Cargo names only a package's own binaries to its tests. The data plane's lies beside the control plane's: a test run of
-//! the workspace builds both. Where only this package is tested it may be missing or old; cargo is then asked to build it.
+//! Cargo names only a package's own binaries to its tests. The data plane's lies beside the control
+//! plane's: a test run of
+//! the workspace builds both. Where only this package is tested it may be missing or old; cargo is
+//! then asked to build it.
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -26,7 +28,8 @@
     binary
 }
 
-/// When a source of the workspace's programs was changed last. Cargo's own note beside the binary names exactly its
+/// When a source of the workspace's programs was changed last. Cargo's own note beside the binary
+/// names exactly its
 /// sources, but `cargo test` does not renew it.
 fn newest_source() -> SystemTime {
     let packages = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
--- a/crates/cluster/control-plane/tests/golden/http.rs
+++ b/crates/cluster/control-plane/tests/golden/http.rs
@@ -38,7 +38,8 @@
     }
 }
 
-/// An answer, or a request that came in: its first line's second word, headers with names in lower case, and body.
+/// An answer, or a request that came in: its first line's second word, headers with names in lower
+/// case, and body.
 pub struct Answer {
     pub status: u16,
     pub headers: BTreeMap<String, String>,
--- a/crates/cluster/control-plane/tests/golden/system.rs
+++ b/crates/cluster/control-plane/tests/golden/system.rs
@@ -1,4 +1,5 @@
-//! The real programs as processes, a platform with one worker for them, and a transcript of what they answer.
+//! The real programs as processes, a platform with one worker for them, and a transcript of what
+//! they answer.
 use super::http::{self, Request};
 use super::{binary, folder};
 use serde_json::{Value, json};
@@ -217,7 +218,8 @@
         self.ask(process, place, request, status, "");
     }
 
-    /// Asks as an operator does for what changes on its own, until it is as it stays: with this in it.
+    /// Asks as an operator does for what changes on its own, until it is as it stays: with this in
+    /// it.
     pub fn control_until(&mut self, process: &Process, request: &Request, contained: &str) {
         let place = Place { address: &process.control, host: &process.control };
         self.ask(process, place, request, 200, contained);
@@ -235,7 +237,8 @@
         self.ask(process, place, &Request::get("/readyz"), status, "");
     }
 
-    /// Asks, again while the answer is only that of a machine that is not heard in time: others run on this machine too.
+    /// Asks, again while the answer is only that of a machine that is not heard in time: others run
+    /// on this machine too.
     fn ask(&mut self, process: &Process, place: Place<'_>, request: &Request, status: u16, contained: &str) {
         let mut answer = None;
         wait_until(&format!("{} {}", request.method, request.path), || {
--- a/crates/cluster/control-plane/tests/golden_answers.rs
+++ b/crates/cluster/control-plane/tests/golden_answers.rs
@@ -1,7 +1,10 @@
-//! What the programs answer operators, clients and the platform, and the names of their metrics: none of it may change.
+//! What the programs answer operators, clients and the platform, and the names of their metrics:
+//! none of it may change.
 //!
-//! The real programs run on loopback addresses, the control plane on a copy of the golden data folder. Figures that differ
-//! from run to run are masked in the transcripts; names, order and all else is compared to the letter.
+//! The real programs run on loopback addresses, the control plane on a copy of the golden data
+//! folder. Figures that differ
+//! from run to run are masked in the transcripts; names, order and all else is compared to the
+//! letter.
 #[path = "golden/binary.rs"]
 mod binary;
 #[path = "golden/folder.rs"]
--- a/crates/cluster/control-plane/tests/golden_folder.rs
+++ b/crates/cluster/control-plane/tests/golden_folder.rs
@@ -1,4 +1,5 @@
-//! A data folder that was written before a change is read in full after it, and written in the same form.
+//! A data folder that was written before a change is read in full after it, and written in the same
+//! form.
 #[path = "golden/folder.rs"]
 mod folder;
 #[path = "../../replication/tests/golden/support.rs"]
--- a/crates/cluster/dissemination/tests/golden.rs
+++ b/crates/cluster/dissemination/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The bytes of all messages between data planes, and the peers that are selected: they must not change.
+//! The bytes of all messages between data planes, and the peers that are selected: they must not
+//! change.
 #[path = "../../replication/tests/golden/support.rs"]
 mod support;
 
--- a/crates/cluster/replication/tests/golden.rs
+++ b/crates/cluster/replication/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The bytes of all messages and records, as other processes and data folders have them: they must not change.
+//! The bytes of all messages and records, as other processes and data folders have them: they must
+//! not change.
 #[path = "golden/support.rs"]
 mod support;
 
--- a/crates/cluster/replication/tests/golden/support.rs
+++ b/crates/cluster/replication/tests/golden/support.rs
@@ -1,7 +1,10 @@
-//! Golden files: what was written by the code before a change, compared with what the code writes now.
+//! Golden files: what was written by the code before a change, compared with what the code writes
+//! now.
 //!
-//! A golden file of bytes has one `name<TAB>hex` a line. With `GOLDEN_WRITE=1` in the environment the files are written
-//! instead of compared (run with `--test-threads=1`, since tests share files); that is for new examples only, the expected
+//! A golden file of bytes has one `name<TAB>hex` a line. With `GOLDEN_WRITE=1` in the environment
+//! the files are written
+//! instead of compared (run with `--test-threads=1`, since tests share files); that is for new
+//! examples only, the expected
 //! data of existing ones never changes.
 #![allow(dead_code, reason = "each crate's golden test uses a part of it")]
 use std::path::PathBuf;
@@ -22,7 +25,8 @@
     std::env::var(WRITE_VARIABLE).is_ok_and(|value| value == "1")
 }
 
-/// Compares the bytes of all examples of a file: names, order, number and each byte must be the same.
+/// Compares the bytes of all examples of a file: names, order, number and each byte must be the
+/// same.
 pub fn compare_bytes(file: &str, actual: &[NamedBytes]) {
     let lines = actual.iter().map(|(name, bytes)| format!("{name}\t{}\n", to_hex(bytes)));
     if is_writing() {
--- a/crates/cluster/runtime/tests/golden.rs
+++ b/crates/cluster/runtime/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The bytes of all frames, the names of the traffic's metrics, and the settings: none of it may change.
+//! The bytes of all frames, the names of the traffic's metrics, and the settings: none of it may
+//! change.
 #[path = "../../replication/tests/golden/support.rs"]
 mod support;
 
--- a/crates/service/balancing-policy/examples/members.rs
+++ b/crates/service/balancing-policy/examples/members.rs
@@ -1,7 +1,9 @@
-//! What an update of the endpoint list costs the policy: `cargo run --release -p spanlead-balancing-policy
+//! What an update of the endpoint list costs the policy: `cargo run --release -p
+//! spanlead-balancing-policy
 //! --example members`.
 //!
-//! For each size: a first snapshot, the same snapshot again, one in which every worker's weight, zone
+//! For each size: a first snapshot, the same snapshot again, one in which every worker's weight,
+//! zone
 //! and cell have changed, and an empty one; then one change alone. Microseconds of the event, the
 //! median of some rounds, each on a new dispatcher.
 
--- a/crates/service/balancing-policy/src/api/settings.rs
+++ b/crates/service/balancing-policy/src/api/settings.rs
@@ -215,14 +215,6 @@
 }
 
 impl Settings {
-    /// Checks that the settings make sense.
-    ///
-    /// # Errors
-    /// The first fault found.
-    pub(crate) fn validate(&self) -> Result<(), super::SettingsError> {
-        super::validation::validate(self)
-    }
-
     /// The highest priority among the classes, 0 if there is none.
     pub(crate) fn top_priority(&self) -> i32 {
         top_priority(&self.classes)
--- a/crates/service/balancing-policy/src/api/validation.rs
+++ b/crates/service/balancing-policy/src/api/validation.rs
@@ -3,21 +3,26 @@
 use super::settings::{Prices, RequestClass, SafetyRules, Settings, Tenant};
 use super::settings_error::{SettingsError, SettingsSection};
 
-/// Returns the first fault of the settings.
-pub(super) fn validate(settings: &Settings) -> Result<(), SettingsError> {
-    if settings.classes.is_empty() {
-        return Err(SettingsError::NoClasses);
+impl Settings {
+    /// Checks that the settings make sense.
+    ///
+    /// # Errors
+    /// The first fault found.
+    pub(crate) fn validate(&self) -> Result<(), SettingsError> {
+        if self.classes.is_empty() {
+            return Err(SettingsError::NoClasses);
+        }
+        for class in &self.classes {
+            validate_class(class, self.machine_kind_count)?;
+        }
+        validate_prices(&self.prices)?;
+        validate_rules(&self.rules)?;
+        validate_tenants(&self.tenants, self.over_quota_value_fraction)?;
+        if self.instance_count == 0 || self.instance >= self.instance_count {
+            return Err(SettingsError::InstanceOutOfRange);
+        }
+        Ok(())
     }
-    for class in &settings.classes {
-        validate_class(class, settings.machine_kind_count)?;
-    }
-    validate_prices(&settings.prices)?;
-    validate_rules(&settings.rules)?;
-    validate_tenants(&settings.tenants, settings.over_quota_value_fraction)?;
-    if settings.instance_count == 0 || settings.instance >= settings.instance_count {
-        return Err(SettingsError::InstanceOutOfRange);
-    }
-    Ok(())
 }
 
 fn validate_class(class: &RequestClass, machine_kind_count: u32) -> Result<(), SettingsError> {
--- a/crates/service/conf-file/src/durable_log.rs
+++ b/crates/service/conf-file/src/durable_log.rs
@@ -31,7 +31,8 @@
 pub struct DurableLogSettings {
     /// Its directory (keyword `folder`), which one process at a time locks.
     pub directory: PathBuf,
-    /// Whether a commit waits until the disk has the records (keyword `sync`). If not, a crash of the
+    /// Whether a commit waits until the disk has the records (keyword `sync`). If not, a crash of
+    /// the
     /// process loses nothing, but a crash of the machine may.
     pub sync_on_commit: bool,
     /// How long a commit waits for more records to join it (keyword `gather`).
--- a/crates/service/conf-file/src/inventory.rs
+++ b/crates/service/conf-file/src/inventory.rs
@@ -45,7 +45,8 @@
     /// The fraction of lines that may be skipped; above it the file is rejected (keyword
     /// `refuse-over`).
     pub max_skipped_fraction: f64,
-    /// The fraction of hosts that a new version may change; above it the version stays pending until
+    /// The fraction of hosts that a new version may change; above it the version stays pending
+    /// until
     /// an operator confirms it (keyword `hold-over`).
     pub max_changed_fraction: f64,
     /// Whether its weights take precedence over those of the endpoint list (keyword `weight`).
--- a/crates/service/conf-file/tests/conf.rs
+++ b/crates/service/conf-file/tests/conf.rs
@@ -77,7 +77,8 @@
 
 proptest! {
     #![proptest_config(drawn(256))]
-    // Guards against input nobody thought of: it is turned down in words or taken, never a panic, and each message
+    // Guards against input nobody thought of: it is turned down in words or taken, never a panic,
+    // and each message
     // names a line that the file has.
     #[test]
     fn no_text_breaks_it(text in "(log|ledger|[a-z]{0,6}|[ \t]{1,3}(folder|lease|disk|level|[a-z\"'#\\\\]{0,8}) [ -~\t\n\u{e9}]{0,20}\n){0,12}") {
@@ -88,7 +89,8 @@
     }
 }
 
-// Guards the example that operators start from: it is good as it stands, and each line that is commented out is too.
+// Guards the example that operators start from: it is good as it stands, and each line that is
+// commented out is too.
 #[test]
 fn the_example_is_good_and_shows_the_defaults() {
     let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../deploy/spanlead.conf.example");
--- a/crates/service/conf-file/tests/golden.rs
+++ b/crates/service/conf-file/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Every keyword of `spanlead.conf`: what it is read as, its default, and what is said where it can't be used. Operators'
+//! Every keyword of `spanlead.conf`: what it is read as, its default, and what is said where it
+//! can't be used. Operators'
 //! files go on through every version.
 #[allow(dead_code, reason = "each crate uses a part of it")]
 #[path = "../../wal/tests/golden/data.rs"]
--- a/crates/service/deployment-settings/tests/golden.rs
+++ b/crates/service/deployment-settings/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The settings object of a deployment: what each key is read as, and what stands in where it is absent.
+//! The settings object of a deployment: what each key is read as, and what stands in where it is
+//! absent.
 #[allow(dead_code, reason = "each crate uses a part of it")]
 #[path = "../../wal/tests/golden/data.rs"]
 mod golden;
--- a/crates/service/durable-jobs/tests/golden.rs
+++ b/crates/service/durable-jobs/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The ledger's records as bytes. Folders that processes of an earlier version wrote must be read, and must be readable
+//! The ledger's records as bytes. Folders that processes of an earlier version wrote must be read,
+//! and must be readable
 //! by such a process, so each kind of record keeps its bytes.
 #[allow(dead_code, reason = "each crate uses a part of it")]
 #[path = "../../wal/tests/golden/data.rs"]
--- a/crates/service/engine/tests/crash.rs
+++ b/crates/service/engine/tests/crash.rs
@@ -1,7 +1,8 @@
 //! The reducer, its ledger and the real log, simulated whole: clients, workers, network, disk and
 //! clock are drawn from a seed, messages are lost, doubled and late, processes and the machine are
 //! stopped between any record, its sync and what follows, and the rules are checked at each step.
-//! In the manner of `FoundationDB`'s and `TigerBeetle`'s simulators: one thread, virtual time, the same
+//! In the manner of `FoundationDB`'s and `TigerBeetle`'s simulators: one thread, virtual time, the
+//! same
 //! seed the same story. `SEED=n` plays one story, `STORIES=n` so many.
 use bytes::Bytes;
 use rand::rngs::SmallRng;
--- a/crates/service/inventory/examples/read.rs
+++ b/crates/service/inventory/examples/read.rs
@@ -1,7 +1,10 @@
-//! What reading, judging and merging an inventory costs: `cargo run --release -p spanlead-inventory --example read`.
+//! What reading, judging and merging an inventory costs: `cargo run --release -p spanlead-inventory
+//! --example read`.
 //!
-//! For each size and form: the file's size, the time to read it, to judge it, to compare it with the version before and with
-//! a live list of the same hosts, and the peak of memory beyond the file itself. Medians of some rounds.
+//! For each size and form: the file's size, the time to read it, to judge it, to compare it with
+//! the version before and with
+//! a live list of the same hosts, and the peak of memory beyond the file itself. Medians of some
+//! rounds.
 use peak_alloc::PeakAlloc;
 use spanlead_inventory::{Form, InventoryFiles, ReadOptions, SourceFile, read};
 use spanlead_worker_attributes::{
--- a/crates/service/inventory/src/ansible.rs
+++ b/crates/service/inventory/src/ansible.rs
@@ -1,11 +1,17 @@
-//! The nested form of Ansible's inventories in YAML: groups with `hosts`, `vars` and `children`, and the folders `group_vars`
+//! The nested form of Ansible's inventories in YAML: groups with `hosts`, `vars` and `children`,
+//! and the folders `group_vars`
 //! and `host_vars` beside the file.
 //!
-//! Which value counts is as Ansible's documentation has it ("How variables are merged", "Understanding variable
-//! precedence"): from the least, `all`'s variables in the file, other groups' there, `group_vars/all`, `group_vars/GROUP`, the
-//! host's own in the file, `host_vars/HOST`; among groups a child's before its parent's (deeper counts more), among groups of
-//! the same depth by `ansible_group_priority`. There Ansible lets the name that comes last in the alphabet decide between
-//! groups of equal standing. That is chance, not intent: here such a fact is unknown, and both places are named.
+//! Which value counts is as Ansible's documentation has it ("How variables are merged",
+//! "Understanding variable
+//! precedence"): from the least, `all`'s variables in the file, other groups' there,
+//! `group_vars/all`, `group_vars/GROUP`, the
+//! host's own in the file, `host_vars/HOST`; among groups a child's before its parent's (deeper
+//! counts more), among groups of
+//! the same depth by `ansible_group_priority`. There Ansible lets the name that comes last in the
+//! alphabet decide between
+//! groups of equal standing. That is chance, not intent: here such a fact is unknown, and both
+//! places are named.
 use crate::mapping::ReadOptions;
 use crate::plain;
 use crate::ranges::expand;
@@ -19,7 +25,8 @@
 
 /// No inventory has more groups.
 const MAX_GROUPS: usize = 20_000;
-/// Groups that one host may be in, their ancestors counted: what is worked out for each host is bounded by it.
+/// Groups that one host may be in, their ancestors counted: what is worked out for each host is
+/// bounded by it.
 const MAX_ANCESTORS: usize = 256;
 /// The layers of [`Precedence`], the least first.
 const ALL_VARS: u8 = 1;
--- a/crates/service/inventory/src/archive.rs
+++ b/crates/service/inventory/src/archive.rs
@@ -1,4 +1,5 @@
-//! Good versions on disk, so that a start with a broken file goes on with the last good one. A file each, written whole and
+//! Good versions on disk, so that a start with a broken file goes on with the last good one. A file
+//! each, written whole and
 //! renamed into place; what can't be read is passed over, and said.
 use spanlead_worker_attributes::Version;
 use std::fs::{self, File};
--- a/crates/service/inventory/src/change_notifier.rs
+++ b/crates/service/inventory/src/change_notifier.rs
@@ -9,7 +9,8 @@
 }
 
 impl ChangeNotifier {
-    /// Calls `changed` at each change, if an inventory wants that and the system can do it for all of
+    /// Calls `changed` at each change, if an inventory wants that and the system can do it for all
+    /// of
     /// them; without a notifier they are polled.
     pub(crate) fn start(
         inventories: &[InventorySettings],
--- a/crates/service/inventory/src/convert.rs
+++ b/crates/service/inventory/src/convert.rs
@@ -22,7 +22,8 @@
     hosts
 }
 
-/// A fact's one value. One that is in dispute has none: it would come back as something that was said.
+/// A fact's one value. One that is in dispute has none: it would come back as something that was
+/// said.
 fn value(record: &HostRecord, attribute: Attribute) -> Option<Value> {
     match attribute {
         Attribute::Zone => record.zone.value().map(|w| json!(&**w)),
--- a/crates/service/inventory/src/lib.rs
+++ b/crates/service/inventory/src/lib.rs
@@ -2,7 +2,8 @@
 //! groups of Ansible's inventories.
 //!
 //! Reading is separate from validation (`spanlead-worker-attributes`): a reader extracts what is
-//! stated where, with line and column, and reports what it cannot use as diagnostics with locations.
+//! stated where, with line and column, and reports what it cannot use as diagnostics with
+//! locations.
 //! The readers take bytes; only [`files`], [`archive`] and [`service`] use the disk.
 #![warn(missing_docs, unreachable_pub, clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
 mod ansible;
--- a/crates/service/inventory/src/manager.rs
+++ b/crates/service/inventory/src/manager.rs
@@ -37,7 +37,8 @@
     pub forced: bool,
 }
 
-/// A version that an operator has confirmed, shown as `NAME: version NUMBER is in use, COUNT hosts`.
+/// A version that an operator has confirmed, shown as `NAME: version NUMBER is in use, COUNT
+/// hosts`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfirmedVersion {
     /// The version.
--- a/crates/service/inventory/src/plain.rs
+++ b/crates/service/inventory/src/plain.rs
@@ -1,4 +1,5 @@
-//! A plain list of hosts in YAML: a list of mappings, alone or under the key `hosts`; a bare word in it is a host of which
+//! A plain list of hosts in YAML: a list of mappings, alone or under the key `hosts`; a bare word
+//! in it is a host of which
 //! nothing is said.
 use crate::mapping::{ColumnTarget, ReadOptions};
 use crate::yaml::{Node, Tree};
--- a/crates/service/inventory/src/ranges.rs
+++ b/crates/service/inventory/src/ranges.rs
@@ -1,4 +1,5 @@
-//! Ranges in the names of hosts: `w[01:12].kista.example.org`, `db-[a:f]`, with a step `[0:20:5]`; zeros in front set the
+//! Ranges in the names of hosts: `w[01:12].kista.example.org`, `db-[a:f]`, with a step `[0:20:5]`;
+//! zeros in front set the
 //! width. As Ansible's documentation of inventories describes them.
 
 /// The names that a pattern stands for, at most `most`.
--- a/crates/service/inventory/src/table.rs
+++ b/crates/service/inventory/src/table.rs
@@ -1,5 +1,7 @@
-//! Tables: CSV (RFC 4180) with a header row, in any order, with columns of others' between. Lines that begin with `#` and
-//! blank ones are passed over. Fields are the csv crate's; where they stand is found by walking the same bytes once more,
+//! Tables: CSV (RFC 4180) with a header row, in any order, with columns of others' between. Lines
+//! that begin with `#` and
+//! blank ones are passed over. Fields are the csv crate's; where they stand is found by walking the
+//! same bytes once more,
 //! since it tells neither columns nor the line of a record behind comments.
 use crate::Delimiter;
 use crate::mapping::{ColumnTarget, ReadOptions};
--- a/crates/service/inventory/src/yaml.rs
+++ b/crates/service/inventory/src/yaml.rs
@@ -1,5 +1,7 @@
-//! YAML 1.2 as a tree in which everything keeps its place. The events are saphyr-parser's; the tree is bounded in depth and
-//! in what its aliases stand for, so that no file takes more memory than a small multiple of its size (the "billion
+//! YAML 1.2 as a tree in which everything keeps its place. The events are saphyr-parser's; the tree
+//! is bounded in depth and
+//! in what its aliases stand for, so that no file takes more memory than a small multiple of its
+//! size (the "billion
 //! laughs"), and nothing is looked at twice for being named twice.
 use saphyr_parser::{Event, Parser, ScalarStyle, Span};
 use spanlead_worker_attributes::{Diagnostic, SourceLocation};
@@ -24,7 +26,8 @@
 
 #[derive(Clone, Debug)]
 pub(crate) enum Node {
-    /// A scalar: its text, whether it is plain (neither quoted nor a block), and its tag if it has one of its own.
+    /// A scalar: its text, whether it is plain (neither quoted nor a block), and its tag if it has
+    /// one of its own.
     Scalar {
         text: String,
         plain: bool,
@@ -171,7 +174,8 @@
     root.ok_or_else(|| Diagnostic::file_rejected(SourceLocation { file, line: 0, column: 0 }, "", "is empty"))
 }
 
-/// Works out `<<`, the merge key that inventories go on using (YAML 1.1, type "merge"): what a mapping doesn't say itself it
+/// Works out `<<`, the merge key that inventories go on using (YAML 1.1, type "merge"): what a
+/// mapping doesn't say itself it
 /// takes from those.
 fn merge(pairs: &mut Vec<(Rc<Tree>, Rc<Tree>)>) {
     let is_merge = |key: &Tree| matches!(&key.node, Node::Scalar { text, plain: true, .. } if text == "<<");
--- a/crates/service/inventory/tests/desk.rs
+++ b/crates/service/inventory/tests/desk.rs
@@ -1,4 +1,5 @@
-//! Inventories while a scheduler serves: files that are replaced, half written, broken, too different, and processes that start
+//! Inventories while a scheduler serves: files that are replaced, half written, broken, too
+//! different, and processes that start
 //! on what is left.
 use spanlead_conf_file::{ChangeDetection, InventorySettings};
 use spanlead_inventory::archive::Archive;
@@ -121,7 +122,8 @@
     let path = office.folder.path().join("hosts.csv");
     let whole = hosts(0, 12, "kista");
     let mut file = fs::File::create(&path).expect("writable");
-    // Each piece comes well before the last one has settled; the file is never good for long enough.
+    // Each piece comes well before the last one has settled; the file is never good for long
+    // enough.
     for piece in whole.as_bytes().chunks(8) {
         file.write_all(piece).expect("writable");
         file.sync_all().expect("synced");
@@ -194,7 +196,8 @@
     assert!(office.next().forced);
 }
 
-// Guards a start on a bad day: the file is broken, the newest kept version too, and the one before is good.
+// Guards a start on a bad day: the file is broken, the newest kept version too, and the one before
+// is good.
 #[test]
 fn a_start_with_a_broken_file_goes_on_with_the_last_good_version() {
     let office = Office::with(&hosts(0, 10, "kista"), "");
@@ -252,7 +255,8 @@
     assert_eq!(settings(Path::new("/x"), "  watch poll\n").change_detection, ChangeDetection::Poll);
 }
 
-// Guards retuned settings: a zone that was unknown is known from then on, without a change of the file.
+// Guards retuned settings: a zone that was unknown is known from then on, without a change of the
+// file.
 #[test]
 fn other_zones_are_heard_of() {
     let office = Office::with(&format!("{}w10,haninge,1\n", hosts(0, 10, "kista")), "");
--- a/crates/service/inventory/tests/fuzz.rs
+++ b/crates/service/inventory/tests/fuzz.rs
@@ -1,7 +1,9 @@
-//! Files that nobody would write: any bytes, and good files with a fault put in. None stops anything, hangs or takes more
+//! Files that nobody would write: any bytes, and good files with a fault put in. None stops
+//! anything, hangs or takes more
 //! memory than is stated; and a refusal names the line in which the fault truly is.
 //!
-//! `CASES` (10,000) and `SEED` (1) may be set; the seed of each case is printed when it fails. Millions by command:
+//! `CASES` (10,000) and `SEED` (1) may be set; the seed of each case is printed when it fails.
+//! Millions by command:
 //! `CASES=3000000 cargo test --release -p spanlead-inventory --test fuzz -- --nocapture`.
 use peak_alloc::PeakAlloc;
 use rand::rngs::SmallRng;
@@ -19,7 +21,8 @@
 /// The peak is the process's: one test at a time.
 static ALONE: Mutex<()> = Mutex::new(());
 
-/// What reading and judging a file may take in memory: so much, so much for each byte of it and for each host that the
+/// What reading and judging a file may take in memory: so much, so much for each byte of it and for
+/// each host that the
 /// settings allow (a range of a few bytes stands for thousands).
 const BASE: usize = 2 << 20;
 const PER_BYTE: usize = 600;
@@ -105,7 +108,8 @@
         && row.weight.value() == Some(&line.weight)
 }
 
-// Guards what a refusal says: of a good file with one fault exactly the line with the fault is named, and all others hold.
+// Guards what a refusal says: of a good file with one fault exactly the line with the fault is
+// named, and all others hold.
 #[test]
 fn a_refusal_names_the_line_that_is_truly_at_fault() {
     let _alone = ALONE.lock();
@@ -273,7 +277,8 @@
     }
 }
 
-// Guards against files that are small and stand for much: aliases of aliases, ranges, groups in chains, one long line.
+// Guards against files that are small and stand for much: aliases of aliases, ranges, groups in
+// chains, one long line.
 #[test]
 fn files_made_to_be_large_are_bounded() {
     let _alone = ALONE.lock();
--- a/crates/service/inventory/tests/golden.rs
+++ b/crates/service/inventory/tests/golden.rs
@@ -1,4 +1,5 @@
-//! An inventory's versions on disk as bytes: a start goes on with what a process of an earlier version kept.
+//! An inventory's versions on disk as bytes: a start goes on with what a process of an earlier
+//! version kept.
 #[allow(dead_code, reason = "each crate uses a part of it")]
 #[path = "../../wal/tests/golden/data.rs"]
 mod golden;
@@ -139,7 +140,8 @@
     folder
 }
 
-// Guards a start on a folder in service: versions of this and of another inventory, and one that is damaged, which is passed
+// Guards a start on a folder in service: versions of this and of another inventory, and one that is
+// damaged, which is passed
 // over and said.
 #[test]
 fn a_committed_folder_is_read_whole() {
--- a/crates/service/inventory/tests/refusals.rs
+++ b/crates/service/inventory/tests/refusals.rs
@@ -1,4 +1,5 @@
-//! What operators are told of files that can't be used as they are: the file, the line, the column, the key, why, and what was
+//! What operators are told of files that can't be used as they are: the file, the line, the column,
+//! the key, why, and what was
 //! done instead. One hand-made file for each thing that goes wrong.
 use insta::assert_snapshot;
 use spanlead_inventory::{
@@ -99,7 +100,8 @@
     assert_snapshot!(csv(&table[..]));
 }
 
-// Guards the rule that nothing is guessed: two lines that differ leave the fact unknown, and name each other.
+// Guards the rule that nothing is guessed: two lines that differ leave the fact unknown, and name
+// each other.
 #[test]
 fn a_host_that_stands_twice_is_told_with_both_lines() {
     let table = "host,zone,pod,weight\nw07.kista.example.org,kista,3,1\nw08.kista.example.org,kista,3,1\n\
@@ -188,7 +190,8 @@
     assert_snapshot!(yaml(inventory));
 }
 
-// Guards the order in which variables count, as Ansible documents it, and the one case that is not left to the alphabet.
+// Guards the order in which variables count, as Ansible documents it, and the one case that is not
+// left to the alphabet.
 #[test]
 fn variables_count_in_the_documented_order() {
     let main = "all:\n  vars: {weight: 1}\n  hosts:\n    own: {weight: 6}\n    folder: {weight: 6}\n  children:\n    parent:\n      vars: {weight: 2}\n      \
--- a/crates/service/membership/tests/golden.rs
+++ b/crates/service/membership/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Datagrams of the membership as bytes: schedulers of the version before and of this one are in one tier at a time.
+//! Datagrams of the membership as bytes: schedulers of the version before and of this one are in
+//! one tier at a time.
 #[allow(dead_code, reason = "each crate uses a part of it")]
 #[path = "../../wal/tests/golden/data.rs"]
 mod golden;
--- a/crates/service/net/tests/golden.rs
+++ b/crates/service/net/tests/golden.rs
@@ -1,4 +1,5 @@
-//! What crosses the border of a process, as bytes: the link between two processes of one scheduler, which are of two versions
+//! What crosses the border of a process, as bytes: the link between two processes of one scheduler,
+//! which are of two versions
 //! at each upgrade; requests as the ledger keeps them; calls to workers, discovery and back.
 #[allow(dead_code, reason = "each crate uses a part of it")]
 #[path = "../../wal/tests/golden/data.rs"]
@@ -187,7 +188,8 @@
     });
 }
 
-// Guards against the loss of an upgrade's first half: a process of a version that knew no ledger says nothing of it.
+// Guards against the loss of an upgrade's first half: a process of a version that knew no ledger
+// says nothing of it.
 #[test]
 fn a_snapshot_without_the_ledgers_word_is_read() {
     let snapshot: RequestSnapshot =
@@ -196,7 +198,8 @@
     assert_eq!(serde_json::to_value(snapshot).expect("JSON"), wanted);
 }
 
-// Guards the place where the processes find each other, and that the older one is told of the newer and of its end.
+// Guards the place where the processes find each other, and that the older one is told of the newer
+// and of its end.
 #[test]
 fn processes_meet_at_the_same_place() {
     let folder = std::env::temp_dir();
@@ -263,7 +266,8 @@
     ]
 }
 
-// Guards repeats over an upgrade: a client's request has the digest that it had, and is kept in the same bytes.
+// Guards repeats over an upgrade: a client's request has the digest that it had, and is kept in the
+// same bytes.
 #[test]
 fn requests_keep_their_digest_and_bytes() {
     let mut found = Vec::new();
@@ -298,7 +302,8 @@
     }
 }
 
-// ---------------------------------------------------------------- workers, discovery, clients, operators
+// ---------------------------------------------------------------- workers, discovery, clients,
+// operators
 
 fn body_of(body: wire::Body) -> String {
     let waker = std::task::Waker::noop();
--- a/crates/service/singleton-roles/src/lib.rs
+++ b/crates/service/singleton-roles/src/lib.rs
@@ -1,5 +1,6 @@
 //! Singleton roles: each is held by one scheduler of a tier at a time, under a lease that a
-//! majority of the **configured** schedulers grants (after `PaxosLease`: Trencseni, Gazso, Reinhardt
+//! majority of the **configured** schedulers grants (after `PaxosLease`: Trencseni, Gazso,
+//! Reinhardt
 //! 2009: nothing on disk, bounded by time), with terms that fence: whatever a lease holder acts on
 //! rejects an older term. This crate has no sockets and no clock: the time comes with each call.
 //! Why this form was chosen, and what it assumes: `docs/design/duties.md`.
--- a/crates/service/singleton-roles/tests/golden.rs
+++ b/crates/service/singleton-roles/tests/golden.rs
@@ -1,4 +1,5 @@
-//! What schedulers say to each other of duties, as bytes: those of the version before and of this one are in one tier at a
+//! What schedulers say to each other of duties, as bytes: those of the version before and of this
+//! one are in one tier at a
 //! time.
 #[allow(dead_code, reason = "each crate uses a part of it")]
 #[path = "../../wal/tests/golden/data.rs"]
--- a/crates/service/spanlead/src/driver/notices.rs
+++ b/crates/service/spanlead/src/driver/notices.rs
@@ -1,15 +1,12 @@
 //! Workers' notices, which may be for another process of this scheduler.
 use super::Driver;
-use super::peer_processes::WaitingNotice;
+use super::peer_processes::{NoticeReplySender, WaitingNotice};
 use bytes::Bytes;
 use spanlead_engine::{Input, NoticeReply, WorkerNotice};
 use spanlead_net::wire::NoticeBody;
 use spanlead_net::{ForwardedMessage, ProcessLink};
 use tokio::sync::oneshot;
 
-/// Who waits for the answer to a notice.
-pub(super) type NoticeReplySender = Option<oneshot::Sender<NoticeReply>>;
-
 impl Driver {
     /// A notice of a job that is not open here is for another process of this scheduler, if there
     /// is one.
--- a/crates/service/spanlead/src/driver/peer_processes.rs
+++ b/crates/service/spanlead/src/driver/peer_processes.rs
@@ -1,5 +1,4 @@
 //! The other processes of this scheduler, while one takes over from another.
-use super::notices::NoticeReplySender;
 use super::{Driver, PendingRequest};
 use spanlead_balancing_policy::RequestId;
 use spanlead_engine::{Answer, Input, NoticeReply, RequestSnapshot};
@@ -10,6 +9,9 @@
 use tokio::sync::oneshot;
 use tokio::sync::oneshot::error::TryRecvError;
 
+/// Who waits for the answer to a notice.
+pub(super) type NoticeReplySender = Option<oneshot::Sender<NoticeReply>>;
+
 /// A request that the predecessor has handed over, and that is still to be read here.
 pub(super) struct ExpectedRequest {
     pub(super) snapshot: RequestSnapshot,
--- a/crates/service/wal/tests/golden.rs
+++ b/crates/service/wal/tests/golden.rs
@@ -1,7 +1,9 @@
-//! The log's files as bytes. A folder that a process of an earlier version wrote must be read, and must be readable by
+//! The log's files as bytes. A folder that a process of an earlier version wrote must be read, and
+//! must be readable by
 //! such a process.
 //!
-//! A segment's salt is drawn at random, so files are built here by the form's definition: the committed bytes show that it
+//! A segment's salt is drawn at random, so files are built here by the form's definition: the
+//! committed bytes show that it
 //! is built as ever, and what the log writes is compared with what is built around its salt.
 #[allow(dead_code, reason = "each crate uses a part of it")]
 #[path = "golden/data.rs"]
@@ -16,7 +18,8 @@
 const FILE: &str = "segments.txt";
 const FIRST_SALT: u64 = 0x0102_0304_0506_0708;
 const SECOND_SALT: u64 = 0xfff0_e0d0_c0b0_a090;
-/// Closed when it has grown to as many bytes; the first frame stays below it, the second goes beyond.
+/// Closed when it has grown to as many bytes; the first frame stays below it, the second goes
+/// beyond.
 const SEGMENT: u64 = 90;
 const HEAD: usize = 32;
 const SALT: std::ops::Range<usize> = 20..28;
@@ -36,7 +39,8 @@
     head
 }
 
-/// Length, count, the first record's number, a checksum over the salt, these and the records; the records.
+/// Length, count, the first record's number, a checksum over the salt, these and the records; the
+/// records.
 fn frame(salt: u64, first: u64, records: &[&str]) -> Vec<u8> {
     let mut payload = Vec::new();
     for record in records {
@@ -129,7 +133,8 @@
     assert_eq!((report.records, report.bytes, report.torn_write), (4, 138 + 57, None));
 }
 
-// Guards the way on: a process goes on behind committed files with the next number, in a new segment, and takes the lock.
+// Guards the way on: a process goes on behind committed files with the next number, in a new
+// segment, and takes the lock.
 #[test]
 fn a_log_goes_on_behind_committed_segments() {
     let folder = committed_folder();
--- a/crates/service/worker-attributes/src/diagnostic.rs
+++ b/crates/service/worker-attributes/src/diagnostic.rs
@@ -3,7 +3,8 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A place in one of a version's files; lines and columns count from 1, columns in characters. Line 0 is the file as a
+/// A place in one of a version's files; lines and columns count from 1, columns in characters. Line
+/// 0 is the file as a
 /// whole.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SourceLocation {
--- a/crates/service/worker-attributes/src/host_name.rs
+++ b/crates/service/worker-attributes/src/host_name.rs
@@ -1,4 +1,5 @@
-//! Names of hosts, compared as DNS does: without regard to case or to a last dot, international ones by their A-labels
+//! Names of hosts, compared as DNS does: without regard to case or to a last dot, international
+//! ones by their A-labels
 //! (RFC 1035, 2.3.1 and 2.3.3; RFC 5890). The underscore is let pass, as resolvers do.
 use std::borrow::Cow;
 use std::fmt;
--- a/crates/service/worker-attributes/src/lib.rs
+++ b/crates/service/worker-attributes/src/lib.rs
@@ -1,11 +1,15 @@
-//! What is known of workers beside the live list. An inventory that some tool keeps says of a host in which zone and pod it
-//! stands, of which kind it is, what it can bear; here that is judged ([`judge`]), kept in versions ([`InventoryVersions`]), laid beside
-//! the live list ([`MergedInventory`]) and compared with it ([`reconcile`]). Nothing here reads or writes: files come as what their
+//! What is known of workers beside the live list. An inventory that some tool keeps says of a host
+//! in which zone and pod it
+//! stands, of which kind it is, what it can bear; here that is judged ([`judge`]), kept in versions
+//! ([`InventoryVersions`]), laid beside
+//! the live list ([`MergedInventory`]) and compared with it ([`reconcile`]). Nothing here reads or
+//! writes: files come as what their
 //! readers made of them ([`RawHost`]), the time comes as a number.
 //!
 //! Three things hold throughout:
 //!
-//! - **Nothing is guessed.** What two lines of a file say differently is unknown ([`AttributeValue::Conflicting`]), and both are named.
+//! - **Nothing is guessed.** What two lines of a file say differently is unknown
+//!   ([`AttributeValue::Conflicting`]), and both are named.
 //! - **Every refusal names its place** and what was done instead ([`Diagnostic`]).
 //! - **A file adds facts to hosts; it never makes one.** Only the live list does that.
 mod diagnostic;
--- a/crates/service/worker-attributes/src/merged_inventory.rs
+++ b/crates/service/worker-attributes/src/merged_inventory.rs
@@ -1,11 +1,13 @@
-//! The versions in use, laid one over the other: what files say of a host. The first inventory that says something of a
+//! The versions in use, laid one over the other: what files say of a host. The first inventory that
+//! says something of a
 //! fact is heard; what it disputes in itself is unknown, not the next one's to settle.
 use crate::diagnostic::SourceLocation;
 use crate::host_record::{Attribute, AttributeValue, HostRecord, Labels};
 use crate::version::Version;
 use std::sync::Arc;
 
-/// What stands in where neither the list nor a file says anything. Zone and pod have no default: repeats of a job are
+/// What stands in where neither the list nor a file says anything. Zone and pod have no default:
+/// repeats of a job are
 /// dropped within them, so a wrong one could let a job run twice.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DefaultAttributes {
@@ -37,7 +39,8 @@
     pub defaults: DefaultAttributes,
 }
 
-/// What files say of one host, and where: the number of the inventory in [`MergedInventory::sources`].
+/// What files say of one host, and where: the number of the inventory in
+/// [`MergedInventory::sources`].
 #[derive(Clone, Copy, Debug)]
 pub struct ResolvedValue<'s, T: ?Sized> {
     /// What is said; `None` where it is disputed.
@@ -120,7 +123,8 @@
         self.resolve(host, |r| &r.labels)
     }
 
-    /// A fact of a host as text, as the first inventory that says something has it, with where: `FILE:LINE:COLUMN (NAME)`.
+    /// A fact of a host as text, as the first inventory that says something has it, with where:
+    /// `FILE:LINE:COLUMN (NAME)`.
     pub fn describe(&self, host: &str, attribute: Attribute) -> Option<(String, String)> {
         self.records(host).find_map(|(source, record)| {
             let source = &self.sources[source];
--- a/crates/service/worker-attributes/src/reconcile.rs
+++ b/crates/service/worker-attributes/src/reconcile.rs
@@ -1,4 +1,5 @@
-//! The live list beside the files: hosts that only one of them names, and facts on which they differ.
+//! The live list beside the files: hosts that only one of them names, and facts on which they
+//! differ.
 use crate::host_record::Attribute;
 use crate::merged_inventory::MergedInventory;
 use rustc_hash::FxHashSet;
@@ -97,7 +98,8 @@
     pub file: Option<(String, String)>,
 }
 
-/// What is known of a host, by the order of sources: the list, files, defaults; a weight the other way round where that is
+/// What is known of a host, by the order of sources: the list, files, defaults; a weight the other
+/// way round where that is
 /// set.
 pub fn provenance(live: &LiveHost, merged_inventory: &MergedInventory) -> Vec<AttributeProvenance> {
     let known = |attribute| {
--- a/crates/service/worker-attributes/src/schema.rs
+++ b/crates/service/worker-attributes/src/schema.rs
@@ -1,4 +1,5 @@
-//! The JSON Schema of a host's facts, made from the type below, and the check by it (JSON Schema, draft 2020-12).
+//! The JSON Schema of a host's facts, made from the type below, and the check by it (JSON Schema,
+//! draft 2020-12).
 use crate::host_record::Labels;
 use jsonschema::Validator;
 use schemars::{JsonSchema, schema_for};
@@ -16,7 +17,8 @@
     /// The data centre; one that the deployment's settings name.
     #[schemars(length(min = 1, max = 64))]
     zone: Option<String>,
-    /// The pod, the group of workers that drop each other's repeats: a number as in the live list, or a name.
+    /// The pod, the group of workers that drop each other's repeats: a number as in the live list,
+    /// or a name.
     #[schemars(regex(pattern = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"))]
     pod: Option<String>,
     /// The kind of machine; one that the deployment's settings name.
@@ -84,7 +86,8 @@
         schema.map_err(|error| SchemaError(Box::new(error)))
     }
 
-    /// The same for schemas that judge alike: with it and a file's bytes what comes of them is settled.
+    /// The same for schemas that judge alike: with it and a file's bytes what comes of them is
+    /// settled.
     pub fn fingerprint(&self) -> u64 {
         self.fingerprint
     }
--- a/crates/service/worker-attributes/src/validate.rs
+++ b/crates/service/worker-attributes/src/validate.rs
@@ -1,4 +1,5 @@
-//! What a reader made of a file, judged: which lines hold, which facts are known, and why the others are not.
+//! What a reader made of a file, judged: which lines hold, which facts are known, and why the
+//! others are not.
 use crate::diagnostic::{Diagnostic, DiagnosticEffect, SourceLocation};
 use crate::host_name::normalize_host_name;
 use crate::host_record::{Attribute, AttributeValue, HostRecord, Labels};
@@ -8,7 +9,8 @@
 use std::collections::{BTreeMap, hash_map};
 use std::sync::Arc;
 
-/// A control character in a text that is shown to people and written to logs would speak for somebody else.
+/// A control character in a text that is shown to people and written to logs would speak for
+/// somebody else.
 fn controls(text: &str) -> bool {
     text.chars().any(char::is_control)
 }
@@ -24,7 +26,8 @@
     Unreadable(String),
 }
 
-/// How much a statement counts against others of the same fact of the same host: the highest holds, and equals that differ
+/// How much a statement counts against others of the same fact of the same host: the highest holds,
+/// and equals that differ
 /// dispute the fact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Precedence {
@@ -71,7 +74,8 @@
     pub hosts: Vec<RawHost>,
     /// What the reader itself could not use. One that refuses the file leaves no hosts.
     pub diagnostics: Vec<Diagnostic>,
-    /// A bad statement takes its whole line with it, as in a table; else only the fact, as with inherited variables.
+    /// A bad statement takes its whole line with it, as in a table; else only the fact, as with
+    /// inherited variables.
     pub by_line: bool,
     /// The column or key that names hosts, for messages.
     pub host_key: Arc<str>,
@@ -204,7 +208,8 @@
         for (statement, good) in statements {
             state(&mut record, good, statement);
         }
-        // A bad statement of the highest rank must not let a lower one show through: it was meant to count.
+        // A bad statement of the highest rank must not let a lower one show through: it was meant
+        // to count.
         for (statement, _) in &bad {
             forget(&mut record, statement.attribute);
         }
--- a/crates/service/worker-attributes/src/version.rs
+++ b/crates/service/worker-attributes/src/version.rs
@@ -1,8 +1,12 @@
-//! Versions of an inventory: which is in use, which is held back until somebody confirms it, and which was refused.
+//! Versions of an inventory: which is in use, which is held back until somebody confirms it, and
+//! which was refused.
 //!
-//! A new version is taken whole or not at all. It is **refused** when the file as a whole can't be used, or when more than a
-//! set share of its lines can't. It is **held back** when it changes more than a set share of the hosts, or when whoever
-//! uses it objects (a class of jobs would be left without a worker). In both cases the version in use goes on.
+//! A new version is taken whole or not at all. It is **refused** when the file as a whole can't be
+//! used, or when more than a
+//! set share of its lines can't. It is **held back** when it changes more than a set share of the
+//! hosts, or when whoever
+//! uses it objects (a class of jobs would be left without a worker). In both cases the version in
+//! use goes on.
 use crate::diagnostic::Diagnostic;
 use crate::host_record::{Attribute, HostRecord};
 use crate::validate::ValidatedInventory;
@@ -277,7 +281,8 @@
         (self.pending, self.rejected) = (Some(PendingVersion { version, since_ms, reason }), None);
     }
 
-    /// Whoever uses the version that was taken last objects: the one before goes on, and it is held back.
+    /// Whoever uses the version that was taken last objects: the one before goes on, and it is held
+    /// back.
     pub fn roll_back(&mut self, number: u64, now_ms: u64, reason: String) {
         if let Some(version) = self.current.clone().filter(|v| v.number == number) {
             self.current = self.before.take();
@@ -285,7 +290,8 @@
         }
     }
 
-    /// Takes the version that is held back, if it is the one that is meant: `digest` is how its digest begins.
+    /// Takes the version that is held back, if it is the one that is meant: `digest` is how its
+    /// digest begins.
     ///
     /// # Errors
     /// If none is held back, or another one.
--- a/crates/tools/cluster-testbed/src/lib.rs
+++ b/crates/tools/cluster-testbed/src/lib.rs
@@ -7,6 +7,7 @@
 #![warn(missing_docs, unreachable_pub, clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
 
 mod gang;
+mod http_response;
 mod run_id;
 mod safety_checker;
 mod simulated_worker;
--- a/crates/tools/cluster-testbed/src/platform.rs
+++ b/crates/tools/cluster-testbed/src/platform.rs
@@ -1,8 +1,8 @@
 //! The simulated platform: the workers, their clock, and the list of them over HTTP.
 use crate::gang::finish_gangs;
+use crate::http_response::json_response;
 use crate::safety_checker::SafetyChecker;
 use crate::simulated_worker::SimulatedWorker;
-use crate::worker_server::json_response;
 use async_std::task;
 use compact_str::CompactString;
 use rand::SeedableRng;
--- a/crates/tools/cluster-testbed/src/worker_server.rs
+++ b/crates/tools/cluster-testbed/src/worker_server.rs
@@ -1,4 +1,5 @@
 //! The worker protocol over HTTP, as the simulated workers serve it.
+use crate::http_response::json_response;
 use crate::platform::{Fleet, Platform, STEP_INTERVAL};
 use async_std::task;
 use compact_str::CompactString;
@@ -206,11 +207,3 @@
         .collect();
     json!({ "clockMs": report.clock_ms, "running": running, "finished": finished })
 }
-
-/// A response with a JSON body.
-pub(crate) fn json_response(status: u16, body: &Value) -> tide::Result {
-    let mut response = Response::new(StatusCode::try_from(status)?);
-    response.set_body(body.to_string());
-    response.set_content_type(tide::http::mime::JSON);
-    Ok(response)
-}
--- a/crates/tools/cluster-testbed/tests/golden.rs
+++ b/crates/tools/cluster-testbed/tests/golden.rs
@@ -1,4 +1,5 @@
-//! What the operators' program tells of its commands and options, and of a configuration's file: this must not change.
+//! What the operators' program tells of its commands and options, and of a configuration's file:
+//! this must not change.
 #[path = "../../../cluster/replication/tests/golden/support.rs"]
 mod support;
 
--- a/crates/tools/experiments/src/compare.rs
+++ b/crates/tools/experiments/src/compare.rs
@@ -1,4 +1,5 @@
-//! Whether a difference is real: pairs of runs under the same seed and values, and an interval of their mean difference by the
+//! Whether a difference is real: pairs of runs under the same seed and values, and an interval of
+//! their mean difference by the
 //! bootstrap (Efron, Annals of Statistics 7(1), 1979; the percentile method).
 use crate::run::Run;
 use crate::spec::PolicyName;
--- a/crates/tools/experiments/src/lib.rs
+++ b/crates/tools/experiments/src/lib.rs
@@ -1,7 +1,10 @@
-//! A laboratory for the scheduler: the fleet modelled in virtual time with the real reducer and module in it, experiments read
-//! from files, played in parallel, compared and reported with plots; and the same load on real sockets.
+//! A laboratory for the scheduler: the fleet modelled in virtual time with the real reducer and
+//! module in it, experiments read
+//! from files, played in parallel, compared and reported with plots; and the same load on real
+//! sockets.
 //!
-//! The same seed gives the same bytes on any number of cores: a run is one thread, its random numbers come in streams, one a
+//! The same seed gives the same bytes on any number of cores: a run is one thread, its random
+//! numbers come in streams, one a
 //! concern, and nothing in it asks a clock.
 pub mod compare;
 mod outcome;
--- a/crates/tools/experiments/src/main.rs
+++ b/crates/tools/experiments/src/main.rs
@@ -64,7 +64,8 @@
         #[arg(long)]
         to: PathBuf,
     },
-    /// Play an experiment's load on real sockets: a scheduler among stand-in workers, and a bare relay in its place.
+    /// Play an experiment's load on real sockets: a scheduler among stand-in workers, and a bare
+    /// relay in its place.
     Load {
         /// The experiment; its policies, troubles and sweeps don't count here.
         file: PathBuf,
--- a/crates/tools/experiments/src/outcome.rs
+++ b/crates/tools/experiments/src/outcome.rs
@@ -52,7 +52,8 @@
     pub before: f64,
     /// The least share in a second from its begin on.
     pub least: f64,
-    /// Seconds from its end until the share is within 0.02 of before, in two seconds running; none if it never is.
+    /// Seconds from its end until the share is within 0.02 of before, in two seconds running; none
+    /// if it never is.
     pub after_s: Option<f64>,
 }
 
@@ -91,7 +92,8 @@
     pub uneven: f64,
     /// See `uneven`.
     pub most: f64,
-    /// Cold workers that were pushed over, and the most that one was strained, against what it bears.
+    /// Cold workers that were pushed over, and the most that one was strained, against what it
+    /// bears.
     pub pushed_over: u64,
     /// See `pushed_over`.
     pub strain: f64,
--- a/crates/tools/experiments/src/relay.rs
+++ b/crates/tools/experiments/src/relay.rs
@@ -1,5 +1,7 @@
-//! A bare relay: the exchanges that a scheduler makes for a job, with nothing decided and nothing kept. A client's job goes to
-//! the next worker on a new connection, the worker's notices come to the same port, and the last one's result is the answer.
+//! A bare relay: the exchanges that a scheduler makes for a job, with nothing decided and nothing
+//! kept. A client's job goes to
+//! the next worker on a new connection, the worker's notices come to the same port, and the last
+//! one's result is the answer.
 //! What a scheduler takes beyond this is the cost of its decisions and its state.
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
--- a/crates/tools/experiments/src/report.rs
+++ b/crates/tools/experiments/src/report.rs
@@ -1,4 +1,5 @@
-//! A page of an experiment: tables and plots in one file, with nothing fetched from anywhere; readable in print and by keyboard.
+//! A page of an experiment: tables and plots in one file, with nothing fetched from anywhere;
+//! readable in print and by keyboard.
 use crate::compare::figure;
 use crate::outcome::Outcome;
 use crate::run::{Run, by_point, half_interval, key, show_swept};
@@ -38,7 +39,8 @@
 /// # Errors
 /// If a plot or the page can't be made.
 pub fn page(experiment: &Experiment, runs: &[Run], command: &str) -> Result<String, Failure> {
-    // In the order of the experiment, each with the values that were swept in it; runs of other texts are left out.
+    // In the order of the experiment, each with the values that were swept in it; runs of other
+    // texts are left out.
     let known = by_point(runs);
     let runs_of = |key: String| known.iter().find(|(k, _)| **k == *key).map(|(_, runs)| runs.clone());
     let points: Vec<(Experiment, Vec<&Run>)> = points(experiment)?
@@ -197,7 +199,8 @@
             .y_label_area_size(56)
             .build_cartesian_2d(0..end, 0..rows.len().max(1))?;
         chart.configure_mesh().disable_mesh().x_desc("seconds").draw()?;
-        // Cells side by side of the same shade are one rectangle: a page with hundreds of thousands would open nowhere.
+        // Cells side by side of the same shade are one rectangle: a page with hundreds of thousands
+        // would open nowhere.
         for (y, row) in rows.iter().enumerate() {
             let shade = |v: u8| (u32::from(v).min(100) / 10 * 10) as u8;
             let mut x = 0;
--- a/crates/tools/experiments/src/rival.rs
+++ b/crates/tools/experiments/src/rival.rs
@@ -1,6 +1,9 @@
-//! Policies to compare with, in the laboratory only. Each is a scheduler of the plainest kind round one rule of choice: it sends
-//! a job to the worker that the rule names, tries another where the class allows it and time is left, and answers at once when
-//! nothing is left to try. It knows what the list tells and what comes back to it, no more; except [`PolicyName::Ideal`].
+//! Policies to compare with, in the laboratory only. Each is a scheduler of the plainest kind round
+//! one rule of choice: it sends
+//! a job to the worker that the rule names, tries another where the class allows it and time is
+//! left, and answers at once when
+//! nothing is left to try. It knows what the list tells and what comes back to it, no more; except
+//! [`PolicyName::Ideal`].
 use crate::Nanos;
 use crate::spec::PolicyName;
 use crate::streams::{Concern, Stream};
--- a/crates/tools/experiments/src/run.rs
+++ b/crates/tools/experiments/src/run.rs
@@ -1,4 +1,5 @@
-//! Experiments played: points times repeats, on all cores, with a progress bar; each run is a line of JSON in a file, and what
+//! Experiments played: points times repeats, on all cores, with a progress bar; each run is a line
+//! of JSON in a file, and what
 //! stands there already is not played again.
 use crate::spec::{Experiment, Point, PolicyName, SpecError, points};
 use crate::{Outcome, World};
@@ -62,7 +63,8 @@
     format!("{:016x}", xxh3_64(format!("{:?} {text}", point.policy).as_bytes()))
 }
 
-/// Reads results. A last line that was cut off by an interruption is passed over; where the whole lines end.
+/// Reads results. A last line that was cut off by an interruption is passed over; where the whole
+/// lines end.
 ///
 /// # Errors
 /// If the file can't be read, or another line is no run.
@@ -101,7 +103,8 @@
     T.get(n - 2).copied().unwrap_or(1.96) * (variance / n as f64).sqrt()
 }
 
-/// Plays what is missing of an experiment, and adds it to the results in `to`; all its runs then, in the order of points and
+/// Plays what is missing of an experiment, and adds it to the results in `to`; all its runs then,
+/// in the order of points and
 /// seeds. `quiet` shows no bar.
 ///
 /// # Errors
@@ -131,7 +134,8 @@
     let trouble: Mutex<Option<io::Error>> = Mutex::new(None);
     for round in 0..experiment.repeats {
         let seed = experiment.seed + u64::from(round);
-        // Decided between rounds, not within: which runs are made must not hang on which thread was first.
+        // Decided between rounds, not within: which runs are made must not hang on which thread was
+        // first.
         let narrow = |key: &str| {
             let served: Vec<f64> = (0..round)
                 .filter_map(|r| {
--- a/crates/tools/experiments/src/sockets.rs
+++ b/crates/tools/experiments/src/sockets.rs
@@ -1,6 +1,9 @@
-//! The load of an experiment on real sockets: a scheduler as a process among stand-in workers on loopback, and a bare relay in its
-//! place, one after the other under the same seed. Jobs come when they come, whatever is still open (open loop), and a job's
-//! time counts from when it should have come, so that a stall is not left out of the tail (coordinated omission; Tene,
+//! The load of an experiment on real sockets: a scheduler as a process among stand-in workers on
+//! loopback, and a bare relay in its
+//! place, one after the other under the same seed. Jobs come when they come, whatever is still open
+//! (open loop), and a job's
+//! time counts from when it should have come, so that a stall is not left out of the tail
+//! (coordinated omission; Tene,
 //! "How NOT to Measure Latency", 2013).
 use crate::spec::{Experiment, Law, Repeats};
 use spanlead_testbed::{
--- a/crates/tools/experiments/src/spec.rs
+++ b/crates/tools/experiments/src/spec.rs
@@ -20,7 +20,8 @@
     /// The most repeats of each point.
     #[serde(default = "five")]
     pub repeats: u32,
-    /// Repeats end early when the 95% interval of `served` is narrower than this, on each side, and three were made; 0 never.
+    /// Repeats end early when the 95% interval of `served` is narrower than this, on each side, and
+    /// three were made; 0 never.
     #[serde(default)]
     pub until: f64,
     /// The policies to play: `walkers` is the program's own.
@@ -75,7 +76,8 @@
     TwoChoices,
     /// The best of two drawn and one remembered (Mitzenmacher, Prabhakar, Shah, FOCS 2002).
     Memory,
-    /// One that has told that it is idle, else any (Lu et al., Performance Evaluation 68(11), 2011).
+    /// One that has told that it is idle, else any (Lu et al., Performance Evaluation 68(11),
+    /// 2011).
     IdleQueue,
     /// The fewest own jobs among a subset that is this scheduler's (deterministic aperture).
     Aperture,
@@ -231,7 +233,8 @@
     pub back_off_ms: f64,
     /// Whether it waits as long as it is told to.
     pub heeds_retry_after: bool,
-    /// Retries may be this part of the first tries of the last seconds, over all clients; 0 is no bound.
+    /// Retries may be this part of the first tries of the last seconds, over all clients; 0 is no
+    /// bound.
     pub budget: f64,
 }
 
@@ -356,7 +359,8 @@
     Zone,
     /// Workers are replaced in ten steps, each drained for a tenth of the time first.
     Deploy,
-    /// Schedulers are killed one after the other and start anew half a second later, with an old list.
+    /// Schedulers are killed one after the other and start anew half a second later, with an old
+    /// list.
     Restart,
     /// Discovery is down.
     Blind,
@@ -420,13 +424,15 @@
         key: "deployment".into(),
         why,
     })? {
-        // What it says is of the file with the deployment's values put in, whose lines nobody has seen.
+        // What it says is of the file with the deployment's values put in, whose lines nobody has
+        // seen.
         Some(filled) => parse(&file, &filled).map_err(|e| SpecError { at: None, ..e }),
         None => parse(&file, &text),
     }
 }
 
-/// An experiment that names a deployment's file, `deployment = "FILE"` beside its own, with that one's classes and workers put in
+/// An experiment that names a deployment's file, `deployment = "FILE"` beside its own, with that
+/// one's classes and workers put in
 /// where it says nothing itself; `None` if it names none.
 fn in_deployment(text: &str, folder: &Path) -> Result<Option<String>, String> {
     // What is no TOML is told of with its place later.
--- a/crates/tools/experiments/src/streams.rs
+++ b/crates/tools/experiments/src/streams.rs
@@ -1,4 +1,5 @@
-//! Random numbers, a stream a concern: drawing more in one does not move the others, so that two policies meet the same
+//! Random numbers, a stream a concern: drawing more in one does not move the others, so that two
+//! policies meet the same
 //! arrivals, running times and troubles under one seed.
 use rand::Rng;
 use rand::SeedableRng;
--- a/crates/tools/experiments/src/worker.rs
+++ b/crates/tools/experiments/src/worker.rs
@@ -1,10 +1,12 @@
-//! A worker: cores that are shared among the jobs that run, slots, a queue in order, a cold start, and the memory of its pod.
+//! A worker: cores that are shared among the jobs that run, slots, a queue in order, a cold start,
+//! and the memory of its pod.
 use crate::Nanos;
 use rustc_hash::FxHashMap;
 use spanlead_balancing_policy::LoadReport;
 use std::collections::VecDeque;
 
-/// A job at a worker: the try's number, and the work that is left, nanoseconds of a core of speed 1.
+/// A job at a worker: the try's number, and the work that is left, nanoseconds of a core of speed
+/// 1.
 #[derive(Clone, Copy, Debug)]
 pub struct Held {
     /// The try.
@@ -277,7 +279,8 @@
 pub struct Memory(FxHashMap<u64, (Nanos, bool)>);
 
 impl Memory {
-    /// A job begins. Whether its key has run, or runs, here within the window: then it is dropped as a repeat.
+    /// A job begins. Whether its key has run, or runs, here within the window: then it is dropped
+    /// as a repeat.
     pub fn begin(&mut self, now: Nanos, key: u64, window: Nanos) -> bool {
         match self.0.get(&key) {
             Some((at, _)) if now < at + window => true,
--- a/crates/tools/experiments/src/world.rs
+++ b/crates/tools/experiments/src/world.rs
@@ -1,8 +1,11 @@
-//! The fleet in virtual time: clients, schedulers, network, discovery and workers, one event after the other. The schedulers
+//! The fleet in virtual time: clients, schedulers, network, discovery and workers, one event after
+//! the other. The schedulers
 //! under [`PolicyName::Walkers`] are the program's own reducer with the module in it, not copies.
 //!
-//! Modelled: what the deployment's pages describe (cores, slots, queues, cold starts, late reports, pods that drop repeats, late
-//! lists, deadlines, retries). Not modelled: the schedulers' own CPU, progress notices, the front's delay in noticing a dead
+//! Modelled: what the deployment's pages describe (cores, slots, queues, cold starts, late reports,
+//! pods that drop repeats, late
+//! lists, deadlines, retries). Not modelled: the schedulers' own CPU, progress notices, the front's
+//! delay in noticing a dead
 //! scheduler beyond a refused connection.
 use crate::Nanos;
 use crate::outcome::{Outcome, Series};
--- a/crates/tools/experiments/tests/lab.rs
+++ b/crates/tools/experiments/tests/lab.rs
@@ -1,4 +1,5 @@
-//! The laboratory itself: the same seed the same bytes, every job one end, closed forms of queues, files that are wrong, and
+//! The laboratory itself: the same seed the same bytes, every job one end, closed forms of queues,
+//! files that are wrong, and
 //! results that were cut off.
 use spanlead_experiments::compare::{bootstrap, compare};
 use spanlead_experiments::run::{self, RunError, results};
@@ -108,7 +109,8 @@
     assert!((found - wanted).abs() <= wanted * part, "{what}: {found}, {wanted} by the closed form");
 }
 
-// Guards the queue and the clock: one server, Poisson arrivals, exponential work (M/M/1: the time in it is exponential with
+// Guards the queue and the clock: one server, Poisson arrivals, exponential work (M/M/1: the time
+// in it is exponential with
 // rate mu - lambda; Kleinrock, Queueing Systems I, 3.2).
 #[test]
 fn one_server_is_as_the_closed_form_has_it() {
@@ -131,7 +133,8 @@
     near(o.mean, 100.0 + waits * 100.0 / (4.0 * (1.0 - 0.7)), 0.04, "mean");
 }
 
-// The power of two choices among many (Mitzenmacher 2001: the mean time is the sum of rho^(2^i - 2)); and by chance alone each
+// The power of two choices among many (Mitzenmacher 2001: the mean time is the sum of rho^(2^i -
+// 2)); and by chance alone each
 // is a queue of its own.
 #[test]
 fn two_choices_are_as_the_limit_has_them() {
@@ -146,7 +149,8 @@
     near(chance.mean, 100.0 / 0.4, 0.06, "chance");
 }
 
-// Guards what comparisons stand on: the same seed gives the same bytes, alone or beside others; another one others.
+// Guards what comparisons stand on: the same seed gives the same bytes, alone or beside others;
+// another one others.
 #[test]
 fn the_same_seed_gives_the_same_bytes() {
     for policy in [PolicyName::Walkers, PolicyName::TwoChoices] {
@@ -161,7 +165,8 @@
     }
 }
 
-// Guards the streams: two policies meet the same arrivals and the same work, whatever each draws for itself.
+// Guards the streams: two policies meet the same arrivals and the same work, whatever each draws
+// for itself.
 #[test]
 fn policies_meet_the_same_load() {
     let offered = |policy| play(TROUBLED, policy, 7).windows.iter().map(|w| w.offered).collect::<Vec<_>>();
@@ -195,8 +200,10 @@
     }
 }
 
-// Guards the rules in the model: never an attempt beside another of the same try; and what pushes cold workers over is seen,
-// by a policy that knows nothing of cold ones, under the same deploy in which the walkers push none.
+// Guards the rules in the model: never an attempt beside another of the same try; and what pushes
+// cold workers over is seen,
+// by a policy that knows nothing of cold ones, under the same deploy in which the walkers push
+// none.
 #[test]
 fn the_walkers_keep_the_rules() {
     for seed in 1..4 {
@@ -212,7 +219,8 @@
     assert!(pushed(PolicyName::Random) > 5, "{}", pushed(PolicyName::Random));
 }
 
-// Guards the limiter where it is used: when not all can be taken, what is worth more for its work is.
+// Guards the limiter where it is used: when not all can be taken, what is worth more for its work
+// is.
 #[test]
 fn under_overload_the_dear_class_is_served_first() {
     let crowded = TROUBLED
@@ -230,7 +238,8 @@
     assert!(dear > alike + 0.03, "{dear} where one class is dear, {alike} where both are worth the same");
 }
 
-// What fresh workers are sent goes by what warm ones do. Where workers tell nothing of their load it went by all that was served, which sinks
+// What fresh workers are sent goes by what warm ones do. Where workers tell nothing of their load
+// it went by all that was served, which sinks
 // with them: while six in ten are replaced, 0.69 was served, and 0.72 since.
 #[test]
 fn fresh_workers_that_tell_nothing_are_used_while_jobs_are_refused() {
@@ -275,7 +284,8 @@
     );
 }
 
-// Guards against runs that are made twice or lost: a result that was cut off anywhere ends as one that never was.
+// Guards against runs that are made twice or lost: a result that was cut off anywhere ends as one
+// that never was.
 #[test]
 fn results_are_taken_up_again_wherever_they_were_cut_off() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -348,7 +358,8 @@
     );
 }
 
-// An experiment may name a deployment's file: its classes and workers are that one's, and what the experiment says itself goes before.
+// An experiment may name a deployment's file: its classes and workers are that one's, and what the
+// experiment says itself goes before.
 // A file that is not there or faulty is told by its own name.
 #[test]
 fn an_experiment_takes_a_deployment_s_file() {
--- a/crates/tools/simulator-adapter/tests/golden.rs
+++ b/crates/tools/simulator-adapter/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The simulator's wire, word for word: a story with every kind of event, and all that the adapter says to it.
+//! The simulator's wire, word for word: a story with every kind of event, and all that the adapter
+//! says to it.
 #[allow(dead_code, reason = "each crate uses a part of it")]
 #[path = "../../../service/wal/tests/golden/data.rs"]
 mod golden;
@@ -24,7 +25,8 @@
     format!("{out}{err}exit status {code}\n")
 }
 
-// Guards the contract with the simulator: each event's names are read, and each decision's written, as ever. The last line
+// Guards the contract with the simulator: each event's names are read, and each decision's written,
+// as ever. The last line
 // speaks to an instance that has ended, and ends the adapter.
 #[test]
 fn a_story_with_every_event_is_answered_as_ever() {
@@ -74,7 +76,8 @@
     golden::assert_text("fields.txt", &all);
 }
 
-// Guards the names of the fields that may be absent: one of a form that none can have is refused by its name, where one that
+// Guards the names of the fields that may be absent: one of a form that none can have is refused by
+// its name, where one that
 // is not known would be passed over.
 #[test]
 fn each_optional_field_is_read_by_its_name() {
--- a/crates/tools/testbed/src/check.rs
+++ b/crates/tools/testbed/src/check.rs
@@ -1,7 +1,7 @@
 //! Reads a record and says which rules were broken.
 use crate::deployment::Deployment;
-use crate::fleet::Scope;
 use crate::record::{Event, What};
+use crate::workload::Scope;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
 use std::time::Duration;
--- a/crates/tools/testbed/src/client.rs
+++ b/crates/tools/testbed/src/client.rs
@@ -1,7 +1,8 @@
-//! Clients: jobs that arrive by plan, each tried again under its key until it has its answer or its client has had enough.
-use crate::fleet::Class;
+//! Clients: jobs that arrive by plan, each tried again under its key until it has its answer or its
+//! client has had enough.
 use crate::http::Connection;
 use crate::record::{Record, What};
+use crate::workload::Class;
 use hdrhistogram::Histogram;
 use hyper::Request;
 use rand::rngs::SmallRng;
@@ -134,7 +135,7 @@
         at < 0.0
     });
     let class = class.or(wanted.last())?;
-    let keyed = class.scope != crate::fleet::Scope::Safe;
+    let keyed = class.scope != crate::workload::Scope::Safe;
     Some(Job {
         number,
         class: class.name.clone(),
@@ -251,7 +252,8 @@
         }
     }
 
-    /// Tries until there is an answer that is no refusal, or `until`. Each try has a new id and the same key.
+    /// Tries until there is an answer that is no refusal, or `until`. Each try has a new id and the
+    /// same key.
     async fn bring(&self, job: &Job, until: Instant, rng: &mut SmallRng) -> (Outcome, u64) {
         let (mut tries, mut last) = (0, Outcome::None);
         let mut pause = Duration::from_millis(20);
--- a/crates/tools/testbed/src/deployment.rs
+++ b/crates/tools/testbed/src/deployment.rs
@@ -1,6 +1,7 @@
-//! A deployment as a file: what the platform to be tried on is like. TOML, read by hand from the parsed table so that all that
+//! A deployment as a file: what the platform to be tried on is like. TOML, read by hand from the
+//! parsed table so that all that
 //! is wrong is told at once, each with its line and key; serde would end at the first.
-use crate::fleet::{Class, Kind, Mode, Scope, Via};
+use crate::workload::{Class, Kind, Mode, Scope, Via};
 use std::fmt;
 use std::path::Path;
 use std::time::Duration;
@@ -205,7 +206,8 @@
         }
     }
 
-    /// A number within bounds; one that is wrong or missing counts as the least, so that reading goes on.
+    /// A number within bounds; one that is wrong or missing counts as the least, so that reading
+    /// goes on.
     fn number(&mut self, key: &'static str, least: f64, most: f64, default: Option<f64>) -> f64 {
         let Some(value) = self.value(key) else {
             if default.is_none() {
@@ -466,7 +468,8 @@
         }
         let most = kinds.iter().map(|k| k.memory).fold(0.0, f64::max);
         for class in &classes {
-            // It could not be placed, ever. A job that needs more than that is an exception, which tests bring themselves.
+            // It could not be placed, ever. A job that needs more than that is an exception, which
+            // tests bring themselves.
             if class.memory.1 > most {
                 let (at, name) = (self.at, &class.name);
                 let why =
--- a/crates/tools/testbed/src/discovery.rs
+++ b/crates/tools/testbed/src/discovery.rs
@@ -93,7 +93,8 @@
         Ok(Discovery { addrs, shared, tasks })
     }
 
-    /// Lists a worker, or changes what is listed of it: at once, or as late as changes are told here.
+    /// Lists a worker, or changes what is listed of it: at once, or as late as changes are told
+    /// here.
     pub fn list(&self, listed: Listed) {
         let (shared, late) = (self.shared.clone(), self.shared.late);
         // A worker that nobody knows yet is no change: the list is what it is at the start.
@@ -106,7 +107,8 @@
         });
     }
 
-    /// Cuts one scheduler off: its calls are not answered, and connections stay silent. Or ends that.
+    /// Cuts one scheduler off: its calls are not answered, and connections stay silent. Or ends
+    /// that.
     pub fn cut(&self, scheduler: usize, cut: bool) {
         self.shared.cut.send_modify(|all| all[scheduler] = cut);
     }
--- a/crates/tools/testbed/src/inventory.rs
+++ b/crates/tools/testbed/src/inventory.rs
@@ -1,5 +1,7 @@
-//! A club's inventory file, kept by a tool that is not always careful: weights change, lines come twice, hosts stand there that
-//! nobody runs, the file is cut off, garbled, removed, or replaced in one go. Where it says something of a pod or a zone, that
+//! A club's inventory file, kept by a tool that is not always careful: weights change, lines come
+//! twice, hosts stand there that
+//! nobody runs, the file is cut off, garbled, removed, or replaced in one go. Where it says
+//! something of a pod or a zone, that
 //! is true, or it contradicts itself.
 use crate::discovery::Listed;
 use rand::rngs::SmallRng;
--- a/crates/tools/testbed/src/process.rs
+++ b/crates/tools/testbed/src/process.rs
@@ -25,7 +25,8 @@
     pub loud: bool,
 }
 
-/// An address on loopback that no other scheduler of this machine is given, and that no connection goes out from: a port that is
+/// An address on loopback that no other scheduler of this machine is given, and that no connection
+/// goes out from: a port that is
 /// drawn and given back until its process starts, or while it is down, must be nobody else's.
 pub(crate) fn own_address() -> IpAddr {
     static GIVEN: AtomicU32 = AtomicU32::new(0);
@@ -38,7 +39,8 @@
 /// What a process has taken of a CPU so far.
 pub fn cpu_of(id: u32) -> Duration {
     let text = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-    // Fields 14 and 15 of proc(5)'s stat, counted behind the name, which ends with the last bracket.
+    // Fields 14 and 15 of proc(5)'s stat, counted behind the name, which ends with the last
+    // bracket.
     let fields = text.rsplit(')').next().unwrap_or("").split_whitespace();
     let ticks: u64 = fields.skip(11).take(2).filter_map(|f| f.parse::<u64>().ok()).sum();
     Duration::from_millis(ticks * 10)
@@ -49,7 +51,8 @@
 }
 
 impl Scheduler {
-    /// Prepares one that keeps its files in `folder`, with this configuration and these settings of the operators'.
+    /// Prepares one that keeps its files in `folder`, with this configuration and these settings of
+    /// the operators'.
     ///
     /// # Errors
     /// If files can't be written there.
--- a/crates/tools/testbed/src/record.rs
+++ b/crates/tools/testbed/src/record.rs
@@ -70,7 +70,8 @@
         class: String,
         group: String,
     },
-    /// It runs no more there, and never will: done, failed, given back, called off, stopped by its lease, or dead.
+    /// It runs no more there, and never will: done, failed, given back, called off, stopped by its
+    /// lease, or dead.
     Over {
         request: String,
         worker: String,
--- a/crates/tools/testbed/src/resource.rs
+++ b/crates/tools/testbed/src/resource.rs
@@ -1,4 +1,5 @@
-//! What the holder of a duty acts on, and the judge of who held it: every act comes here, on one clock. With a fence it refuses an
+//! What the holder of a duty acts on, and the judge of who held it: every act comes here, on one
+//! clock. With a fence it refuses an
 //! act under an older term than it has seen.
 use crate::http::{Body, response, serve};
 use hyper::header::HeaderValue;
@@ -80,7 +81,8 @@
         let _ = self.shared.waiting.subscribe().wait_for(|waiting| *waiting >= acts).await;
     }
 
-    /// What is wrong with the acts that were let through: one under an older term behind a newer one.
+    /// What is wrong with the acts that were let through: one under an older term behind a newer
+    /// one.
     pub fn overlaps(&self) -> Vec<(u64, u64)> {
         let acts = self.acts();
         let through: Vec<&Act> = acts.iter().filter(|a| a.accepted).collect();
--- a/crates/tools/testbed/src/rig.rs
+++ b/crates/tools/testbed/src/rig.rs
@@ -1,4 +1,5 @@
-//! Several processes of the program over one platform, with a network between them: started, stopped, killed and cut off from each
+//! Several processes of the program over one platform, with a network between them: started,
+//! stopped, killed and cut off from each
 //! other by a script, and looked at through their operators' doors.
 use crate::fleet::{Fleet, FleetPlan, config_of};
 use crate::http::Connection;
@@ -74,7 +75,8 @@
     },
     /// All cuts end.
     Heal,
-    /// Every direction treats datagrams so from now on: shares lost, doubled, cut off, spoilt; the most delay.
+    /// Every direction treats datagrams so from now on: shares lost, doubled, cut off, spoilt; the
+    /// most delay.
     Weather {
         #[serde(default)]
         loss: f64,
@@ -239,7 +241,8 @@
         Ok(rig)
     }
 
-    /// Gives a scheduler, from its next start, only the first `count` schedulers as peers, and these settings of the operators'.
+    /// Gives a scheduler, from its next start, only the first `count` schedulers as peers, and
+    /// these settings of the operators'.
     ///
     /// # Errors
     /// If its files can't be read or written.
@@ -294,7 +297,8 @@
         log.lines().filter_map(change).collect()
     }
 
-    /// Waits until it holds of all views; those of schedulers that don't answer are `None`. Tells whether it came to that.
+    /// Waits until it holds of all views; those of schedulers that don't answer are `None`. Tells
+    /// whether it came to that.
     pub async fn until(&self, patience: Duration, holds: impl Fn(&[Option<Vec<Seen>>]) -> bool) -> bool {
         let until = Instant::now() + patience;
         loop {
--- a/crates/tools/testbed/src/wires.rs
+++ b/crates/tools/testbed/src/wires.rs
@@ -1,4 +1,5 @@
-//! The network between schedulers. Each reaches each other at an address set aside for that pair and direction, so that every
+//! The network between schedulers. Each reaches each other at an address set aside for that pair
+//! and direction, so that every
 //! datagram passes here and can be lost, late, doubled, overtaken, cut off or spoilt, by direction.
 use crate::process::own_address;
 use rand::rngs::SmallRng;
@@ -57,7 +58,8 @@
     count: usize,
     /// Where each scheduler listens.
     pub listens: Vec<SocketAddr>,
-    /// `addrs[i][j]` is where scheduler `i` reaches `j`, and where `j` hears `i` from is `addrs[j][i]`.
+    /// `addrs[i][j]` is where scheduler `i` reaches `j`, and where `j` hears `i` from is
+    /// `addrs[j][i]`.
     addrs: Vec<Vec<SocketAddr>>,
     state: Arc<Mutex<State>>,
     tasks: Vec<AbortHandle>,
--- a/crates/tools/testbed/src/worker.rs
+++ b/crates/tools/testbed/src/worker.rs
@@ -74,7 +74,8 @@
 /// What a worker knows of a class.
 #[derive(Clone)]
 pub struct Known {
-    /// How long a job runs on a worker of speed 1, on average, and the coefficient of variation of that.
+    /// How long a job runs on a worker of speed 1, on average, and the coefficient of variation of
+    /// that.
     pub run: Duration,
     pub cv: f64,
     /// The repeats that are dropped, and for how long.
@@ -655,7 +656,8 @@
         let mut fenced = None;
         for repeat in 0..repeats {
             for _ in 0..TELL {
-                // One that nobody hears, or that stands still, is over with its lease: it has stopped, or stops before it does
+                // One that nobody hears, or that stands still, is over with its lease: it has
+                // stopped, or stops before it does
                 // anything else. A heedless one goes on.
                 let mut behaviour = self.behaviour.clone();
                 let heard = behaviour.wait_for(|b| !b.frozen && !b.vanished);
--- a/crates/tools/testbed/tests/check.rs
+++ b/crates/tools/testbed/tests/check.rs
@@ -136,7 +136,8 @@
         });
         check_cold(&std::iter::once(born).chain(sent).collect::<Vec<_>>(), &deployment)
     };
-    // It does about 50 a second when it is warm, and four tenths of that in the mean of these two seconds.
+    // It does about 50 a second when it is warm, and four tenths of that in the mean of these two
+    // seconds.
     assert!(pushed(60).is_empty());
     assert_eq!(pushed(400).into_iter().map(|b| b.rule).collect::<Vec<_>>(), [Rule::Cold]);
 }
--- a/crates/tools/testbed/tests/deployment.rs
+++ b/crates/tools/testbed/tests/deployment.rs
@@ -1,4 +1,5 @@
-//! Deployment files: the two that come with the project, and faulty ones, whose faults are told all at once.
+//! Deployment files: the two that come with the project, and faulty ones, whose faults are told all
+//! at once.
 use spanlead_testbed::{Deployment, Mode, Scope, Via};
 use std::path::Path;
 
--- a/crates/tools/testbed/tests/script.rs
+++ b/crates/tools/testbed/tests/script.rs
@@ -15,7 +15,8 @@
     assert!(Script::parse(share, 3, 1).is_err());
 }
 
-// The same seed, the same script; it survives being written and read again; every cut and stop has its end.
+// The same seed, the same script; it survives being written and read again; every cut and stop has
+// its end.
 #[test]
 fn a_seed_draws_a_script() {
     let mix = Mixture {
