--- a/crates/service/balancing-policy/src/admission_limiter.rs
+++ b/crates/service/balancing-policy/src/admission_limiter.rs
@@ -65,7 +65,7 @@
 
 /// Decides which fraction of each request group is admitted.
 ///
-/// Invariant: the admitted fraction lies between [`MIN_ADMITTED`] and 1.
+/// Invariant: the admitted fraction lies between `MIN_ADMITTED` and 1.
 pub struct AdmissionLimiter {
     /// The fraction of all arriving work that is admitted.
     admitted: f64,
--- a/crates/service/membership/src/datagram.rs
+++ b/crates/service/membership/src/datagram.rs
@@ -39,7 +39,7 @@
     Payload {
         /// The number of the other protocol.
         protocol: u8,
-        /// At most [`MAX_PAYLOAD_BYTES`].
+        /// At most `MAX_PAYLOAD_BYTES`.
         bytes: Vec<u8>,
     },
     /// What does not change while the sender's process lives.
--- a/crates/service/worker-attributes/src/lib.rs
+++ b/crates/service/worker-attributes/src/lib.rs
@@ -1,6 +1,6 @@
 //! What is known of workers beside the live list. An inventory that some tool keeps says of a host
 //! in which zone and pod it
-//! stands, of which kind it is, what it can bear; here that is judged ([`judge`]), kept in versions
+//! stands, of which kind it is, what it can bear; here that is judged (`validate`), kept in versions
 //! ([`InventoryVersions`]), laid beside
 //! the live list ([`MergedInventory`]) and compared with it ([`reconcile`]). Nothing here reads or
 //! writes: files come as what their
