--- a/crates/service/balancing-policy/tests/admission.rs
+++ b/crates/service/balancing-policy/tests/admission.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{MS, SEC, World, default_settings, is_rejected, probing_settings, request};
+use common::{Harness, MS, SEC, default_settings, is_rejected, probing_settings, request};
 use spanlead_balancing_policy::{
     Action, Event, Idempotency, LoadReport, LoadReporting, Nanos, Outcome, Request, RequestClass,
 };
@@ -12,15 +12,15 @@
 #[test]
 fn job_without_room_anywhere_is_rejected_early() {
     let settings = probing_settings();
-    let mut world = World::new(settings, 5);
-    world.list_ready_workers(6);
-    world.submit(request(1, 2 * SEC));
+    let mut harness = Harness::new(settings, 5);
+    harness.list_ready_workers(6);
+    harness.submit(request(1, 2 * SEC));
     for _ in 0..200 {
-        world.answer_probes(|_| LoadReport { free_slots: Some(0.0), ..LoadReport::default() });
-        world.advance(5 * MS, false);
+        harness.answer_probes(|_| LoadReport { free_slots: Some(0.0), ..LoadReport::default() });
+        harness.advance(5 * MS, false);
     }
-    assert!(world.workers_of(1).is_empty() && world.checker.requests[&1].closed);
-    assert!(world.trace.iter().any(|a| matches!(a, Action::Reject { retry_after: Some(t), .. } if *t > 0)));
+    assert!(harness.workers_of(1).is_empty() && harness.checker.requests[&1].closed);
+    assert!(harness.trace.iter().any(|a| matches!(a, Action::Reject { retry_after: Some(t), .. } if *t > 0)));
 }
 
 /// Found at the second deployment: a client's later attempts looked like new requests, were pending
@@ -31,16 +31,16 @@
     let pending_times = |times_left: [Nanos; 2]| {
         let mut settings = probing_settings();
         (settings.classes[0].deadline, settings.classes[0].latency_target) = (2 * SEC, 400 * MS);
-        let mut world = World::new(settings, 5);
-        world.list_ready_workers(2);
+        let mut harness = Harness::new(settings, 5);
+        harness.list_ready_workers(2);
         let waits = times_left.iter().zip(1..).map(|(time_left, id)| {
-            world.submit(request(id, *time_left));
-            let from = world.now;
-            while !world.checker.requests[&id].closed && world.now < from + 10 * SEC {
-                world.answer_probes(|_| LoadReport { free_slots: Some(0.0), ..LoadReport::default() });
-                world.advance(5 * MS, false);
+            harness.submit(request(id, *time_left));
+            let from = harness.now;
+            while !harness.checker.requests[&id].closed && harness.now < from + 10 * SEC {
+                harness.answer_probes(|_| LoadReport { free_slots: Some(0.0), ..LoadReport::default() });
+                harness.advance(5 * MS, false);
             }
-            world.now - from
+            harness.now - from
         });
         waits.collect::<Vec<_>>()
     };
@@ -60,29 +60,29 @@
         settings.classes = vec![class.clone(), RequestClass { value: 4.0, ..class }];
         settings.value_by_work = value_by_work;
         settings.load_reporting = LoadReporting::InProbes;
-        let mut world = World::new(settings, 5);
-        world.list_ready_workers(4);
+        let mut harness = Harness::new(settings, 5);
+        harness.list_ready_workers(4);
         let (mut asked, mut taken) = ([0.0; 2], [0.0; 2]);
         for id in 0..3000u64 {
             let class = id as usize % 2;
             // Jobs of the second class run sixteen times as long.
             let full = id >= 200;
-            let before = world.probes.len();
-            world.submit(Request { class: class as u32, ..request(id, 2 * SEC) });
+            let before = harness.probes.len();
+            harness.submit(Request { class: class as u32, ..request(id, 2 * SEC) });
             if full {
                 asked[class] += 1.0;
-                taken[class] += f64::from(u8::from(world.probes.len() > before));
+                taken[class] += f64::from(u8::from(harness.probes.len() > before));
             }
-            world.answer_probes(|_| LoadReport {
+            harness.answer_probes(|_| LoadReport {
                 free_slots: Some(if full { 0.0 } else { 2.0 }),
                 ..LoadReport::default()
             });
-            world.advance(5 * MS, false);
+            harness.advance(5 * MS, false);
             if full {
-                world.advance(2 * SEC, false);
+                harness.advance(2 * SEC, false);
             } else {
-                world.advance(if class == 0 { 5 * MS } else { 80 * MS }, false);
-                world.end_attempt(id, 0, Outcome::Ok);
+                harness.advance(if class == 0 { 5 * MS } else { 80 * MS }, false);
+                harness.end_attempt(id, 0, Outcome::Ok);
             }
         }
         taken[0] / asked[0] / (taken[1] / asked[1])
@@ -96,9 +96,9 @@
 
 #[test]
 fn request_past_its_deadline_is_rejected_at_once() {
-    let mut world = World::new(default_settings(Idempotency::Idempotent), 5);
-    world.list_ready_workers(2);
-    assert!(is_rejected(&world.submit(request(1, 0))));
+    let mut harness = Harness::new(default_settings(Idempotency::Idempotent), 5);
+    harness.list_ready_workers(2);
+    assert!(is_rejected(&harness.submit(request(1, 0))));
 }
 
 /// Guards jobs that no worker has the memory for: one was pending until its time was up, and where
@@ -106,27 +106,27 @@
 /// has not reported yet, or has just started, may have the memory.
 #[test]
 fn request_larger_than_any_worker_is_rejected_at_once() {
-    let mut world = World::new(probing_settings(), 3);
-    world.list_ready_workers(2);
-    let large = |world: &mut World, id: u64| world.submit(Request { memory: 5.0, ..request(id, SEC) });
+    let mut harness = Harness::new(probing_settings(), 3);
+    harness.list_ready_workers(2);
+    let large = |harness: &mut Harness, id: u64| harness.submit(Request { memory: 5.0, ..request(id, SEC) });
     let report = |memory: f64| LoadReport {
         free_slots: Some(1.0),
         free_memory: Some(memory),
         ..LoadReport::default()
     };
-    let hear = |world: &mut World, worker: &str, memory: f64| {
+    let hear = |harness: &mut Harness, worker: &str, memory: f64| {
         let report = Some(report(memory));
-        world.handle(Event::ProbeEnded { worker, outcome: Outcome::Ok, elapsed: MS, report });
+        harness.handle(Event::ProbeEnded { worker, outcome: Outcome::Ok, elapsed: MS, report });
     };
-    hear(&mut world, "w0", 2.0);
-    assert!(!is_rejected(&large(&mut world, 1)), "w1 was not heard of");
-    hear(&mut world, "w1", 4.0);
-    assert!(is_rejected(&large(&mut world, 2)), "held in vain");
-    hear(&mut world, "w1", 6.0);
-    hear(&mut world, "w1", 1.0);
-    assert!(!is_rejected(&large(&mut world, 3)), "it has had as much, and may again");
+    hear(&mut harness, "w0", 2.0);
+    assert!(!is_rejected(&large(&mut harness, 1)), "w1 was not heard of");
+    hear(&mut harness, "w1", 4.0);
+    assert!(is_rejected(&large(&mut harness, 2)), "held in vain");
+    hear(&mut harness, "w1", 6.0);
+    hear(&mut harness, "w1", 1.0);
+    assert!(!is_rejected(&large(&mut harness, 3)), "it has had as much, and may again");
     assert!(
-        world
+        harness
             .submit(Request { memory: 0.0, ..request(4, SEC) })
             .iter()
             .all(|a| !matches!(a, Action::Reject { .. }))
--- a/crates/service/balancing-policy/tests/common/checker.rs
+++ b/crates/service/balancing-policy/tests/common/checker.rs
@@ -1,15 +1,23 @@
-//! Checks a dispatcher's actions against the rules, from the outside.
+//! Checks a dispatcher's actions against the safety rules, independently of the dispatcher's code.
+//!
+//! - Rule 1: each request gets exactly one final answer, no later than its deadline.
+//! - Rule 2: a request that may have run is sent again, or rejected (which invites its client to
+//!   retry), only as far as the idempotency of its class permits.
+//! - Rule 3: requests are sent only to workers that the endpoint list has as ready.
+//!
+//! The checker also verifies the configured limits: attempts per request, hedging, cancellation,
+//! probes and peer messages.
 
 use spanlead_balancing_policy::{
     Action, DeduplicationScope, Idempotency, Nanos, Outcome, RequestId, Settings, WorkerId, WorkerState,
 };
 use std::collections::BTreeMap;
 
-/// An attempt that the dispatcher has sent.
+/// An attempt that the dispatcher sent.
 pub struct SentAttempt {
     pub worker: String,
     pub sent_at: Nanos,
-    /// How it ended; `None` while it is in flight.
+    /// The outcome of the attempt; `None` while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
@@ -19,15 +27,16 @@
     }
 }
 
-/// A request that the dispatcher was given.
-pub struct OpenRequest {
+/// A request that was submitted to the dispatcher; `closed` once it has its final answer or its
+/// client has left.
+pub struct SubmittedRequest {
     pub class: usize,
     pub deadline: Nanos,
     pub closed: bool,
     pub attempts: Vec<SentAttempt>,
 }
 
-/// A worker that the endpoint list has named.
+/// A worker that appeared in an update of the endpoint list.
 pub struct KnownWorker {
     pub state: WorkerState,
     pub zone: u32,
@@ -35,20 +44,24 @@
     pub started_at: Option<Nanos>,
 }
 
-/// What the checker knows, apart from the dispatcher.
+/// The requests, attempts and workers as seen from outside of the dispatcher, with the settings
+/// that the rules depend on.
 pub struct Checker {
     pub settings: Settings,
-    pub requests: BTreeMap<u64, OpenRequest>,
+    pub requests: BTreeMap<u64, SubmittedRequest>,
     pub workers: BTreeMap<String, KnownWorker>,
 }
 
 impl Checker {
-    /// A checker that knows nothing yet.
+    /// Creates a checker without requests or workers.
     pub fn new(settings: Settings) -> Self {
         Checker { settings, requests: BTreeMap::new(), workers: BTreeMap::new() }
     }
 
-    /// Whether an action keeps the rules; the error names the one it breaks.
+    /// Checks an action of the dispatcher and records its effect.
+    ///
+    /// # Errors
+    /// A description of the rule or limit that the action violates.
     pub fn check(&mut self, now: Nanos, action: &Action) -> Result<(), String> {
         let limits = &self.settings.limits;
         match action {
@@ -58,30 +71,38 @@
                 self.check_rejection(*id)
             }
             Action::Fail { id } => self.close(*id),
-            Action::Cancel { .. } if !limits.can_cancel => Err("cancel is not permitted".into()),
-            Action::Probe { .. } if !limits.can_probe => Err("probes are not permitted".into()),
+            Action::Cancel { .. } if !limits.can_cancel => {
+                Err("cancelled an attempt although `can_cancel` is false".into())
+            }
+            Action::Probe { .. } if !limits.can_probe => {
+                Err("probed a worker although `can_probe` is false".into())
+            }
             Action::SendToPeer { .. } if !limits.can_message_peers => {
-                Err("messages are not permitted".into())
+                Err("sent a peer message although `can_message_peers` is false".into())
             }
             _ => Ok(()),
         }
     }
 
     fn check_send(&mut self, now: Nanos, id: RequestId, worker: &WorkerId) -> Result<(), String> {
-        let target = self.workers.get(&*worker.0).ok_or("sent to a worker that no list named")?;
+        let target =
+            self.workers.get(&*worker.0).ok_or("sent to a worker that no endpoint list contained")?;
         if target.state != WorkerState::Ready {
-            return Err(format!("rule 3: {} is {:?}", worker.0, target.state));
+            return Err(format!(
+                "rule 3: sent to worker {}, which is {:?}, not Ready",
+                worker.0, target.state
+            ));
         }
-        let request = self.requests.get(&id.0).ok_or("sent an unknown request")?;
+        let request = self.requests.get(&id.0).ok_or("sent a request that was never submitted")?;
         if request.closed {
-            return Err("rule 1: sent after its end".into());
+            return Err("rule 1: sent a request that is already closed".into());
         }
         if request.attempts.len() >= self.settings.limits.max_attempts as usize {
-            return Err("more attempts than permitted".into());
+            return Err("sent more attempts of a request than `max_attempts`".into());
         }
         let is_in_flight = request.attempts.iter().any(|attempt| attempt.outcome.is_none());
         if !self.settings.limits.can_hedge && is_in_flight {
-            return Err("two attempts in flight together".into());
+            return Err("sent a second attempt while one is in flight although `can_hedge` is false".into());
         }
         for attempt in request.attempts.iter().filter(|attempt| attempt.may_have_run()) {
             self.check_repeat(now, request, attempt, target)?;
@@ -91,28 +112,32 @@
         Ok(())
     }
 
-    /// Whether a request may be sent to `target` after an attempt that may have run.
+    /// Checks by rule 2 that a request may be sent to `target` at `now`, given one of its earlier
+    /// attempts that may have run.
     fn check_repeat(
         &self,
         now: Nanos,
-        request: &OpenRequest,
+        request: &SubmittedRequest,
         attempt: &SentAttempt,
         target: &KnownWorker,
     ) -> Result<(), String> {
         match self.settings.classes[request.class].idempotency {
             Idempotency::Idempotent => Ok(()),
-            Idempotency::AtMostOnce => Err("rule 2: an at-most-once request sent twice".into()),
+            Idempotency::AtMostOnce => {
+                Err("rule 2: sent an at-most-once request again although it may have run".into())
+            }
             Idempotency::Deduplicated { scope, window } => {
                 let first = &self.workers[&attempt.worker];
-                let is_same_group = match scope {
+                let is_in_scope = match scope {
                     DeduplicationScope::All => true,
                     DeduplicationScope::Zone => first.zone == target.zone,
                     DeduplicationScope::Cell => first.cell == target.cell,
                 };
-                // The connection may take its whole time to come up before the send.
+                // Opening the connection may take up to the connect timeout before the request is
+                // sent.
                 let latest_send = now + self.settings.limits.connect_timeout;
-                if !is_same_group || latest_send > attempt.sent_at + window {
-                    return Err("rule 2: a deduplicated request left its group or window".into());
+                if !is_in_scope || latest_send > attempt.sent_at + window {
+                    return Err("rule 2: sent a deduplicated request outside of its scope or window".into());
                 }
                 Ok(())
             }
@@ -126,20 +151,20 @@
             Idempotency::Deduplicated { scope: DeduplicationScope::All, .. } => true,
             _ => request.attempts.iter().all(|attempt| !attempt.may_have_run()),
         };
-        if is_allowed { Ok(()) } else { Err("rule 2: rejected what may have run".into()) }
+        if is_allowed { Ok(()) } else { Err("rule 2: rejected a request that may have run".into()) }
     }
 
     fn close(&mut self, id: RequestId) -> Result<(), String> {
-        let request = self.requests.get_mut(&id.0).ok_or("answered an unknown request")?;
+        let request = self.requests.get_mut(&id.0).ok_or("answered a request that was never submitted")?;
         if std::mem::replace(&mut request.closed, true) {
-            return Err("rule 1: a second final answer".into());
+            return Err("rule 1: answered a request that is already closed".into());
         }
         Ok(())
     }
 
-    /// Rule 1 at a point in time: nothing is open past its deadline.
-    pub fn overdue(&self, now: Nanos) -> Option<u64> {
-        let is_overdue = |request: &OpenRequest| !request.closed && now > request.deadline;
+    /// Returns the id of a request that is still open after its deadline, which violates rule 1.
+    pub fn overdue_request(&self, now: Nanos) -> Option<u64> {
+        let is_overdue = |request: &SubmittedRequest| !request.closed && now > request.deadline;
         self.requests.iter().find(|(_, request)| is_overdue(request)).map(|(id, _)| *id)
     }
 }
--- a/crates/service/balancing-policy/tests/common/settings.rs
+++ b/crates/service/balancing-policy/tests/common/settings.rs
@@ -1,9 +1,9 @@
-//! Settings that the tests start from.
+//! Base settings, which the tests adapt.
 
 use super::{MS, SEC};
 use spanlead_balancing_policy::{Idempotency, LoadReporting, RequestClass, Settings};
 
-/// Settings with one class, without probes and load reports.
+/// Settings with one request class, without probes or load reports.
 pub fn default_settings(idempotency: Idempotency) -> Settings {
     let mut settings = Settings { instance_count: 4, tick: 5 * MS, ..Settings::default() };
     settings.classes.push(RequestClass {
@@ -24,7 +24,8 @@
     settings
 }
 
-/// Settings under which jobs are pending until their probes come back.
+/// Settings with one idempotent request class, load probes and load reports in responses. Jobs are
+/// pending until their probes end.
 pub fn probing_settings() -> Settings {
     let mut settings = default_settings(Idempotency::Idempotent);
     settings.limits.can_probe = true;
--- a/crates/service/balancing-policy/tests/common/world.rs
+++ b/crates/service/balancing-policy/tests/common/world.rs
@@ -1,6 +1,6 @@
-//! A dispatcher with its checker, clock and timers.
+//! A test harness that drives one dispatcher on a simulated clock.
 
-use super::checker::{Checker, KnownWorker, OpenRequest};
+use super::checker::{Checker, KnownWorker, SubmittedRequest};
 use super::{MS, SEC};
 use spanlead_balancing_policy::{
     Action, Dispatcher, Endpoint, EndpointUpdate, Event, LoadReport, Nanos, Outcome, Request, RequestId,
@@ -8,42 +8,43 @@
 };
 use std::collections::BTreeMap;
 
-/// The time at which a world begins, in nanoseconds.
+/// The time at which the clock of each harness starts.
 const START: Nanos = 1_000 * SEC;
 
-/// A request of the first class.
+/// A request of the first class with one slot, and `time_left` until its deadline.
 pub fn request(id: u64, time_left: Nanos) -> Request {
     Request::new(RequestId(id), 0, time_left)
 }
 
-/// Whether a request was rejected.
+/// Returns whether one of the actions rejects a request.
 pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
 
-/// Whether a request failed.
+/// Returns whether one of the actions fails a request.
 pub fn is_failed(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Fail { .. }))
 }
 
-/// A dispatcher with its checker, clock and timers. Each action is checked as it comes.
-pub struct World {
+/// A dispatcher with its simulated clock, its timers and a checker that verifies each action.
+pub struct Harness {
     pub dispatcher: Dispatcher,
     pub checker: Checker,
     pub now: Nanos,
-    /// Timers' tokens by the time at which they fire and the order of their start.
+    /// The tokens of the pending timers, by the time at which they fire and the order of their
+    /// start.
     pub timers: BTreeMap<(Nanos, u64), u64>,
     /// Workers with a probe in flight.
     pub probes: Vec<String>,
-    /// All actions so far.
+    /// All actions so far, in order.
     pub trace: Vec<Action>,
     timers_started: u64,
 }
 
-impl World {
-    /// A world without workers.
+impl Harness {
+    /// Creates a harness whose dispatcher knows no workers; `seed` seeds the dispatcher.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        World {
+        Harness {
             dispatcher: Dispatcher::new(settings.clone(), seed).expect("valid settings"),
             checker: Checker::new(settings),
             now: START,
@@ -54,13 +55,16 @@
         }
     }
 
-    /// Hands an event to the dispatcher; returns its actions.
+    /// Passes an event to the dispatcher at the present time and returns the resulting actions.
+    ///
+    /// # Panics
+    /// If an action violates a rule or limit that the checker knows.
     pub fn handle(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.dispatcher.handle(self.now, event, &mut actions);
         for action in &actions {
-            if let Err(broken_rule) = self.checker.check(self.now, action) {
-                panic!("{broken_rule}: {action:?}");
+            if let Err(violation) = self.checker.check(self.now, action) {
+                panic!("{violation}: {action:?}");
             }
             match action {
                 Action::Timer { after, token } => {
@@ -76,7 +80,7 @@
         actions
     }
 
-    /// Updates the endpoint list.
+    /// Updates the endpoint list at the checker and at the dispatcher.
     pub fn update_endpoints(&mut self, update: EndpointUpdate, endpoints: &[Endpoint<'_>]) -> Vec<Action> {
         if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::CachedSnapshot) {
             for (name, worker) in &mut self.checker.workers {
@@ -97,7 +101,7 @@
         self.handle(Event::EndpointsChanged { update, endpoints })
     }
 
-    /// Lists so many ready workers, named `w0` and on.
+    /// Sends a snapshot of `count` ready workers, named `w0`, `w1` and so on.
     pub fn list_ready_workers(&mut self, count: usize) {
         let names: Vec<String> = (0..count).map(|number| format!("w{number}")).collect();
         let endpoints: Vec<Endpoint<'_>> =
@@ -105,19 +109,20 @@
         self.update_endpoints(EndpointUpdate::Snapshot, &endpoints);
     }
 
-    /// Submits a request.
+    /// Submits a request and returns the resulting actions.
     pub fn submit(&mut self, request: Request) -> Vec<Action> {
-        let open = OpenRequest {
+        let submitted = SubmittedRequest {
             class: request.class as usize,
             deadline: self.now + request.time_left,
             closed: false,
             attempts: Vec::new(),
         };
-        self.checker.requests.insert(request.id.0, open);
+        self.checker.requests.insert(request.id.0, submitted);
         self.handle(Event::RequestArrived(request))
     }
 
-    /// Ends an attempt of a request; `Ok` closes the request.
+    /// Ends an attempt of a request and returns the resulting actions. `Outcome::Ok` closes the
+    /// request.
     pub fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome) -> Vec<Action> {
         let request = self.checker.requests.get_mut(&id).expect("known request");
         let sent_at = request.attempts[attempt as usize].sent_at;
@@ -129,7 +134,8 @@
         self.handle(Event::AttemptEnded { id, attempt, outcome, closed, elapsed, report: None })
     }
 
-    /// Answers all probes in flight, with each worker's report.
+    /// Ends all probes in flight successfully, each with the load report that `report` returns for
+    /// its worker.
     pub fn answer_probes(&mut self, report: impl Fn(&str) -> LoadReport) {
         for worker in std::mem::take(&mut self.probes) {
             let report = Some(report(&worker));
@@ -137,8 +143,8 @@
         }
     }
 
-    /// Lets time pass: timers fire, and if asked for probes are answered idle at once; nothing else
-    /// happens.
+    /// Advances the clock by `duration` and fires the timers that are due. With `answers_probes`,
+    /// each probe ends at once with a report of four free slots; otherwise probes stay in flight.
     pub fn advance(&mut self, duration: Nanos, answers_probes: bool) {
         let until = self.now + duration;
         loop {
@@ -158,7 +164,7 @@
         self.now = until;
     }
 
-    /// The workers that a request's attempts were sent to, in the order of sends.
+    /// Returns the workers to which a request's attempts were sent, in the order of sends.
     pub fn workers_of(&self, id: u64) -> Vec<String> {
         self.checker.requests[&id].attempts.iter().map(|attempt| attempt.worker.clone()).collect()
     }
--- a/crates/service/balancing-policy/tests/many_dispatchers.rs
+++ b/crates/service/balancing-policy/tests/many_dispatchers.rs
@@ -1,9 +1,9 @@
 //! Faults that many dispatchers meet at the same moment, played to a hundred of them, each with a
-//! world of its own.
+//! harness of its own.
 
 mod common;
 
-use common::{MS, SEC, World, default_settings, request};
+use common::{Harness, MS, SEC, default_settings, request};
 use spanlead_balancing_policy::{
     Action, Endpoint, EndpointUpdate, Event, Idempotency, LoadReport, LoadReporting, Nanos, Outcome, Prices,
     Settings, WorkerState,
@@ -24,10 +24,10 @@
 }
 
 /// The endpoint list that a dispatcher has from before its start.
-fn restore_workers(world: &mut World, n: usize) {
+fn restore_workers(harness: &mut Harness, n: usize) {
     let names: Vec<String> = (0..n).map(|i| format!("w{i}")).collect();
     let entries: Vec<Endpoint<'_>> = names.iter().map(|w| Endpoint::new(w, WorkerState::Ready)).collect();
-    world.update_endpoints(EndpointUpdate::CachedSnapshot, &entries);
+    harness.update_endpoints(EndpointUpdate::CachedSnapshot, &entries);
 }
 
 /// Service discovery does not answer for 20 s, to all that started in the same moment: how many
@@ -36,22 +36,22 @@
 fn calls_to_failing_discovery_are_spread_and_bounded_while_jobs_go_on() {
     let mut calls: BTreeMap<Nanos, u32> = BTreeMap::new();
     for seed in 0..DISPATCHERS {
-        let mut world = World::new(large_fleet_settings(), seed);
-        let (start, mut seen, mut mine) = (world.now, 0, 0);
-        restore_workers(&mut world, 20);
+        let mut harness = Harness::new(large_fleet_settings(), seed);
+        let (start, mut seen, mut mine) = (harness.now, 0, 0);
+        restore_workers(&mut harness, 20);
         for id in 0..200 {
             if id % 20 == 0 {
-                world.submit(request(id, SEC));
-                assert_eq!(world.workers_of(id).len(), 1, "the known list serves");
-                world.end_attempt(id, 0, Outcome::Ok);
+                harness.submit(request(id, SEC));
+                assert_eq!(harness.workers_of(id).len(), 1, "the known list serves");
+                harness.end_attempt(id, 0, Outcome::Ok);
             }
-            world.advance(100 * MS, true);
-            let new = world.trace[seen..].iter().filter(|a| matches!(a, Action::Subscribe)).count() as u32;
-            seen = world.trace.len();
+            harness.advance(100 * MS, true);
+            let new = harness.trace[seen..].iter().filter(|a| matches!(a, Action::Subscribe)).count() as u32;
+            seen = harness.trace.len();
             if new > 0 {
-                *calls.entry((world.now - start) / (100 * MS)).or_default() += new;
+                *calls.entry((harness.now - start) / (100 * MS)).or_default() += new;
                 mine += new;
-                world.update_endpoints(EndpointUpdate::Unavailable, &[]);
+                harness.update_endpoints(EndpointUpdate::Unavailable, &[]);
             }
         }
         assert!((2..=16).contains(&mine), "{mine} calls in 20 s by dispatcher {seed}");
@@ -66,23 +66,23 @@
 fn stale_list_of_mostly_gone_workers_ends_every_job_once() {
     let (mut served, mut jobs) = (0, 0);
     for seed in 0..DISPATCHERS {
-        let mut world = World::new(large_fleet_settings(), seed);
-        restore_workers(&mut world, 30);
+        let mut harness = Harness::new(large_fleet_settings(), seed);
+        restore_workers(&mut harness, 30);
         for id in 0..20 {
-            world.submit(request(id, SEC));
+            harness.submit(request(id, SEC));
             jobs += 1;
-            while let Some(to) = world.workers_of(id).last().cloned() {
+            while let Some(to) = harness.workers_of(id).last().cloned() {
                 let alive = to.strip_prefix('w').and_then(|n| n.parse::<u32>().ok()).is_some_and(|n| n < 3);
-                let attempt = world.workers_of(id).len() as u32 - 1;
-                let before = world.workers_of(id).len();
-                world.end_attempt(id, attempt, if alive { Outcome::Ok } else { Outcome::ConnectFailed });
+                let attempt = harness.workers_of(id).len() as u32 - 1;
+                let before = harness.workers_of(id).len();
+                harness.end_attempt(id, attempt, if alive { Outcome::Ok } else { Outcome::ConnectFailed });
                 served += u32::from(alive);
-                if alive || world.workers_of(id).len() == before {
+                if alive || harness.workers_of(id).len() == before {
                     break;
                 }
             }
-            world.advance(2 * SEC, true);
-            assert!(world.checker.requests[&id].closed, "dispatcher {seed}, job {id} has no answer");
+            harness.advance(2 * SEC, true);
+            assert!(harness.checker.requests[&id].closed, "dispatcher {seed}, job {id} has no answer");
         }
     }
     // Three attempts at three of thirty find one for a quarter of the jobs; those that are set
@@ -98,17 +98,17 @@
     settings.load_reporting = LoadReporting::InResponses;
     assert_eq!((settings.prices.clone(), settings.limits.can_message_peers), (Prices::default(), false));
     for seed in 0..DISPATCHERS {
-        let mut world = World::new(settings.clone(), seed);
-        restore_workers(&mut world, 20);
+        let mut harness = Harness::new(settings.clone(), seed);
+        restore_workers(&mut harness, 20);
         for id in 0..10 {
-            world.submit(request(id, SEC));
-            world.advance(100 * MS, true);
-            let attempt = world.workers_of(id).len();
+            harness.submit(request(id, SEC));
+            harness.advance(100 * MS, true);
+            let attempt = harness.workers_of(id).len();
             assert_eq!(attempt, 1, "dispatcher {seed}, job {id}");
-            world.end_attempt(id, 0, Outcome::Ok);
+            harness.end_attempt(id, 0, Outcome::Ok);
         }
-        assert!(!world.trace.iter().any(|a| matches!(a, Action::SendToPeer { .. })));
-        assert_eq!(world.checker.overdue(world.now), None);
+        assert!(!harness.trace.iter().any(|a| matches!(a, Action::SendToPeer { .. })));
+        assert_eq!(harness.checker.overdue_request(harness.now), None);
     }
 }
 
@@ -130,35 +130,35 @@
     let mut settings = large_fleet_settings();
     settings.limits.idle_connection_timeout = 0;
     for seed in 0..DISPATCHERS {
-        let mut world = World::new(settings.clone(), seed);
+        let mut harness = Harness::new(settings.clone(), seed);
         let entries: Vec<Endpoint<'_>> = (0..60).map(|i| entry(i, None)).collect();
-        world.update_endpoints(EndpointUpdate::Snapshot, &entries);
+        harness.update_endpoints(EndpointUpdate::Snapshot, &entries);
         for id in 0..60u64 {
             // From the 20th to the 40th job, 10 s, the zone is away.
             if id == 40 {
-                let entries: Vec<Endpoint<'_>> = (0..ZONE).map(|i| entry(i, Some(world.now))).collect();
-                world.update_endpoints(EndpointUpdate::Delta, &entries);
+                let entries: Vec<Endpoint<'_>> = (0..ZONE).map(|i| entry(i, Some(harness.now))).collect();
+                harness.update_endpoints(EndpointUpdate::Delta, &entries);
             }
-            world.submit(request(id, SEC));
-            while let Some(to) = world.workers_of(id).last().cloned() {
-                let sent = world.workers_of(id).len();
+            harness.submit(request(id, SEC));
+            while let Some(to) = harness.workers_of(id).last().cloned() {
+                let sent = harness.workers_of(id).len();
                 let fails = (20..40).contains(&id) && lost(&to);
                 if id >= 40 && lost(&to) {
                     back += 1;
                     // Settings: a window of the slow-start budget is 2 s, four jobs.
                     *windows.entry((to.clone(), (id - 40) / 4)).or_insert(0u32) += 1;
                 }
-                world.end_attempt(
+                harness.end_attempt(
                     id,
                     sent as u32 - 1,
                     if fails { Outcome::ConnectFailed } else { Outcome::Ok },
                 );
-                if !fails || world.workers_of(id).len() == sent {
+                if !fails || harness.workers_of(id).len() == sent {
                     break;
                 }
             }
-            world.advance(500 * MS, true);
-            assert!(world.checker.requests[&id].closed, "dispatcher {seed}, job {id} has no answer");
+            harness.advance(500 * MS, true);
+            assert!(harness.checker.requests[&id].closed, "dispatcher {seed}, job {id} has no answer");
         }
     }
     assert!(back > 100, "{back} of 2,000 jobs went to the zone after its return");
@@ -172,23 +172,23 @@
 const WARM_WORKERS: [&str; 3] = ["w0", "w1", "w2"];
 
 /// A worker's probe reports so many free slots.
-fn report_free_slots(world: &mut World, worker: &str, free: f64) {
+fn report_free_slots(harness: &mut Harness, worker: &str, free: f64) {
     let report = Some(LoadReport { free_slots: Some(free), ..LoadReport::default() });
-    world.handle(Event::ProbeEnded { worker, outcome: Outcome::Ok, elapsed: MS, report });
+    harness.handle(Event::ProbeEnded { worker, outcome: Outcome::Ok, elapsed: MS, report });
 }
 
 /// A dispatcher that knows three warm workers and has had six jobs of a second each, four at a time
 /// in a worker; `after_each` comes after each.
-fn dispatcher_with_history(settings: &Settings, seed: u64, then: impl Fn(&mut World)) -> World {
-    let mut world = World::new(settings.clone(), seed);
-    restore_workers(&mut world, WARM_WORKERS.len());
+fn dispatcher_with_history(settings: &Settings, seed: u64, then: impl Fn(&mut Harness)) -> Harness {
+    let mut harness = Harness::new(settings.clone(), seed);
+    restore_workers(&mut harness, WARM_WORKERS.len());
     for id in 0..6 {
-        world.submit(request(id, 4 * SEC));
-        world.advance(SEC, true);
-        world.end_attempt(id, 0, Outcome::Ok);
-        then(&mut world);
+        harness.submit(request(id, 4 * SEC));
+        harness.advance(SEC, true);
+        harness.end_attempt(id, 0, Outcome::Ok);
+        then(&mut harness);
     }
-    world
+    harness
 }
 
 /// Nearly the whole fleet is replaced at once, and the few workers that are left are full: what all
@@ -202,19 +202,19 @@
     let sends_to_new_worker = |jobs: u64| {
         let mut sent = 0;
         for seed in 0..DISPATCHERS {
-            let mut world = dispatcher_with_history(&settings, seed, |world| {
-                WARM_WORKERS.into_iter().for_each(|w| report_free_slots(world, w, 4.0));
+            let mut harness = dispatcher_with_history(&settings, seed, |harness| {
+                WARM_WORKERS.into_iter().for_each(|w| report_free_slots(harness, w, 4.0));
             });
-            let started = Some(world.now);
-            world.update_endpoints(
+            let started = Some(harness.now);
+            harness.update_endpoints(
                 EndpointUpdate::Snapshot,
                 &[Endpoint { started_at: started, ..Endpoint::new("w9", WorkerState::Ready) }],
             );
             // A window of the slow-start budget.
             for id in 100..100 + jobs {
-                world.submit(request(id, 4 * SEC));
-                world.advance(2 * SEC / jobs, true);
-                sent += world.workers_of(id).len();
+                harness.submit(request(id, 4 * SEC));
+                harness.advance(2 * SEC / jobs, true);
+                sent += harness.workers_of(id).len();
             }
         }
         sent
@@ -241,12 +241,12 @@
             .collect::<Vec<_>>()
     };
     for seed in 0..DISPATCHERS {
-        let mut world = World::new(Settings { instance_count: 300, ..large_fleet_settings() }, seed);
+        let mut harness = Harness::new(Settings { instance_count: 300, ..large_fleet_settings() }, seed);
         let entries = [Endpoint::new("w0", WorkerState::Ready)];
-        let first = calls(&world.update_endpoints(EndpointUpdate::CachedSnapshot, &entries));
+        let first = calls(&harness.update_endpoints(EndpointUpdate::CachedSnapshot, &entries));
         assert!(first.len() == 1 && first[0] <= 15 * SEC / 4, "first call after {first:?}");
         for failed in 1..10 {
-            let again = calls(&world.update_endpoints(EndpointUpdate::Unavailable, &[]));
+            let again = calls(&harness.update_endpoints(EndpointUpdate::Unavailable, &[]));
             assert!(again.len() == 1 && again[0] <= 11 * SEC / 4, "after {failed} failed calls {again:?}");
         }
     }
@@ -262,26 +262,26 @@
     settings.load_reporting = LoadReporting::InResponses;
     let mut sent = 0;
     for seed in 0..THIRTY {
-        let mut world = dispatcher_with_history(&settings, seed, |_| ());
-        world.advance(before, false);
-        WARM_WORKERS.into_iter().for_each(|w| report_free_slots(&mut world, w, 0.0));
-        let started = Some(world.now);
+        let mut harness = dispatcher_with_history(&settings, seed, |_| ());
+        harness.advance(before, false);
+        WARM_WORKERS.into_iter().for_each(|w| report_free_slots(&mut harness, w, 0.0));
+        let started = Some(harness.now);
         let entries: Vec<Endpoint<'_>> = WARM_WORKERS.map(|w| Endpoint::new(w, WorkerState::Ready)).into();
         let new_worker = [Endpoint { started_at: started, ..Endpoint::new("w9", WorkerState::Ready) }];
         let list = [&entries[..], &new_worker].concat();
-        world.update_endpoints(EndpointUpdate::Snapshot, &list);
-        world.advance(after, false);
+        harness.update_endpoints(EndpointUpdate::Snapshot, &list);
+        harness.advance(after, false);
         for id in 100..108 {
-            world.submit(request(id, 4 * SEC));
+            harness.submit(request(id, 4 * SEC));
         }
         for _ in 0..20 {
             // The list comes again and again, with the same start.
-            world.update_endpoints(EndpointUpdate::Snapshot, &list);
-            WARM_WORKERS.into_iter().for_each(|w| report_free_slots(&mut world, w, 0.0));
-            report_free_slots(&mut world, "w9", 4.0);
-            world.advance(100 * MS, false);
+            harness.update_endpoints(EndpointUpdate::Snapshot, &list);
+            WARM_WORKERS.into_iter().for_each(|w| report_free_slots(&mut harness, w, 0.0));
+            report_free_slots(&mut harness, "w9", 4.0);
+            harness.advance(100 * MS, false);
         }
-        sent += (100..108).flat_map(|id| world.workers_of(id)).filter(|to| to == "w9").count();
+        sent += (100..108).flat_map(|id| harness.workers_of(id)).filter(|to| to == "w9").count();
     }
     sent
 }
@@ -329,16 +329,16 @@
     let names: Vec<String> = (0..10).map(|i| format!("w{i}")).collect();
     let mut sent: BTreeMap<String, usize> = BTreeMap::new();
     for seed in 0..THIRTY {
-        let mut world = World::new(settings.clone(), seed);
-        let started = Some(world.now);
+        let mut harness = Harness::new(settings.clone(), seed);
+        let started = Some(harness.now);
         let entry = |w| Endpoint { started_at: started, ..Endpoint::new(w, WorkerState::Ready) };
         let entries: Vec<Endpoint<'_>> = names.iter().map(|w| entry(w)).collect();
-        world.update_endpoints(EndpointUpdate::Snapshot, &entries);
+        harness.update_endpoints(EndpointUpdate::Snapshot, &entries);
         for id in 0..8 {
-            world.submit(request(id, 4 * SEC));
-            world.advance(250 * MS, true);
+            harness.submit(request(id, 4 * SEC));
+            harness.advance(250 * MS, true);
         }
-        (0..8).flat_map(|id| world.workers_of(id)).for_each(|to| *sent.entry(to).or_default() += 1);
+        (0..8).flat_map(|id| harness.workers_of(id)).for_each(|to| *sent.entry(to).or_default() += 1);
     }
     (sent.values().sum(), sent.values().max().copied().unwrap_or(0))
 }
--- a/crates/service/balancing-policy/tests/outlier_detection.rs
+++ b/crates/service/balancing-policy/tests/outlier_detection.rs
@@ -2,25 +2,25 @@
 
 mod common;
 
-use common::{MS, SEC, World, default_settings, request};
+use common::{Harness, MS, SEC, default_settings, request};
 use spanlead_balancing_policy::{Action, Idempotency, Outcome};
 
 /// A worker that fails at once has the fewest own slots in flight.
 #[test]
 fn worker_that_fails_fast_is_avoided() {
-    let mut world = World::new(default_settings(Idempotency::AtMostOnce), 5);
-    world.list_ready_workers(10);
+    let mut harness = Harness::new(default_settings(Idempotency::AtMostOnce), 5);
+    harness.list_ready_workers(10);
     let (mut to_bad_worker, mut sent) = (0, 0);
     for id in 0..300 {
-        world.submit(request(id, SEC));
-        world.now += 2 * MS;
-        let to = world.workers_of(id);
+        harness.submit(request(id, SEC));
+        harness.now += 2 * MS;
+        let to = harness.workers_of(id);
         sent += to.len();
         if to == ["w0"] {
             to_bad_worker += 1;
-            world.end_attempt(id, 0, Outcome::Error);
+            harness.end_attempt(id, 0, Outcome::Error);
         } else if !to.is_empty() {
-            world.end_attempt(id, 0, Outcome::Ok);
+            harness.end_attempt(id, 0, Outcome::Ok);
         }
     }
     assert!(sent > 250 && to_bad_worker <= 2, "{to_bad_worker} of {sent} jobs went to the failing worker");
@@ -28,37 +28,37 @@
 
 #[test]
 fn ejected_worker_is_used_again() {
-    let mut world = World::new(default_settings(Idempotency::Idempotent), 5);
-    world.list_ready_workers(3);
-    world.submit(request(0, SEC));
-    let bad = world.workers_of(0)[0].clone();
-    world.end_attempt(0, 0, Outcome::Error);
-    world.advance(30 * SEC, true);
+    let mut harness = Harness::new(default_settings(Idempotency::Idempotent), 5);
+    harness.list_ready_workers(3);
+    harness.submit(request(0, SEC));
+    let bad = harness.workers_of(0)[0].clone();
+    harness.end_attempt(0, 0, Outcome::Error);
+    harness.advance(30 * SEC, true);
     let mut back = false;
     for id in 1..30 {
-        world.submit(request(id, SEC));
-        back |= world.workers_of(id) == [bad.clone()];
+        harness.submit(request(id, SEC));
+        back |= harness.workers_of(id) == [bad.clone()];
     }
     assert!(back, "{bad} never came back");
 }
 
 #[test]
 fn jobs_are_sent_when_all_workers_are_ejected() {
-    let mut world = World::new(default_settings(Idempotency::Idempotent), 5);
-    world.list_ready_workers(6);
+    let mut harness = Harness::new(default_settings(Idempotency::Idempotent), 5);
+    harness.list_ready_workers(6);
     for id in 0..60 {
-        world.submit(request(id, SEC));
-        for attempt in 0..world.workers_of(id).len() {
-            if world.checker.requests[&id].attempts[attempt].outcome.is_none() {
-                world.end_attempt(id, attempt as u32, Outcome::Error);
+        harness.submit(request(id, SEC));
+        for attempt in 0..harness.workers_of(id).len() {
+            if harness.checker.requests[&id].attempts[attempt].outcome.is_none() {
+                harness.end_attempt(id, attempt as u32, Outcome::Error);
             }
         }
-        world.now += 20 * MS;
+        harness.now += 20 * MS;
     }
-    let before = world.trace.len();
-    world.submit(request(100, SEC));
-    world.advance(100 * MS, true);
-    let sent = world.trace[before..].iter().any(|a| matches!(a, Action::Send { .. }));
+    let before = harness.trace.len();
+    harness.submit(request(100, SEC));
+    harness.advance(100 * MS, true);
+    let sent = harness.trace[before..].iter().any(|a| matches!(a, Action::Send { .. }));
     assert!(sent, "with every worker ejected, ejection means nothing");
 }
 
@@ -66,20 +66,20 @@
 /// for looking idle.
 #[test]
 fn worker_that_rejects_everything_is_avoided() {
-    let mut world = World::new(default_settings(Idempotency::AtMostOnce), 5);
-    world.list_ready_workers(10);
+    let mut harness = Harness::new(default_settings(Idempotency::AtMostOnce), 5);
+    harness.list_ready_workers(10);
     let (mut to_bad_worker, mut sent) = (0, 0);
     for id in 0..2_000 {
-        world.submit(request(id, SEC));
+        harness.submit(request(id, SEC));
         for attempt in 0..3 {
-            let sends = world.workers_of(id);
+            let sends = harness.workers_of(id);
             let Some(to) = sends.get(attempt) else { break };
             sent += 1;
             let is_full = to == "w0";
             to_bad_worker += usize::from(is_full);
-            world.end_attempt(id, attempt as u32, if is_full { Outcome::Rejected } else { Outcome::Ok });
+            harness.end_attempt(id, attempt as u32, if is_full { Outcome::Rejected } else { Outcome::Ok });
         }
-        world.now += 10 * MS;
+        harness.now += 10 * MS;
     }
     // Twenty seconds at 300 ms each would let it have 60.
     assert!(
--- a/crates/service/balancing-policy/tests/retries.rs
+++ b/crates/service/balancing-policy/tests/retries.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{MS, SEC, World, default_settings, is_failed, is_rejected, request};
+use common::{Harness, MS, SEC, default_settings, is_failed, is_rejected, request};
 use spanlead_balancing_policy::{
     DeduplicationScope, Endpoint, EndpointUpdate, Idempotency, Outcome, WorkerState,
 };
@@ -10,12 +10,12 @@
 #[test]
 fn at_most_once_request_is_retried_if_it_never_ran() {
     for outcome in [Outcome::Rejected, Outcome::ConnectFailed] {
-        let mut world = World::new(default_settings(Idempotency::AtMostOnce), 5);
-        world.list_ready_workers(4);
-        world.submit(request(1, SEC));
-        world.end_attempt(1, 0, outcome);
-        world.advance(100 * MS, true);
-        let sends = world.workers_of(1);
+        let mut harness = Harness::new(default_settings(Idempotency::AtMostOnce), 5);
+        harness.list_ready_workers(4);
+        harness.submit(request(1, SEC));
+        harness.end_attempt(1, 0, outcome);
+        harness.advance(100 * MS, true);
+        let sends = harness.workers_of(1);
         assert_eq!(sends.len(), 2, "{outcome:?}");
         assert_ne!(sends[0], sends[1]);
     }
@@ -24,17 +24,17 @@
 #[test]
 fn at_most_once_request_that_may_have_run_fails() {
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
-        let mut world = World::new(default_settings(Idempotency::AtMostOnce), 5);
-        world.list_ready_workers(4);
-        world.submit(request(1, SEC));
-        let actions = world.end_attempt(1, 0, outcome);
+        let mut harness = Harness::new(default_settings(Idempotency::AtMostOnce), 5);
+        harness.list_ready_workers(4);
+        harness.submit(request(1, SEC));
+        let actions = harness.end_attempt(1, 0, outcome);
         assert!(is_failed(&actions) && !is_rejected(&actions), "{outcome:?}");
     }
 }
 
 #[test]
 fn deduplicated_request_is_retried_only_in_its_cell_and_window() {
-    let mut world = World::new(
+    let mut harness = Harness::new(
         default_settings(Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 300 * MS }),
         5,
     );
@@ -42,20 +42,20 @@
     let entries: Vec<Endpoint<'_>> = (0..8u32)
         .map(|i| Endpoint { cell: i / 2, ..Endpoint::new(&names[i as usize], WorkerState::Ready) })
         .collect();
-    world.update_endpoints(EndpointUpdate::Snapshot, &entries);
-    world.submit(request(1, 2 * SEC));
-    world.now += 10 * MS;
-    world.end_attempt(1, 0, Outcome::Reset);
-    world.advance(250 * MS, true);
+    harness.update_endpoints(EndpointUpdate::Snapshot, &entries);
+    harness.submit(request(1, 2 * SEC));
+    harness.now += 10 * MS;
+    harness.end_attempt(1, 0, Outcome::Reset);
+    harness.advance(250 * MS, true);
     let cell = |w: &str| w[1..].parse::<u32>().expect("number") / 2;
-    let sends = world.workers_of(1);
+    let sends = harness.workers_of(1);
     assert_eq!(sends.len(), 2, "the other worker of the cell is tried");
     assert_eq!(cell(&sends[0]), cell(&sends[1]));
-    world.submit(request(2, 2 * SEC));
-    world.now += 400 * MS;
-    assert!(is_failed(&world.end_attempt(2, 0, Outcome::Reset)) || world.workers_of(2).len() == 1);
-    world.advance(2 * SEC, true);
-    assert_eq!(world.workers_of(2).len(), 1, "its time is over");
+    harness.submit(request(2, 2 * SEC));
+    harness.now += 400 * MS;
+    assert!(is_failed(&harness.end_attempt(2, 0, Outcome::Reset)) || harness.workers_of(2).len() == 1);
+    harness.advance(2 * SEC, true);
+    assert_eq!(harness.workers_of(2).len(), 1, "its time is over");
 }
 
 /// The window counts to the send, and the connection that the send waits for may take its whole
@@ -63,28 +63,28 @@
 #[test]
 fn deduplicated_request_is_retried_only_if_it_is_sent_within_the_window() {
     for (after, sends) in [(40 * MS, 2), (60 * MS, 1)] {
-        let mut world = World::new(
+        let mut harness = Harness::new(
             default_settings(Idempotency::Deduplicated { scope: DeduplicationScope::All, window: 300 * MS }),
             5,
         );
-        world.list_ready_workers(4);
-        world.submit(request(1, 2 * SEC));
-        world.now += after;
-        world.end_attempt(1, 0, Outcome::Reset);
-        world.advance(SEC, true);
-        assert_eq!(world.workers_of(1).len(), sends, "reset after {after}");
+        harness.list_ready_workers(4);
+        harness.submit(request(1, 2 * SEC));
+        harness.now += after;
+        harness.end_attempt(1, 0, Outcome::Reset);
+        harness.advance(SEC, true);
+        assert_eq!(harness.workers_of(1).len(), sends, "reset after {after}");
     }
 }
 
 #[test]
 fn request_ends_when_its_attempts_are_used_up() {
-    let mut world = World::new(default_settings(Idempotency::Idempotent), 5);
-    world.list_ready_workers(8);
-    world.submit(request(1, 5 * SEC));
+    let mut harness = Harness::new(default_settings(Idempotency::Idempotent), 5);
+    harness.list_ready_workers(8);
+    harness.submit(request(1, 5 * SEC));
     for attempt in 0..3 {
-        assert_eq!(world.workers_of(1).len(), attempt + 1);
-        world.end_attempt(1, attempt as u32, Outcome::Rejected);
-        world.advance(MS, true);
+        assert_eq!(harness.workers_of(1).len(), attempt + 1);
+        harness.end_attempt(1, attempt as u32, Outcome::Rejected);
+        harness.advance(MS, true);
     }
-    assert!(world.checker.requests[&1].closed, "attempts are used up");
+    assert!(harness.checker.requests[&1].closed, "attempts are used up");
 }
--- a/crates/service/balancing-policy/tests/safety_rules.rs
+++ b/crates/service/balancing-policy/tests/safety_rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{MS, SEC, TestRng, World, default_settings};
+use common::{Harness, MS, SEC, TestRng, default_settings};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use spanlead_balancing_policy::{
@@ -51,94 +51,94 @@
 /// Plays so many random events, then lets the time of all requests run out; returns all actions.
 fn play(seed: u64, steps: usize) -> Vec<Action> {
     let mut rng = TestRng(seed);
-    let mut world = World::new(random_settings(&mut rng), rng.next());
+    let mut harness = Harness::new(random_settings(&mut rng), rng.next());
     let names: Vec<String> = (0..WORKERS).map(|number| format!("w{number}")).collect();
     let all: Vec<Endpoint<'_>> = (0..WORKERS)
         .map(|number| endpoint(&names[number as usize], number, WorkerState::Ready, None))
         .collect();
-    world.update_endpoints(EndpointUpdate::CachedSnapshot, &all);
+    harness.update_endpoints(EndpointUpdate::CachedSnapshot, &all);
     let mut last_id = 0;
     for _ in 0..steps {
         match rng.below(12) {
-            0..=3 => submit_random(&mut world, &mut rng, &mut last_id),
-            4 => change_random_worker(&mut world, &mut rng, &names),
+            0..=3 => submit_random(&mut harness, &mut rng, &mut last_id),
+            4 => change_random_worker(&mut harness, &mut rng, &names),
             5 if rng.chance(20) => {
                 let part = &all[..rng.below(WORKERS) as usize];
-                world.update_endpoints(EndpointUpdate::Snapshot, part);
+                harness.update_endpoints(EndpointUpdate::Snapshot, part);
             }
             5 => {
                 let update = EndpointUpdate::Unavailable;
-                world.handle(Event::EndpointsChanged { update, endpoints: &[] });
+                harness.handle(Event::EndpointsChanged { update, endpoints: &[] });
             }
-            6 => end_probe(&mut world, &mut rng),
-            7 | 8 => end_one(&mut world, &mut rng),
-            9 => leave_random_client(&mut world, &mut rng),
-            _ => advance(&mut world, rng.below(60) * MS),
+            6 => end_probe(&mut harness, &mut rng),
+            7 | 8 => end_one(&mut harness, &mut rng),
+            9 => leave_random_client(&mut harness, &mut rng),
+            _ => advance(&mut harness, rng.below(60) * MS),
         }
     }
     for _ in 0..60 {
-        advance(&mut world, 100 * MS);
+        advance(&mut harness, 100 * MS);
     }
-    assert_eq!(world.checker.overdue(world.now), None, "rule 1: an answer is missing");
-    assert!(world.checker.requests.values().all(|request| request.closed));
-    world.trace
+    assert_eq!(harness.checker.overdue_request(harness.now), None, "rule 1: an answer is missing");
+    assert!(harness.checker.requests.values().all(|request| request.closed));
+    harness.trace
 }
 
-fn submit_random(world: &mut World, rng: &mut TestRng, last_id: &mut u64) {
+fn submit_random(harness: &mut Harness, rng: &mut TestRng, last_id: &mut u64) {
     *last_id += 1;
     let time_left = (50 + rng.below(2_000)) * MS;
     let mut request = Request::new(RequestId(*last_id), rng.below(2) as u32, time_left);
     request.affinity_key = rng.chance(30).then(|| rng.below(5));
-    world.submit(request);
+    harness.submit(request);
 }
 
-fn change_random_worker(world: &mut World, rng: &mut TestRng, names: &[String]) {
+fn change_random_worker(harness: &mut Harness, rng: &mut TestRng, names: &[String]) {
     let number = rng.below(WORKERS);
     let state = match rng.below(3) {
         0 => WorkerState::Draining,
         1 => WorkerState::Removed,
         _ => WorkerState::Ready,
     };
-    let started_at = rng.chance(50).then_some(world.now);
+    let started_at = rng.chance(50).then_some(harness.now);
     let changed = endpoint(&names[number as usize], number, state, started_at);
-    world.update_endpoints(EndpointUpdate::Delta, &[changed]);
+    harness.update_endpoints(EndpointUpdate::Delta, &[changed]);
 }
 
-fn end_probe(world: &mut World, rng: &mut TestRng) {
-    let Some(worker) = world.probes.pop() else { return };
+fn end_probe(harness: &mut Harness, rng: &mut TestRng) {
+    let Some(worker) = harness.probes.pop() else { return };
     let outcome = if rng.chance(80) { Outcome::Ok } else { Outcome::ConnectFailed };
     let free_slots = Some(rng.below(4) as f64);
     let report = Some(LoadReport { free_slots, ..LoadReport::default() });
-    world.handle(Event::ProbeEnded { worker: &worker, outcome, elapsed: MS, report });
+    harness.handle(Event::ProbeEnded { worker: &worker, outcome, elapsed: MS, report });
 }
 
 /// A client leaves, perhaps, and one that never was.
-fn leave_random_client(world: &mut World, rng: &mut TestRng) {
-    let open = open_ids(world);
+fn leave_random_client(harness: &mut Harness, rng: &mut TestRng) {
+    let open = open_ids(harness);
     let drawn = rng.below(open.len().max(1) as u64) as usize;
     if let Some(&id) = open.get(drawn).filter(|_| rng.chance(20)) {
-        world.checker.requests.get_mut(&id).expect("open").closed = true;
-        world.handle(Event::ClientGone(RequestId(id)));
+        harness.checker.requests.get_mut(&id).expect("open").closed = true;
+        harness.handle(Event::ClientGone(RequestId(id)));
     }
-    world.handle(Event::ClientGone(RequestId(u64::MAX)));
+    harness.handle(Event::ClientGone(RequestId(u64::MAX)));
 }
 
-fn open_ids(world: &World) -> Vec<u64> {
-    world.checker.requests.iter().filter(|(_, r)| !r.closed).map(|(id, _)| *id).collect()
+fn open_ids(harness: &Harness) -> Vec<u64> {
+    harness.checker.requests.iter().filter(|(_, r)| !r.closed).map(|(id, _)| *id).collect()
 }
 
-fn end_one(world: &mut World, rng: &mut TestRng) {
-    let out = attempts_in_flight(world);
+fn end_one(harness: &mut Harness, rng: &mut TestRng) {
+    let out = attempts_in_flight(harness);
     if out.is_empty() {
         return;
     }
     let (id, attempt) = out[rng.below(out.len() as u64) as usize];
     let outcomes = [Outcome::Ok, Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed, Outcome::Reset];
-    world.end_attempt(id, attempt, outcomes[rng.below(5) as usize]);
+    harness.end_attempt(id, attempt, outcomes[rng.below(5) as usize]);
 }
 
-fn attempts_in_flight(world: &World) -> Vec<(u64, u32)> {
-    let attempts = world.checker.requests.iter().flat_map(|(id, r)| {
+fn attempts_in_flight(harness: &Harness) -> Vec<(u64, u32)> {
+    let attempts = harness.checker.requests.iter().flat_map(|(id, r)| {
         let out = r.attempts.iter().enumerate().filter(|(_, a)| a.outcome.is_none());
         out.map(|(i, _)| (*id, i as u32))
     });
@@ -146,25 +146,25 @@
 }
 
 /// Time passes as on the wire: an attempt in flight at its request's deadline times out there.
-fn advance(world: &mut World, span: Nanos) {
-    let until = world.now + span;
+fn advance(harness: &mut Harness, span: Nanos) {
+    let until = harness.now + span;
     loop {
-        let due = attempts_in_flight(world)
+        let due = attempts_in_flight(harness)
             .into_iter()
-            .map(|(id, a)| (world.checker.requests[&id].deadline, id, a))
+            .map(|(id, a)| (harness.checker.requests[&id].deadline, id, a))
             .min();
-        let ring = world.timers.first_key_value().map_or(Nanos::MAX, |((at, _), _)| *at);
+        let ring = harness.timers.first_key_value().map_or(Nanos::MAX, |((at, _), _)| *at);
         match due {
             Some((at, id, attempt)) if at <= until && at <= ring => {
-                world.now = world.now.max(at);
-                world.end_attempt(id, attempt, Outcome::Timeout);
+                harness.now = harness.now.max(at);
+                harness.end_attempt(id, attempt, Outcome::Timeout);
             }
-            _ if ring <= until => world.advance(ring.saturating_sub(world.now), false),
+            _ if ring <= until => harness.advance(ring.saturating_sub(harness.now), false),
             _ => break,
         }
     }
-    world.now = until;
-    assert_eq!(world.checker.overdue(world.now), None, "rule 1: an answer is missing");
+    harness.now = until;
+    assert_eq!(harness.checker.overdue_request(harness.now), None, "rule 1: an answer is missing");
 }
 
 proptest! {
@@ -189,21 +189,22 @@
 /// The checker itself must notice each rule broken.
 #[test]
 fn checker_notices_broken_rules() {
-    let mut world = World::new(default_settings(Idempotency::AtMostOnce), 1);
-    world.list_ready_workers(3);
-    world.submit(Request::new(RequestId(1), 0, SEC));
-    assert_eq!(world.workers_of(1).len(), 1);
+    let mut harness = Harness::new(default_settings(Idempotency::AtMostOnce), 1);
+    harness.list_ready_workers(3);
+    harness.submit(Request::new(RequestId(1), 0, SEC));
+    assert_eq!(harness.workers_of(1).len(), 1);
     let send = |w: &str| Action::Send { id: RequestId(1), worker: WorkerId(w.into()), timeout: None };
-    let now = world.now;
-    let check = |world: &mut World, action| world.checker.check(now, &action).expect_err("must be noticed");
-    world.checker.settings.limits.can_hedge = true;
-    assert!(check(&mut world, send("w0")).contains("rule 2"));
+    let now = harness.now;
+    let check =
+        |harness: &mut Harness, action| harness.checker.check(now, &action).expect_err("must be noticed");
+    harness.checker.settings.limits.can_hedge = true;
+    assert!(check(&mut harness, send("w0")).contains("rule 2"));
     let refuse = Action::Reject { id: RequestId(1), retry_after: None };
-    assert!(check(&mut world, refuse).contains("rule 2"));
-    assert!(check(&mut world, Action::Fail { id: RequestId(1) }).contains("rule 1"));
-    assert!(check(&mut world, send("w0")).contains("rule 1"));
-    world.checker.workers.get_mut("w0").expect("listed").state = WorkerState::Draining;
-    assert!(check(&mut world, send("w0")).contains("rule 3"));
+    assert!(check(&mut harness, refuse).contains("rule 2"));
+    assert!(check(&mut harness, Action::Fail { id: RequestId(1) }).contains("rule 1"));
+    assert!(check(&mut harness, send("w0")).contains("rule 1"));
+    harness.checker.workers.get_mut("w0").expect("listed").state = WorkerState::Draining;
+    assert!(check(&mut harness, send("w0")).contains("rule 3"));
 }
 
 /// The actions in the form in which the figure of the recorded runs was taken: with the names that
--- a/crates/service/balancing-policy/tests/slow_start.rs
+++ b/crates/service/balancing-policy/tests/slow_start.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{MS, SEC, World, default_settings, request};
+use common::{Harness, MS, SEC, default_settings, request};
 use spanlead_balancing_policy::{
     Endpoint, EndpointUpdate, Idempotency, Outcome, Request, SafetyRules, Settings, WorkerState,
 };
@@ -34,29 +34,29 @@
     let request = |id: u64, left| Request { affinity_key: key(id), ..request(id, left) };
     let mut jobs = 0;
     for seed in 0..40 {
-        let mut world =
-            World::new(Settings { instance_count: 40, ..default_settings(Idempotency::Idempotent) }, seed);
-        world.list_ready_workers(20);
+        let mut harness =
+            Harness::new(Settings { instance_count: 40, ..default_settings(Idempotency::Idempotent) }, seed);
+        harness.list_ready_workers(20);
         for id in 0..20 {
-            world.submit(request(id, SEC));
-            if !world.workers_of(id).is_empty() {
-                world.end_attempt(id, 0, Outcome::Ok);
+            harness.submit(request(id, SEC));
+            if !harness.workers_of(id).is_empty() {
+                harness.end_attempt(id, 0, Outcome::Ok);
             }
-            world.now += 200 * MS;
+            harness.now += 200 * MS;
         }
-        let started = Some(world.now);
-        world.update_endpoints(
+        let started = Some(harness.now);
+        harness.update_endpoints(
             EndpointUpdate::Delta,
             &[Endpoint { started_at: started, ..Endpoint::new("w0", WorkerState::Ready) }],
         );
         for id in 100..110 {
-            world.submit(request(id, SEC));
-            let sends = world.workers_of(id);
+            harness.submit(request(id, SEC));
+            let sends = harness.workers_of(id);
             jobs += sends.iter().filter(|w| *w == "w0").count() as u64;
             if !sends.is_empty() {
-                world.end_attempt(id, 0, Outcome::Ok);
+                harness.end_attempt(id, 0, Outcome::Ok);
             }
-            world.now += 200 * MS;
+            harness.now += 200 * MS;
         }
     }
     jobs
@@ -79,7 +79,7 @@
     let names: Vec<String> = (0..fleet).map(|i| format!("w{i}")).collect();
     let (mut to_slow_start, mut jobs, mut windows) = (0u32, 0u32, BTreeMap::new());
     for seed in 0..dispatchers {
-        let mut world = World::new(
+        let mut harness = Harness::new(
             Settings {
                 instance_count: 100,
                 rules: rules.clone(),
@@ -87,19 +87,19 @@
             },
             seed,
         );
-        world.list_ready_workers(fleet);
+        harness.list_ready_workers(fleet);
         for id in 0..20 {
             // The fleet is full except for its new workers: these would be preferred by all.
             if id == 8 {
-                let started = Some(world.now);
+                let started = Some(harness.now);
                 let entries: Vec<Endpoint<'_>> = (0..new_workers)
                     .map(|i| Endpoint { started_at: started, ..Endpoint::new(&names[i], WorkerState::Ready) })
                     .collect();
-                world.update_endpoints(EndpointUpdate::Delta, &entries);
+                harness.update_endpoints(EndpointUpdate::Delta, &entries);
             }
-            world.submit(request(id, SEC));
-            let Some(to) = world.workers_of(id).first().cloned() else { continue };
-            world.end_attempt(id, 0, Outcome::Ok);
+            harness.submit(request(id, SEC));
+            let Some(to) = harness.workers_of(id).first().cloned() else { continue };
+            harness.end_attempt(id, 0, Outcome::Ok);
             if id >= 8 {
                 let is_new = names[..new_workers].contains(&to);
                 jobs += 1;
@@ -108,7 +108,7 @@
                     *windows.entry((to, (id - 8) / 2)).or_insert(0u32) += 1;
                 }
             }
-            world.now += 1500 * MS;
+            harness.now += 1500 * MS;
         }
     }
     // A fifth to a half of the capacity is theirs as they warm up. Warm workers with an open
@@ -128,27 +128,27 @@
 fn slow_start_budget_counts_slots_and_at_most_the_mean_weight() {
     let mut slots = 0.0;
     for seed in 0..40 {
-        let mut world =
-            World::new(Settings { instance_count: 40, ..default_settings(Idempotency::Idempotent) }, seed);
+        let mut harness =
+            Harness::new(Settings { instance_count: 40, ..default_settings(Idempotency::Idempotent) }, seed);
         let names: Vec<String> = (0..10).map(|i| format!("w{i}")).collect();
         let entry = |i: usize, weight| Endpoint { weight, ..Endpoint::new(&names[i], WorkerState::Ready) };
         let mut entries: Vec<Endpoint<'_>> = (0..10).map(|i| entry(i, 1.0)).collect();
-        world.update_endpoints(EndpointUpdate::Snapshot, &entries);
-        let ask = |world: &mut World, id: u64| {
-            world.submit(Request { slots: 4.0, ..request(id, SEC) });
-            let sends = world.workers_of(id);
+        harness.update_endpoints(EndpointUpdate::Snapshot, &entries);
+        let ask = |harness: &mut Harness, id: u64| {
+            harness.submit(Request { slots: 4.0, ..request(id, SEC) });
+            let sends = harness.workers_of(id);
             if !sends.is_empty() {
-                world.end_attempt(id, 0, Outcome::Ok);
+                harness.end_attempt(id, 0, Outcome::Ok);
             }
-            world.now += 100 * MS;
+            harness.now += 100 * MS;
             sends == ["w0"]
         };
         for id in 0..40 {
-            ask(&mut world, id);
+            ask(&mut harness, id);
         }
-        entries[0] = Endpoint { started_at: Some(world.now), ..entry(0, 10.0) };
-        world.update_endpoints(EndpointUpdate::Delta, &entries[..1]);
-        slots += (100..120).map(|id| 4.0 * f64::from(u8::from(ask(&mut world, id)))).sum::<f64>();
+        entries[0] = Endpoint { started_at: Some(harness.now), ..entry(0, 10.0) };
+        harness.update_endpoints(EndpointUpdate::Delta, &entries[..1]);
+        slots += (100..120).map(|id| 4.0 * f64::from(u8::from(ask(&mut harness, id)))).sum::<f64>();
     }
     // 40 dispatchers send 3,200 slots in two seconds, 320 to a warm worker; multiple 3 at 0.3 to
     // 0.475 of that.
--- a/crates/service/balancing-policy/tests/worker_graph.rs
+++ b/crates/service/balancing-policy/tests/worker_graph.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{MS, SEC, TestRng, World, default_settings};
+use common::{Harness, MS, SEC, TestRng, default_settings};
 use spanlead_balancing_policy::{
     Action, Dispatcher, Endpoint, EndpointUpdate, Event, Idempotency, Outcome, Request, RequestId,
     WorkerState,
@@ -95,17 +95,17 @@
 #[test]
 fn walkers_visit_all_workers_alike() {
     let names = names(24);
-    let mut world = World::new(default_settings(Idempotency::Idempotent), 11);
+    let mut harness = Harness::new(default_settings(Idempotency::Idempotent), 11);
     let entries: Vec<Endpoint<'_>> = names.iter().map(|w| Endpoint::new(w, WorkerState::Ready)).collect();
-    world.update_endpoints(EndpointUpdate::Snapshot, &entries);
+    harness.update_endpoints(EndpointUpdate::Snapshot, &entries);
     let mut visits: BTreeMap<String, usize> = BTreeMap::new();
     let jobs = 4_800;
     for id in 0..jobs {
-        world.submit(Request::new(RequestId(id), 0, SEC));
-        *visits.entry(world.workers_of(id)[0].clone()).or_default() += 1;
-        world.end_attempt(id, 0, Outcome::Ok);
-        world.now += 100 * MS;
-        world.checker.requests.clear();
+        harness.submit(Request::new(RequestId(id), 0, SEC));
+        *visits.entry(harness.workers_of(id)[0].clone()).or_default() += 1;
+        harness.end_attempt(id, 0, Outcome::Ok);
+        harness.now += 100 * MS;
+        harness.checker.requests.clear();
     }
     let fair = jobs as usize / names.len();
     assert_eq!(visits.len(), names.len());
