--- a/crates/cluster/job-scheduler/src/placement/capacity_bounds.rs
+++ b/crates/cluster/job-scheduler/src/placement/capacity_bounds.rs
@@ -37,7 +37,7 @@
         if worker.listing() != ListingState::Ready {
             return;
         }
-        let free = worker.free();
+        let free = worker.free_capacity();
         let service = services.entry(worker.service().clone()).or_default();
         service.any_worker = service.any_worker.max(free);
         for label in worker.labels() {
--- a/crates/cluster/job-scheduler/src/placement/gang.rs
+++ b/crates/cluster/job-scheduler/src/placement/gang.rs
@@ -62,7 +62,8 @@
             if eligibility.admits(index, worker)
                 && let Some(rack) = worker.rack()
             {
-                *racks.entry(rack).or_default() += Resources::tasks_that_fit(request.stage, worker.free());
+                *racks.entry(rack).or_default() +=
+                    Resources::tasks_that_fit(request.stage, worker.free_capacity());
             }
         }
         let fitting = racks.into_iter().filter(|(_, tasks)| *tasks >= member_count as u64);
--- a/crates/cluster/job-scheduler/src/placement/request.rs
+++ b/crates/cluster/job-scheduler/src/placement/request.rs
@@ -37,7 +37,7 @@
             && worker.accepts_tasks()
             && worker.has_labels(&stage.constraints)
             && (self.is_panicking || !worker.health.is_ejected(self.request.now_ms))
-            && self.demand.fits_in(worker.free())
+            && self.demand.fits_in(worker.free_capacity())
             && !self.task.is_some_and(|task| task.has_run_on(index))
             && !(self.excludes_avoided && self.task.is_some_and(|task| task.avoids(index)))
             && self.is_within_anti_affinity(worker)
--- a/crates/cluster/job-scheduler/src/renewal.rs
+++ b/crates/cluster/job-scheduler/src/renewal.rs
@@ -60,7 +60,7 @@
 
 impl RenewalClass {
     pub(crate) fn of(worker: &Worker) -> Self {
-        if !worker.is_fenced() || !worker.is_responsive() {
+        if !worker.has_seen_term() || !worker.is_responsive() {
             RenewalClass::Unresponsive
         } else if worker.allocation.is_empty() {
             RenewalClass::Idle
--- a/crates/cluster/job-scheduler/src/scheduler/inspect.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/inspect.rs
@@ -143,7 +143,7 @@
     match worker.listing() {
         ListingState::Unlisted => "unlisted",
         ListingState::Draining => "draining",
-        _ if !worker.is_fenced() => "not heard yet",
+        _ if !worker.has_seen_term() => "not heard yet",
         _ if !worker.is_reachable() => "out of reach",
         _ if worker.health.is_ejected(now_ms) => "left alone",
         _ => "ready",
--- a/crates/cluster/job-scheduler/src/scheduler/progress.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/progress.rs
@@ -44,7 +44,7 @@
     fn lagging_runs(&self, now_ms: u64) -> Vec<LaggingRun> {
         let mut lagging = Vec::new();
         for (index, worker) in self.workers.iter_indexed() {
-            if !worker.is_reachable() || !worker.is_fenced() {
+            if !worker.is_reachable() || !worker.has_seen_term() {
                 continue;
             }
             for id in worker.allocation.runs() {
--- a/crates/cluster/job-scheduler/src/scheduler/reports.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/reports.rs
@@ -39,7 +39,7 @@
     /// Takes a report in: first what ended, then what runs, so that what is missing is neither.
     pub(super) fn handle_report(&mut self, now: Now, index: WorkerIndex, serial: u64, report: &WorkerReport) {
         let worker = &mut self.workers[index];
-        let is_first = worker.mark_fenced();
+        let is_first = worker.mark_term_seen();
         if is_first {
             log::debug!("worker responds worker={} running={}", worker.id(), report.running.len());
             self.pending.capacity_changed();
--- a/crates/cluster/job-scheduler/src/scheduler/worker_list.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/worker_list.rs
@@ -74,7 +74,7 @@
     pub(super) fn expire_workers(&mut self, now: Now) {
         for index in self.workers.indices() {
             let worker = &mut self.workers[index];
-            let has_contact = worker.is_reachable() && worker.is_fenced();
+            let has_contact = worker.is_reachable() && worker.has_seen_term();
             if has_contact || worker.is_gone() || !worker.lease.is_expired(now.monotonic_ms) {
                 continue;
             }
--- a/crates/cluster/job-scheduler/src/workers/allocation.rs
+++ b/crates/cluster/job-scheduler/src/workers/allocation.rs
@@ -32,7 +32,7 @@
     }
 
     /// What is left of a capacity.
-    pub(crate) fn free(&self, capacity: Resources) -> Resources {
+    pub(crate) fn free_capacity(&self, capacity: Resources) -> Resources {
         let orphans = self.orphans.iter().fold(Resources::default(), |sum, orphan| sum.plus(orphan.demand));
         capacity.minus(self.used).minus(orphans)
     }
--- a/crates/cluster/job-scheduler/src/workers/worker.rs
+++ b/crates/cluster/job-scheduler/src/workers/worker.rs
@@ -39,7 +39,7 @@
     listing: ListingState,
     /// It has responded to a lease renewal of this term, so that calls of earlier terms have no
     /// effect there.
-    is_fenced: bool,
+    has_seen_term: bool,
     is_reachable: bool,
     /// Calls in a row without response.
     missed_calls: u32,
@@ -67,7 +67,7 @@
             capacity: Resources::default(),
             cycle_positions: cycle_positions(id.as_bytes()),
             listing: ListingState::Unlisted,
-            is_fenced: false,
+            has_seen_term: false,
             is_reachable: true,
             missed_calls: 0,
             lease: WorkerLease::new(clock, now_ms),
@@ -131,7 +131,7 @@
         let capacity =
             Resources { cpu_millicores: entry.cpu_millicores, memory_mb: entry.memory_mb, gpus: entry.gpus };
         // One that was replaced by another incarnation may stay listed for a while.
-        let is_replaced = self.is_gone() && self.is_fenced;
+        let is_replaced = self.is_gone() && self.has_seen_term;
         if is_replaced || self.listing == listing && self.capacity == capacity {
             return false;
         }
@@ -158,19 +158,19 @@
     /// This incarnation no longer exists.
     pub(crate) fn mark_gone(&mut self) {
         self.listing = ListingState::Gone;
-        self.is_fenced = true;
+        self.has_seen_term = true;
         let _ = self.allocation.clear_orphans();
     }
 
     // Whether it responds.
 
-    pub(crate) fn is_fenced(&self) -> bool {
-        self.is_fenced
+    pub(crate) fn has_seen_term(&self) -> bool {
+        self.has_seen_term
     }
 
     /// The worker responded to a lease renewal of this term; whether that was the first.
-    pub(crate) fn mark_fenced(&mut self) -> bool {
-        !std::mem::replace(&mut self.is_fenced, true)
+    pub(crate) fn mark_term_seen(&mut self) -> bool {
+        !std::mem::replace(&mut self.has_seen_term, true)
     }
 
     pub(crate) fn is_reachable(&self) -> bool {
@@ -209,15 +209,15 @@
 
     /// Whether it may start tasks, leaving its health aside.
     pub(crate) fn accepts_tasks(&self) -> bool {
-        self.listing == ListingState::Ready && self.is_fenced && self.is_responsive()
+        self.listing == ListingState::Ready && self.has_seen_term && self.is_responsive()
     }
 
     pub(crate) fn capacity(&self) -> Resources {
         self.capacity
     }
 
-    pub(crate) fn free(&self) -> Resources {
-        self.allocation.free(self.capacity)
+    pub(crate) fn free_capacity(&self) -> Resources {
+        self.allocation.free_capacity(self.capacity)
     }
 
     /// The cost of a placement here: the share in use of its scarcest resource, and its slowness.
