--- a/crates/cluster/job-scheduler/src/calls/mod.rs
+++ b/crates/cluster/job-scheduler/src/calls/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to workers: in flight, their time-outs, and the throttle of starts.
+//! Calls to workers: the calls in flight, call time-outs, and the throttle for starts.
 mod outstanding;
 mod throttle;
 mod timeouts;
--- a/crates/cluster/job-scheduler/src/calls/outstanding.rs
+++ b/crates/cluster/job-scheduler/src/calls/outstanding.rs
@@ -1,28 +1,29 @@
-//! Calls to workers: those to be made, those without response yet, and when starts time out.
+//! Outstanding calls to workers: queued calls, calls in flight, and the deadlines of starts.
 use crate::ids::RunId;
 use crate::protocol::{WorkerCall, WorkerRequest};
 use crate::workers::Worker;
 use std::collections::BTreeSet;
 
-/// When a start times out. The call itself goes on: a response that comes later still counts.
+/// The time at which a start times out. The call itself stays open: a later response still counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct StartDeadline {
     due_at_ms: u64,
     run: RunId,
 }
 
-/// Calls to workers.
+/// The outstanding calls to workers.
 ///
-/// `in_flight` counts the calls whose result was not returned yet, also those that wait in
-/// `calls`; so a result must be returned for each call exactly once, which the embedder does.
+/// `in_flight` counts the calls without a result, including those still in `queued`. The embedder
+/// must therefore return exactly one result for each call.
 #[derive(Debug)]
 pub(crate) struct OutstandingCalls {
     fencing_token: u64,
     max_concurrent: usize,
-    calls: Vec<WorkerCall>,
+    /// Calls that the embedder has not taken yet.
+    queued: Vec<WorkerCall>,
     in_flight: usize,
     starts_in_flight: usize,
-    /// Starts that timed out and whose calls have no result yet.
+    /// Starts that timed out and whose calls have no result yet; not in `starts_in_flight`.
     starts_in_doubt: BTreeSet<RunId>,
     start_deadlines: BTreeSet<StartDeadline>,
 }
@@ -32,7 +33,7 @@
         OutstandingCalls {
             fencing_token,
             max_concurrent,
-            calls: Vec::new(),
+            queued: Vec::new(),
             in_flight: 0,
             starts_in_flight: 0,
             starts_in_doubt: BTreeSet::new(),
@@ -40,14 +41,14 @@
         }
     }
 
-    /// Has a worker called. One whose address is not known can't be, and is not.
-    pub(crate) fn send(&mut self, worker: &Worker, request: WorkerRequest, timeout_ms: u64) {
+    /// Queues a call to a worker. Does nothing if the worker's address is not known.
+    pub(crate) fn enqueue(&mut self, worker: &Worker, request: WorkerRequest, timeout_ms: u64) {
         if worker.address().is_empty() {
             return;
         }
         self.in_flight += 1;
         self.starts_in_flight += usize::from(matches!(request, WorkerRequest::Start { .. }));
-        self.calls.push(WorkerCall {
+        self.queued.push(WorkerCall {
             worker_id: worker.id().clone(),
             address: worker.address().clone(),
             request,
@@ -56,7 +57,7 @@
         });
     }
 
-    /// The result of a call was returned.
+    /// Removes a call whose result was returned from the calls in flight.
     pub(crate) fn complete(&mut self, request: &WorkerRequest) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let WorkerRequest::Start { task, run, .. } = request else { return };
@@ -65,48 +66,50 @@
         }
     }
 
-    /// A start whose call has no result yet timed out: it no longer counts as in flight.
-    pub(crate) fn doubt_start(&mut self, run: RunId) {
+    /// Marks a start that timed out before its call had a result: it no longer counts as a start in
+    /// flight, while its call still counts as a call in flight.
+    pub(crate) fn mark_start_in_doubt(&mut self, run: RunId) {
         if self.starts_in_doubt.insert(run) {
             self.starts_in_flight = self.starts_in_flight.saturating_sub(1);
         }
     }
 
-    /// The calls to be made since this was last called.
+    /// Takes the calls that were queued since the last call of this function.
     pub(crate) fn take_calls(&mut self) -> Vec<WorkerCall> {
-        std::mem::take(&mut self.calls)
+        std::mem::take(&mut self.queued)
     }
 
+    /// The number of calls without a result.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// Starts that have not timed out.
+    /// The number of starts without a result that have not timed out.
     pub(crate) fn starts_in_flight(&self) -> usize {
         self.starts_in_flight
     }
 
-    /// Starts that timed out and whose calls go on.
+    /// The number of starts that timed out and whose calls have no result yet.
     pub(crate) fn starts_in_doubt(&self) -> usize {
         self.starts_in_doubt.len()
     }
 
-    /// The largest number of calls in flight.
+    /// The maximum number of calls in flight.
     pub(crate) fn max_concurrent(&self) -> usize {
         self.max_concurrent
     }
 
-    /// Calls that may still be made now.
+    /// The number of calls that may be queued before `max_concurrent` is reached.
     pub(crate) fn remaining(&self) -> usize {
         self.max_concurrent.saturating_sub(self.in_flight)
     }
 
-    /// Sets when a start times out.
+    /// Sets the time at which a start times out, monotonic milliseconds.
     pub(crate) fn set_start_deadline(&mut self, due_at_ms: u64, run: RunId) {
         self.start_deadlines.insert(StartDeadline { due_at_ms, run });
     }
 
-    /// Removes the earliest deadline that has passed, and returns its run.
+    /// Removes the earliest start deadline if it has passed, and returns its run.
     pub(crate) fn pop_start_deadline(&mut self, now_ms: u64) -> Option<RunId> {
         if now_ms < self.start_deadlines.first()?.due_at_ms {
             return None;
--- a/crates/cluster/job-scheduler/src/calls/throttle.rs
+++ b/crates/cluster/job-scheduler/src/calls/throttle.rs
@@ -1,26 +1,28 @@
-//! How many starts a scheduler sends between two ticks, by how late its ticks come.
+//! Limits the starts between two ticks by the lateness of the ticks.
 //!
-//! Ticks come late when the process has too little processor time. Then fewer starts are allowed;
-//! while ticks come in time, the number rises again (additive increase, multiplicative decrease).
+//! Ticks are late when the process has too little processor time. A late tick halves the limit, a
+//! tick in time raises it by a constant (additive increase, multiplicative decrease).
 
 use crate::smoothing::moving_average;
 
-/// The lateness of a tick from which on the process counts as overloaded, milliseconds.
+/// The largest lateness of a tick at which the process does not count as overloaded, milliseconds.
 const MAX_LATENESS_MS: u64 = 60;
-/// The smallest number of starts between two ticks.
+/// The lower bound of the limit on starts between two ticks.
 const MIN_STARTS_PER_TICK: usize = 8;
-/// The largest number of starts between two ticks.
+/// The upper bound of the limit on starts between two ticks.
 const MAX_STARTS_PER_TICK: usize = 512;
-/// By how many more starts each tick in time raises the number.
+/// The number of starts by which each tick in time raises the limit.
 const STARTS_INCREMENT: usize = 16;
 
-/// The smoothed lateness from which on calls may have no response in time since this process is slow,
-/// milliseconds.
+/// The smoothed lateness above which calls may time out because this process is slow, milliseconds.
 const SLOW_LATENESS_MS: f64 = 15.0;
-/// The weight of a tick in the smoothed lateness.
+/// The weight of one tick in the smoothed lateness.
 const LATENESS_WEIGHT: f64 = 0.2;
 
-/// The starts that may be sent before the next tick: `remaining <= limit` after each adjustment.
+/// The limit on starts between two ticks.
+///
+/// `remaining` is the number of starts that may still be placed before the next tick, and at most
+/// `limit`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StartThrottle {
     limit: usize,
@@ -39,7 +41,7 @@
 }
 
 impl StartThrottle {
-    /// The next tick comes so much later than it should.
+    /// Adjusts the limit to the lateness of the next tick.
     pub(crate) fn record_lateness(&mut self, late_ms: u64) {
         self.smoothed_lateness_ms =
             moving_average(self.smoothed_lateness_ms, late_ms as f64, LATENESS_WEIGHT);
@@ -52,26 +54,28 @@
         self.remaining = self.remaining.min(self.limit);
     }
 
-    /// Whether this process is so slow that a call without response says nothing of the other side.
+    /// Whether this process is so slow that a call without a response does not indicate a fault of
+    /// the worker.
     pub(crate) fn is_process_slow(&self) -> bool {
         self.smoothed_lateness_ms > SLOW_LATENESS_MS
     }
 
-    /// A tick begins.
+    /// Makes the full limit available at the beginning of a tick.
     pub(crate) fn refill(&mut self) {
         self.remaining = self.limit;
     }
 
-    /// Starts that may still be sent before the next tick.
+    /// The number of starts that may still be placed before the next tick.
     pub(crate) fn remaining(&self) -> usize {
         self.remaining
     }
 
+    /// Subtracts placed starts from those that remain before the next tick.
     pub(crate) fn consume(&mut self, starts: usize) {
         self.remaining = self.remaining.saturating_sub(starts);
     }
 
-    /// The present number of starts between two ticks.
+    /// The current limit on starts between two ticks.
     pub(crate) fn limit(&self) -> usize {
         self.limit
     }
--- a/crates/cluster/job-scheduler/src/calls/timeouts.rs
+++ b/crates/cluster/job-scheduler/src/calls/timeouts.rs
@@ -1,49 +1,50 @@
-//! The time-outs of calls that a worker need not delay, adapted to how long responses take.
+//! Adaptive time-outs of the calls that workers answer at once.
 //!
-//! Round trips are smoothed by zone, as TCP does for its retransmission timer (RFC 6298): mean and
-//! mean deviation. They include what this process takes itself, so a busy scheduler waits longer.
-//! Two things lengthen the time-out beside that: starts that timed out although the worker had
-//! carried them out, and many time-outs within a short time.
+//! Each zone has a smoothed mean and mean deviation of the round-trip time, as TCP has for its
+//! retransmission timer (RFC 6298). Round trips include the processing time of this process, so a
+//! busy scheduler waits longer. Two further conditions lengthen time-outs: starts that timed out
+//! although the worker carried them out, and a high share of starts that time out.
 use crate::metrics::TimeoutRange;
 use crate::smoothing::moving_average;
 use compact_str::CompactString;
 use rustc_hash::FxHashMap;
 
-/// The shortest time-out, milliseconds: pauses of a process or a link are shorter.
+/// The shortest time-out, milliseconds: usual pauses of a process or a link are shorter.
 const MIN_TIMEOUT_MS: u64 = 60;
-/// The longest time-out, and that of a zone of which too little is known, milliseconds.
+/// The longest time-out, also used for a zone with fewer than [`MIN_SAMPLES`], milliseconds.
 pub(crate) const MAX_TIMEOUT_MS: u64 = 300;
-/// Responses of a zone before its time-out follows from them.
+/// The number of round trips from which on a zone's time-out is computed from them.
 const MIN_SAMPLES: u32 = 20;
-/// The weight of a new sample in a zone's mean.
+/// The weight of a new sample in a zone's mean round trip.
 const MEAN_WEIGHT: f64 = 0.125;
 /// The weight of a new sample in a zone's mean deviation.
 const DEVIATION_WEIGHT: f64 = 0.25;
-/// The number of deviations that a time-out is above the mean.
+/// The number of mean deviations that are added to the mean for a time-out.
 const DEVIATION_FACTOR: f64 = 4.0;
-/// How many times longer time-outs are after one that was too short.
-const PREMATURE_FACTOR: f64 = 1.5;
-/// How many times longer they are at most.
-const MAX_EXTENSION: f64 = 6.0;
-/// How much of the extension is kept at each response.
-const EXTENSION_DECAY: f64 = 0.998;
-/// The share of starts that time out above which all time-outs are the longest: when most time out,
-/// this process or the network is the cause rather than workers.
+/// The factor by which each premature time-out raises the multiplier.
+const PREMATURE_TIMEOUT_FACTOR: f64 = 1.5;
+/// The upper bound of the multiplier.
+const MAX_MULTIPLIER: f64 = 6.0;
+/// The factor by which each acknowledged start reduces the multiplier's excess over 1.
+const MULTIPLIER_DECAY: f64 = 0.998;
+/// The share of starts that time out above which every time-out is [`MAX_TIMEOUT_MS`]: when most
+/// starts time out, the cause is this process or the network rather than single workers.
 const MAX_TIMEOUT_RATE: f64 = 0.6;
-/// Up to this extension time-outs count as right: none of the last few hundred was too short.
-const MAX_RELIABLE_EXTENSION: f64 = 1.2;
-/// The weight of one start in that share.
+/// The largest multiplier at which time-outs count as reliable: none of the last few hundred was
+/// premature.
+const MAX_RELIABLE_MULTIPLIER: f64 = 1.2;
+/// The weight of one start in the share of starts that time out.
 const TIMEOUT_RATE_WEIGHT: f64 = 0.01;
 
-/// The round trips of one zone.
+/// The smoothed round-trip time of one zone.
 #[derive(Clone, Copy, Debug, Default)]
-struct RoundTrips {
+struct RoundTripEstimate {
     mean_ms: f64,
     deviation_ms: f64,
     samples: u32,
 }
 
-impl RoundTrips {
+impl RoundTripEstimate {
     fn add_sample(&mut self, ms: f64) {
         if self.samples == 0 {
             self.mean_ms = ms;
@@ -56,65 +57,66 @@
         self.samples = self.samples.saturating_add(1);
     }
 
-    fn timeout_ms(&self, extension: f64) -> u64 {
+    fn timeout_ms(&self, multiplier: f64) -> u64 {
         if self.samples < MIN_SAMPLES {
             return MAX_TIMEOUT_MS;
         }
-        let timeout_ms = (self.mean_ms + DEVIATION_FACTOR * self.deviation_ms) * extension;
-        (timeout_ms.max(MIN_TIMEOUT_MS as f64 * extension) as u64).min(MAX_TIMEOUT_MS)
+        let timeout_ms = (self.mean_ms + DEVIATION_FACTOR * self.deviation_ms) * multiplier;
+        (timeout_ms.max(MIN_TIMEOUT_MS as f64 * multiplier) as u64).min(MAX_TIMEOUT_MS)
     }
 }
 
-/// The time-outs of calls to workers.
+/// The time-outs of calls to workers, by zone.
 #[derive(Clone, Debug)]
 pub(crate) struct CallTimeouts {
-    zones: FxHashMap<CompactString, RoundTrips>,
-    /// How many times longer than usual time-outs are.
-    extension: f64,
+    zones: FxHashMap<CompactString, RoundTripEstimate>,
+    /// The factor, at least 1, by which premature time-outs lengthen all time-outs.
+    multiplier: f64,
     /// The smoothed share of starts that time out.
     timeout_rate: f64,
 }
 
 impl Default for CallTimeouts {
     fn default() -> Self {
-        CallTimeouts { zones: FxHashMap::default(), extension: 1.0, timeout_rate: 0.0 }
+        CallTimeouts { zones: FxHashMap::default(), multiplier: 1.0, timeout_rate: 0.0 }
     }
 }
 
 impl CallTimeouts {
-    /// The time-out of a call to a worker of that zone, milliseconds.
+    /// The time-out of a call to a worker of `zone`, milliseconds.
     pub(crate) fn timeout_ms(&self, zone: &str) -> u64 {
         if self.timeout_rate > MAX_TIMEOUT_RATE {
             return MAX_TIMEOUT_MS;
         }
         let zone = self.zones.get(zone);
-        zone.map_or(MAX_TIMEOUT_MS, |round_trips| round_trips.timeout_ms(self.extension))
+        zone.map_or(MAX_TIMEOUT_MS, |round_trip| round_trip.timeout_ms(self.multiplier))
     }
 
-    /// Whether a start that times out was most likely not carried out, or not answered: of late
-    /// none was acknowledged after its time-out, and not most time out.
+    /// Whether a start that times out most likely was not carried out or has lost its response: no
+    /// recent start was acknowledged after its time-out, and the share of starts that time out is
+    /// not high.
     pub(crate) fn are_reliable(&self) -> bool {
-        self.extension <= MAX_RELIABLE_EXTENSION && self.timeout_rate <= MAX_TIMEOUT_RATE
+        self.multiplier <= MAX_RELIABLE_MULTIPLIER && self.timeout_rate <= MAX_TIMEOUT_RATE
     }
 
-    /// A start was acknowledged after so long.
+    /// Records the round-trip time of an acknowledged start, milliseconds.
     pub(crate) fn record_round_trip(&mut self, zone: &CompactString, ms: u64) {
         self.zones.entry(zone.clone()).or_default().add_sample(ms as f64);
-        self.extension = 1.0 + (self.extension - 1.0) * EXTENSION_DECAY;
+        self.multiplier = 1.0 + (self.multiplier - 1.0) * MULTIPLIER_DECAY;
         self.timeout_rate = moving_average(self.timeout_rate, 0.0, TIMEOUT_RATE_WEIGHT);
     }
 
-    /// A start had no response in time.
+    /// Records a start without a response in time.
     pub(crate) fn record_timeout(&mut self) {
         self.timeout_rate = moving_average(self.timeout_rate, 1.0, TIMEOUT_RATE_WEIGHT);
     }
 
-    /// A start that had timed out was acknowledged after all: the time-out was too short.
+    /// Records that a start was acknowledged after its time-out, which was too short.
     pub(crate) fn record_premature_timeout(&mut self) {
-        self.extension = (self.extension * PREMATURE_FACTOR).min(MAX_EXTENSION);
+        self.multiplier = (self.multiplier * PREMATURE_TIMEOUT_FACTOR).min(MAX_MULTIPLIER);
     }
 
-    /// The shortest and the longest time-out at present; `None` before the first response.
+    /// The shortest and the longest current time-out of any zone; `None` before the first response.
     pub(crate) fn range(&self) -> Option<TimeoutRange> {
         let timeouts = || self.zones.keys().map(|zone| self.timeout_ms(zone));
         Some(TimeoutRange { shortest_ms: timeouts().min()?, longest_ms: timeouts().max()? })
--- a/crates/cluster/job-scheduler/src/scheduler/apply.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/apply.rs
@@ -1,4 +1,4 @@
-//! How state follows from events.
+//! The application of events to the state.
 use super::Scheduler;
 use crate::events::{Event, RunEnd};
 use crate::ids::{JobId, RunId, TaskId, WorkerIndex};
@@ -7,13 +7,14 @@
 use compact_str::CompactString;
 
 impl Scheduler {
-    /// Applies an event, and has the records that it changes written.
-    pub(super) fn record(&mut self, now_ms: u64, event: Event) {
+    /// Applies an event, marks the records that it changes as dirty, and appends it to the log.
+    pub(super) fn record_event(&mut self, now_ms: u64, event: Event) {
         log::trace!("{event}");
         self.apply(now_ms, &event);
         self.events.append(event);
     }
 
+    /// Applies an event to the state and marks the records that it changes as dirty.
     fn apply(&mut self, now_ms: u64, event: &Event) {
         match event {
             Event::JobAccepted { job, record } => {
@@ -38,8 +39,7 @@
             return;
         }
         self.commits.mark_dirty(RecordKey::Closed(id));
-        // The records of its tasks are removed, or reduced to the runs that are still to be
-        // stopped.
+        // Task records of a closed job are removed, unless they name runs that still have to stop.
         let Some(job) = self.jobs.get(id) else { return };
         for (task, _) in job.tasks(id).filter(|(_, task)| task.last_run() > 0) {
             self.commits.mark_dirty(RecordKey::Task(task));
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes a run that ended out of its task and worker; `false` if there is no such task.
+    /// Removes an ended run from its task and its worker. Returns `false` if there is no such task.
     fn remove_run(&mut self, run: RunId, end: RunEnd, checkpoint: &CompactString) -> bool {
         let demand = self.jobs.demand(run.task);
         let Some(task) = self.jobs.task_mut(run.task) else { return false };
@@ -88,7 +88,7 @@
         true
     }
 
-    /// What waits may fit on this worker now.
+    /// Notifies the placer and the pending queue that a worker has freed capacity.
     pub(super) fn capacity_freed(&mut self, worker: WorkerIndex) {
         self.placer.capacity_freed(&self.workers[worker]);
         self.pending.capacity_changed();
@@ -106,7 +106,8 @@
         }
     }
 
-    /// A gang fails as one: its first task keeps the failed runs for all.
+    /// Records a failed run. A gang fails as a whole: its first task keeps the failed runs of all
+    /// members.
     fn apply_failed_attempt(&mut self, run: RunId) {
         let counted = self.jobs.placement_unit(run.task);
         if let Some(task) = self.jobs.task_mut(counted) {
--- a/crates/cluster/job-scheduler/src/scheduler/commits.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/commits.rs
@@ -1,4 +1,5 @@
-//! Write first, then act: the embedder replicates the changes, and returns what is committed.
+//! Write-ahead order: the embedder replicates changes and reports the committed batches, which
+//! release the actions that depend on them.
 use super::Scheduler;
 use crate::commit::DeferredAction;
 use crate::config::Now;
@@ -6,8 +7,8 @@
 use crate::record::{RecordChange, RecordKey};
 
 impl Scheduler {
-    /// The changes of the key space since the last call. What depends on them is done when they are
-    /// committed.
+    /// Takes the changes of the key space since the last call. Actions that depend on them are
+    /// deferred until they are committed.
     pub fn take_changes(&mut self) -> Vec<RecordChange> {
         let dirty = self.commits.take_dirty();
         let worker_id = |worker| self.workers[worker].id().to_string();
@@ -18,12 +19,13 @@
         dirty.into_iter().map(change).collect()
     }
 
-    /// All changes taken so far are in this batch, or in earlier ones. Batch numbers ascend.
+    /// Declares that all changes taken so far are part of `batch` or of an earlier one. Batch
+    /// numbers must ascend.
     pub fn assign_batch(&mut self, batch: u64) {
         self.commits.assign_batch(batch);
     }
 
-    /// All batches up to this one are committed.
+    /// Handles the commit of all batches up to `batch`: performs the actions that waited for them.
     pub fn handle_committed(&mut self, now: Now, batch: u64) {
         while let Some(action) = self.commits.pop_committed(batch) {
             match action {
@@ -36,7 +38,8 @@
         self.send_due_renewals(now.monotonic_ms);
     }
 
-    /// The calls that are to be made since this was last called.
+    /// Takes the calls to workers that were queued since the last call of this function. The
+    /// embedder makes each of them and returns its result with [`Scheduler::handle_response`].
     pub fn take_calls(&mut self) -> Vec<WorkerCall> {
         self.calls.take_calls()
     }
--- a/crates/cluster/job-scheduler/src/scheduler/feasibility.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/feasibility.rs
@@ -1,4 +1,4 @@
-//! Jobs that can never be done, since a stage fits no worker of their service.
+//! Infeasible jobs, which can never finish because the workers of their service can't fit a stage.
 use super::Scheduler;
 use crate::config::Now;
 use crate::ids::TaskId;
@@ -7,14 +7,15 @@
 use crate::resources::Resources;
 use crate::spec::Stage;
 
-/// How long a job must be infeasible before it fails, milliseconds.
+/// The time that a job must be infeasible before it fails, milliseconds.
 const MAX_INFEASIBLE_MS: u64 = 1_500;
-/// How long the term must last before jobs are judged infeasible, milliseconds: lists of workers
-/// may be incomplete first.
+/// The age of the term from which on feasibility is checked, milliseconds: worker lists may be
+/// incomplete at first.
 const MIN_TERM_AGE_MS: u64 = 3_000;
 
 impl Scheduler {
-    /// Fails jobs of which a stage fits no worker that was ever listed.
+    /// Fails jobs with a stage that the workers known in this term could not fit even if they were
+    /// empty.
     pub(super) fn fail_infeasible_jobs(&mut self, now: Now) {
         if !self.has_worker_list || now.monotonic_ms < self.term_started_at_ms + MIN_TERM_AGE_MS {
             return;
@@ -24,19 +25,20 @@
             let Some(job) = self.jobs.get_mut(task.job) else { continue };
             let since_ms = job.infeasible_since_ms(now.monotonic_ms);
             if job.is_open() && now.monotonic_ms >= since_ms + MAX_INFEASIBLE_MS {
-                log::info!("job infeasible job={}", task.job);
+                log::info!("job failed: a stage does not fit the workers of its service job={}", task.job);
                 self.close_job(now, task.job, JobOutcome::Failed);
             }
         }
     }
 
+    /// Whether a stage of the task's job can never fit.
     fn is_infeasible(&self, task: TaskId) -> bool {
         let Some(job) = self.jobs.get(task.job) else { return false };
         job.spec().stages.iter().any(|stage| !self.could_ever_fit(job, stage))
     }
 
-    /// Whether a task, or all tasks of a gang, would fit the workers of the service if nothing else
-    /// ran there.
+    /// Whether a task of the stage, or all tasks of its gang, would fit the workers of the job's
+    /// service if these were empty.
     fn could_ever_fit(&self, job: &Job, stage: &Stage) -> bool {
         let needed = if stage.gang { u64::from(stage.count) } else { 1 };
         let mut fitting = 0u64;
--- a/crates/cluster/job-scheduler/src/scheduler/hedging.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/hedging.rs
@@ -1,32 +1,33 @@
-//! Hedged runs: a task whose runs are all in doubt starts elsewhere too.
+//! Hedged runs: a second run of a task whose runs are all in doubt, on another worker.
 //!
-//! Where a stage is `speculative`, nothing has to be known of a doubtful run before the task starts
-//! elsewhere: the run that ends first counts, and the other is stopped.
+//! A task of a `speculative` stage may start again before the state of its first run is known. The
+//! run that ends first counts, and the other is stopped.
 use super::Scheduler;
 use crate::ids::{RunId, TaskId, WorkerIndex};
 use crate::jobs::Run;
 use crate::spec::Stage;
 
-/// The largest number of runs of a task at a time.
+/// The maximum number of concurrent runs of a task.
 const MAX_ACTIVE_RUNS: usize = 2;
 
 impl Scheduler {
-    /// Queues a task for a hedged run, if its stage allows that and all its runs are in doubt.
-    pub(super) fn hedge(&mut self, now_ms: u64, task: TaskId) {
+    /// Queues a task for a hedged run, if its stage allows one and all runs of the task are in
+    /// doubt.
+    pub(super) fn queue_hedged_run(&mut self, now_ms: u64, task: TaskId) {
         if self.allows_hedged_run(task) {
             self.requeue(now_ms, task);
         }
     }
 
-    /// The same for all that runs on a worker.
-    pub(super) fn hedge_all_on(&mut self, now_ms: u64, worker: WorkerIndex) {
+    /// Queues hedged runs for all tasks with a run on a worker, as far as they are allowed.
+    pub(super) fn queue_hedged_runs_on(&mut self, now_ms: u64, worker: WorkerIndex) {
         let runs: Vec<RunId> = self.workers[worker].allocation.runs().iter().copied().collect();
         for run in runs {
-            self.hedge(now_ms, run.task);
+            self.queue_hedged_run(now_ms, run.task);
         }
     }
 
-    /// Whether a task that has runs may start once more.
+    /// Whether a task with active runs may have a hedged run as well.
     pub(super) fn allows_hedged_run(&self, task: TaskId) -> bool {
         let is_allowed = |stage: &Stage| stage.speculative && !stage.gang && !stage.long_running;
         if !self.jobs.stage(task).is_some_and(is_allowed) {
@@ -37,6 +38,7 @@
         (1..MAX_ACTIVE_RUNS).contains(&runs.len()) && runs.iter().all(|run| self.is_in_doubt(run))
     }
 
+    /// Whether the run may not be running, is expected to end late, or has an unreachable worker.
     fn is_in_doubt(&self, run: &Run) -> bool {
         run.is_in_doubt() || !self.workers[run.worker()].is_reachable()
     }
--- a/crates/cluster/job-scheduler/src/scheduler/inspect.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/inspect.rs
@@ -4,14 +4,14 @@
 use crate::jobs::{JobState, Run, RunPhase, Task};
 use crate::workers::{ListingState, Worker};
 
-/// A job as operators see it.
+/// A job as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobView {
-    /// Its state.
+    /// The job's state.
     pub state: JobState,
     /// When it was accepted, milliseconds since 1970.
     pub accepted_at_ms: u64,
-    /// Its service.
+    /// The service whose workers run the job.
     pub service: String,
     /// The tasks that are not done.
     pub open_tasks: Vec<TaskView>,
@@ -22,59 +22,59 @@
 /// A task that is not done.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskView {
-    /// Its name.
+    /// The task's name: job, occurrence, stage and index.
     pub task: String,
     /// The numbers of the runs that failed.
     pub failed_runs: Vec<u32>,
     /// The runs whose end is not known.
     pub active_runs: Vec<RunView>,
-    /// Whether it, or its gang, waits to be placed.
+    /// Whether the task or its gang waits for placement.
     pub is_pending: bool,
 }
 
 /// A run whose end is not known.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunView {
-    /// Its number.
+    /// The run's number.
     pub run: u32,
     /// The worker's identifier.
     pub worker_id: String,
-    /// What is known of its start: `recorded`, `ordered`, `started` or `unknown`.
+    /// The state of its start: `recorded`, `ordered` (sent), `started` or `unknown`.
     pub phase: &'static str,
-    /// Whether it is being stopped.
+    /// Whether the run is being stopped.
     pub is_stopping: bool,
-    /// Its progress as last reported, 0 to 100.
+    /// The last reported progress, 0 to 100.
     pub progress_percent: f64,
 }
 
-/// How much of a resource is in use.
+/// The used and total amount of a resource.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// In use.
+    /// The amount in use.
     pub used: u64,
-    /// In all.
+    /// The total amount.
     pub capacity: u64,
 }
 
-/// A worker as operators see it.
+/// A worker as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerView {
-    /// Its identifier.
+    /// The worker's identifier.
     pub id: String,
-    /// Its service.
+    /// The worker's service.
     pub service: String,
-    /// Whether it accepts tasks, and if not, why.
+    /// `ready` if the worker accepts tasks, otherwise the reason why not.
     pub status: &'static str,
     /// Processor, thousandths of a core.
     pub cpu_millicores: Usage,
     /// Memory, MB.
     pub memory_mb: Usage,
-    /// The number of runs there.
+    /// The number of runs on the worker.
     pub runs: usize,
 }
 
 impl Scheduler {
-    /// A job with its open tasks; `None` if it is not known.
+    /// A job with its open tasks; `None` if the job is not known.
     #[must_use]
     pub fn inspect_job(&self, id: JobId) -> Option<JobView> {
         let job = self.jobs.get(id)?;
@@ -109,7 +109,7 @@
         }
     }
 
-    /// All workers that are not gone. `now_ms` is the monotonic time.
+    /// All workers that still exist. `now_ms` is the monotonic time, milliseconds.
     #[must_use]
     pub fn inspect_workers(&self, now_ms: u64) -> Vec<WorkerView> {
         let present = self.workers.iter().filter(|worker| !worker.is_gone());
@@ -138,7 +138,9 @@
     }
 }
 
-/// The operators' words, which their pages show: an ejected worker is "left alone".
+/// The status of a worker in the wording of the operators' interface: "not heard yet" for one that
+/// has not responded in this term, "out of reach" for an unreachable, "left alone" for an ejected
+/// one.
 fn worker_status(worker: &Worker, now_ms: u64) -> &'static str {
     match worker.listing() {
         ListingState::Unlisted => "unlisted",
--- a/crates/cluster/job-scheduler/src/scheduler/mod.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/mod.rs
@@ -1,7 +1,7 @@
-//! The scheduler: it coordinates the parts, each of which keeps its own state.
+//! The scheduler, which coordinates the parts of the crate. Each part keeps its own state.
 //!
-//! The files beside this one each have the steps of one concern. Everything that must last goes
-//! through [`Scheduler::record`], which is the only way that jobs, tasks and runs change durably.
+//! Each submodule implements one concern. All durable changes of jobs, tasks and runs are events
+//! that go through [`Scheduler::record_event`].
 mod apply;
 mod commits;
 mod feasibility;
@@ -38,16 +38,16 @@
 use crate::workers::WorkerRegistry;
 use std::collections::BTreeSet;
 
-/// The largest number of jobs that are not closed.
+/// The maximum number of open jobs; further submissions are not admitted.
 const MAX_OPEN_JOBS: usize = 30_000;
-/// How often progress, feasibility and retention are checked, milliseconds.
-const WATCH_INTERVAL_MS: u64 = 250;
+/// The interval between two checks of progress, feasibility and retention, milliseconds.
+const CHECK_INTERVAL_MS: u64 = 250;
 
-/// Jobs, workers, and what runs where, for one term.
+/// The jobs, the workers, and the assignment of runs to workers during one term.
 #[derive(Debug)]
 pub struct Scheduler {
     config: SchedulerConfig,
-    /// Monotonic milliseconds.
+    /// The start of this term, monotonic milliseconds.
     term_started_at_ms: u64,
     jobs: JobTable,
     occurrence_timer: OccurrenceTimer,
@@ -56,23 +56,24 @@
     placer: Placer,
     estimates: RuntimeEstimates,
     workers: WorkerRegistry,
-    /// Whether the platform's list was read in this term.
+    /// Whether the platform's worker list was read in this term.
     has_worker_list: bool,
     renewals: RenewalSchedule,
     calls: OutstandingCalls,
     timeouts: CallTimeouts,
     throttle: StartThrottle,
-    /// Runs whose stop was sent and that have not ended yet.
+    /// Runs whose stop was sent and whose end is not known yet.
     stopping: BTreeSet<RunId>,
     commits: CommitQueue,
     events: EventLog,
     metrics: SchedulerMetrics,
-    last_watch_ms: u64,
+    /// The last check of progress, feasibility and retention, monotonic milliseconds.
+    last_check_ms: u64,
 }
 
 impl Scheduler {
-    /// A scheduler without jobs or workers, for the term whose fencing token this is. The seed is
-    /// that of its random choices.
+    /// Creates a scheduler without jobs or workers for the term of `fencing_token`. `seed` seeds
+    /// its random choices.
     #[must_use]
     pub fn new(config: SchedulerConfig, fencing_token: u64, seed: u64, now: Now) -> Self {
         Scheduler {
@@ -94,14 +95,14 @@
             commits: CommitQueue::default(),
             events: EventLog::default(),
             metrics: SchedulerMetrics::default(),
-            last_watch_ms: 0,
+            last_check_ms: 0,
         }
     }
 
-    // Clients.
+    // Jobs.
 
-    /// Admits a job. A submission with the identifier of a known job changes nothing, so that
-    /// clients may retry.
+    /// Accepts a job, unless too many jobs are open. A submission with the identifier of a known
+    /// job changes nothing, so that clients may retry.
     pub fn submit(&mut self, now: Now, job: JobId, policy: QueuePolicy, spec: JobSpec) -> Admission {
         if self.jobs.contains(job) {
             return Admission::Accepted;
@@ -117,18 +118,18 @@
             accepted_at_ms: now.unix_ms,
             spec,
         };
-        self.record(now.monotonic_ms, Event::JobAccepted { job, record: Box::new(record) });
+        self.record_event(now.monotonic_ms, Event::JobAccepted { job, record: Box::new(record) });
         self.begin_due_occurrences_of(now, job);
         Admission::Accepted
     }
 
-    /// A job's state; `None` if it is not known, or was forgotten after its retention.
+    /// The state of a job; `None` if it is not known or its retention is over.
     #[must_use]
     pub fn job_state(&self, job: JobId) -> Option<JobState> {
         self.jobs.get(job).map(Job::state)
     }
 
-    /// Cancels a job, unless it is closed already; `false` if it is not known.
+    /// Cancels a job, unless it is closed already. Returns `false` if the job is not known.
     pub fn cancel(&mut self, now: Now, job: JobId) -> bool {
         if self.jobs.is_open(job) {
             self.close_job(now, job, JobOutcome::Cancelled);
@@ -136,13 +137,13 @@
         self.jobs.contains(job)
     }
 
-    /// The number of open jobs of a queue of which no task is known to have begun.
+    /// The number of open jobs in a queue without any task that is known to have begun.
     #[must_use]
     pub fn pending_jobs(&self, queue: &QueueId) -> u64 {
         self.jobs.pending_count(queue)
     }
 
-    /// What the scheduler holds at present.
+    /// The current numbers of jobs, pending units, active runs and events.
     #[must_use]
     pub fn counts(&self) -> SchedulerCounts {
         SchedulerCounts {
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Counts of this term so far.
+    /// The metrics of this term so far.
     #[must_use]
     pub fn metrics(&self) -> SchedulerMetrics {
         let max_starts_per_tick = self.throttle.limit() as u64;
@@ -162,29 +163,30 @@
 
     // Time.
 
-    /// The next tick comes `late_ms` later than it should: an overloaded scheduler sends fewer
-    /// starts.
+    /// Records that the next tick is `late_ms` late, and adjusts the limit on starts: an overloaded
+    /// scheduler sends fewer.
     pub fn record_tick_lateness(&mut self, late_ms: u64) {
         self.throttle.record_lateness(late_ms);
     }
 
-    /// Does what is due. To be called every few tens of milliseconds.
+    /// Handles everything that is due: time-outs, occurrences, expired leases, placement, retries,
+    /// renewals and periodic checks. The embedder calls it every few tens of milliseconds.
     pub fn tick(&mut self, now: Now) {
         self.throttle.refill();
         self.time_out_starts(now);
         self.begin_due_occurrences(now);
-        self.expire_workers(now);
+        self.end_expired_runs(now);
         self.pending.tick();
         self.placer.update_panic_mode(&self.workers, now.monotonic_ms);
         self.place_ready_tasks(now);
         self.retry_stops(now.monotonic_ms);
         self.send_due_renewals(now.monotonic_ms);
-        if now.monotonic_ms >= self.last_watch_ms + WATCH_INTERVAL_MS {
-            self.last_watch_ms = now.monotonic_ms;
-            // Ejections end without an event.
+        if now.monotonic_ms >= self.last_check_ms + CHECK_INTERVAL_MS {
+            self.last_check_ms = now.monotonic_ms;
+            // The end of an ejection raises no event, so capacity may have become available.
             self.pending.capacity_changed();
             self.report_held_back_starts(now.monotonic_ms);
-            self.watch_progress(now);
+            self.move_lagging_runs(now);
             self.fail_infeasible_jobs(now);
             self.forget_closed_jobs(now);
         }
--- a/crates/cluster/job-scheduler/src/scheduler/occurrences.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/occurrences.rs
@@ -1,4 +1,4 @@
-//! Occurrences that come due, stages whose dependencies are done, and the end of a job.
+//! The beginning of occurrences and stages, and the closing and removal of jobs.
 use super::Scheduler;
 use crate::config::Now;
 use crate::events::Event;
@@ -6,18 +6,18 @@
 use crate::jobs::Job;
 use crate::record::JobOutcome;
 
-/// How much longer than configured a closed job is kept, milliseconds.
+/// The time that a closed job is kept beyond the configured retention, milliseconds.
 const RETENTION_MARGIN_MS: u64 = 10_000;
 
 impl Scheduler {
-    /// Begins the occurrences of all jobs that are due.
+    /// Begins the due occurrences of all jobs.
     pub(super) fn begin_due_occurrences(&mut self, now: Now) {
         while let Some(job) = self.occurrence_timer.pop_due(now.unix_ms) {
             self.begin_due_occurrences_of(now, job);
         }
     }
 
-    /// Begins the occurrences of a job that are due, and schedules the next.
+    /// Begins the due occurrences of a job and schedules its next one.
     pub(super) fn begin_due_occurrences_of(&mut self, now: Now, id: JobId) {
         while let Some(job) = self.jobs.get_mut(id) {
             let Some(next) = job.next_occurrence() else { return };
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Queues the tasks of the stages whose dependencies are done.
+    /// Opens the stages of an occurrence whose dependencies are done, and queues their tasks.
     pub(super) fn open_ready_stages(&mut self, now: Now, id: JobId, occurrence: u32) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         for unit in job.open_ready_stages(id, occurrence) {
@@ -38,36 +38,36 @@
         }
     }
 
-    /// Queues a task, or its gang, again.
+    /// Queues a task or its gang again, if the job is open.
     pub(super) fn requeue(&mut self, now_ms: u64, task: TaskId) {
         let Some(job) = self.jobs.get(task.job).filter(|job| job.is_open()) else { return };
         let unit = self.jobs.placement_unit(task);
         self.pending.requeue(job.pending_key(unit), now_ms);
     }
 
-    /// Takes a task out of the queue: it is done.
+    /// Removes a task that is done from the pending queue.
     pub(super) fn remove_pending(&mut self, task: TaskId) {
         if let Some(job) = self.jobs.get(task.job) {
             self.pending.remove(&job.pending_key(task));
         }
     }
 
-    /// Closes a job: nothing of it starts any more, and what runs is stopped.
+    /// Closes a job: removes its pending tasks and occurrences, and stops its runs.
     pub(super) fn close_job(&mut self, now: Now, job: JobId, outcome: JobOutcome) {
-        self.record(now.monotonic_ms, Event::JobClosed { job, outcome, closed_at_ms: now.unix_ms });
+        self.record_event(now.monotonic_ms, Event::JobClosed { job, outcome, closed_at_ms: now.unix_ms });
         self.jobs.note_closed(now.unix_ms, job);
         self.pending.remove_job(job);
         self.occurrence_timer.remove_job(job);
         self.stop_job(now.monotonic_ms, job);
     }
 
-    /// Forgets closed jobs whose retention is over. One that still has runs to be stopped is kept
-    /// as long again.
+    /// Removes closed jobs whose retention is over. A job that still has active runs is kept for
+    /// another retention time.
     pub(super) fn forget_closed_jobs(&mut self, now: Now) {
         let retention_ms = self.config.closed_job_retention_ms + RETENTION_MARGIN_MS;
         while let Some(job) = self.jobs.pop_expired(now.unix_ms, retention_ms) {
             match self.jobs.get(job).map(Job::has_active_runs) {
-                Some(false) => self.record(now.monotonic_ms, Event::JobForgotten { job }),
+                Some(false) => self.record_event(now.monotonic_ms, Event::JobForgotten { job }),
                 Some(true) => self.jobs.note_closed(now.unix_ms, job),
                 None => {}
             }
--- a/crates/cluster/job-scheduler/src/scheduler/placing.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/placing.rs
@@ -1,5 +1,5 @@
-//! A pass over the pending queue, in which units are assigned to workers as far as there is
-//! capacity.
+//! Passes over the pending queue, which assign units (tasks and gangs) to workers as far as there
+//! is capacity.
 use super::Scheduler;
 use crate::commit::DeferredAction;
 use crate::config::Now;
@@ -12,19 +12,20 @@
 use compact_str::CompactString;
 use std::ops::Bound;
 
-/// Starts that may be waiting for a commit or a response at once.
+/// The maximum number of starts that wait for a commit or a response.
 const MAX_STARTS_IN_FLIGHT: usize = 160;
-/// Starts that timed out and whose calls still go on that do not count among these: workers that do
-/// not answer must not hold back starts on others.
+/// The number of timed-out starts without a call result that do not count towards
+/// [`MAX_STARTS_IN_FLIGHT`]: workers that do not respond must not hold back starts on others.
 const MAX_STARTS_IN_DOUBT: usize = 160;
-/// How long the first unit in line waits before it counts as held back, milliseconds.
+/// The waiting time from which on the first unit in line counts as held back, milliseconds.
 const HELD_BACK_MS: u64 = 500;
-/// Units without capacity after which a pass goes on only behind them.
+/// The number of units without capacity above which a pass skips to the resume point.
 const MAX_MISSES: usize = 200;
-/// Units without capacity that it then tries behind these.
-const MAX_MISSES_BEHIND: usize = 32;
+/// The number of further units without capacity that a pass tries from the resume point on.
+const MAX_RESUMED_MISSES: usize = 32;
 
 impl PendingUnit {
+    /// The placement request for this unit.
     fn request<'a>(self, stage: &'a Stage, service: &'a CompactString, now: Now) -> PlacementRequest<'a> {
         let now_ms = now.monotonic_ms;
         let waited_ms = now_ms.saturating_sub(self.since_ms);
@@ -33,10 +34,10 @@
 }
 
 impl Scheduler {
-    /// Places what waits, as far as there is capacity. Called after each input, so that starts
-    /// share a batch with the events that they follow from.
+    /// Places pending tasks and gangs, as far as there is capacity. The embedder calls it after
+    /// each input, so that starts share a batch with the events that caused them.
     pub fn place_ready_tasks(&mut self, now: Now) {
-        // While no start is allowed, a pass that is due stays due.
+        // A due pass stays due while no start is allowed.
         if self.available_starts() == 0 {
             return;
         }
@@ -57,9 +58,9 @@
         self.misses = misses;
     }
 
-    /// Places units that were just added, unless a unit of a higher priority waits for capacity:
-    /// what is free by now is for that first. Those from `end` on are left to the full pass that
-    /// goes on there.
+    /// Places units that have not been tried yet, unless a unit of higher priority waits for
+    /// capacity, which has precedence. Units from `end` on are left to the interrupted full pass
+    /// that continues there.
     fn place_untried_units(&mut self, now: Now, misses: &mut PlacementMisses, end: Option<PendingKey>) {
         while let Some(unit) = self.pending.first_untried() {
             if end.is_some_and(|end| unit.key >= end) {
@@ -69,9 +70,9 @@
                 return self.pending.hold_back(unit, end);
             }
             self.pending.mark_tried(&unit.key);
-            let is_behind = misses.highest_priority().is_some_and(|priority| priority < unit.key.priority);
-            if is_behind || misses.count() > MAX_MISSES {
-                // Its turn comes in the next full pass.
+            let is_outranked = misses.highest_priority().is_some_and(|priority| priority < unit.key.priority);
+            if is_outranked || misses.count() > MAX_MISSES {
+                // Left to the next full pass.
                 self.pending.capacity_changed();
             } else {
                 self.place_unit(now, unit, misses);
@@ -79,22 +80,23 @@
         }
     }
 
-    /// Places all units from a key on.
+    /// Places all units from a key on, or a part of them if too many have no capacity.
     fn place_all_units(&mut self, now: Now, from: Bound<PendingKey>, misses: &mut PlacementMisses) {
         if let Some(stopped_at) = self.place_units(now, from, misses, MAX_MISSES) {
-            // Units behind so many without capacity would never be tried: a few of them are in each
-            // pass, in turn.
+            // Units after so many without capacity would never be tried. Each pass therefore tries
+            // a few of them, beginning where the last pass stopped.
             let resume_at = self.pending.take_resume_point().unwrap_or(stopped_at).max(stopped_at);
-            let is_past_the_end = self.pending.first_from(Bound::Included(resume_at)).is_none();
-            let behind = if is_past_the_end { stopped_at } else { resume_at };
-            let max_misses = misses.count() + MAX_MISSES_BEHIND;
-            let stopped_at = self.place_units(now, Bound::Included(behind), misses, max_misses);
+            let is_past_end = self.pending.first_from(Bound::Included(resume_at)).is_none();
+            let resume_at = if is_past_end { stopped_at } else { resume_at };
+            let max_misses = misses.count() + MAX_RESUMED_MISSES;
+            let stopped_at = self.place_units(now, Bound::Included(resume_at), misses, max_misses);
             self.pending.set_resume_point(stopped_at);
             self.pending.retry_at_next_tick();
         }
     }
 
-    /// Places units in their order. Returns where it stopped since too many had no capacity.
+    /// Places units from `from` on in queue order. Returns the key of the unit at which it stopped
+    /// because more than `max_misses` units had no capacity; otherwise `None`.
     fn place_units(
         &mut self,
         now: Now,
@@ -107,7 +109,8 @@
                 return Some(unit.key);
             }
             if self.available_starts() == 0 {
-                // What can't be started now waits here, where its priority counts.
+                // Units that can't start now stay in the pending queue, which is ordered by
+                // priority.
                 self.pending.hold_back(unit, Some(unit.key));
                 return None;
             }
@@ -118,20 +121,22 @@
         None
     }
 
-    /// Starts that may still be decided. Those on their way to the disk or to workers are bounded.
+    /// The number of further starts that the bounds allow at present: on starts waiting for a
+    /// commit or a response, on starts between two ticks, and on calls in flight.
     fn available_starts(&self) -> usize {
-        self.remaining_in_flight().min(self.throttle.remaining()).min(self.calls.remaining())
+        self.remaining_in_flight_starts().min(self.throttle.remaining()).min(self.calls.remaining())
     }
 
-    fn remaining_in_flight(&self) -> usize {
+    /// The number of further starts that may wait for a commit or a response.
+    fn remaining_in_flight_starts(&self) -> usize {
         let in_doubt = self.calls.starts_in_doubt().saturating_sub(MAX_STARTS_IN_DOUBT);
         let in_flight = self.commits.deferred_starts() + self.calls.starts_in_flight() + in_doubt;
         MAX_STARTS_IN_FLIGHT.saturating_sub(in_flight)
     }
 
-    /// The bound that allows no start at present.
+    /// The bound that allows no further start at present, if any.
     fn start_bound(&self) -> Option<StartBound> {
-        match (self.remaining_in_flight(), self.throttle.remaining(), self.calls.remaining()) {
+        match (self.remaining_in_flight_starts(), self.throttle.remaining(), self.calls.remaining()) {
             (0, _, _) => Some(StartBound::InFlight),
             (_, 0, _) => Some(StartBound::Throttle),
             (_, _, 0) => Some(StartBound::Calls),
@@ -139,8 +144,8 @@
         }
     }
 
-    /// Tells operators if a unit has waited for long and a bound on starts, rather than a lack of
-    /// capacity, holds it back.
+    /// Reports in the log and the metrics if a unit has waited for at least [`HELD_BACK_MS`]
+    /// because of a bound on starts rather than a lack of capacity.
     pub(super) fn report_held_back_starts(&mut self, now_ms: u64) {
         let Some(first) = self.pending.held_back() else { return };
         let waited_ms = now_ms.saturating_sub(first.since_ms);
@@ -176,7 +181,7 @@
         let Some(task) = self.jobs.task(id) else { return };
         let (is_hedged, run) = (task.has_active_runs(), task.last_run() + 1);
         if is_hedged && !self.allows_hedged_run(id) {
-            // A hedged run was wanted while the run was in doubt, which it is no more.
+            // The unit was queued for a hedged run, and the active run is no longer in doubt.
             return self.pending.remove(&unit.key);
         }
         let request = unit.request(stage, service, now);
@@ -193,7 +198,7 @@
         }
     }
 
-    /// Places all members of a gang under the same run number, or none.
+    /// Places all members of a gang with the same run number, or none of them.
     fn place_gang(&mut self, now: Now, unit: PendingUnit, misses: &mut PlacementMisses) {
         let first = unit.key.task;
         let Some(job) = self.jobs.get(first.job) else { return };
@@ -218,8 +223,8 @@
         }
     }
 
-    /// The number of a gang's next run, the same for all members; `None` while any member still has
-    /// a run.
+    /// The number of a gang's next run, which all members share; `None` while any member has an
+    /// active run.
     fn next_gang_run(&self, first: TaskId) -> Option<u32> {
         let mut last_run = 0;
         for member in self.jobs.tasks_of_stage(first).filter_map(|member| self.jobs.task(member)) {
@@ -231,11 +236,13 @@
         Some(last_run + 1)
     }
 
+    /// Assigns a run to a worker, and defers its start until the record is committed.
     fn assign(&mut self, now: Now, run: RunId, worker: WorkerIndex) {
-        self.record(now.monotonic_ms, Event::RunAssigned { run, worker });
+        self.record_event(now.monotonic_ms, Event::RunAssigned { run, worker });
         self.commits.defer(DeferredAction::SendStart(run));
     }
 
+    /// Removes a placed unit from the queue, and counts its starts and its waiting time.
     fn complete_unit(&mut self, now: Now, unit: PendingUnit, starts: usize) {
         let waited_ms = now.monotonic_ms.saturating_sub(unit.since_ms);
         self.metrics.start_latencies.placement.record(waited_ms);
--- a/crates/cluster/job-scheduler/src/scheduler/progress.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/progress.rs
@@ -1,4 +1,5 @@
-//! Runs that stall, or are far slower than elsewhere: they are moved to other workers.
+//! Lagging runs, which have stalled or run on a slow worker: their tasks are moved to other
+//! workers.
 use super::Scheduler;
 use crate::config::Now;
 use crate::ids::{RunId, WorkerIndex};
@@ -6,23 +7,24 @@
 use crate::spec::Stage;
 use crate::workers::Worker;
 
-/// How long a run may be reported without progress before it counts as stalled, milliseconds.
+/// The time without reported progress after which a run counts as stalled, milliseconds.
 const STALL_TIMEOUT_MS: u64 = 900;
-/// What a run may take beside that, as a share of its estimate: progress is reported in whole
-/// percents.
+/// The share of the estimated run time that is added to [`STALL_TIMEOUT_MS`]: progress is reported
+/// in whole percents.
 const STALL_TIMEOUT_SHARE: f64 = 0.1;
-/// How long a worker with such a run is ejected, milliseconds.
+/// The duration for which the worker of a lagging run is ejected, milliseconds.
 const STALL_EJECTION_MS: u64 = 3_000;
-/// How many times longer than elsewhere the rest of a run must take before it is moved.
+/// The factor by which the remaining time of a run must exceed the whole run time on another worker
+/// before the run is moved.
 const MIN_SLOW_FACTOR: f64 = 1.3;
-/// What a move costs beside, milliseconds.
+/// The additional cost of moving a run, milliseconds.
 const MOVE_COST_MS: f64 = 400.0;
-/// How long a run must have lasted before it is moved for its worker's slowness, milliseconds.
+/// The run time from which on a run may be moved because its worker is slow, milliseconds.
 const MIN_RUNTIME_BEFORE_MOVE_MS: u64 = 400;
-/// The progress from which on a run says something of its worker's speed.
+/// The progress from which on a run is a sample of its worker's speed, percent.
 const MIN_SAMPLE_PERCENT: f64 = 20.0;
 
-/// A run that is to be moved.
+/// A run that has to be moved to another worker.
 #[derive(Clone, Copy, Debug)]
 struct LaggingRun {
     run: RunId,
@@ -31,8 +33,9 @@
 }
 
 impl Scheduler {
-    /// Moves runs that have stalled, or are far slower than they would be elsewhere.
-    pub(super) fn watch_progress(&mut self, now: Now) {
+    /// Moves runs that have stalled or are far slower than they would be on another worker. Also
+    /// decays the workers' slowdowns.
+    pub(super) fn move_lagging_runs(&mut self, now: Now) {
         for worker in self.workers.iter_mut() {
             worker.speed.decay();
         }
@@ -41,6 +44,7 @@
         }
     }
 
+    /// The runs that have stalled or are far slower than they would be on another worker.
     fn lagging_runs(&self, now_ms: u64) -> Vec<LaggingRun> {
         let mut lagging = Vec::new();
         for (index, worker) in self.workers.iter_indexed() {
@@ -62,6 +66,8 @@
         lagging
     }
 
+    /// Ejects the worker of a lagging run, has the task avoid that worker, and either hedges the
+    /// run or stops it, so that the task starts on another worker.
     fn move_run(&mut self, now_ms: u64, lagging: LaggingRun) {
         let LaggingRun { run: id, worker, is_stalled } = lagging;
         log::debug!("run lagging {id} worker={} stalled={is_stalled}", self.workers[worker].id());
@@ -72,14 +78,14 @@
                 run.mark_slow();
             }
         }
-        self.hedge(now_ms, id.task);
-        // A slow run goes on beside its hedged run; it may still be the first to end.
+        self.queue_hedged_run(now_ms, id.task);
+        // A slow run with a hedged run continues, as it may still end first.
         if is_stalled || !self.allows_hedged_run(id.task) {
             self.stop_run(now_ms, id);
         }
     }
 
-    /// How long a run may be reported without progress, milliseconds.
+    /// The time without reported progress after which this run counts as stalled, milliseconds.
     fn stall_timeout_ms(&self, run: &Run, stage: &Stage) -> u64 {
         let assembly_ms = if stage.gang { self.config.gang_assembly_timeout_ms } else { 0 };
         let restore_ms = if run.checkpoint().is_empty() { 0 } else { self.config.checkpoint_restore_ms };
@@ -87,13 +93,13 @@
         STALL_TIMEOUT_MS + assembly_ms + restore_ms + share_ms
     }
 
-    /// Whether the rest of a run takes far longer on its slow worker than all of the task would
-    /// elsewhere.
+    /// Whether the rest of a run on a slow worker takes far longer than the whole task would on
+    /// another worker.
     fn is_far_slower(&self, id: RunId, run: &Run, stage: &Stage, worker: &Worker) -> bool {
         let runtime_ms = run.reported_runtime_ms();
         let percent = run.progress_percent();
-        let is_judged = worker.speed.is_slow() && !stage.gang && runtime_ms >= MIN_RUNTIME_BEFORE_MOVE_MS;
-        if !is_judged || percent <= 0.0 {
+        let may_move = worker.speed.is_slow() && !stage.gang && runtime_ms >= MIN_RUNTIME_BEFORE_MOVE_MS;
+        if !may_move || percent <= 0.0 {
             return false;
         }
         let Some(job) = self.jobs.get(id.task.job) else { return false };
@@ -102,8 +108,8 @@
         remaining_ms > MIN_SLOW_FACTOR * elsewhere_ms + MOVE_COST_MS
     }
 
-    /// Counts a run for its worker's speed: by its progress once that says something, or by its
-    /// end.
+    /// Adds a sample of the worker's speed from a run that is done, or whose progress has reached
+    /// [`MIN_SAMPLE_PERCENT`].
     pub(super) fn sample_speed(&mut self, now_ms: u64, id: RunId, done: bool) {
         let Some(stage) = self.jobs.stage(id.task) else { return };
         if stage.gang || stage.long_running {
@@ -112,9 +118,9 @@
         let estimated_ms = stage.estimated_runtime_ms as f64;
         let Some(run) = self.jobs.run_mut(id) else { return };
         let worker = run.worker();
-        let Some(real_ms) = run.take_runtime_sample(now_ms, done, MIN_SAMPLE_PERCENT) else { return };
+        let Some(runtime_ms) = run.take_runtime_sample(now_ms, done, MIN_SAMPLE_PERCENT) else { return };
         let Some(job) = self.jobs.get(id.task.job) else { return };
-        if let Some(deviation) = self.estimates.add_sample(job.queue(), real_ms, estimated_ms) {
+        if let Some(deviation) = self.estimates.add_sample(job.queue(), runtime_ms, estimated_ms) {
             self.workers[worker].speed.add_sample(deviation);
         }
     }
--- a/crates/cluster/job-scheduler/src/scheduler/recovery.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/recovery.rs
@@ -1,4 +1,4 @@
-//! Going on from the records of an earlier term.
+//! Recovery from the records of an earlier term.
 use super::Scheduler;
 use crate::config::Now;
 use crate::ids::{JobId, RunId, TaskId, WorkerIndex};
@@ -7,11 +7,11 @@
 use crate::workers::{Worker, WorkerClock};
 
 impl Scheduler {
-    /// Takes over all records, given as keys with values. What was running counts as running until
-    /// its worker says otherwise, or its lease has expired.
+    /// Restores the state from all stored records, given as keys with values. Recorded runs count
+    /// as running until their worker reports otherwise or their lease has expired.
     ///
-    /// Returns the keys of the records that this version can't read: if there are any, the
-    /// scheduler must not be used.
+    /// Returns the keys of the records that this version can't read. The scheduler must not be used
+    /// unless there are none.
     pub fn recover<'a>(
         &mut self,
         now: Now,
@@ -40,6 +40,7 @@
         unreadable
     }
 
+    /// Restores a task and its active runs.
     fn restore_task(&mut self, now: Now, task: TaskId, record: &TaskRecord) {
         let demand = self.jobs.demand(task);
         if !self.jobs.restore_task(task, record) {
@@ -52,7 +53,8 @@
         }
     }
 
-    /// A worker that only records name, until the platform's list is read.
+    /// The index of a worker that a record names. Adds a placeholder if the platform's list has not
+    /// named the worker yet.
     fn find_or_add_placeholder(&mut self, now: Now, id: &str) -> WorkerIndex {
         if let Some(index) = self.workers.find(id) {
             return index;
@@ -61,6 +63,8 @@
         self.add_worker(Worker::new(id, clock, now.monotonic_ms))
     }
 
+    /// Continues an open job: queues its tasks without a run, begins its due occurrences, and
+    /// closes the job if all its tasks are done. Stops the remaining runs of a closed job.
     fn resume_job(&mut self, now: Now, id: JobId) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if !job.is_open() {
--- a/crates/cluster/job-scheduler/src/scheduler/renewals.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/renewals.rs
@@ -1,4 +1,4 @@
-//! Lease renewals, which also ask a worker what runs there and what ended.
+//! Lease renewals, in response to which a worker also reports its active runs and run ends.
 use super::Scheduler;
 use crate::config::Now;
 use crate::ids::WorkerIndex;
@@ -6,19 +6,19 @@
 use crate::renewal::{RenewalBudget, RenewalClass, RenewalPace};
 use crate::workers::WorkerLease;
 
-/// How long a renewal may take beyond the time that it waits at the worker, milliseconds.
+/// The time-out of a renewal beyond the time that the worker may delay the response, milliseconds.
 pub(super) const RENEWAL_TIMEOUT_MS: u64 = 400;
-/// The same while many renewals have no response, milliseconds; at least the time-out of a call that
-/// need not wait.
+/// The minimum of that time-out while many renewals have no response, milliseconds. The time-out of
+/// calls that the worker answers at once applies if it is longer.
 const LOSSY_RENEWAL_TIMEOUT_MS: u64 = 80;
-/// The lease on all that runs on a worker, milliseconds: what is cut off is known to be over after
-/// this.
+/// The duration of the lease on all runs of a worker, milliseconds. The runs on an unreachable
+/// worker are known to be over after that time.
 const LEASE_MS: u64 = 4_000;
-/// Between two calls to a worker that does not respond or rejects the renewal, milliseconds.
+/// The interval between two renewals of a worker that is unreachable or rejects them, milliseconds.
 const RENEWAL_RETRY_MS: u64 = 400;
 
 impl Scheduler {
-    /// Sends the renewals that are due, as far as calls may be in flight.
+    /// Sends the due renewals, as far as the bounds on calls in flight allow.
     pub(super) fn send_due_renewals(&mut self, now_ms: u64) {
         if !self.renewals.begin_check(now_ms, self.workers.len()) {
             return;
@@ -33,7 +33,7 @@
         for index in self.renewals.due_workers(now_ms) {
             let worker = &self.workers[index];
             if !worker.is_callable() {
-                // Its due time is set again when the platform lists it.
+                // The due time is set again when the platform lists the worker.
                 self.renewals.set_due(index, None);
                 continue;
             }
@@ -47,13 +47,14 @@
         self.renewals.finish_check(first_skipped);
     }
 
-    /// Whether many renewals have no response for another reason than that this process is slow: then
-    /// more of them would make it slower.
+    /// Whether many renewals have no response although this process is not slow. A slow process
+    /// must not renew more often, which would make it slower.
     fn has_lossy_renewals(&self) -> bool {
         self.renewals.is_lossy() && !self.throttle.is_process_slow()
     }
 
-    /// Changes a worker's renewal; the only way to do so, as the schedule must know when it is due.
+    /// Changes a worker's lease and updates the due time of its renewal in the schedule. All
+    /// changes of a renewal go through this function, so that lease and schedule agree.
     pub(super) fn change_renewal<R>(
         &mut self,
         index: WorkerIndex,
@@ -65,7 +66,7 @@
         result
     }
 
-    /// The pace for the workers as they are.
+    /// The pace of renewals for the current numbers of busy and idle workers.
     fn renewal_pace(&self) -> RenewalPace {
         let (mut busy, mut idle) = (0, 0);
         for worker in self.workers.iter().filter(|worker| worker.is_callable()) {
@@ -74,6 +75,7 @@
         RenewalPace::new(busy, idle, self.has_lossy_renewals())
     }
 
+    /// Sends a scheduled renewal, whose response the worker may delay by `wait_ms`.
     fn send_renewal(&mut self, now_ms: u64, index: WorkerIndex, wait_ms: u64) {
         let request = self.renewal_request(now_ms, index, wait_ms);
         let serial = self.renewals.serial();
@@ -83,18 +85,19 @@
         } else {
             RENEWAL_TIMEOUT_MS
         };
-        self.calls.send(&self.workers[index], request, wait_ms + timeout_ms);
+        self.calls.enqueue(&self.workers[index], request, wait_ms + timeout_ms);
     }
 
-    /// Asks a worker what runs there, beside its scheduled renewals and without waiting for an end.
+    /// Queries a worker's active runs outside the schedule of renewals. The worker answers at once
+    /// rather than when a run ends.
     pub(super) fn query_runs(&mut self, now_ms: u64, index: WorkerIndex) {
         let request = self.renewal_request(now_ms, index, 0);
         let timeout_ms = self.call_timeout_ms(index);
-        self.calls.send(&self.workers[index], request, timeout_ms);
+        self.calls.enqueue(&self.workers[index], request, timeout_ms);
     }
 
-    /// Does not extend the lease of a worker that does not respond: what runs there could go on for
-    /// as long as it is asked.
+    /// Creates a renewal request. It does not extend the lease of an unresponsive worker: otherwise
+    /// the lease would never expire while renewals are sent.
     fn renewal_request(&mut self, now_ms: u64, index: WorkerIndex, wait_ms: u64) -> WorkerRequest {
         let serial = self.renewals.next_serial();
         let lease_ms = self.config.max_lease_ms.min(LEASE_MS);
@@ -108,13 +111,14 @@
         WorkerRequest::RenewLease { serial, lease_expires_at_ms, acknowledged_end, wait_ms }
     }
 
-    /// Has a worker on which something was started asked now rather than when its idle time is
-    /// over.
+    /// Makes the next renewal of a worker due now: for an idle worker that was just sent a start it
+    /// would otherwise be due much later.
     pub(super) fn renew_soon(&mut self, now_ms: u64, index: WorkerIndex) {
         self.change_renewal(index, |lease| lease.renew_soon(now_ms));
     }
 
-    /// A renewal or query has its result.
+    /// Handles the result of a renewal or query: schedules the next renewal, and processes the
+    /// report.
     pub(super) fn handle_renewal_response(
         &mut self,
         now: Now,
--- a/crates/cluster/job-scheduler/src/scheduler/reports.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/reports.rs
@@ -1,4 +1,4 @@
-//! What workers report: runs that ended, that go on, that are missing, and that nobody asked for.
+//! The reports of workers: ended, active, missing and orphaned runs.
 use super::Scheduler;
 use super::renewals::RENEWAL_TIMEOUT_MS;
 use crate::commit::DeferredAction;
@@ -9,23 +9,24 @@
 use crate::workers::Orphan;
 use std::collections::BTreeSet;
 
-/// How long the commit of ends may take before the renewal is sent without acknowledging them,
-/// milliseconds.
+/// The time to wait for the commit of run ends before the next renewal is sent without
+/// acknowledging them, milliseconds.
 const COMMIT_TIMEOUT_MS: u64 = 1_000;
 
-/// A worker's report with the serial of the request that it answers: it says nothing of what
-/// happened later.
+/// A worker's report with the serial of the request that it answers. It does not show events later
+/// than that request.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport<'a> {
     now: Now,
     worker: WorkerIndex,
     serial: u64,
-    /// Whether it is the worker's first in this term.
+    /// Whether this is the worker's first report in this term.
     is_first: bool,
     report: &'a WorkerReport,
 }
 
 impl ReceivedReport<'_> {
+    /// Whether the report lists the run as ended.
     fn has_ended(&self, run: RunId) -> bool {
         self.report.finished.iter().any(|finished| run_id(finished) == run)
     }
@@ -36,12 +37,17 @@
 }
 
 impl Scheduler {
-    /// Takes a report in: first what ended, then what runs, so that what is missing is neither.
+    /// Handles a report. Ended runs are processed before active ones, and missing runs after both,
+    /// so that a run counts as missing only if it is listed as neither.
     pub(super) fn handle_report(&mut self, now: Now, index: WorkerIndex, serial: u64, report: &WorkerReport) {
         let worker = &mut self.workers[index];
         let is_first = worker.mark_term_seen();
         if is_first {
-            log::debug!("worker responds worker={} running={}", worker.id(), report.running.len());
+            log::debug!(
+                "first report of worker in this term worker={} running={}",
+                worker.id(),
+                report.running.len()
+            );
             self.pending.capacity_changed();
         }
         if report.drain_remaining_ms.is_some() && worker.begin_draining() {
@@ -58,7 +64,8 @@
         self.acknowledge_ends(now, index);
     }
 
-    /// Starts that timed out and are reported were carried out; the others must not be any more.
+    /// Resolves timed-out starts by the report: a listed run was started, and any other run is
+    /// stopped, so that its start can no longer be carried out.
     fn resolve_timed_out_starts(&mut self, received: &ReceivedReport<'_>, running: &BTreeSet<RunId>) {
         let mut not_carried_out = Vec::new();
         for id in self.workers[received.worker].allocation.runs() {
@@ -77,6 +84,7 @@
         }
     }
 
+    /// Records the ends that the worker reports for the first time.
     fn end_finished_runs(&mut self, received: &ReceivedReport<'_>) {
         for finished in &received.report.finished {
             if !self.workers[received.worker].lease.receive_end(finished.number) {
@@ -92,13 +100,15 @@
         }
     }
 
-    /// Whether the end of a run that is no longer active still counts: done once, failed once each.
+    /// Whether the end of a run that is no longer active still counts. A task is done at most once,
+    /// and each run fails at most once.
     fn is_new_end(&self, run: RunId, end: RunEnd) -> bool {
         let Some(task) = self.jobs.task(run.task) else { return false };
         let is_new = end != RunEnd::Interrupted && !task.is_done() && !task.has_failed_run(run.run);
         is_new && self.jobs.is_open(run.task.job)
     }
 
+    /// Updates progress and checkpoints of the runs that the report lists as active.
     fn update_running(&mut self, received: &ReceivedReport<'_>) {
         let now_ms = received.now.monotonic_ms;
         for running in &received.report.running {
@@ -110,23 +120,26 @@
         }
     }
 
-    /// Ends runs that are neither reported as running nor as ended: they never began, or are over.
+    /// Ends runs that the report lists neither as active nor as ended: they never began, or have
+    /// ended without a reported end.
     fn end_missing_runs(&mut self, received: &ReceivedReport<'_>, running: &BTreeSet<RunId>) {
         let runs = self.workers[received.worker].allocation.runs();
         let missing: Vec<RunId> = runs.difference(running).copied().collect();
         for id in missing {
             let Some(run) = self.jobs.run(id) else { continue };
-            // Starts of an earlier term have no effect once a renewal of this term was answered.
+            // Starts of an earlier term have no effect once the worker responded to a renewal of
+            // this term.
             let is_fenced_off = received.is_first && run.may_be_of_earlier_term(self.term_started_at_ms);
             if run.is_observable_at(received.serial) || is_fenced_off {
                 let checkpoint = run.checkpoint().clone();
-                log::debug!("run missing {id} worker={}", self.workers[received.worker].id());
+                log::debug!("run missing in report {id} worker={}", self.workers[received.worker].id());
                 self.end_run(received.now, id, RunEnd::Interrupted, &checkpoint);
             }
         }
     }
 
-    /// Stops runs that no record names. They occupy capacity until they are no longer reported.
+    /// Stops reported runs that no record assigns to the worker. These orphans occupy capacity
+    /// until they are no longer reported.
     fn stop_orphans(&mut self, received: &ReceivedReport<'_>) {
         let mut orphans = Vec::new();
         for running in &received.report.running {
@@ -138,14 +151,14 @@
         let worker = &mut self.workers[received.worker];
         for orphan in &orphans {
             let stop = WorkerRequest::Stop { task: orphan.run.task, run: orphan.run.run };
-            self.calls.send(worker, stop, RENEWAL_TIMEOUT_MS);
+            self.calls.enqueue(worker, stop, RENEWAL_TIMEOUT_MS);
         }
         if worker.allocation.set_orphans(orphans) {
             self.capacity_freed(received.worker);
         }
     }
 
-    /// Has the ends received so far acknowledged once their records are durable.
+    /// Defers the acknowledgement of the ends received so far until their records are durable.
     fn acknowledge_ends(&mut self, now: Now, worker: WorkerIndex) {
         if self.workers[worker].lease.has_unacknowledged_ends() {
             self.change_renewal(worker, |lease| lease.await_commit(now.monotonic_ms, COMMIT_TIMEOUT_MS));
--- a/crates/cluster/job-scheduler/src/scheduler/responses.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/responses.rs
@@ -5,7 +5,8 @@
 use crate::protocol::{WorkerRequest, WorkerResponse};
 
 impl Scheduler {
-    /// Takes the result of a call. Each call that was drained must have exactly one result.
+    /// Handles the result of a call to a worker. The embedder must return exactly one result for
+    /// each call from [`Scheduler::take_calls`].
     pub fn handle_response(
         &mut self,
         now: Now,
@@ -19,7 +20,7 @@
             return;
         }
         match &response {
-            WorkerResponse::WrongIncarnation => return self.lose_worker(now, worker),
+            WorkerResponse::WrongIncarnation => return self.mark_worker_gone(now, worker),
             WorkerResponse::NoResponse => self.handle_no_response(now, worker, request),
             WorkerResponse::Acknowledged { clock_ms } => self.record_contact(now, worker, *clock_ms),
             WorkerResponse::Report(report) => self.record_contact(now, worker, report.clock_ms),
@@ -38,6 +39,7 @@
         }
     }
 
+    /// Handles a call without a response: times out a start, or counts another call as missed.
     fn handle_no_response(&mut self, now: Now, worker: WorkerIndex, request: &WorkerRequest) {
         if let WorkerRequest::Start { task, run, .. } = request {
             self.time_out_start(now, worker, RunId { task: *task, run: *run });
@@ -46,7 +48,7 @@
         }
     }
 
-    /// The worker responded, with its clock.
+    /// Records that a worker responded, and the worker's clock in the response.
     fn record_contact(&mut self, now: Now, worker: WorkerIndex, worker_clock_ms: u64) {
         let worker = &mut self.workers[worker];
         worker.lease.clock_mut().observe(now.monotonic_ms, worker_clock_ms);
@@ -55,10 +57,11 @@
         }
     }
 
-    /// A call had no response. Nothing is started there until the worker responds again.
+    /// Records a call without a response. No task is placed on the worker until it responds again.
+    /// A worker that is now unreachable has its tasks hedged; any other is queried.
     pub(super) fn record_missed_call(&mut self, now_ms: u64, worker: WorkerIndex) {
         if self.workers[worker].record_missed_call() {
-            self.hedge_all_on(now_ms, worker);
+            self.queue_hedged_runs_on(now_ms, worker);
         } else {
             self.query_runs(now_ms, worker);
         }
--- a/crates/cluster/job-scheduler/src/scheduler/starts.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/starts.rs
@@ -1,4 +1,4 @@
-//! Starts: sent when their record is durable, timed out when there is no response.
+//! Starts of runs: sent once their record is durable, and timed out without a response.
 use super::Scheduler;
 use crate::calls::MAX_TIMEOUT_MS;
 use crate::config::Now;
@@ -8,19 +8,23 @@
 use crate::spec::Stage;
 use compact_str::CompactString;
 
-/// How far ahead of the worker's clock a start may be carried out, milliseconds.
+/// The duration of the lease that a start grants, milliseconds. The worker rejects a start that
+/// arrives after its lease has expired.
 const START_LEASE_MS: u64 = 1_500;
-/// How long a worker that rejected a start for want of capacity is ejected, milliseconds.
-const FULL_EJECTION_MS: u64 = 300;
-/// How long one that rejected it for another reason is ejected, milliseconds.
+/// The duration of the ejection of a worker that rejected a start for lack of capacity,
+/// milliseconds.
+const NO_CAPACITY_EJECTION_MS: u64 = 300;
+/// The duration of the ejection of a worker that rejected a start for another reason than a
+/// conflict, milliseconds.
 const UNHEALTHY_EJECTION_MS: u64 = 1_000;
-/// The HTTP status of a start that conflicts with the worker's state.
+/// The HTTP status with which a worker rejects a start that conflicts with its state.
 const STATUS_CONFLICT: u16 = 409;
-/// The reason that a worker gives with it for want of capacity.
+/// The reason that a worker gives with [`STATUS_CONFLICT`] for lack of capacity.
 const REASON_NO_CAPACITY: &str = "room";
 
 impl Scheduler {
-    /// Sends the start of a run whose record is durable, unless it was cancelled meanwhile.
+    /// Sends the start of a run whose record is durable. Ends the run instead if it is being
+    /// stopped, its job is closed, or the worker's clock is not known.
     pub(super) fn send_start(&mut self, now: Now, id: RunId) {
         let is_open = self.jobs.is_open(id.task.job);
         let Some(run) = self.jobs.run_mut(id) else { return };
@@ -41,11 +45,12 @@
         let request = WorkerRequest::Start { task, run, payload, lease_expires_at_ms, checkpoint };
         self.calls.set_start_deadline(now.monotonic_ms + self.call_timeout_ms(worker), id);
         self.metrics.starts += 1;
-        self.calls.send(&self.workers[worker], request, MAX_TIMEOUT_MS);
+        self.calls.enqueue(&self.workers[worker], request, MAX_TIMEOUT_MS);
         self.renew_soon(now.monotonic_ms, worker);
     }
 
-    /// The checkpoint that a task resumes from; that of its first task for all of a gang.
+    /// The checkpoint from which a task resumes; for a gang that of its first task. Empty if the
+    /// stage has no checkpoints.
     fn checkpoint(&self, task: TaskId) -> CompactString {
         let source = match self.jobs.stage(task) {
             Some(stage) if stage.checkpoints && stage.gang => task.first_of_stage(),
@@ -55,29 +60,29 @@
         self.jobs.task(source).map(|task| task.checkpoint().clone()).unwrap_or_default()
     }
 
-    /// The time-out of a call that a worker need not delay, milliseconds.
+    /// The time-out of a call that the worker answers at once, milliseconds.
     pub(super) fn call_timeout_ms(&self, worker: WorkerIndex) -> u64 {
         self.timeouts.timeout_ms(self.workers[worker].zone())
     }
 
-    /// Times out the starts whose deadline is over. Their calls go on: a response that still comes
-    /// says how long it took.
+    /// Times out the starts whose deadline has passed. Their calls stay open: a late response still
+    /// provides a sample of the round-trip time.
     pub(super) fn time_out_starts(&mut self, now: Now) {
         while let Some(id) = self.calls.pop_start_deadline(now.monotonic_ms) {
             if let Some(worker) = self.jobs.run(id).map(|run| run.worker())
                 && self.time_out_start(now, worker, id)
             {
-                self.calls.doubt_start(id);
+                self.calls.mark_start_in_doubt(id);
             }
         }
     }
 
-    /// A start has no response in time. `false` if it no longer waited for one.
+    /// Times out a start without a response. Returns `false` if the start no longer waited for one.
     ///
-    /// The worker is queried. If the time-out is most likely right, the run is stopped at the same
-    /// time, so that nothing waits for the query; otherwise only if the query does not show it. The
-    /// task starts again when a report that was requested after the acknowledged stop does not list
-    /// the run ([proof](../../../../docs/design/unanswered-starts.md)).
+    /// The worker is queried. If the time-out is most likely not premature, the run is stopped at
+    /// the same time rather than after the query; otherwise it is stopped only if the report does
+    /// not list it. The task starts again when a report that was requested after the acknowledged
+    /// stop does not list the run ([proof](../../../../docs/design/unanswered-starts.md)).
     pub(super) fn time_out_start(&mut self, now: Now, worker: WorkerIndex, id: RunId) -> bool {
         let serial = self.renewals.serial();
         let Some(run) = self.jobs.run_on_mut(id, worker) else { return false };
@@ -87,15 +92,16 @@
         log::debug!("start timed out {id} worker={}", self.workers[worker].id());
         self.timeouts.record_timeout();
         self.metrics.start_timeouts += 1;
-        self.hedge(now.monotonic_ms, id.task);
+        self.queue_hedged_run(now.monotonic_ms, id.task);
         self.record_missed_call(now.monotonic_ms, worker);
-        let is_right = self.timeouts.are_reliable() && !self.throttle.is_process_slow();
-        if is_right && self.jobs.stage(id.task).is_some_and(is_cheap_to_restart) {
+        let is_timeout_reliable = self.timeouts.are_reliable() && !self.throttle.is_process_slow();
+        if is_timeout_reliable && self.jobs.stage(id.task).is_some_and(is_cheap_to_restart) {
             self.stop_run(now.monotonic_ms, id);
         }
         true
     }
 
+    /// Handles the response to a start. A rejected run ends, and its worker may be ejected.
     pub(super) fn handle_start_response(
         &mut self,
         now: Now,
@@ -123,23 +129,23 @@
                 self.workers[worker].health.eject_at_least(now.monotonic_ms, ejection_ms);
                 self.end_run(now, id, RunEnd::Interrupted, "");
             }
-            // It has timed out already.
+            // A start without a response has been timed out by the caller.
             _ => {}
         }
     }
 }
 
-/// Whether a run that was only just started may be stopped without much loss: not a gang, which
-/// would end as a whole, and not one beside which the task may start elsewhere.
+/// Whether a run that has just started can be stopped at little cost. A gang can't, as it would end
+/// as a whole, and a speculative task need not be stopped, as it can have a hedged run.
 fn is_cheap_to_restart(stage: &Stage) -> bool {
     !stage.gang && !stage.speculative
 }
 
-/// How long a worker that rejected a start is ejected, milliseconds. Other conflicts concern only
-/// that start.
+/// The duration of the ejection of a worker that rejected a start, milliseconds. Conflicts other
+/// than a lack of capacity concern only that start and cause no ejection.
 fn ejection_after_rejection_ms(status: u16, reason: &str) -> u64 {
     match (status, reason) {
-        (STATUS_CONFLICT, REASON_NO_CAPACITY) => FULL_EJECTION_MS,
+        (STATUS_CONFLICT, REASON_NO_CAPACITY) => NO_CAPACITY_EJECTION_MS,
         (STATUS_CONFLICT, _) => 0,
         _ => UNHEALTHY_EJECTION_MS,
     }
--- a/crates/cluster/job-scheduler/src/scheduler/stops.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/stops.rs
@@ -1,4 +1,4 @@
-//! Runs that must end.
+//! Stops of runs, repeated until the run has ended.
 use super::Scheduler;
 use crate::calls::MAX_TIMEOUT_MS;
 use crate::config::Now;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Stops a run, if it is active. One whose start was not sent yet ends when its record is
+    /// Stops a run if it is active. A run whose start has not been sent yet ends once its record is
     /// durable.
     pub(super) fn stop_run(&mut self, now_ms: u64, id: RunId) {
         let Some(run) = self.jobs.run_mut(id) else { return };
@@ -46,7 +46,8 @@
         self.send_stop(worker, id);
     }
 
-    /// Sends stops again to workers that have not acknowledged them.
+    /// Sends the due stop requests of runs that have not ended again, if their workers are
+    /// reachable.
     pub(super) fn retry_stops(&mut self, now_ms: u64) {
         let stopping: Vec<RunId> = self.stopping.iter().copied().collect();
         for id in stopping {
@@ -69,11 +70,11 @@
 
     fn send_stop(&mut self, worker: WorkerIndex, id: RunId) {
         let request = WorkerRequest::Stop { task: id.task, run: id.run };
-        self.calls.send(&self.workers[worker], request, MAX_TIMEOUT_MS);
+        self.calls.enqueue(&self.workers[worker], request, MAX_TIMEOUT_MS);
     }
 
-    /// After an acknowledged stop the run can't begin any more; a report shows whether it is still
-    /// there.
+    /// Handles the response to a stop. After an acknowledged stop the run can't begin any more, so
+    /// the worker is queried whether the run is still active.
     pub(super) fn handle_stop_response(
         &mut self,
         now: Now,
--- a/crates/cluster/job-scheduler/src/scheduler/worker_list.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/worker_list.rs
@@ -1,4 +1,5 @@
-//! The platform's list of workers, and workers that are no more.
+//! Updates from the platform's worker list, and workers that no longer exist or whose leases
+//! expired.
 use super::Scheduler;
 use crate::config::Now;
 use crate::events::RunEnd;
@@ -8,7 +9,8 @@
 use std::collections::BTreeSet;
 
 impl Scheduler {
-    /// Takes the platform's list, which must be complete: workers that are not on it are gone.
+    /// Updates the workers from the platform's list, which must be complete: workers that it does
+    /// not name no longer exist.
     pub fn update_workers(&mut self, now: Now, list: &[ListedWorker]) {
         let is_first_list = !std::mem::replace(&mut self.has_worker_list, true);
         let mut changed = Vec::new();
@@ -26,11 +28,11 @@
         for index in self.workers.indices().filter(|index| !listed.contains(index)) {
             if !self.workers[index].is_gone() {
                 changed.push(index);
-                self.lose_worker(now, index);
+                self.mark_worker_gone(now, index);
             }
         }
         for index in &changed {
-            // One that could not be called without an address may be now.
+            // Sets the due time of the renewal again, as the worker may have got an address.
             self.change_renewal(*index, |_| ());
         }
         if !changed.is_empty() {
@@ -39,8 +41,8 @@
         }
     }
 
-    /// A worker that no record names. One of the first list may have a lease of an earlier term;
-    /// later ones are new.
+    /// Adds a listed worker that no record names. A worker of the first list may have a lease from
+    /// an earlier term; workers of later lists have started in this term.
     fn add_listed_worker(&mut self, now: Now, entry: &ListedWorker, is_first_list: bool) -> WorkerIndex {
         let clock = if is_first_list {
             WorkerClock::unknown(self.term_started_at_ms, self.config.max_lease_ms)
@@ -50,14 +52,15 @@
         self.add_worker(Worker::new(&entry.id, clock, now.monotonic_ms))
     }
 
+    /// Adds a worker to the registry and schedules its renewal.
     pub(super) fn add_worker(&mut self, worker: Worker) -> WorkerIndex {
         let index = self.workers.add(worker);
         self.change_renewal(index, |_| ());
         index
     }
 
-    /// This incarnation of a worker no longer exists: all that ran there is over.
-    pub(super) fn lose_worker(&mut self, now: Now, index: WorkerIndex) {
+    /// Marks an incarnation of a worker as gone, and ends all its runs.
+    pub(super) fn mark_worker_gone(&mut self, now: Now, index: WorkerIndex) {
         self.workers[index].mark_gone();
         self.end_all_runs_on(now, index);
     }
@@ -70,8 +73,9 @@
         }
     }
 
-    /// Ends what ran on workers that do not respond and whose leases have all expired.
-    pub(super) fn expire_workers(&mut self, now: Now) {
+    /// Ends the runs on workers that are unreachable or have not responded in this term, and whose
+    /// leases have all expired.
+    pub(super) fn end_expired_runs(&mut self, now: Now) {
         for index in self.workers.indices() {
             let worker = &mut self.workers[index];
             let has_contact = worker.is_reachable() && worker.has_seen_term();
--- a/crates/cluster/job-scheduler/src/workers/allocation.rs
+++ b/crates/cluster/job-scheduler/src/workers/allocation.rs
@@ -1,16 +1,17 @@
-//! What is allocated on a worker: its runs, and the orphans that are still being stopped.
+//! The capacity allocated on a worker: to its runs, and to orphans that are still being stopped.
 use crate::ids::{RunId, TaskId};
 use crate::resources::Resources;
 use std::collections::BTreeSet;
 
-/// A run on a worker that no record names. It occupies capacity until it has stopped.
+/// A run that its worker reports although no record assigns it there. It occupies capacity until it
+/// has stopped.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Orphan {
     pub(crate) run: RunId,
     pub(crate) demand: Resources,
 }
 
-/// The runs on a worker. `used` is the sum of what their tasks demand.
+/// The runs and orphans on a worker. `used` is the sum of the runs' demands, without orphans.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Allocation {
     runs: BTreeSet<RunId>,
@@ -31,38 +32,40 @@
         self.runs.is_empty() && self.orphans.is_empty()
     }
 
-    /// What is left of a capacity.
+    /// The part of `capacity` that neither runs nor orphans occupy.
     pub(crate) fn free_capacity(&self, capacity: Resources) -> Resources {
         let orphans = self.orphans.iter().fold(Resources::default(), |sum, orphan| sum.plus(orphan.demand));
         capacity.minus(self.used).minus(orphans)
     }
 
+    /// Reserves capacity for a run.
     pub(crate) fn reserve(&mut self, run: RunId, demand: Resources) {
         self.used = self.used.plus(demand);
         self.runs.insert(run);
     }
 
-    /// Releases what a run occupied, if it is here.
+    /// Releases the capacity of a run, if the run is on this worker.
     pub(crate) fn release(&mut self, run: RunId, demand: Resources) {
         if self.runs.remove(&run) {
             self.used = self.used.minus(demand);
         }
     }
 
-    /// Replaces the orphans by those that are still there; whether any is gone.
+    /// Replaces the orphans by those of the latest report. Returns whether any earlier orphan is
+    /// not among them, so that capacity was freed.
     pub(crate) fn set_orphans(&mut self, orphans: Vec<Orphan>) -> bool {
-        let is_there = |gone: &Orphan| orphans.iter().any(|orphan| orphan.run == gone.run);
-        let any_gone = !self.orphans.iter().all(is_there);
+        let is_still_reported = |earlier: &Orphan| orphans.iter().any(|orphan| orphan.run == earlier.run);
+        let any_gone = !self.orphans.iter().all(is_still_reported);
         self.orphans = orphans;
         any_gone
     }
 
-    /// All orphans are gone; whether there were any.
+    /// Removes all orphans. Returns whether there were any.
     pub(crate) fn clear_orphans(&mut self) -> bool {
         self.set_orphans(Vec::new())
     }
 
-    /// How many runs of a task's stage and occurrence are here.
+    /// The number of runs on this worker that belong to the stage and occurrence of `task`.
     pub(crate) fn runs_of_stage(&self, task: TaskId) -> usize {
         let first = RunId { task: task.first_of_stage(), run: 0 };
         let last = RunId { task: TaskId { index: u32::MAX, ..task }, run: u32::MAX };
--- a/crates/cluster/job-scheduler/src/workers/clock.rs
+++ b/crates/cluster/job-scheduler/src/workers/clock.rs
@@ -1,22 +1,22 @@
-//! A worker's clock, and when everything that was ever allowed to run there has expired.
+//! A worker's clock, and the time at which all leases granted on it have expired.
 
-/// Workers' clocks may be slower than ours by this share.
+/// The largest share by which a worker's clock may be slower than the scheduler's.
 const MAX_CLOCK_DRIFT: f64 = 0.02;
-/// A margin for what is rounded, milliseconds.
+/// A margin for rounding in the computation of expiry times, milliseconds.
 const ROUNDING_MARGIN_MS: u64 = 150;
 
-/// Our time and the worker's at its last response.
+/// The scheduler's and the worker's clock at a response of the worker.
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     monotonic_ms: u64,
     worker_clock_ms: u64,
 }
 
-/// What is known of a worker's clock and of the leases that were granted on it.
+/// A worker's clock as last read, and the expiry of the leases that were granted on it.
 ///
-/// No lease that any scheduler granted so far lasts past `expires_at_ms` on our clock. So what runs
-/// on a worker that can't be reached is known to be over after that time, even if the worker's
-/// clock is slow.
+/// No lease that any scheduler granted so far lasts past `expires_at_ms` on this scheduler's
+/// monotonic clock. After that time all runs on an unreachable worker are known to be over, even if
+/// the worker's clock is slow.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WorkerClock {
     last_reading: Option<ClockReading>,
@@ -24,41 +24,42 @@
 }
 
 impl WorkerClock {
-    /// A worker of which nothing is known: others may have granted a lease of `max_lease_ms` until
-    /// now.
+    /// The clock of a worker whose leases are not known: a scheduler of an earlier term may have
+    /// granted one of `max_lease_ms` as late as now.
     pub(crate) fn unknown(now_ms: u64, max_lease_ms: u64) -> Self {
         WorkerClock { last_reading: None, expires_at_ms: latest_expiry_ms(now_ms, max_lease_ms) }
     }
 
-    /// A worker that started after this term began: nobody has granted it a lease.
+    /// The clock of a worker that started after this term began: no scheduler has granted it a
+    /// lease.
     pub(crate) fn without_lease() -> Self {
         WorkerClock { last_reading: None, expires_at_ms: 0 }
     }
 
-    /// A response came with the worker's clock. One that is older than the last known says nothing.
+    /// Records the worker's clock from a response. A reading older than the last one is ignored.
     pub(crate) fn observe(&mut self, now_ms: u64, worker_clock_ms: u64) {
         if self.last_reading.is_none_or(|last| worker_clock_ms >= last.worker_clock_ms) {
             self.last_reading = Some(ClockReading { monotonic_ms: now_ms, worker_clock_ms });
         }
     }
 
-    /// Grants a lease: its end on the worker's clock, at most `lease_ms` ahead of it. `None` while
-    /// that clock is unknown.
+    /// Grants a lease and returns its end on the worker's clock, at most `lease_ms` ahead of that
+    /// clock. Returns `None` while the clock is unknown.
     pub(crate) fn grant_lease(&mut self, now_ms: u64, lease_ms: u64) -> Option<u64> {
         let last = self.last_reading?;
         let elapsed_ms = now_ms.saturating_sub(last.monotonic_ms);
-        let elapsed_there_ms = (elapsed_ms as f64 * (1.0 - MAX_CLOCK_DRIFT)) as u64;
+        let elapsed_worker_ms = (elapsed_ms as f64 * (1.0 - MAX_CLOCK_DRIFT)) as u64;
         self.expires_at_ms = self.expires_at_ms.max(latest_expiry_ms(now_ms, lease_ms));
-        Some(last.worker_clock_ms + elapsed_there_ms + lease_ms)
+        Some(last.worker_clock_ms + elapsed_worker_ms + lease_ms)
     }
 
-    /// Whether every lease that was ever granted there has expired.
+    /// Whether all leases that were ever granted to the worker have expired.
     pub(crate) fn is_expired(&self, now_ms: u64) -> bool {
         now_ms > self.expires_at_ms
     }
 }
 
-/// When a lease granted now has expired at the latest on our clock.
+/// The latest time on the scheduler's clock at which a lease granted now expires.
 fn latest_expiry_ms(now_ms: u64, lease_ms: u64) -> u64 {
     now_ms + (lease_ms as f64 / (1.0 - MAX_CLOCK_DRIFT)) as u64 + ROUNDING_MARGIN_MS
 }
--- a/crates/cluster/job-scheduler/src/workers/health.rs
+++ b/crates/cluster/job-scheduler/src/workers/health.rs
@@ -1,19 +1,22 @@
-//! How a worker is doing: the share of runs that fail there, and how fast it is.
+//! A worker's health: the share of its runs that fail, and its speed.
 use crate::smoothing::moving_average;
 
-/// How much of the number of ends is kept at each.
+/// The factor by which the number of ends decays at each end.
 const END_COUNT_DECAY: f64 = 0.85;
-/// The share of failed ends at which a worker is ejected.
+/// The share of failed ends above which a worker is ejected.
 const MAX_FAILURE_RATE: f64 = 0.5;
-/// The (decayed) number of ends from which on the share counts.
+/// The decayed number of ends above which the share of failed ends is evaluated.
 const MIN_END_COUNT: f64 = 2.5;
-/// How long a worker is ejected for failures, milliseconds.
+/// The duration of an ejection for failures, milliseconds.
 const EJECTION_MS: u64 = 4_000;
 
-/// Failures of late, and the ejection of a worker where too much fails (outlier detection).
+/// The recent failures of a worker's runs, and the worker's ejection if too many fail (outlier
+/// detection).
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WorkerHealth {
+    /// The smoothed share of ended runs that failed.
     failure_rate: f64,
+    /// The decayed number of ended runs.
     end_count: f64,
     ejected_until_ms: u64,
 }
@@ -28,13 +31,13 @@
         self.ejected_until_ms = self.ejected_until_ms.max(now_ms + duration_ms);
     }
 
-    /// Ejects the worker for `duration_ms` from now, whatever held before.
+    /// Ejects the worker for `duration_ms` from now, which may shorten an earlier ejection.
     pub(crate) fn eject_for(&mut self, now_ms: u64, duration_ms: u64) {
         self.ejected_until_ms = now_ms + duration_ms;
     }
 
-    /// Counts the end of a run, and ejects the worker if too many failed.
-    pub(crate) fn record_end(&mut self, now_ms: u64, failed: bool) {
+    /// Counts the end of a run, and ejects the worker if too many of its runs failed.
+    pub(crate) fn record_run_end(&mut self, now_ms: u64, failed: bool) {
         self.end_count = self.end_count * END_COUNT_DECAY + 1.0;
         let sample_count = self.end_count.min(1.0 / (1.0 - END_COUNT_DECAY));
         self.failure_rate += (f64::from(u8::from(failed)) - self.failure_rate) / sample_count;
@@ -48,36 +51,39 @@
 
 /// The weight of a new sample in a worker's slowdown.
 const SLOWDOWN_WEIGHT: f64 = 0.35;
-/// How much of it is kept at each check of progress: old samples say less and less.
+/// The factor by which a worker's slowdown decays at each progress check, so that old samples lose
+/// weight.
 const SLOWDOWN_DECAY: f64 = 0.98;
-/// The logarithm of how many times slower than others a worker must be to count as slow.
-const MIN_SLOW_LOG: f64 = 0.7;
-/// The bounds of one sample.
+/// The natural logarithm of the slowdown above which a worker counts as slow.
+const MIN_SLOW_LOG_SLOWDOWN: f64 = 0.7;
+/// The range to which a sample is clamped.
 const SAMPLE_RANGE: (f64, f64) = (-1.0, 3.0);
 
-/// How many times slower than others a worker is, as a smoothed logarithm.
+/// The slowdown of a worker: the ratio of its run times to the expected ones.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WorkerSpeed {
-    slowdown_log: f64,
+    /// The smoothed natural logarithm of the slowdown.
+    log_slowdown: f64,
 }
 
 impl WorkerSpeed {
-    /// Takes the logarithm of how many times longer than expected a task took.
+    /// Adds a sample: the natural logarithm of a task's run time divided by the expected one.
     pub(crate) fn add_sample(&mut self, deviation: f64) {
         let (min, max) = SAMPLE_RANGE;
-        self.slowdown_log = moving_average(self.slowdown_log, deviation.clamp(min, max), SLOWDOWN_WEIGHT);
+        self.log_slowdown = moving_average(self.log_slowdown, deviation.clamp(min, max), SLOWDOWN_WEIGHT);
     }
 
+    /// Reduces the weight of the samples so far.
     pub(crate) fn decay(&mut self) {
-        self.slowdown_log *= SLOWDOWN_DECAY;
+        self.log_slowdown *= SLOWDOWN_DECAY;
     }
 
     pub(crate) fn is_slow(&self) -> bool {
-        self.slowdown_log > MIN_SLOW_LOG
+        self.log_slowdown > MIN_SLOW_LOG_SLOWDOWN
     }
 
-    /// How many times slower than others it is, at least 1.
+    /// The ratio of run times on this worker to the expected ones, at least 1.
     pub(crate) fn slowdown(&self) -> f64 {
-        self.slowdown_log.exp().max(1.0)
+        self.log_slowdown.exp().max(1.0)
     }
 }
--- a/crates/cluster/job-scheduler/src/workers/lease.rs
+++ b/crates/cluster/job-scheduler/src/workers/lease.rs
@@ -1,28 +1,30 @@
-//! The renewal of a worker's lease, and the acknowledgement of the ends that it reports.
+//! The renewal of a worker's lease, and the acknowledgement of the run ends that it reports.
 use super::clock::WorkerClock;
 
-/// The renewal call to a worker.
+/// The state of the scheduled renewal call to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RenewalState {
     Idle,
     InFlight,
-    /// Reported ends are being committed; the next call waits for that, so that it acknowledges
-    /// them.
+    /// Reported ends are being committed. The next call is delayed until then, so that it can
+    /// acknowledge them.
     AwaitingCommit,
 }
 
 /// A worker's lease.
 ///
-/// `acknowledged_end <= received_end`: an end is acknowledged only after its record is durable,
-/// since the worker forgets it then.
+/// `acknowledged_end <= received_end`: an end is acknowledged only once its record is durable,
+/// since the worker discards an acknowledged end.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerLease {
     clock: WorkerClock,
     renewal: RenewalState,
     next_renewal_at_ms: u64,
-    /// The serial of the last renewal that was scheduled, as opposed to status queries beside it.
+    /// The serial of the last scheduled renewal. Queries outside the schedule do not set it.
     renewal_serial: u64,
+    /// The highest number of an end that the worker may discard.
     acknowledged_end: u64,
+    /// The highest number of an end that the worker has reported.
     received_end: u64,
 }
 
@@ -48,17 +50,19 @@
 
     // Renewal.
 
-    /// When the next renewal is to be sent; `None` while one is in flight.
+    /// The time of the next renewal, monotonic milliseconds; `None` while one is in flight.
     pub(crate) fn next_renewal_at_ms(&self) -> Option<u64> {
         (self.renewal != RenewalState::InFlight).then_some(self.next_renewal_at_ms)
     }
 
+    /// Marks the scheduled renewal with this serial as in flight.
     pub(crate) fn mark_renewal_sent(&mut self, serial: u64) {
         self.renewal = RenewalState::InFlight;
         self.renewal_serial = serial;
     }
 
-    /// A response came; whether it is that of the renewal, after which the next can be scheduled.
+    /// Handles the result of a renewal or query. Returns whether it belongs to the last scheduled
+    /// renewal, after which the next can be scheduled.
     pub(crate) fn complete_renewal(&mut self, serial: u64) -> bool {
         let is_renewal = serial == self.renewal_serial;
         if is_renewal {
@@ -71,7 +75,7 @@
         self.next_renewal_at_ms = at_ms;
     }
 
-    /// Renews now rather than when an idle worker's time has come.
+    /// Makes the next renewal due now, unless one is in flight or awaits a commit.
     pub(crate) fn renew_soon(&mut self, now_ms: u64) {
         if self.renewal == RenewalState::Idle {
             self.next_renewal_at_ms = self.next_renewal_at_ms.min(now_ms);
@@ -80,17 +84,17 @@
 
     // Ends.
 
-    /// The worker may forget ends up to this number.
+    /// The highest number of an end that the worker may discard; sent with each renewal.
     pub(crate) fn acknowledged_end(&self) -> u64 {
         self.acknowledged_end
     }
 
-    /// The highest number of an end that was reported.
+    /// The highest number of an end that the worker has reported.
     pub(crate) fn received_end(&self) -> u64 {
         self.received_end
     }
 
-    /// Takes the number of a reported end; `false` if it was reported before.
+    /// Records the number of a reported end. Returns `false` if it was reported before.
     pub(crate) fn receive_end(&mut self, number: u64) -> bool {
         let is_new = number > self.received_end;
         self.received_end = self.received_end.max(number);
@@ -101,7 +105,7 @@
         self.received_end > self.acknowledged_end
     }
 
-    /// Has the next renewal wait until the ends are committed, `timeout_ms` at most.
+    /// Delays the next renewal until the received ends are committed, by at most `timeout_ms`.
     pub(crate) fn await_commit(&mut self, now_ms: u64, timeout_ms: u64) {
         if self.renewal == RenewalState::Idle {
             self.renewal = RenewalState::AwaitingCommit;
@@ -109,8 +113,8 @@
         }
     }
 
-    /// The records of ends up to a number are durable. Ends that were received since are in a later
-    /// batch.
+    /// Acknowledges the ends up to number `up_to`, whose records are durable. Ends that were
+    /// received since are part of a later batch.
     pub(crate) fn acknowledge_ends(&mut self, up_to: u64, now_ms: u64) {
         self.acknowledged_end = self.acknowledged_end.max(up_to);
         if self.renewal == RenewalState::AwaitingCommit {
--- a/crates/cluster/job-scheduler/src/workers/mod.rs
+++ b/crates/cluster/job-scheduler/src/workers/mod.rs
@@ -1,4 +1,5 @@
-//! The worker registry: all workers that the platform listed in this term, or that records name.
+//! The worker registry: all workers that the platform has listed in this term or that stored
+//! records name.
 mod allocation;
 mod clock;
 mod health;
@@ -15,8 +16,8 @@
 use std::ops::{Index, IndexMut};
 use std::sync::Arc;
 
-/// All workers, by index and identifier. A worker is never removed; one that is gone keeps its
-/// index.
+/// All workers, by index and identifier. Workers are never removed: one that no longer exists keeps
+/// its index.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerRegistry {
     workers: Vec<Worker>,
@@ -24,6 +25,7 @@
 }
 
 impl WorkerRegistry {
+    /// Adds a worker and returns its index.
     pub(crate) fn add(&mut self, worker: Worker) -> WorkerIndex {
         let index = WorkerIndex(self.workers.len() as u32);
         self.by_id.insert(worker.id().clone(), index);
@@ -31,6 +33,7 @@
         index
     }
 
+    /// The index of the worker with this identifier.
     pub(crate) fn find(&self, id: &str) -> Option<WorkerIndex> {
         self.by_id.get(id).copied()
     }
@@ -39,7 +42,7 @@
         self.workers.len()
     }
 
-    /// All workers, by index.
+    /// All workers, ordered by index.
     pub(crate) fn as_slice(&self) -> &[Worker] {
         &self.workers
     }
--- a/crates/cluster/job-scheduler/src/workers/worker.rs
+++ b/crates/cluster/job-scheduler/src/workers/worker.rs
@@ -1,4 +1,4 @@
-//! A worker: what the platform lists, what runs there, and whether it responds.
+//! A worker: its listing by the platform, its allocation, its health and its reachability.
 use super::allocation::Allocation;
 use super::clock::WorkerClock;
 use super::health::{WorkerHealth, WorkerSpeed};
@@ -9,17 +9,18 @@
 use spanlead_expander_walk::{CyclePositions, Vertex, cycle_positions};
 use std::sync::Arc;
 
-/// Calls in a row without response after which a worker is unreachable.
-const MAX_MISSED_CALLS: u32 = 3;
+/// The number of consecutive calls without a response after which a worker counts as unreachable.
+const UNREACHABLE_AFTER_MISSED_CALLS: u32 = 3;
 
-/// Whether the platform lists a worker.
+/// The state of a worker in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListingState {
-    /// Only records name it; the list was not read yet.
+    /// The worker is known from records only: the platform's list has not been read yet.
     Unlisted,
     Ready,
     Draining,
-    /// No longer listed, or another incarnation responds: nothing runs there.
+    /// The worker is no longer listed, or another incarnation responds at its address: it has no
+    /// runs.
     Gone,
 }
 
@@ -27,21 +28,21 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     id: Arc<str>,
-    /// Empty until the list was read.
+    /// Empty until the platform's list names the worker.
     address: Arc<str>,
     service: CompactString,
     zone: CompactString,
     /// Kind, then rack.
     labels: Vec<CompactString>,
     capacity: Resources,
-    /// Its positions on the cycles of the expander graphs.
+    /// The worker's positions on the cycles of the expander graphs.
     cycle_positions: CyclePositions,
     listing: ListingState,
-    /// It has responded to a lease renewal of this term, so that calls of earlier terms have no
-    /// effect there.
+    /// Whether calls of earlier terms have no effect on the worker any more: it has responded to a
+    /// lease renewal of this term, and so has seen its fencing token, or it is gone.
     has_seen_term: bool,
     is_reachable: bool,
-    /// Calls in a row without response.
+    /// The number of consecutive calls without a response.
     missed_calls: u32,
     pub(crate) lease: WorkerLease,
     pub(crate) allocation: Allocation,
@@ -56,7 +57,7 @@
 }
 
 impl Worker {
-    /// A worker of which only the identifier is known.
+    /// A worker with only its identifier known.
     pub(crate) fn new(id: &str, clock: WorkerClock, now_ms: u64) -> Self {
         Worker {
             id: id.into(),
@@ -97,16 +98,17 @@
         &self.labels
     }
 
-    /// The rack, which is its second label.
+    /// The worker's rack, which is its second label.
     pub(crate) fn rack(&self) -> Option<&str> {
         self.labels.get(1).map(CompactString::as_str)
     }
 
+    /// Whether the worker has all labels in `wanted`.
     pub(crate) fn has_labels(&self, wanted: &[String]) -> bool {
         wanted.iter().all(|wanted| self.labels.iter().any(|label| label == wanted.as_str()))
     }
 
-    // The platform's list.
+    // Listing.
 
     pub(crate) fn listing(&self) -> ListingState {
         self.listing
@@ -116,13 +118,13 @@
         self.listing == ListingState::Gone
     }
 
-    /// Whether it can be called.
+    /// Whether the worker can be called: it exists and its address is known.
     pub(crate) fn is_callable(&self) -> bool {
         !self.is_gone() && !self.address.is_empty()
     }
 
-    /// Takes what the platform lists; whether that changes where tasks may go. Draining ends only
-    /// with the worker.
+    /// Updates the worker from the platform's list. Returns whether that changes which tasks may be
+    /// placed on it. A draining worker stays so until it is gone.
     pub(crate) fn update_listing(&mut self, entry: &ListedWorker) -> bool {
         let listing = match entry.state {
             ListedWorkerState::Ready => ListingState::Ready,
@@ -130,7 +132,7 @@
         };
         let capacity =
             Resources { cpu_millicores: entry.cpu_millicores, memory_mb: entry.memory_mb, gpus: entry.gpus };
-        // One that was replaced by another incarnation may stay listed for a while.
+        // The platform may still list a worker that another incarnation has replaced.
         let is_replaced = self.is_gone() && self.has_seen_term;
         if is_replaced || self.listing == listing && self.capacity == capacity {
             return false;
@@ -146,7 +148,8 @@
         true
     }
 
-    /// The worker reports that it drains; `false` if that was known, or it takes no tasks anyway.
+    /// Marks the worker as draining, which it has reported itself. Returns `false` if it was not
+    /// ready, and so accepted no new tasks anyway.
     pub(crate) fn begin_draining(&mut self) -> bool {
         if self.listing != ListingState::Ready {
             return false;
@@ -155,20 +158,22 @@
         true
     }
 
-    /// This incarnation no longer exists.
+    /// Marks this incarnation of the worker as gone and removes its orphans.
     pub(crate) fn mark_gone(&mut self) {
         self.listing = ListingState::Gone;
         self.has_seen_term = true;
         let _ = self.allocation.clear_orphans();
     }
 
-    // Whether it responds.
+    // Reachability.
 
+    /// Whether calls of earlier terms have no effect on the worker any more.
     pub(crate) fn has_seen_term(&self) -> bool {
         self.has_seen_term
     }
 
-    /// The worker responded to a lease renewal of this term; whether that was the first.
+    /// Records that the worker responded to a lease renewal of this term. Returns whether it is the
+    /// first response.
     pub(crate) fn mark_term_seen(&mut self) -> bool {
         !std::mem::replace(&mut self.has_seen_term, true)
     }
@@ -177,12 +182,12 @@
         self.is_reachable
     }
 
-    /// Whether it is reachable and responded to the last call.
+    /// Whether the worker is reachable and no call has gone unanswered since its last response.
     pub(crate) fn is_responsive(&self) -> bool {
         self.is_reachable && self.missed_calls == 0
     }
 
-    /// It responded; whether calls had gone unanswered before.
+    /// Records a response. Returns whether calls had gone unanswered before it.
     pub(crate) fn record_response(&mut self) -> bool {
         let had_missed_calls = self.missed_calls > 0;
         if had_missed_calls {
@@ -192,10 +197,10 @@
         had_missed_calls
     }
 
-    /// A call had no response; whether the worker is unreachable now.
+    /// Records a call without a response. Returns whether the worker now counts as unreachable.
     pub(crate) fn record_missed_call(&mut self) -> bool {
         self.missed_calls += 1;
-        if self.missed_calls < MAX_MISSED_CALLS {
+        if self.missed_calls < UNREACHABLE_AFTER_MISSED_CALLS {
             return false;
         }
         if self.is_reachable {
@@ -207,7 +212,7 @@
 
     // Placement.
 
-    /// Whether it may start tasks, leaving its health aside.
+    /// Whether the worker may be given tasks, apart from its health.
     pub(crate) fn accepts_tasks(&self) -> bool {
         self.listing == ListingState::Ready && self.has_seen_term && self.is_responsive()
     }
@@ -220,7 +225,8 @@
         self.allocation.free_capacity(self.capacity)
     }
 
-    /// The cost of a placement here: the share in use of its scarcest resource, and its slowness.
+    /// The cost of a placement on this worker: the used share of its scarcest resource, plus its
+    /// slowdown if it counts as slow.
     pub(crate) fn placement_cost(&self) -> f64 {
         let slowdown = if self.speed.is_slow() { self.speed.slowdown() } else { 0.0 };
         self.allocation.used().largest_share_of(self.capacity) + slowdown
