--- a/crates/cluster/job-scheduler/src/estimates.rs
+++ b/crates/cluster/job-scheduler/src/estimates.rs
@@ -56,7 +56,7 @@
 
     /// How long a task takes on a worker of usual speed, milliseconds; `f64::MAX` for a queue
     /// without samples.
-    pub(crate) fn expected_ms(&self, queue: &QueueId, estimated_ms: f64) -> f64 {
+    pub(crate) fn expected_runtime_ms(&self, queue: &QueueId, estimated_ms: f64) -> f64 {
         self.queues.get(queue).map_or(f64::MAX, |estimates| estimated_ms * estimates.mean.exp())
     }
 }
--- a/crates/cluster/job-scheduler/src/events.rs
+++ b/crates/cluster/job-scheduler/src/events.rs
@@ -31,7 +31,7 @@
 pub(crate) enum Event {
     JobAccepted { job: JobId, record: Box<JobRecord> },
     JobClosed { job: JobId, outcome: JobOutcome, closed_at_ms: u64 },
-    JobForgotten { job: JobId },
+    JobRemoved { job: JobId },
     RunAssigned { run: RunId, worker: WorkerIndex },
     RunEnded { run: RunId, end: RunEnd, checkpoint: CompactString },
 }
@@ -47,7 +47,7 @@
                 )
             }
             Event::JobClosed { job, outcome, .. } => write!(f, "job closed job={job} outcome={outcome:?}"),
-            Event::JobForgotten { job } => write!(f, "job forgotten job={job}"),
+            Event::JobRemoved { job } => write!(f, "closed job removed job={job}"),
             Event::RunAssigned { run, worker } => write!(f, "run assigned {run} worker={}", worker.0),
             Event::RunEnded { run, end, .. } => write!(f, "run ended {run} end={end:?}"),
         }
--- a/crates/cluster/job-scheduler/src/jobs/mod.rs
+++ b/crates/cluster/job-scheduler/src/jobs/mod.rs
@@ -186,7 +186,7 @@
         if let Some(entry) = self.jobs.get_mut(&job) {
             entry.close(closed);
         }
-        self.note_closed(closed.closed_at_ms, job);
+        self.schedule_removal(closed.closed_at_ms, job);
     }
 
     /// Restores a task without its runs; `false` if there is no such task.
@@ -207,7 +207,7 @@
 
     /// Has a closed job forgotten when its retention, counted from `closed_at_ms` since 1970, is
     /// over.
-    pub(crate) fn note_closed(&mut self, closed_at_ms: u64, job: JobId) {
+    pub(crate) fn schedule_removal(&mut self, closed_at_ms: u64, job: JobId) {
         self.closed.push_back(ClosedEntry { closed_at_ms, job });
     }
 
--- a/crates/cluster/job-scheduler/src/jobs/run.rs
+++ b/crates/cluster/job-scheduler/src/jobs/run.rs
@@ -127,7 +127,7 @@
     }
 
     /// The start has no response in time; `false` if it no longer waits for one.
-    pub(crate) fn time_out(&mut self, serial: u64) -> bool {
+    pub(crate) fn mark_start_timed_out(&mut self, serial: u64) -> bool {
         if self.phase != RunPhase::Sent {
             return false;
         }
@@ -184,7 +184,7 @@
     }
 
     /// The worker reports that it runs.
-    pub(crate) fn report_running(&mut self, now_ms: u64, reported: &RunningTask) {
+    pub(crate) fn record_report(&mut self, now_ms: u64, reported: &RunningTask) {
         self.mark_started(now_ms);
         if !reported.checkpoint.is_empty() {
             self.checkpoint.clone_from(&reported.checkpoint);
--- a/crates/cluster/job-scheduler/src/pending.rs
+++ b/crates/cluster/job-scheduler/src/pending.rs
@@ -27,7 +27,7 @@
 
 /// What the next pass places.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Pass {
+pub(crate) enum PlacementPass {
     /// Only units that were not tried yet.
     Untried,
     /// All units.
@@ -119,7 +119,7 @@
 
     /// Begins the pass that is due, if any. `misses` is the number of units that did not fit since
     /// the last full pass began.
-    pub(crate) fn begin_pass(&mut self, now_ms: u64, misses: usize) -> Option<Pass> {
+    pub(crate) fn begin_pass(&mut self, now_ms: u64, misses: usize) -> Option<PlacementPass> {
         self.held_back = None;
         if self.units.is_empty() {
             self.interrupted_at = None;
@@ -129,11 +129,11 @@
         if self.needs_full_pass && now_ms >= self.full_pass_not_before_ms {
             self.needs_full_pass = false;
             self.full_pass_not_before_ms = now_ms + (misses as u64).min(MAX_RETRY_INTERVAL_MS);
-            return Some(Pass::Full);
+            return Some(PlacementPass::Full);
         }
         match interrupted_at {
-            Some(key) => Some(Pass::Continued(key)),
-            None => (!self.untried.is_empty()).then_some(Pass::Untried),
+            Some(key) => Some(PlacementPass::Continued(key)),
+            None => (!self.untried.is_empty()).then_some(PlacementPass::Untried),
         }
     }
 
--- a/crates/cluster/job-scheduler/src/placement/misses.rs
+++ b/crates/cluster/job-scheduler/src/placement/misses.rs
@@ -33,7 +33,7 @@
     }
 
     /// Whether a task that demands no more than this one did not fit.
-    pub(crate) fn cover(&self, service: &str, stage: &Stage) -> bool {
+    pub(crate) fn covers(&self, service: &str, stage: &Stage) -> bool {
         let demand = Resources::demand_of(stage);
         let is_covering = |miss: &Miss| {
             miss.service == service && miss.constraints == stage.constraints && miss.demand.fits_in(demand)
--- a/crates/cluster/job-scheduler/src/resources.rs
+++ b/crates/cluster/job-scheduler/src/resources.rs
@@ -62,7 +62,7 @@
     }
 
     /// The largest share of any resource in use, 0 to 1.
-    pub(crate) fn largest_share_of(self, capacity: Resources) -> f64 {
+    pub(crate) fn dominant_share_of(self, capacity: Resources) -> f64 {
         let share =
             |used: u64, capacity: u64| if capacity == 0 { 0.0 } else { used as f64 / capacity as f64 };
         share(self.cpu_millicores, capacity.cpu_millicores)
--- a/crates/cluster/job-scheduler/src/scheduler/apply.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/apply.rs
@@ -23,7 +23,7 @@
             Event::JobClosed { job, outcome, closed_at_ms } => {
                 self.apply_closed(*job, ClosedRecord { outcome: *outcome, closed_at_ms: *closed_at_ms });
             }
-            Event::JobForgotten { job } => {
+            Event::JobRemoved { job } => {
                 self.jobs.remove(*job);
                 self.commits.mark_dirty(RecordKey::Job(*job));
                 self.commits.mark_dirty(RecordKey::Closed(*job));
--- a/crates/cluster/job-scheduler/src/scheduler/occurrences.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/occurrences.rs
@@ -55,7 +55,7 @@
     /// Closes a job: nothing of it starts any more, and what runs is stopped.
     pub(super) fn close_job(&mut self, now: Now, job: JobId, outcome: JobOutcome) {
         self.record(now.monotonic_ms, Event::JobClosed { job, outcome, closed_at_ms: now.unix_ms });
-        self.jobs.note_closed(now.unix_ms, job);
+        self.jobs.schedule_removal(now.unix_ms, job);
         self.pending.remove_job(job);
         self.occurrence_timer.remove_job(job);
         self.stop_job(now.monotonic_ms, job);
@@ -67,8 +67,8 @@
         let retention_ms = self.config.closed_job_retention_ms + RETENTION_MARGIN_MS;
         while let Some(job) = self.jobs.pop_expired(now.unix_ms, retention_ms) {
             match self.jobs.get(job).map(Job::has_active_runs) {
-                Some(false) => self.record(now.monotonic_ms, Event::JobForgotten { job }),
-                Some(true) => self.jobs.note_closed(now.unix_ms, job),
+                Some(false) => self.record(now.monotonic_ms, Event::JobRemoved { job }),
+                Some(true) => self.jobs.schedule_removal(now.unix_ms, job),
                 None => {}
             }
         }
--- a/crates/cluster/job-scheduler/src/scheduler/placing.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/placing.rs
@@ -6,7 +6,7 @@
 use crate::events::Event;
 use crate::ids::{RunId, TaskId, WorkerIndex};
 use crate::metrics::StartBound;
-use crate::pending::{Pass, PendingKey, PendingUnit};
+use crate::pending::{PendingKey, PendingUnit, PlacementPass};
 use crate::placement::{Placement, PlacementMisses, PlacementRequest};
 use crate::spec::Stage;
 use compact_str::CompactString;
@@ -43,13 +43,13 @@
         let Some(pass) = self.pending.begin_pass(now.monotonic_ms, self.misses.count()) else { return };
         let mut misses = std::mem::take(&mut self.misses);
         match pass {
-            Pass::Untried => self.place_untried_units(now, &mut misses, None),
-            Pass::Full => {
+            PlacementPass::Untried => self.place_untried_units(now, &mut misses, None),
+            PlacementPass::Full => {
                 self.placer.begin_full_pass(&self.workers, misses.count());
                 misses = PlacementMisses::default();
                 self.place_all_units(now, Bound::Unbounded, &mut misses);
             }
-            Pass::Continued(key) => {
+            PlacementPass::Continued(key) => {
                 self.place_untried_units(now, &mut misses, Some(key));
                 self.place_all_units(now, Bound::Included(key), &mut misses);
             }
@@ -170,7 +170,7 @@
         let Some(job) = self.jobs.get(id.job) else { return };
         let Some(stage) = job.stage(id.stage) else { return };
         let service = job.service();
-        if misses.cover(service, stage) {
+        if misses.covers(service, stage) {
             return;
         }
         let Some(task) = self.jobs.task(id) else { return };
--- a/crates/cluster/job-scheduler/src/scheduler/progress.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/progress.rs
@@ -98,7 +98,7 @@
         }
         let Some(job) = self.jobs.get(id.task.job) else { return false };
         let remaining_ms = runtime_ms as f64 * (100.0 - percent).max(0.0) / percent;
-        let elsewhere_ms = self.estimates.expected_ms(job.queue(), stage.estimated_runtime_ms as f64);
+        let elsewhere_ms = self.estimates.expected_runtime_ms(job.queue(), stage.estimated_runtime_ms as f64);
         remaining_ms > MIN_SLOW_FACTOR * elsewhere_ms + MOVE_COST_MS
     }
 
--- a/crates/cluster/job-scheduler/src/scheduler/reports.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/reports.rs
@@ -104,7 +104,7 @@
         for running in &received.report.running {
             let id = RunId { task: running.task, run: running.run };
             let Some(run) = self.jobs.run_on_mut(id, received.worker) else { continue };
-            run.report_running(now_ms, running);
+            run.record_report(now_ms, running);
             self.jobs.mark_begun(id.task.job);
             self.sample_speed(now_ms, id, false);
         }
--- a/crates/cluster/job-scheduler/src/scheduler/starts.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/starts.rs
@@ -81,7 +81,7 @@
     pub(super) fn time_out_start(&mut self, now: Now, worker: WorkerIndex, id: RunId) -> bool {
         let serial = self.renewals.serial();
         let Some(run) = self.jobs.run_on_mut(id, worker) else { return false };
-        if !run.time_out(serial) {
+        if !run.mark_start_timed_out(serial) {
             return false;
         }
         log::debug!("start timed out {id} worker={}", self.workers[worker].id());
--- a/crates/cluster/job-scheduler/src/workers/worker.rs
+++ b/crates/cluster/job-scheduler/src/workers/worker.rs
@@ -223,6 +223,6 @@
     /// The cost of a placement here: the share in use of its scarcest resource, and its slowness.
     pub(crate) fn placement_cost(&self) -> f64 {
         let slowdown = if self.speed.is_slow() { self.speed.slowdown() } else { 0.0 };
-        self.allocation.used().largest_share_of(self.capacity) + slowdown
+        self.allocation.used().dominant_share_of(self.capacity) + slowdown
     }
 }
