--- a/crates/cluster/job-scheduler/src/commit.rs
+++ b/crates/cluster/job-scheduler/src/commit.rs
@@ -1,46 +1,46 @@
-//! Write first, then act: the records that changed, and the actions that wait until these are
+//! Output commit: the records that changed, and the actions deferred until those records are
 //! durable.
 use crate::ids::{RunId, WorkerIndex};
 use crate::record::RecordKey;
 use std::collections::{BTreeSet, VecDeque};
 
-/// An action that waits for a commit.
+/// An action that is deferred until the changes made before it are committed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum DeferredAction {
-    /// Send the start of a run.
+    /// Send a run's start request.
     SendStart(RunId),
-    /// Acknowledge a worker's ends up to this number.
+    /// Acknowledge a worker's run ends up to this number.
     AcknowledgeEnds { worker: WorkerIndex, up_to: u64 },
 }
 
-/// An action with the batch that it waits for.
+/// A deferred action and the batch whose commit releases it.
 #[derive(Clone, Copy, Debug)]
 struct WaitingAction {
     batch: u64,
     action: DeferredAction,
 }
 
-/// Changed records and deferred actions.
+/// The set of changed records and the queue of deferred actions.
 ///
-/// An action is first staged, then assigned to the batch that holds all changes made before it, and
-/// released when that batch is committed. Batch numbers ascend, so actions are released in the
-/// order in which they were deferred.
+/// An action is first staged, then assigned to the batch by which all changes made before it are
+/// written, and released when that batch is committed. Batch numbers ascend, so actions are
+/// released in the order in which they were deferred.
 #[derive(Debug, Default)]
 pub(crate) struct CommitQueue {
     dirty: BTreeSet<RecordKey>,
     staged: Vec<DeferredAction>,
     waiting: VecDeque<WaitingAction>,
-    /// How many of these actions are starts.
+    /// The number of starts among the staged and waiting actions.
     deferred_starts: usize,
 }
 
 impl CommitQueue {
-    /// Has a record written with the next batch.
+    /// Marks a record to be written with the next batch.
     pub(crate) fn mark_dirty(&mut self, key: RecordKey) {
         self.dirty.insert(key);
     }
 
-    /// The records that changed since the last call.
+    /// Returns the keys of the records that changed since the last call.
     pub(crate) fn take_dirty(&mut self) -> BTreeSet<RecordKey> {
         std::mem::take(&mut self.dirty)
     }
@@ -51,19 +51,20 @@
         self.staged.push(action);
     }
 
-    /// The changes taken so far are in `batch`, or in an earlier one.
+    /// Assigns the staged actions to `batch`: the changes taken so far are in it or in earlier
+    /// ones.
     pub(crate) fn assign_batch(&mut self, batch: u64) {
         self.waiting.extend(self.staged.drain(..).map(|action| WaitingAction { batch, action }));
     }
 
-    /// The next action that `committed_batch` releases.
+    /// Removes and returns the next action whose batch is at most `committed_batch`.
     pub(crate) fn pop_committed(&mut self, committed_batch: u64) -> Option<DeferredAction> {
         let released = self.waiting.pop_front_if(|waiting| waiting.batch <= committed_batch)?;
         self.deferred_starts -= usize::from(matches!(released.action, DeferredAction::SendStart(_)));
         Some(released.action)
     }
 
-    /// The number of starts that wait for their commit.
+    /// The number of starts that are deferred until their commit.
     pub(crate) fn deferred_starts(&self) -> usize {
         self.deferred_starts
     }
--- a/crates/cluster/job-scheduler/src/config.rs
+++ b/crates/cluster/job-scheduler/src/config.rs
@@ -1,35 +1,35 @@
-//! What the embedder tells the scheduler: the deployment's bounds, the time, and a queue's policy.
+//! Inputs from the embedder: the deployment's limits, the time, and the policy of a queue.
 use crate::ids::QueueId;
 
-/// The bounds of the deployment.
+/// The limits and characteristics of the deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct SchedulerConfig {
-    /// The longest lease that a worker grants what runs there, milliseconds.
+    /// The longest lease on its runs that a worker accepts, milliseconds.
     pub max_lease_ms: u64,
-    /// How long a gang's members wait for one another, milliseconds.
+    /// The longest time that the started members of a gang wait for the others, milliseconds.
     pub gang_assembly_timeout_ms: u64,
     /// The longest time that a worker takes to stop a run, milliseconds.
     pub stop_timeout_ms: u64,
-    /// How long a task needs to resume from a checkpoint, milliseconds.
+    /// The time that a task needs to resume from a checkpoint, milliseconds.
     pub checkpoint_restore_ms: u64,
-    /// How long the state of a closed job stays readable, milliseconds.
+    /// How long a closed job is retained and can be queried, milliseconds.
     pub closed_job_retention_ms: u64,
-    /// How many times as long a task takes far from its data.
+    /// The factor by which a task runs longer away from its data or its gang.
     pub remote_data_slowdown: f64,
-    /// The largest number of calls to workers in flight.
+    /// The largest number of calls to workers that may be in flight at once.
     pub max_concurrent_calls: usize,
 }
 
-/// The time at which the embedder calls the scheduler.
+/// The current time, passed by the embedder with each call.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
-    /// A monotonic clock, milliseconds.
+    /// The time on a monotonic clock, milliseconds.
     pub monotonic_ms: u64,
-    /// The time of day, milliseconds since 1970.
+    /// The wall-clock time, milliseconds since the Unix epoch.
     pub unix_ms: u64,
 }
 
-/// How the configuration has the jobs of a queue run.
+/// The configured policy for the jobs of a queue.
 #[derive(Clone, Debug, Default)]
 pub struct QueuePolicy {
     /// The queue.
@@ -38,14 +38,14 @@
     pub service: String,
     /// The priority; 0 is the highest.
     pub priority: u8,
-    /// The number of failed runs after which a task has failed.
+    /// The number of failed runs after which a task, and with it the job, has failed.
     pub max_attempts: u32,
 }
 
-/// Whether a submitted job was admitted.
+/// The result of admission control for a submitted job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It was, now or by an earlier submission with the same identifier.
+    /// The job was accepted, now or by an earlier submission with the same identifier.
     Accepted,
     /// Too many jobs are open; nothing was recorded.
     TooManyJobs,
--- a/crates/cluster/job-scheduler/src/estimates.rs
+++ b/crates/cluster/job-scheduler/src/estimates.rs
@@ -1,32 +1,34 @@
-//! How long tasks take, compared with what their clients estimated.
+//! Accuracy of the clients' running time estimates, learned for each queue.
 //!
-//! Estimates of one queue are off by about the same factor. It is learnt from the tasks' real
-//! running times; what remains of the deviation when it is taken out says how fast the worker was.
+//! The estimates within a queue are off by about the same factor. That factor is learned from the
+//! actual running times; the deviation that remains after correcting for it indicates how fast the
+//! worker was.
 use crate::ids::QueueId;
 use rustc_hash::FxHashMap;
 
 /// The least weight of a new sample in a queue's mean and variance.
 const SAMPLE_WEIGHT: f64 = 0.03;
-/// The largest standard deviation (of the logarithm) of a queue's estimates by which workers are
-/// judged.
+/// The standard deviation of the logarithm of actual over estimated running time below which a
+/// queue's estimates are precise enough to assess workers by them.
 const MAX_STANDARD_DEVIATION: f64 = 0.45;
-/// Samples of a queue before workers are judged by it.
+/// The number of samples of a queue that are needed before workers are assessed by its estimates.
 const MIN_SAMPLES: u32 = 30;
-/// The bound of the deviation that one sample counts with, either way.
+/// The bound, in both directions, of the logarithmic deviation with which one sample enters the
+/// mean and variance.
 const MAX_DEVIATION: f64 = 2.0;
 
-/// How good a queue's estimates are: mean and variance of the logarithm of real over estimated
+/// The accuracy of a queue's estimates: mean and variance of the logarithm of actual over estimated
 /// running time.
 #[derive(Clone, Copy, Debug, Default)]
-struct QueueEstimates {
+struct EstimateAccuracy {
     mean: f64,
     variance: f64,
     samples: u32,
 }
 
-impl QueueEstimates {
-    fn add_sample(&mut self, real_ms: f64, estimated_ms: f64) -> Option<f64> {
-        let log_ratio = (real_ms.max(1.0) / estimated_ms.max(1.0)).ln();
+impl EstimateAccuracy {
+    fn add_sample(&mut self, actual_ms: f64, estimated_ms: f64) -> Option<f64> {
+        let log_ratio = (actual_ms.max(1.0) / estimated_ms.max(1.0)).ln();
         let deviation = log_ratio - self.mean;
         let bounded = deviation.clamp(-MAX_DEVIATION, MAX_DEVIATION);
         let weight = SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples + 1));
@@ -38,25 +40,25 @@
     }
 }
 
-/// The estimates of all queues.
+/// The accuracy of the estimates of all queues.
 #[derive(Debug, Default)]
 pub(crate) struct RuntimeEstimates {
-    queues: FxHashMap<QueueId, QueueEstimates>,
+    queues: FxHashMap<QueueId, EstimateAccuracy>,
 }
 
 impl RuntimeEstimates {
-    /// Learns from a task that took `real_ms`. Returns the logarithm of how many times longer than
-    /// expected that was, if the queue's estimates are good enough to blame the worker for it.
-    pub(crate) fn add_sample(&mut self, queue: &QueueId, real_ms: f64, estimated_ms: f64) -> Option<f64> {
-        if let Some(estimates) = self.queues.get_mut(queue) {
-            return estimates.add_sample(real_ms, estimated_ms);
+    /// Adds the running time of a task. Returns the logarithm of actual over expected running time
+    /// if the queue's estimates are reliable enough to attribute the deviation to the worker.
+    pub(crate) fn add_sample(&mut self, queue: &QueueId, actual_ms: f64, estimated_ms: f64) -> Option<f64> {
+        if let Some(accuracy) = self.queues.get_mut(queue) {
+            return accuracy.add_sample(actual_ms, estimated_ms);
         }
-        self.queues.entry(queue.clone()).or_default().add_sample(real_ms, estimated_ms)
+        self.queues.entry(queue.clone()).or_default().add_sample(actual_ms, estimated_ms)
     }
 
-    /// How long a task takes on a worker of usual speed, milliseconds; `f64::MAX` for a queue
-    /// without samples.
+    /// The expected running time of a task on a worker of average speed, milliseconds; `f64::MAX`
+    /// for a queue without samples.
     pub(crate) fn expected_runtime_ms(&self, queue: &QueueId, estimated_ms: f64) -> f64 {
-        self.queues.get(queue).map_or(f64::MAX, |estimates| estimated_ms * estimates.mean.exp())
+        self.queues.get(queue).map_or(f64::MAX, |accuracy| estimated_ms * accuracy.mean.exp())
     }
 }
--- a/crates/cluster/job-scheduler/src/events.rs
+++ b/crates/cluster/job-scheduler/src/events.rs
@@ -1,4 +1,5 @@
-//! The events that jobs, tasks and workers' loads follow from, and a log of the last ones.
+//! The events from which the state of jobs, tasks and worker loads is derived, and a log of the
+//! most recent ones.
 use crate::ids::{JobId, RunId, WorkerIndex};
 use crate::record::{JobOutcome, JobRecord};
 use compact_str::CompactString;
@@ -10,13 +11,13 @@
 pub(crate) enum RunEnd {
     Done,
     Failed,
-    /// Stopped, expired, lost with its worker, or rejected: it counts as no attempt and the task
-    /// may start again.
+    /// The run was stopped, expired, lost with its worker, or rejected. It does not count as an
+    /// attempt, and the task may be started again.
     Interrupted,
 }
 
 impl RunEnd {
-    /// The end as a worker reports it.
+    /// Converts the outcome in a worker's report; any unknown outcome is an interruption.
     pub(crate) fn from_reported(outcome: &str) -> Self {
         match outcome {
             "done" => RunEnd::Done,
@@ -26,7 +27,7 @@
     }
 }
 
-/// Something that happened and must last. Applying the same events gives the same state.
+/// A state change that must be durable. Applying the same events in order gives the same state.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
     JobAccepted { job: JobId, record: Box<JobRecord> },
@@ -54,26 +55,26 @@
     }
 }
 
-/// The number of events that are kept.
-const MAX_KEPT_EVENTS: usize = 1_000;
+/// The number of most recent events that are kept.
+const MAX_RECENT_EVENTS: usize = 1_000;
 
-/// The last events, for whoever inspects a running process or its core dump.
+/// The most recent events, for debugging a running process or its core dump.
 #[derive(Debug, Default)]
 pub(crate) struct EventLog {
-    last: VecDeque<Event>,
+    recent: VecDeque<Event>,
     count: u64,
 }
 
 impl EventLog {
     pub(crate) fn append(&mut self, event: Event) {
-        if self.last.len() == MAX_KEPT_EVENTS {
-            self.last.pop_front();
+        if self.recent.len() == MAX_RECENT_EVENTS {
+            self.recent.pop_front();
         }
-        self.last.push_back(event);
+        self.recent.push_back(event);
         self.count += 1;
     }
 
-    /// The number of events so far.
+    /// The number of events appended so far, including those no longer kept.
     pub(crate) fn count(&self) -> u64 {
         self.count
     }
--- a/crates/cluster/job-scheduler/src/ids.rs
+++ b/crates/cluster/job-scheduler/src/ids.rs
@@ -12,23 +12,23 @@
     }
 }
 
-/// The queue that a job was submitted to, named by the route of its requests.
+/// The identifier of a job queue: the host and path prefix of the route that its requests match.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct QueueId {
-    /// The host of its requests.
+    /// The host of the route.
     pub host: String,
-    /// The prefix of the requests' paths.
+    /// The path prefix of the route.
     pub path_prefix: String,
 }
 
-/// A task of a job.
+/// The identifier of a task of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// The occurrence of a repeated job, from 0.
+    /// The number of the job's occurrence, from 0.
     pub occurrence: u32,
-    /// The stage, from 0.
+    /// The number of the stage, from 0.
     pub stage: u16,
     /// The task's index within its stage, from 0.
     pub index: u32,
@@ -41,7 +41,8 @@
 }
 
 impl TaskId {
-    /// Parses a task's name on the wire, as [`fmt::Display`] writes it; `None` for any other form.
+    /// Parses the form that [`fmt::Display`] writes, which is also the form on the wire; `None` for
+    /// any other form.
     #[must_use]
     pub fn parse(name: &str) -> Option<Self> {
         let mut parts = name.split('.');
@@ -58,7 +59,8 @@
     }
 }
 
-/// One attempt of a task: the number of its start, from 1. Higher numbers were started later.
+/// The identifier of a run, which is one start of a task. Runs of a task are numbered from 1 in the
+/// order of their starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct RunId {
     pub(crate) task: TaskId,
@@ -71,7 +73,7 @@
     }
 }
 
-/// The position of a worker in the registry. Workers are never removed from it, so that the index
-/// of one stays valid.
+/// The position of a worker in the registry. Workers are never removed from the registry, so an
+/// index stays valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct WorkerIndex(pub(crate) u32);
--- a/crates/cluster/job-scheduler/src/jobs/job.rs
+++ b/crates/cluster/job-scheduler/src/jobs/job.rs
@@ -1,4 +1,4 @@
-//! A job: what was submitted, and how far it is.
+//! A job: its specification and its progress.
 use super::occurrence::{Occurrence, StageProgress};
 use super::task::Task;
 use crate::ids::{JobId, QueueId, TaskId};
@@ -12,38 +12,39 @@
 /// A job's state as clients see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
-    /// None of its tasks was ever started.
+    /// None of its tasks has ever been assigned to a worker.
     Queued,
-    /// At least one was.
+    /// At least one of its tasks has been assigned to a worker.
     Running,
-    /// It is over.
+    /// It has ended.
     Closed(JobOutcome),
 }
 
-/// An occurrence that is to begin, if it is due.
+/// The next occurrence of a job, which begins when it is due.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NextOccurrence {
     pub(crate) number: u32,
-    /// Milliseconds since 1970; 0 for at once.
+    /// Milliseconds since the Unix epoch; 0 for at once.
     pub(crate) due_at_ms: u64,
 }
 
-/// A job. Its occurrences are made one after the other, when they are due.
+/// A job. Its occurrences are created one by one when they are due.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     record: JobRecord,
-    /// The spec's payload in the form that starts share.
+    /// The payload of the spec, shared by all start requests.
     payload: Arc<str>,
-    /// The record's service in the form that workers have it.
+    /// The service of the record, as the string type that workers use for it.
     service: CompactString,
     closed: Option<ClosedRecord>,
     occurrences: BTreeMap<u32, Occurrence>,
     next_occurrence: u32,
-    /// Whether a run was ever assigned.
+    /// Whether a run was ever assigned to a worker.
     has_runs: bool,
-    /// Whether a worker is known to have begun a task of it.
+    /// Whether the job no longer counts as pending: a worker is known to have begun one of its
+    /// tasks, or the job was closed.
     has_begun: bool,
-    /// Since when no worker could run one of its stages, monotonic milliseconds.
+    /// When it was first found that no worker could run one of its stages, monotonic milliseconds.
     infeasible_since_ms: Option<u64>,
 }
 
@@ -62,7 +63,7 @@
         }
     }
 
-    // What was submitted.
+    // The specification.
 
     pub(crate) fn record(&self) -> &JobRecord {
         &self.record
@@ -92,13 +93,13 @@
         self.record.spec.stages.get(usize::from(number))
     }
 
-    /// Where a task of this job waits among others.
+    /// The position in the pending queue of a task of this job.
     pub(crate) fn pending_key(&self, task: TaskId) -> PendingKey {
         let due_at_ms = self.record.spec.due_at_ms(task.occurrence).max(self.record.accepted_at_ms);
         PendingKey { priority: self.record.priority, due_at_ms, task }
     }
 
-    // Its state.
+    // The state.
 
     pub(crate) fn state(&self) -> JobState {
         match self.closed {
@@ -124,7 +125,7 @@
         self.has_begun
     }
 
-    /// A worker has begun a task; `false` if one had before.
+    /// Marks the job as begun; `false` if it was already.
     pub(super) fn mark_begun(&mut self) -> bool {
         !std::mem::replace(&mut self.has_begun, true)
     }
@@ -133,12 +134,13 @@
         self.has_runs = true;
     }
 
-    /// The first time at which the job was found infeasible, now if that is the first.
+    /// The time at which the job was first found infeasible, monotonic milliseconds. The first call
+    /// sets it to `now_ms`.
     pub(crate) fn infeasible_since_ms(&mut self, now_ms: u64) -> u64 {
         *self.infeasible_since_ms.get_or_insert(now_ms)
     }
 
-    // Occurrences and their tasks.
+    // The occurrences and their tasks.
 
     pub(crate) fn occurrence(&self, number: u32) -> Option<&Occurrence> {
         self.occurrences.get(&number)
@@ -148,7 +150,7 @@
         self.occurrences.get_mut(&task.occurrence)?.stage_mut(task.stage)
     }
 
-    /// The next occurrence that has not begun; `None` if the job is closed or all have.
+    /// The next occurrence that has not begun; `None` if all have begun or the job is closed.
     pub(crate) fn next_occurrence(&self) -> Option<NextOccurrence> {
         let number = self.next_occurrence;
         let exists = self.is_open() && number < self.record.spec.occurrence_count();
@@ -167,7 +169,7 @@
         self.occurrences.entry(number).or_insert_with(|| Occurrence::new(stages))
     }
 
-    /// Begins all occurrences up to the last that a record names, and returns how many there are.
+    /// Begins all occurrences up to the last one with a restored task, and returns their number.
     pub(crate) fn restore_occurrences(&mut self) -> u32 {
         let begun = self.occurrences.keys().next_back().map_or(0, |last| last + 1);
         self.next_occurrence = begun;
@@ -177,21 +179,21 @@
         begun
     }
 
-    /// Restores a task without its runs; `None` if the job has no such task.
+    /// Restores a task from its record, without its runs; `None` if the job has no such task.
     pub(super) fn restore_task(&mut self, task: TaskId, record: &TaskRecord) -> Option<&mut Task> {
         self.has_runs = true;
         self.has_begun |= record.done || !record.failed_runs.is_empty() || !record.checkpoint.is_empty();
         self.ensure_occurrence(task.occurrence).stage_mut(task.stage)?.restore_task(task.index, record)
     }
 
-    /// Whether all occurrences that the job has are done.
+    /// Whether all occurrences of the job are done, including those that have not begun.
     pub(crate) fn is_done(&self) -> bool {
         let done = self.occurrences.values().filter(|occurrence| occurrence.is_done()).count();
         done as u32 >= self.record.spec.occurrence_count()
     }
 
-    /// Opens the stages of an occurrence whose dependencies are done, and returns what is to be
-    /// queued: the tasks that are not done and have no run, or the first task of a gang.
+    /// Opens the stages of an occurrence whose dependencies are done, and returns the units to be
+    /// queued: the tasks that are not done and have no active run; of a gang only the first task.
     pub(crate) fn open_ready_stages(&mut self, job: JobId, occurrence: u32) -> Vec<TaskId> {
         let stages = &self.record.spec.stages;
         let Some(progress) = self.occurrences.get_mut(&occurrence) else { return Vec::new() };
--- a/crates/cluster/job-scheduler/src/jobs/mod.rs
+++ b/crates/cluster/job-scheduler/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! The job table: all jobs that are known, open or closed.
+//! The job table: all known jobs, open or closed, with their tasks and runs.
 mod job;
 mod occurrence;
 mod run;
@@ -16,19 +16,20 @@
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// A closed job in the order of closing.
+/// A closed job and the start of its retention time.
 #[derive(Clone, Copy, Debug)]
 struct ClosedEntry {
-    /// Milliseconds since 1970.
+    /// Milliseconds since the Unix epoch.
     closed_at_ms: u64,
     job: JobId,
 }
 
-/// All jobs, with the counts and the order that follow from them.
+/// All jobs, with counts and an order that are derived from them.
 ///
 /// - `open_count` is the number of jobs that are not closed.
-/// - `pending_counts` has, by queue, the number of those of which no task is known to have begun.
-/// - `closed` has every closed job once, so that it is forgotten in time.
+/// - `pending_counts` is, by queue, the number of open jobs of which no task is known to have
+///   begun.
+/// - `closed` holds every closed job once, in the order of removal.
 #[derive(Debug, Default)]
 pub(crate) struct JobTable {
     jobs: FxHashMap<JobId, Job>,
@@ -46,7 +47,7 @@
         self.open_count
     }
 
-    /// How many jobs of a queue are open of which no task is known to have begun.
+    /// The number of open jobs of a queue of which no task is known to have begun.
     pub(crate) fn pending_count(&self, queue: &QueueId) -> u64 {
         self.pending_counts.get(queue).copied().unwrap_or(0)
     }
@@ -77,7 +78,7 @@
         self.jobs.get(&task.job)?.stage(task.stage)
     }
 
-    /// What a task demands of its worker; nothing for a task that is not known.
+    /// The resource demand of a task; zero for an unknown task.
     pub(crate) fn demand(&self, task: TaskId) -> Resources {
         self.stage(task).map(Resources::demand_of).unwrap_or_default()
     }
@@ -99,12 +100,12 @@
         self.task_mut(run.task)?.run_mut(run.run)
     }
 
-    /// A run, if it is on that worker.
+    /// The run, if it is known and assigned to that worker.
     pub(crate) fn run_on_mut(&mut self, run: RunId, worker: WorkerIndex) -> Option<&mut Run> {
         self.run_mut(run).filter(|run| run.worker() == worker)
     }
 
-    /// Whether a run is known to be on that worker.
+    /// Whether the run is known and assigned to that worker.
     pub(crate) fn is_run_on(&self, run: RunId, worker: WorkerIndex) -> bool {
         self.run(run).is_some_and(|run| run.worker() == worker)
     }
@@ -113,26 +114,26 @@
         self.stage(task).is_some_and(|stage| stage.gang)
     }
 
-    /// What is placed as a whole: a gang, named by its first task, or the task itself.
+    /// The unit that is placed as a whole: the first task of a gang, or the task itself.
     pub(crate) fn placement_unit(&self, task: TaskId) -> TaskId {
         if self.is_gang(task) { task.first_of_stage() } else { task }
     }
 
-    /// All tasks of a task's stage and occurrence.
+    /// All tasks of the stage and occurrence that a task belongs to.
     pub(crate) fn tasks_of_stage(&self, task: TaskId) -> impl Iterator<Item = TaskId> + use<> {
         let count = self.stage(task).map_or(0, |stage| stage.count);
         (0..count).map(move |index| TaskId { index, ..task })
     }
 
-    // Changes, each of which follows from an event.
+    // Changes, each caused by an event.
 
-    /// Adds a job that was just accepted.
+    /// Adds a newly accepted job.
     pub(crate) fn accept(&mut self, job: JobId, record: JobRecord) {
         self.jobs.insert(job, Job::new(record));
         self.count_open(job);
     }
 
-    /// Closes a job; `false` if there is none.
+    /// Closes a job; `false` if there is no such job.
     pub(crate) fn close(&mut self, job: JobId, closed: ClosedRecord) -> bool {
         self.mark_begun(job);
         let Some(entry) = self.jobs.get_mut(&job) else { return false };
@@ -145,7 +146,8 @@
         self.jobs.remove(&job);
     }
 
-    /// A worker has begun a task of a job, or none ever will: the job is no longer pending.
+    /// Marks a job as no longer pending: a worker has begun one of its tasks, or none ever will
+    /// since the job is closed.
     pub(crate) fn mark_begun(&mut self, job: JobId) {
         let Some(job) = self.jobs.get_mut(&job) else { return };
         if !job.mark_begun() {
@@ -167,7 +169,7 @@
         true
     }
 
-    /// Marks a task done; `false` if it was already, or there is none.
+    /// Marks a task as done; `false` if it was done already or there is no such task.
     pub(crate) fn mark_task_done(&mut self, task: TaskId) -> bool {
         let stage = self.jobs.get_mut(&task.job).and_then(|job| job.stage_progress_mut(task));
         stage.is_some_and(|stage| stage.mark_task_done(task.index))
@@ -175,13 +177,14 @@
 
     // Recovery.
 
-    /// Adds a job from its record. It is counted by [`JobTable::count_open`] once its tasks are
-    /// restored.
+    /// Adds a job from its record. The caller counts it with [`JobTable::count_open`] once its
+    /// tasks are restored.
     pub(crate) fn restore(&mut self, job: JobId, record: JobRecord) {
         self.jobs.insert(job, Job::new(record));
     }
 
-    /// Restores the end of a job, if it is known.
+    /// Closes a job, if it is known, according to its stored end. Schedules the removal in any
+    /// case.
     pub(crate) fn restore_closed(&mut self, job: JobId, closed: ClosedRecord) {
         if let Some(entry) = self.jobs.get_mut(&job) {
             entry.close(closed);
@@ -189,12 +192,12 @@
         self.schedule_removal(closed.closed_at_ms, job);
     }
 
-    /// Restores a task without its runs; `false` if there is no such task.
+    /// Restores a task from its record, without its runs; `false` if there is no such task.
     pub(crate) fn restore_task(&mut self, task: TaskId, record: &TaskRecord) -> bool {
         self.jobs.get_mut(&task.job).and_then(|job| job.restore_task(task, record)).is_some()
     }
 
-    /// Counts an open job, which is pending unless a task of it has begun.
+    /// Counts a job as open, and as pending unless one of its tasks has begun.
     pub(crate) fn count_open(&mut self, job: JobId) {
         let Some(job) = self.jobs.get(&job) else { return };
         self.open_count += 1;
@@ -205,21 +208,21 @@
 
     // Closed jobs.
 
-    /// Has a closed job forgotten when its retention, counted from `closed_at_ms` since 1970, is
-    /// over.
+    /// Schedules the removal of a closed job for the end of its retention time, which begins at
+    /// `closed_at_ms`, milliseconds since the Unix epoch.
     pub(crate) fn schedule_removal(&mut self, closed_at_ms: u64, job: JobId) {
         self.closed.push_back(ClosedEntry { closed_at_ms, job });
     }
 
-    /// The next closed job whose retention is over.
+    /// Removes and returns the next scheduled job whose retention time is over.
     pub(crate) fn pop_expired(&mut self, now_unix_ms: u64, retention_ms: u64) -> Option<JobId> {
-        let is_over = |entry: &mut ClosedEntry| now_unix_ms >= entry.closed_at_ms + retention_ms;
-        self.closed.pop_front_if(is_over).map(|entry| entry.job)
+        let is_expired = |entry: &mut ClosedEntry| now_unix_ms >= entry.closed_at_ms + retention_ms;
+        self.closed.pop_front_if(is_expired).map(|entry| entry.job)
     }
 
     // Records.
 
-    /// The value of a record; `None` if it is not to be stored.
+    /// Encodes the current value of a record; `None` if the record is to be deleted.
     pub(crate) fn encode_record(
         &self,
         key: RecordKey,
@@ -231,7 +234,7 @@
             RecordKey::Task(id) => {
                 let job = self.jobs.get(&id.job)?;
                 let task = self.task(id)?;
-                // Of a closed job only the runs that are still to be stopped are worth keeping.
+                // For a closed job, only the tasks with runs that must still be stopped are stored.
                 let is_stored = if job.is_open() { task.has_history() } else { task.has_active_runs() };
                 is_stored.then(|| task.to_record(worker_id).encode())
             }
--- a/crates/cluster/job-scheduler/src/jobs/occurrence.rs
+++ b/crates/cluster/job-scheduler/src/jobs/occurrence.rs
@@ -1,16 +1,17 @@
-//! One occurrence of a job: the progress of its stages.
+//! An occurrence of a job: the progress of its stages.
 use super::task::Task;
 use crate::record::TaskRecord;
 use crate::spec::Stage;
 
 /// The progress of a stage.
 ///
-/// `remaining` is the number of tasks that are not done: a task is marked done only here.
+/// Invariant: `remaining` is the number of tasks that are not done. It holds since tasks are marked
+/// as done only by this type.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StageProgress {
     tasks: Vec<Task>,
     remaining: u32,
-    /// Whether the stages that it depends on were done, and its tasks were queued.
+    /// Whether the stages that it depends on were found done, so that its tasks were queued.
     is_open: bool,
 }
 
@@ -35,7 +36,7 @@
         self.remaining == 0
     }
 
-    /// Marks a task done; `false` if it was already, or there is none.
+    /// Marks a task as done; `false` if it was done already or there is no such task.
     pub(super) fn mark_task_done(&mut self, index: u32) -> bool {
         let newly_done = self.tasks.get_mut(index as usize).is_some_and(Task::mark_done);
         self.remaining -= u32::from(newly_done);
@@ -51,7 +52,7 @@
     }
 }
 
-/// One occurrence of a job.
+/// An occurrence of a job.
 #[derive(Clone, Debug)]
 pub(crate) struct Occurrence {
     stages: Vec<StageProgress>,
@@ -78,8 +79,9 @@
     pub(super) fn open_ready_stages(&mut self, stages: &[Stage]) -> Vec<u16> {
         let mut opened = Vec::new();
         for (number, stage) in stages.iter().enumerate() {
-            let is_done =
-                |needed: &u16| self.stages.get(usize::from(*needed)).is_some_and(StageProgress::is_done);
+            let is_done = |dependency: &u16| {
+                self.stages.get(usize::from(*dependency)).is_some_and(StageProgress::is_done)
+            };
             if !self.stages[number].is_open && stage.depends_on.iter().all(is_done) {
                 self.stages[number].is_open = true;
                 opened.push(number as u16);
--- a/crates/cluster/job-scheduler/src/jobs/run.rs
+++ b/crates/cluster/job-scheduler/src/jobs/run.rs
@@ -1,61 +1,61 @@
-//! A run of a task: one start whose end is not known yet.
+//! A run of a task: a start whose end is not known yet.
 use crate::ids::WorkerIndex;
 use crate::protocol::RunningTask;
 use compact_str::CompactString;
 
-/// How often the interval between two stop requests is doubled at most.
+/// The largest number of times that the interval between two stop requests is doubled.
 const MAX_STOP_DOUBLINGS: u32 = 4;
 
-/// What is known of a run's start.
+/// What is known about the start of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RunPhase {
-    /// It is recorded; the start is sent when the record is durable.
+    /// The run is recorded; the start is sent once the record is durable.
     Recorded,
-    /// The start was sent and has no response yet.
+    /// The start was sent and no response has arrived yet.
     Sent,
     /// The run is known to have begun.
     Started,
-    /// The start may have been carried out.
+    /// The worker may or may not have carried out the start.
     Unknown,
 }
 
 /// A run whose end is not known.
 ///
-/// A report of the worker says something of the run only if it was requested after the run's last
-/// known event: requests carry ascending serials, and the run keeps the serial from which on
-/// reports count.
+/// A report of the worker is evidence about the run only if it was requested after the run's last
+/// known event. Requests carry ascending serial numbers, and the run keeps the serial number after
+/// which reports are evidence.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     number: u32,
     worker: WorkerIndex,
     phase: RunPhase,
-    /// The start or stop was acknowledged at this serial: a report with a higher one shows whether
-    /// the run is there.
+    /// The serial number at which the start or stop was acknowledged. A report with a higher one
+    /// shows whether the worker has the run.
     acknowledged_at_serial: Option<u64>,
-    /// The start timed out at this serial: a report with a higher one shows whether it was carried
-    /// out.
+    /// The serial number at which the start timed out. A report with a higher one shows whether it
+    /// was carried out.
     timed_out_at_serial: Option<u64>,
     sent_at_ms: u64,
     started_at_ms: u64,
-    /// Progress as last reported, 0 to 100.
+    /// The highest progress reported, 0 to 100.
     progress_percent: f64,
-    /// When it last rose.
+    /// When the progress last rose.
     progressed_at_ms: u64,
     /// When the worker last reported the run.
     reported_at_ms: u64,
     checkpoint: CompactString,
-    /// Whether it has been counted for its worker's speed.
+    /// Whether its running time has been sampled for the worker's speed.
     is_sampled: bool,
-    /// Whether it takes far longer on its worker than it would elsewhere.
+    /// Whether it takes much longer on its worker than it would elsewhere.
     is_slow: bool,
     is_stopping: bool,
     stop_sent_at_ms: u64,
-    /// How often the interval between two stop requests was doubled.
+    /// The number of times that the interval between two stop requests was doubled.
     stop_doublings: u32,
 }
 
 impl Run {
-    /// A run that was just assigned, or restored from its record.
+    /// Creates a run that was just assigned or is being restored from its record.
     pub(crate) fn new(number: u32, worker: WorkerIndex, phase: RunPhase, now_ms: u64) -> Self {
         Run {
             number,
@@ -109,7 +109,8 @@
         self.is_slow = true;
     }
 
-    /// Whether it may not run, or not for long, leaving its worker aside.
+    /// Whether the run, regardless of the state of its worker, may not be running or is not
+    /// expected to complete soon.
     pub(crate) fn is_in_doubt(&self) -> bool {
         self.phase == RunPhase::Unknown || self.is_slow || self.is_stopping
     }
@@ -126,7 +127,8 @@
         now_ms.saturating_sub(self.sent_at_ms)
     }
 
-    /// The start has no response in time; `false` if it no longer waits for one.
+    /// Records that the start timed out at this serial number; `false` if it was not waiting for a
+    /// response.
     pub(crate) fn mark_start_timed_out(&mut self, serial: u64) -> bool {
         if self.phase != RunPhase::Sent {
             return false;
@@ -136,7 +138,8 @@
         true
     }
 
-    /// The worker acknowledged the start; whether it had timed out here.
+    /// Records that the worker acknowledged the start. Returns whether the start had timed out
+    /// before.
     pub(crate) fn acknowledge_start(&mut self, now_ms: u64, serial: u64) -> bool {
         let had_timed_out = self.timed_out_at_serial.take().is_some();
         self.mark_started(now_ms);
@@ -144,7 +147,7 @@
         had_timed_out
     }
 
-    /// The run is known to have begun, at the latest now.
+    /// Marks the run as started; the first call sets its start time to `now_ms`.
     pub(crate) fn mark_started(&mut self, now_ms: u64) {
         if self.phase != RunPhase::Started {
             self.phase = RunPhase::Started;
@@ -155,8 +158,8 @@
 
     // Reports.
 
-    /// Whether a report with this serial shows what came of a start that had timed out. It does so
-    /// only once.
+    /// Whether a report with this serial number resolves a timed-out start, that is, shows whether
+    /// it was carried out. Clears the time-out, so that it is resolved only once.
     pub(crate) fn take_timeout_resolved_by(&mut self, serial: u64) -> bool {
         if self.timed_out_at_serial.is_none_or(|timed_out_at| timed_out_at >= serial) {
             return false;
@@ -165,25 +168,26 @@
         true
     }
 
-    /// Reports with a higher serial show whether the run is there; `false` if earlier ones did
-    /// already.
+    /// Records that reports with a higher serial number show whether the worker has the run;
+    /// `false` if an earlier serial number is recorded already.
     pub(crate) fn acknowledge_at(&mut self, serial: u64) -> bool {
         let is_first = self.acknowledged_at_serial.is_none();
         self.acknowledged_at_serial.get_or_insert(serial);
         is_first
     }
 
-    /// Whether a report with this serial that does not list the run means that it is not there.
+    /// Whether a report with this serial number that does not list the run proves that the worker
+    /// does not have it.
     pub(crate) fn is_observable_at(&self, serial: u64) -> bool {
         self.acknowledged_at_serial.is_some_and(|acknowledged_at| acknowledged_at < serial)
     }
 
-    /// Whether an earlier term may have sent the start.
+    /// Whether the start may have been sent in an earlier term.
     pub(crate) fn may_be_of_earlier_term(&self, term_started_at_ms: u64) -> bool {
         self.phase == RunPhase::Unknown && self.sent_at_ms <= term_started_at_ms
     }
 
-    /// The worker reports that it runs.
+    /// Records a report of the worker that lists the run as running.
     pub(crate) fn record_report(&mut self, now_ms: u64, reported: &RunningTask) {
         self.mark_started(now_ms);
         if !reported.checkpoint.is_empty() {
@@ -198,11 +202,11 @@
 
     // Progress.
 
-    /// Whether the worker reported the run for a while without progress. Only reports count: a
-    /// worker that is silent is another matter.
-    pub(crate) fn is_stalled(&self, now_ms: u64, patience_ms: u64) -> bool {
-        now_ms > self.progressed_at_ms + patience_ms
-            && self.reported_at_ms > self.progressed_at_ms + patience_ms / 2
+    /// Whether the worker has reported the run without progress for about the time-out. Time
+    /// without reports does not count: a silent worker is handled elsewhere.
+    pub(crate) fn is_stalled(&self, now_ms: u64, stall_timeout_ms: u64) -> bool {
+        now_ms > self.progressed_at_ms + stall_timeout_ms
+            && self.reported_at_ms > self.progressed_at_ms + stall_timeout_ms / 2
     }
 
     /// The time from the start to the last report, milliseconds.
@@ -210,14 +214,15 @@
         self.reported_at_ms.saturating_sub(self.started_at_ms)
     }
 
-    /// The running time that the progress extrapolates to, milliseconds; once for each run, and
-    /// only if it has come far enough. Runs that resumed from a checkpoint, or of which the start
-    /// was not seen, have run for longer than is known here.
+    /// The total running time extrapolated from the progress, milliseconds. It is returned once for
+    /// each run, and only when the progress is at least `min_percent`. Runs that may have resumed
+    /// from a checkpoint, or whose start was not observed, give no sample, since they have run for
+    /// longer than is known here.
     pub(crate) fn take_runtime_sample(&mut self, now_ms: u64, done: bool, min_percent: f64) -> Option<f64> {
         let progress = if done { 100.0 } else { self.progress_percent };
-        let start_was_seen =
+        let start_was_observed =
             self.number == 1 && self.phase == RunPhase::Started && self.sent_at_ms < self.started_at_ms;
-        if self.is_sampled || !start_was_seen || progress < min_percent {
+        if self.is_sampled || !start_was_observed || progress < min_percent {
             return None;
         }
         self.is_sampled = true;
@@ -226,7 +231,7 @@
 
     // Stops.
 
-    /// The run is to end; `false` if it was to already.
+    /// Marks the run as being stopped; `false` if it was already.
     pub(crate) fn begin_stop(&mut self) -> bool {
         !std::mem::replace(&mut self.is_stopping, true)
     }
@@ -235,7 +240,8 @@
         self.stop_sent_at_ms = now_ms;
     }
 
-    /// Whether the stop is to be sent again: each time after twice as long, within bounds.
+    /// Whether the stop request is due to be sent again. The interval doubles after each retry, up
+    /// to [`MAX_STOP_DOUBLINGS`] times.
     pub(crate) fn is_stop_retry_due(&self, now_ms: u64, timeout_ms: u64) -> bool {
         now_ms >= self.stop_sent_at_ms + (timeout_ms << self.stop_doublings)
     }
--- a/crates/cluster/job-scheduler/src/jobs/task.rs
+++ b/crates/cluster/job-scheduler/src/jobs/task.rs
@@ -1,24 +1,24 @@
-//! A task: its runs, and what came of them.
+//! A task: its active runs and the outcomes of earlier ones.
 use super::run::Run;
 use crate::ids::WorkerIndex;
 use crate::record::TaskRecord;
 use compact_str::CompactString;
 
-/// A task. Run numbers only rise, so that a worker can tell an outdated start from a new one.
+/// A task. Run numbers only ascend, so that a worker can tell an outdated start from a new one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Task {
     last_run: u32,
-    /// The runs that failed; of a gang, its first task keeps them.
+    /// The numbers of the runs that failed; those of a gang are kept by its first task.
     failed_runs: Vec<u32>,
     done: bool,
     checkpoint: CompactString,
     active_runs: Vec<Run>,
-    /// Workers where it failed or made no progress.
+    /// Workers on which it failed or made no progress, and which placement avoids.
     avoided_workers: Vec<WorkerIndex>,
 }
 
 impl Task {
-    /// A task from its record, without its runs; see [`Task::add_run`].
+    /// Restores the task from its record, without its active runs; see [`Task::add_run`].
     pub(super) fn restore(&mut self, record: &TaskRecord) {
         self.last_run = record.last_run;
         self.failed_runs.clone_from(&record.failed_runs);
@@ -26,7 +26,7 @@
         self.done |= record.done;
     }
 
-    /// The stored form.
+    /// Converts the task to its stored form.
     pub(crate) fn to_record(&self, worker_id: impl Fn(WorkerIndex) -> String) -> TaskRecord {
         TaskRecord {
             last_run: self.last_run,
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Whether there is anything to store.
+    /// Whether the task was ever started, so that there is something to store.
     pub(crate) fn has_history(&self) -> bool {
         self.last_run > 0 || self.done || !self.failed_runs.is_empty()
     }
 
-    /// The number of the last run, 0 for none.
+    /// The number of the last run; 0 for none.
     pub(crate) fn last_run(&self) -> u32 {
         self.last_run
     }
@@ -80,7 +80,7 @@
         self.active_runs.push(run);
     }
 
-    /// Takes a run that ended out; its checkpoint, unless empty, is the task's from now on.
+    /// Removes and returns a run that ended. Its checkpoint, unless empty, becomes the task's.
     pub(crate) fn remove_run(&mut self, number: u32, checkpoint: &CompactString) -> Option<Run> {
         let position = self.active_runs.iter().position(|run| run.number() == number)?;
         if !checkpoint.is_empty() {
@@ -99,12 +99,12 @@
         self.failed_runs.contains(&number)
     }
 
-    /// Marks the task done; `false` if it was already.
+    /// Marks the task as done; `false` if it was already.
     pub(super) fn mark_done(&mut self) -> bool {
         !std::mem::replace(&mut self.done, true)
     }
 
-    /// Other workers are preferred from now on.
+    /// Makes placement prefer other workers from now on.
     pub(crate) fn avoid_worker(&mut self, worker: WorkerIndex) {
         self.avoided_workers.retain(|avoided| *avoided != worker);
         self.avoided_workers.push(worker);
--- a/crates/cluster/job-scheduler/src/latency.rs
+++ b/crates/cluster/job-scheduler/src/latency.rs
@@ -1,11 +1,11 @@
-//! Histograms of times, for the metrics: cheap to record, of a fixed size.
+//! Latency histograms of fixed size for the metrics.
 
-/// The upper bounds of the buckets, milliseconds. What takes longer is in a last bucket.
+/// The upper bounds of the buckets, milliseconds. Longer latencies go into an overflow bucket.
 const BOUNDS_MS: [u64; 13] = [1, 2, 5, 10, 20, 30, 60, 100, 200, 400, 800, 1_600, 3_200];
-/// The upper bound that is reported for the last bucket, milliseconds.
+/// The upper bound that is reported for the overflow bucket, milliseconds.
 const OVERFLOW_MS: u64 = 10_000;
 
-/// How many times fell into each bucket.
+/// A histogram of latencies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LatencyHistogram {
     counts: [u64; BOUNDS_MS.len()],
@@ -13,7 +13,7 @@
 }
 
 impl LatencyHistogram {
-    /// Counts a time, milliseconds.
+    /// Records a latency, milliseconds.
     pub fn record(&mut self, ms: u64) {
         match BOUNDS_MS.iter().position(|bound| ms <= *bound) {
             Some(bucket) => self.counts[bucket] += 1,
@@ -21,25 +21,25 @@
         }
     }
 
-    /// How many times were counted.
+    /// The number of recorded latencies.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.counts.iter().sum::<u64>() + self.overflow
     }
 
-    /// The upper bound, milliseconds, of the bucket that holds the quantile of this share (0 to 1);
-    /// 0 if nothing was counted.
+    /// The upper bound, milliseconds, of the bucket that holds the given quantile (0 to 1); 0 if
+    /// nothing was recorded.
     #[must_use]
-    pub fn quantile_ms(&self, share: f64) -> u64 {
+    pub fn quantile_ms(&self, quantile: f64) -> u64 {
         let count = self.count();
         if count == 0 {
             return 0;
         }
-        let wanted = (share * count as f64).ceil().max(1.0) as u64;
-        let mut counted = 0;
+        let rank = (quantile * count as f64).ceil().max(1.0) as u64;
+        let mut cumulative = 0;
         for (bucket, bound) in self.counts.iter().zip(BOUNDS_MS) {
-            counted += bucket;
-            if counted >= wanted {
+            cumulative += bucket;
+            if cumulative >= rank {
                 return bound;
             }
         }
@@ -47,13 +47,13 @@
     }
 }
 
-/// The stages of a start, each from the end of the one before.
+/// The latencies of the stages of a start, each measured from the end of the stage before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartLatencies {
-    /// From the moment at which the task may start to the choice of a worker.
+    /// From the time at which the task became ready to the choice of a worker.
     pub placement: LatencyHistogram,
-    /// From there until the record of the run is committed and the start is sent.
+    /// From the choice of a worker until the record of the run is committed and the start is sent.
     pub commit: LatencyHistogram,
-    /// From there to the worker's acknowledgement.
+    /// From sending the start to the worker's acknowledgement.
     pub response: LatencyHistogram,
 }
--- a/crates/cluster/job-scheduler/src/lib.rs
+++ b/crates/cluster/job-scheduler/src/lib.rs
@@ -1,26 +1,27 @@
-//! Jobs and the tasks they consist of: accepted, placed on workers, watched, recovered.
+//! The job scheduler: admits jobs, places their tasks on workers, monitors the runs, and recovers
+//! after a failover.
 //!
-//! A [`Scheduler`] is a pure state machine without I/O or clock. Its embedder calls it with what
-//! clients submit, the platform's list of workers, the responses of workers, and the time. It
-//! replicates the [`RecordChange`]s that the scheduler makes, and makes its [`WorkerCall`]s,
-//! which are released once the records that they depend on are committed. All
-//! that must last about jobs is in the records, so another machine goes on from them
-//! ([`Scheduler::recover`]); what runs where at the moment it learns from the workers.
+//! A [`Scheduler`] is a pure state machine without I/O or a clock. Its embedder passes it the
+//! submissions of clients, the platform's list of workers, the responses of workers, and the time.
+//! The embedder also replicates the [`RecordChange`]s that the scheduler emits, and performs its
+//! [`WorkerCall`]s, which are released once the records that they depend on are committed. The
+//! records hold the entire durable state of jobs, so another machine can take over from them
+//! ([`Scheduler::recover`]); which tasks currently run where, it learns from the workers.
 //!
 //! Invariants:
-//! - **Starts** are recorded before they are sent. A start without response counts as running until
-//!   the worker reports otherwise, or its lease has expired: so a task never runs twice at once,
-//!   unless its stage allows hedged runs.
-//! - **Ends** are recorded before the worker may forget them: so none is lost or counted twice.
-//! - **Capacity** is reserved from the decision to start until the end is known: so no worker is
-//!   given more than it has.
-//! - **Fencing**: each call carries the term; a worker that has seen a later one rejects it. So
-//!   calls of an earlier term have no effect after a worker responded to this one.
+//! - **Starts** are recorded before they are sent. A start without a response counts as running
+//!   until the worker reports otherwise or its lease has expired. A task therefore never runs twice
+//!   at once, unless its stage allows hedged runs.
+//! - **Run ends** are recorded before the worker may discard them. None is lost or counted twice.
+//! - **Capacity** is reserved from the decision to start a run until its end is known. No worker is
+//!   assigned more than its capacity.
+//! - **Fencing**: each call carries the term, and a worker that has seen a later term rejects it.
+//!   Calls of an earlier term have no effect on a worker that has responded to the current one.
 //!
-//! Parts, each with its own state and invariants: [`jobs`] (job table), [`workers`] (registry and
-//! leases), [`pending`] (queue), [`placement`], [`calls`] (in flight, time-outs, throttle),
-//! [`renewal`] (schedule of lease renewals), [`commit`] (write batches) and [`occurrence_timer`].
-//! [`scheduler`] coordinates them.
+//! Components, each with its own state and invariants: [`jobs`] (job table), [`workers`] (registry
+//! and leases), [`pending`] (queue), [`placement`], [`calls`] (calls in flight, time-outs,
+//! throttle), [`renewal`] (schedule of lease renewals), [`commit`] (write batches) and
+//! [`occurrence_timer`]. [`scheduler`] coordinates them.
 #![warn(
     missing_docs,
     unreachable_pub,
@@ -31,7 +32,10 @@
     clippy::explicit_iter_loop,
     clippy::semicolon_if_nothing_returned
 )]
-#![allow(rustdoc::private_intra_doc_links, reason = "the crate's page names its parts for maintainers")]
+#![allow(
+    rustdoc::private_intra_doc_links,
+    reason = "the crate's documentation links its private modules for maintainers"
+)]
 
 mod calls;
 mod commit;
--- a/crates/cluster/job-scheduler/src/metrics.rs
+++ b/crates/cluster/job-scheduler/src/metrics.rs
@@ -1,62 +1,63 @@
-//! Counts of a scheduler, for the metrics of its process.
+//! Gauges and counters of a scheduler for the metrics of its process.
 use crate::latency::StartLatencies;
 
-/// What a scheduler holds at present.
+/// The current sizes of a scheduler's tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SchedulerCounts {
-    /// Jobs that are known, open or closed.
+    /// Jobs in the job table, open or closed.
     pub jobs: usize,
-    /// Tasks and gangs that wait to be placed.
+    /// Tasks and gangs that are waiting to be placed.
     pub pending_units: usize,
     /// Runs whose end is not known.
     pub active_runs: usize,
-    /// Events of this term.
+    /// Events in this term.
     pub events: u64,
 }
 
-/// The shortest and the longest time-out of calls in any zone, milliseconds.
+/// The range of the call time-outs over all zones, milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TimeoutRange {
-    /// The shortest.
+    /// The shortest time-out of any zone, milliseconds.
     pub shortest_ms: u64,
-    /// The longest.
+    /// The longest time-out of any zone, milliseconds.
     pub longest_ms: u64,
 }
 
-/// What keeps a scheduler from deciding more starts.
+/// The limit that prevents a scheduler from starting more tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartBound {
-    /// As many starts as allowed wait for their commit or response.
+    /// The number of starts that wait for their commit or response is at its limit.
     InFlight,
-    /// The throttle, since ticks come late.
+    /// The throttle, which reduces starts when ticks are late, allows no more before the next tick.
     Throttle,
-    /// As many calls as allowed are in flight.
+    /// The number of calls in flight is at its limit.
     Calls,
 }
 
-/// Counts of a term so far.
+/// Counters of the current term, with some current values.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SchedulerMetrics {
     /// Starts that were sent.
     pub starts: u64,
-    /// Starts without a response in time.
+    /// Starts whose response did not arrive before the time-out.
     pub start_timeouts: u64,
-    /// Those of them that turned out to have been acknowledged: the time-out was too short.
+    /// Timed-out starts that were acknowledged after all: the time-out was too short.
     pub premature_start_timeouts: u64,
     /// Runs that were stopped.
     pub stops: u64,
-    /// Starts beside a run of the same task that was in doubt.
+    /// Hedged runs: starts of a task while another run of it was in doubt.
     pub hedged_runs: u64,
-    /// The number of starts allowed between two ticks at present.
+    /// The number of starts that are currently allowed between two ticks.
     pub max_starts_per_tick: u64,
-    /// The time-outs of calls at present; `None` before the first response.
+    /// The current time-outs of calls; `None` before the first response.
     pub call_timeouts: Option<TimeoutRange>,
-    /// How often a pass tried to place a task or gang.
+    /// Attempts to place a task or gang.
     pub placement_attempts: u64,
-    /// How long the stages of starts took.
+    /// Latencies of the stages of starts.
     pub start_latencies: StartLatencies,
-    /// How often a check found the first task in line held back for long by a bound on starts.
+    /// Checks that found the first task or gang in the queue held back for too long by a limit on
+    /// starts.
     pub held_back_checks: u64,
-    /// The bound that the last such check named.
+    /// The limit that the last such check found.
     pub held_back_by: Option<StartBound>,
 }
--- a/crates/cluster/job-scheduler/src/pending.rs
+++ b/crates/cluster/job-scheduler/src/pending.rs
@@ -1,64 +1,68 @@
-//! Tasks and gangs that wait to be placed, in their order.
+//! The queue of placement units (tasks and gangs) that are waiting to be placed.
 use crate::ids::{JobId, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// The position of a unit in the queue: by priority, then by the time that its job was due.
+/// The position of a unit in the queue: by priority, then by due time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PendingKey {
-    /// 0 is the highest.
+    /// The priority; 0 is the highest.
     pub(crate) priority: u8,
-    /// Milliseconds since 1970.
+    /// When the occurrence was due, or its job accepted if that was later, milliseconds since the
+    /// Unix epoch.
     pub(crate) due_at_ms: u64,
-    /// The task; for a gang its first.
+    /// The task; for a gang, its first task.
     pub(crate) task: TaskId,
 }
 
-/// A unit that waits, and since when.
+/// A waiting unit.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingUnit {
     pub(crate) key: PendingKey,
+    /// The monotonic time since which it has been waiting, milliseconds.
     pub(crate) since_ms: u64,
 }
 
-/// The longest time between two full passes while something may have changed, milliseconds: the tick
-/// interval.
+/// The longest delay of a full pass that is due, milliseconds: the tick interval.
 const MAX_RETRY_INTERVAL_MS: u64 = 20;
 
-/// What the next pass places.
+/// The units that a pass over the queue tries to place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PlacementPass {
-    /// Only units that were not tried yet.
+    /// Only units that have not been tried yet.
     Untried,
     /// All units.
     Full,
-    /// Units that were not tried yet, then all from this key on, at which a bound on starts
-    /// interrupted a full pass.
+    /// Units that have not been tried yet, then all units from this key on, at which a limit on
+    /// starts interrupted a full pass.
     Continued(PendingKey),
 }
 
-/// The queue of units that wait to be placed, and which of them a pass is to try.
+/// The queue of waiting units, with the state that determines which of them the next pass tries.
 ///
-/// A unit is tried when it is added. One that does not fit is tried again in a full pass, which is
-/// due when something changed that may let it be placed, and not before a time that grows with the
-/// units that did not fit in the last: a pass over many of them costs as much as many starts.
+/// A unit is tried after it is added. A unit that does not fit is tried again in the next full
+/// pass. A full pass is due when a change may allow such a unit to be placed, but not before a
+/// delay that grows with the number of units that did not fit since the last full pass began: a
+/// pass over many such units costs as much as many starts.
 #[derive(Debug, Default)]
 pub(crate) struct PendingQueue {
-    /// With the monotonic time since when each waits.
+    /// All waiting units, each with the monotonic time since which it has been waiting,
+    /// milliseconds.
     units: BTreeMap<PendingKey, u64>,
-    /// Units that were not tried since they were added; all of them are in `units`.
+    /// Units that have not been tried since they were added; a subset of `units`.
     untried: BTreeSet<PendingKey>,
-    /// Where the next pass goes on among the units behind many that do not fit.
+    /// The key at which the next full pass resumes among the units behind many that do not fit.
     resume_at: Option<PendingKey>,
-    /// Something changed since the last full pass began that may let a unit be placed.
+    /// Whether a change since the last full pass began may allow a unit to be placed.
     needs_full_pass: bool,
-    /// When the next full pass may begin, monotonic milliseconds.
+    /// The earliest time of the next full pass, monotonic milliseconds.
     full_pass_not_before_ms: u64,
-    /// Where a full pass that a bound on starts interrupted goes on.
+    /// The key at which a full pass that a limit on starts interrupted continues.
     interrupted_at: Option<PendingKey>,
-    /// The unit at which a bound on starts ended the last pass.
+    /// The unit at which a limit on starts ended the last pass.
     held_back: Option<PendingUnit>,
-    /// A unit waits only for time to pass: the next tick makes a full pass due.
+    /// Whether the next tick makes a full pass due, since a unit may be placed after enough time
+    /// alone or the last full pass left units untried.
     needs_pass_at_tick: bool,
 }
 
@@ -67,13 +71,13 @@
         self.units.len()
     }
 
-    /// Adds a unit that waits from now on.
+    /// Adds a unit whose waiting time begins now.
     pub(crate) fn push(&mut self, key: PendingKey, now_ms: u64) {
         self.units.insert(key, now_ms);
         self.untried.insert(key);
     }
 
-    /// Adds a unit, which keeps its waiting time if it was there already.
+    /// Adds a unit to be tried; one that is in the queue already keeps its waiting time.
     pub(crate) fn requeue(&mut self, key: PendingKey, now_ms: u64) {
         self.units.entry(key).or_insert(now_ms);
         self.untried.insert(key);
@@ -89,13 +93,13 @@
         self.untried.retain(|key| key.task.job != job);
     }
 
-    /// The tasks that wait, and the first tasks of the gangs that do, in order.
+    /// The tasks of the waiting units in queue order; a gang is represented by its first task.
     pub(crate) fn tasks(&self) -> impl Iterator<Item = TaskId> {
         self.units.keys().map(|key| key.task)
     }
 
-    /// Capacity was freed or a worker changed: the next full pass may place what did not fit
-    /// before.
+    /// Makes a full pass due, since capacity was freed or a worker changed and units that did not
+    /// fit may fit now.
     pub(crate) fn capacity_changed(&mut self) {
         self.needs_full_pass = true;
     }
@@ -105,20 +109,21 @@
         self.needs_pass_at_tick = true;
     }
 
-    /// The same, if a unit that did not fit waits only for time to pass.
+    /// Makes a full pass due at the next tick if a unit that did not fit waits only for time to
+    /// pass.
     pub(crate) fn retry_at_next_tick_if(&mut self, waits_for_time: bool) {
         self.needs_pass_at_tick |= waits_for_time;
     }
 
-    /// A tick: passes that waited for it are due.
+    /// Makes a full pass due if one was requested for this tick.
     pub(crate) fn tick(&mut self) {
         self.needs_full_pass |= std::mem::take(&mut self.needs_pass_at_tick);
     }
 
     // Passes.
 
-    /// Begins the pass that is due, if any. `misses` is the number of units that did not fit since
-    /// the last full pass began.
+    /// Begins the pass that is due and returns it, if any. `misses` is the number of units that did
+    /// not fit since the last full pass began.
     pub(crate) fn begin_pass(&mut self, now_ms: u64, misses: usize) -> Option<PlacementPass> {
         self.held_back = None;
         if self.units.is_empty() {
@@ -137,36 +142,37 @@
         }
     }
 
-    /// The first unit from this key on, in order.
+    /// The first unit at or after the bound `from`, in queue order.
     pub(crate) fn first_from(&self, from: Bound<PendingKey>) -> Option<PendingUnit> {
         let (key, since_ms) = self.units.range((from, Bound::Unbounded)).next()?;
         Some(PendingUnit { key: *key, since_ms: *since_ms })
     }
 
-    /// The first unit that was not tried, in order.
+    /// The first unit that has not been tried, in queue order.
     pub(crate) fn first_untried(&self) -> Option<PendingUnit> {
         let key = self.untried.first()?;
         Some(PendingUnit { key: *key, since_ms: *self.units.get(key)? })
     }
 
-    /// A pass has tried a unit.
+    /// Marks a unit as tried by a pass.
     pub(crate) fn mark_tried(&mut self, key: &PendingKey) {
         self.untried.remove(key);
     }
 
-    /// A bound on starts ended the pass at this unit: it goes on as soon as the bound allows more, a
-    /// full pass at the key `continue_at`.
+    /// Ends the pass at this unit because of a limit on starts. Placement continues as soon as the
+    /// limit allows more starts: a full pass at the key `continue_at`.
     pub(crate) fn hold_back(&mut self, unit: PendingUnit, continue_at: Option<PendingKey>) {
         self.held_back = Some(unit);
         self.interrupted_at = continue_at;
     }
 
-    /// The unit at which a bound on starts ended the last pass, if it still waits.
+    /// The unit at which a limit on starts ended the last pass, if it is still waiting.
     pub(crate) fn held_back(&self) -> Option<PendingUnit> {
         self.held_back.filter(|unit| self.units.contains_key(&unit.key))
     }
 
-    /// Where the last pass stopped behind the units that do not fit; forgotten by this call.
+    /// Removes and returns the key at which the last full pass stopped among the units behind many
+    /// that do not fit.
     pub(crate) fn take_resume_point(&mut self) -> Option<PendingKey> {
         self.resume_at.take()
     }
--- a/crates/cluster/job-scheduler/src/placement/candidates.rs
+++ b/crates/cluster/job-scheduler/src/placement/candidates.rs
@@ -1,5 +1,5 @@
-//! Candidates for a placement: the positions of random walks on the expander graph of the workers
-//! of a kind.
+//! Candidates for a placement: the positions of random walks on an expander graph of the workers
+//! that match a selector.
 use crate::ids::WorkerIndex;
 use crate::workers::{ListingState, Worker};
 use compact_str::CompactString;
@@ -7,56 +7,57 @@
 use rustc_hash::FxHashMap;
 use spanlead_expander_walk::{Expander, VertexIndex, uniform_below};
 
-/// Walkers of a graph, and so candidates for a placement: the `d` of "power of d choices".
+/// The number of walkers on a graph, and so of candidates for a placement: the `d` of "power of d
+/// choices".
 const WALKERS: usize = 4;
-/// Steps that a walker goes on from a worker that is not eligible.
+/// The largest number of extra steps that a walker takes to get past ineligible workers.
 const MAX_EXTRA_STEPS: usize = 4;
 
-/// The workers of a service that have certain labels.
+/// A selector that matches the workers of a service that have all of the labels.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct WorkerKind {
+pub(super) struct WorkerSelector {
     pub(super) service: CompactString,
     pub(super) labels: Vec<String>,
 }
 
-impl WorkerKind {
-    fn contains(&self, worker: &Worker) -> bool {
+impl WorkerSelector {
+    fn matches(&self, worker: &Worker) -> bool {
         worker.listing() == ListingState::Ready
             && *worker.service() == self.service
             && worker.has_labels(&self.labels)
     }
 }
 
-/// A graph with its walkers for each kind that was ever asked for.
+/// The graphs, each with its walkers, of all selectors used so far.
 #[derive(Debug, Default)]
 pub(super) struct CandidateGraphs {
-    graphs: FxHashMap<WorkerKind, Expander>,
+    graphs: FxHashMap<WorkerSelector, Expander>,
 }
 
 impl CandidateGraphs {
-    /// Adds the changed workers to all graphs that they belong to, and removes them from all
+    /// Adds the changed workers to the graphs whose selectors match them, and removes them from all
     /// others.
     pub(super) fn update(&mut self, workers: &[Worker], changed: &[WorkerIndex]) {
         let changed: Vec<VertexIndex> = changed.iter().map(|index| VertexIndex(index.0)).collect();
-        for (kind, graph) in &mut self.graphs {
-            graph.update(workers, &changed, |worker| kind.contains(worker));
+        for (selector, graph) in &mut self.graphs {
+            graph.update(workers, &changed, |worker| selector.matches(worker));
         }
     }
 
-    /// The graph of a kind, made when it is first asked for.
-    pub(super) fn graph(&mut self, workers: &[Worker], kind: WorkerKind) -> &mut Expander {
-        self.graphs.entry(kind).or_insert_with_key(|kind| {
+    /// The graph of a selector, built on first use.
+    pub(super) fn graph(&mut self, workers: &[Worker], selector: WorkerSelector) -> &mut Expander {
+        self.graphs.entry(selector).or_insert_with_key(|selector| {
             let mut graph = Expander::default();
             let all: Vec<VertexIndex> = (0..workers.len() as u32).map(VertexIndex).collect();
-            graph.update(workers, &all, |worker| kind.contains(worker));
+            graph.update(workers, &all, |worker| selector.matches(worker));
             graph
         })
     }
 }
 
-/// The eligible workers at the walkers' positions, each walker having gone on past ineligible ones.
-/// If there is none, the first eligible worker from a random position of the graph on. All walkers
-/// take a step after it.
+/// Draws candidates: the eligible workers at the walkers' positions, after each walker has moved
+/// past ineligible ones. If there is none, the only candidate is the first eligible worker in the
+/// graph's order from a random position on. Afterwards all walkers take a step.
 pub(super) fn draw_candidates(
     graph: &mut Expander,
     workers: &[Worker],
--- a/crates/cluster/job-scheduler/src/placement/capacity_bounds.rs
+++ b/crates/cluster/job-scheduler/src/placement/capacity_bounds.rs
@@ -1,29 +1,30 @@
-//! Upper bounds of free capacity: a demand that fits nowhere is found without a look at each worker.
+//! Upper bounds of free capacity, which detect a demand that fits nowhere without iterating over
+//! all workers.
 use crate::resources::Resources;
 use crate::workers::{ListingState, Worker, WorkerRegistry};
 use compact_str::CompactString;
 use rustc_hash::FxHashMap;
 
-/// The bounds of one service.
+/// The upper bounds of the workers of one service.
 #[derive(Debug, Default)]
 struct ServiceBounds {
     any_worker: Resources,
     by_label: FxHashMap<CompactString, Resources>,
 }
 
-/// By service and label, at least as much of each resource as any worker has free.
+/// Upper bounds, by service and label, of the free capacity of any single worker for each resource.
 ///
-/// Invariant: while the bounds are known, no ready worker has more free than those of its service and
-/// labels. They are computed by [`CapacityBounds::refresh`], raised when a worker frees capacity, and
-/// forgotten when workers are listed or change.
+/// Invariant: while the bounds are known, no ready worker has more free capacity than the bounds of
+/// its service and of its labels. [`CapacityBounds::refresh`] computes them. They are raised when a
+/// worker frees capacity, and invalidated when workers are listed or change.
 #[derive(Debug, Default)]
 pub(super) struct CapacityBounds {
-    /// `None` while they are not known: then anything may fit.
+    /// `None` while the bounds are not known, in which case any demand may fit.
     services: Option<FxHashMap<CompactString, ServiceBounds>>,
 }
 
 impl CapacityBounds {
-    /// Computes the bounds anew.
+    /// Recomputes the bounds from the current free capacity of all workers.
     pub(super) fn refresh(&mut self, workers: &WorkerRegistry) {
         self.services = Some(FxHashMap::default());
         for worker in workers.iter() {
@@ -31,7 +32,7 @@
         }
     }
 
-    /// A worker has freed capacity.
+    /// Raises the bounds to the free capacity of a worker that has freed some.
     pub(super) fn raise(&mut self, worker: &Worker) {
         let Some(services) = &mut self.services else { return };
         if worker.listing() != ListingState::Ready {
@@ -50,12 +51,12 @@
         }
     }
 
-    /// Workers were listed, or changed.
-    pub(super) fn forget(&mut self) {
+    /// Invalidates the bounds, since workers were listed or changed.
+    pub(super) fn invalidate(&mut self) {
         self.services = None;
     }
 
-    /// Whether a demand may fit on a worker of that service with all of these labels.
+    /// Whether a demand may fit on a worker of the service that has all of the labels.
     pub(super) fn may_fit<'a>(
         &self,
         service: &CompactString,
--- a/crates/cluster/job-scheduler/src/placement/gang.rs
+++ b/crates/cluster/job-scheduler/src/placement/gang.rs
@@ -1,4 +1,4 @@
-//! Gangs: tasks that are placed together or not at all.
+//! Placement of gangs, whose tasks are placed together or not at all.
 use super::placer::{Placement, Placer};
 use super::request::PlacementRequest;
 use crate::ids::{RunId, TaskId, WorkerIndex};
@@ -7,11 +7,13 @@
 use crate::workers::WorkerRegistry;
 use rustc_hash::FxHashMap;
 
-/// How long a gang waits for capacity on one rack, as a share of what it loses on several.
+/// The time that a gang waits for capacity on one rack, as a share of the time that running on
+/// several racks would cost it.
 const RACK_WAIT_SHARE: f64 = 0.5;
 
 impl Placer {
-    /// A worker for each member, in the members' order, with capacity for all together.
+    /// Chooses a worker for each member, in the members' order, such that there is capacity for all
+    /// members together.
     pub(crate) fn place_gang(
         &mut self,
         jobs: &JobTable,
@@ -48,7 +50,7 @@
         self.place_members(jobs, workers, request, members, Some(&rack))
     }
 
-    /// The rack on which most tasks of the stage fit, if all members do.
+    /// The rack on which the most tasks of the stage fit, if all members fit there.
     fn rack_with_most_capacity(
         &self,
         jobs: &JobTable,
@@ -66,12 +68,13 @@
             }
         }
         let fitting = racks.into_iter().filter(|(_, tasks)| *tasks >= member_count as u64);
-        // Of racks with the same capacity the last by name, whatever the order of the map.
+        // Ties are broken by name, so that the result does not depend on the order of the map.
         let largest = fitting.max_by_key(|(rack, tasks)| (*tasks, *rack));
         largest.map(|(rack, _)| rack.to_owned())
     }
 
-    /// Chooses workers one by one, each choice reserving its capacity until all are made.
+    /// Chooses a worker for one member after the other. Each choice reserves its capacity until the
+    /// choices for all members are made.
     fn place_members(
         &mut self,
         jobs: &JobTable,
@@ -87,7 +90,7 @@
             let member_request = PlacementRequest { task: *member, ..*request };
             match self.choose(jobs, workers, &member_request, rack) {
                 Placement::On(worker) => {
-                    workers[worker].allocation.reserve(reservation(*member), demand);
+                    workers[worker].allocation.reserve(reservation_id(*member), demand);
                     chosen.push(worker);
                 }
                 Placement::NoCapacity => break,
@@ -98,13 +101,14 @@
             }
         }
         for (member, worker) in members.iter().zip(&chosen) {
-            workers[*worker].allocation.release(reservation(*member), demand);
+            workers[*worker].allocation.release(reservation_id(*member), demand);
         }
         if chosen.len() == members.len() { Placement::On(chosen) } else { result }
     }
 }
 
-/// The run under which a member's capacity is reserved meanwhile: real runs are numbered from 1.
-fn reservation(member: TaskId) -> RunId {
+/// The run identifier under which a member's capacity is reserved during placement. Actual runs are
+/// numbered from 1.
+fn reservation_id(member: TaskId) -> RunId {
     RunId { task: member, run: 0 }
 }
--- a/crates/cluster/job-scheduler/src/placement/misses.rs
+++ b/crates/cluster/job-scheduler/src/placement/misses.rs
@@ -1,10 +1,10 @@
-//! What did not fit since the last full pass over the pending queue began: whatever demands as much
-//! need not be tried again before the next.
+//! The units that did not fit since the last full pass over the pending queue began. Units that
+//! demand at least as much need not be tried before the next full pass.
 use crate::resources::Resources;
 use crate::spec::Stage;
 use compact_str::CompactString;
 
-/// A demand that no worker of its kind had capacity for.
+/// A demand for which no worker of the service with the required labels had capacity.
 #[derive(Debug)]
 struct Miss {
     service: CompactString,
@@ -12,27 +12,28 @@
     demand: Resources,
 }
 
-/// The units that did not fit.
+/// The units that did not fit since the last full pass began.
 #[derive(Debug, Default)]
 pub(crate) struct PlacementMisses {
     misses: Vec<Miss>,
     count: usize,
-    /// The highest priority, which is the lowest number, of the units that did not fit.
+    /// The highest priority (the lowest number) of the units that did not fit.
     highest_priority: Option<u8>,
 }
 
 impl PlacementMisses {
-    /// How many units were tried and did not fit.
+    /// The number of units that were tried and did not fit.
     pub(crate) fn count(&self) -> usize {
         self.count
     }
 
-    /// The highest priority of the units that did not fit, 0 before 1.
+    /// The highest priority of the units that did not fit; 0 is the highest possible.
     pub(crate) fn highest_priority(&self) -> Option<u8> {
         self.highest_priority
     }
 
-    /// Whether a task that demands no more than this one did not fit.
+    /// Whether a task with the same service and constraints that demands no more than one of this
+    /// stage did not fit, so that this one cannot fit either.
     pub(crate) fn covers(&self, service: &str, stage: &Stage) -> bool {
         let demand = Resources::demand_of(stage);
         let is_covering = |miss: &Miss| {
@@ -54,8 +55,8 @@
     }
 }
 
-/// Whether a task's placement depends on demand and constraints only, so that one says something of
-/// others.
+/// Whether the placement of a stage's tasks depends on demand and constraints only, so that the
+/// result for one task applies to others.
 fn has_no_affinity(stage: &Stage) -> bool {
     stage.affinity.is_none() && stage.anti_affinity == 0
 }
--- a/crates/cluster/job-scheduler/src/placement/mod.rs
+++ b/crates/cluster/job-scheduler/src/placement/mod.rs
@@ -1,4 +1,5 @@
-//! Where tasks go: which workers are eligible, which of them are candidates, and which is chosen.
+//! Placement of tasks: which workers are eligible, which of those are candidates, and which
+//! candidate is chosen.
 mod candidates;
 mod capacity_bounds;
 mod gang;
--- a/crates/cluster/job-scheduler/src/placement/placer.rs
+++ b/crates/cluster/job-scheduler/src/placement/placer.rs
@@ -1,6 +1,6 @@
-//! The choice of a worker: candidates by random walks among the workers of a kind, then the one
-//! with the least cost.
-use super::candidates::{CandidateGraphs, WorkerKind, draw_candidates};
+//! The choice of a worker: random walks over the workers that match a selector give the candidates,
+//! and the candidate with the least cost is chosen.
+use super::candidates::{CandidateGraphs, WorkerSelector, draw_candidates};
 use super::capacity_bounds::CapacityBounds;
 use super::request::{Eligibility, PlacementRequest};
 use crate::ids::WorkerIndex;
@@ -12,36 +12,40 @@
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// How long a task waits for a worker near its data, as a share of what it loses far from them.
+/// The time that a task waits for a worker on the rack of its data, as a share of the time that
+/// running elsewhere would cost it.
 const RACK_WAIT_SHARE: f64 = 0.5;
-/// Units that did not fit from which on the bounds of free capacity are worth a look at all workers.
+/// The number of units that did not fit from which on a full pass computes the bounds of free
+/// capacity, which iterates over all workers.
 const MIN_MISSES_FOR_BOUNDS: usize = 16;
 
-/// The decision about a request.
+/// The result of a placement request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Placement<T> {
+    /// The worker, or for a gang the workers, to run on.
     On(T),
     /// No eligible worker has capacity.
     NoCapacity,
-    /// A worker elsewhere may have, but it is worth while to wait for one on the right rack.
+    /// No worker on the preferred rack has capacity, and waiting for one costs less than running
+    /// elsewhere.
     WaitForRack,
 }
 
-/// Chooses workers. It keeps the random walks from one placement to the next; jobs and workers
-/// belong to others.
+/// Chooses workers for tasks and gangs. It keeps the positions of the random walks from one
+/// placement to the next. The job table and the worker registry are passed in by the caller.
 #[derive(Debug)]
 pub(crate) struct Placer {
     remote_data_slowdown: f64,
     graphs: CandidateGraphs,
     bounds: CapacityBounds,
     rng: Pcg64Mcg,
-    /// Services most of whose workers are ejected: there, ejection says nothing about a single
-    /// worker (panic mode).
-    panicking_services: FxHashSet<CompactString>,
+    /// Services in panic mode: most of their workers are ejected, so ejection is no evidence
+    /// against a single worker.
+    panic_mode_services: FxHashSet<CompactString>,
 }
 
 impl Placer {
-    /// A placer with a seed for its random walks; see
+    /// Creates a placer. `seed` seeds its random walks; for `remote_data_slowdown` see
     /// [`crate::SchedulerConfig::remote_data_slowdown`].
     pub(crate) fn new(remote_data_slowdown: f64, seed: u64) -> Self {
         Placer {
@@ -49,33 +53,36 @@
             graphs: CandidateGraphs::default(),
             bounds: CapacityBounds::default(),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            panicking_services: FxHashSet::default(),
+            panic_mode_services: FxHashSet::default(),
         }
     }
 
-    /// Some workers were listed anew, changed, or are no longer ready.
+    /// Updates the candidate graphs for workers that were newly listed, changed, or are no longer
+    /// ready, and invalidates the bounds of free capacity.
     pub(crate) fn update_workers(&mut self, workers: &WorkerRegistry, changed: &[WorkerIndex]) {
         if !changed.is_empty() {
             self.graphs.update(workers.as_slice(), changed);
-            self.bounds.forget();
+            self.bounds.invalidate();
         }
     }
 
-    /// A full pass begins, and so many units did not fit since the last began.
+    /// Prepares a full pass. `misses` is the number of units that did not fit since the last full
+    /// pass began.
     pub(crate) fn begin_full_pass(&mut self, workers: &WorkerRegistry, misses: usize) {
         if misses >= MIN_MISSES_FOR_BOUNDS {
             self.bounds.refresh(workers);
         } else {
-            self.bounds.forget();
+            self.bounds.invalidate();
         }
     }
 
-    /// A worker has freed capacity.
+    /// Updates the bounds of free capacity after a worker has freed some.
     pub(crate) fn capacity_freed(&mut self, worker: &Worker) {
         self.bounds.raise(worker);
     }
 
-    /// Finds the services most of whose workers are ejected.
+    /// Determines the services in panic mode: those with more than half of their workers ejected,
+    /// counting only workers that accept tasks.
     pub(crate) fn update_panic_mode(&mut self, workers: &WorkerRegistry, now_ms: u64) {
         #[derive(Default)]
         struct Counts {
@@ -88,11 +95,12 @@
             counts.all += 1;
             counts.ejected += usize::from(worker.health.is_ejected(now_ms));
         }
-        let panicking = services.into_iter().filter(|(_, counts)| counts.ejected * 2 > counts.all);
-        self.panicking_services = panicking.map(|(service, _)| service.clone()).collect();
+        let in_panic_mode = services.into_iter().filter(|(_, counts)| counts.ejected * 2 > counts.all);
+        self.panic_mode_services = in_panic_mode.map(|(service, _)| service.clone()).collect();
     }
 
-    /// A worker for a task; near its data, if it is worth while to wait for one there.
+    /// Chooses a worker for a task, preferably on the rack of its data; see
+    /// [`Placement::WaitForRack`].
     pub(crate) fn place_task(
         &mut self,
         jobs: &JobTable,
@@ -102,7 +110,8 @@
         self.choose(jobs, workers, request, None)
     }
 
-    /// A worker on `rack` if one is given, else near the task's data if that is worth the wait.
+    /// Chooses a worker on `rack` if one is given. Otherwise it prefers the rack of the task's
+    /// data, and decides to wait for a worker there if that costs less than running elsewhere.
     pub(super) fn choose(
         &mut self,
         jobs: &JobTable,
@@ -111,13 +120,13 @@
         rack: Option<&str>,
     ) -> Placement<WorkerIndex> {
         if let Some(data_rack) = request.stage.affinity.as_deref().filter(|_| rack.is_none()) {
-            let near = self.choose_on_rack(jobs, workers, request, Some(data_rack));
-            if let Some(worker) = near {
+            let on_data_rack = self.choose_on_rack(jobs, workers, request, Some(data_rack));
+            if let Some(worker) = on_data_rack {
                 return Placement::On(worker);
             }
             let max_wait_ms = self.remote_loss_ms(request) * RACK_WAIT_SHARE;
             let may_wait = (request.waited_ms as f64) < max_wait_ms;
-            if may_wait && rack_serves(workers, request.service, data_rack) {
+            if may_wait && rack_has_reachable_worker(workers, request.service, data_rack) {
                 return Placement::WaitForRack;
             }
         }
@@ -125,13 +134,14 @@
         chosen.map_or(Placement::NoCapacity, Placement::On)
     }
 
-    /// Whether any worker may have enough free, on `rack` if one is given.
+    /// Whether any worker, on `rack` if one is given, may have enough free capacity.
     pub(super) fn may_fit(&self, request: &PlacementRequest<'_>, rack: Option<&str>) -> bool {
         let labels = request.stage.constraints.iter().map(String::as_str).chain(rack);
         self.bounds.may_fit(request.service, labels, Resources::demand_of(request.stage))
     }
 
-    /// Workers that the task avoids are chosen only if there is no other.
+    /// Chooses an eligible worker, on `rack` if one is given. A worker that the task avoids is
+    /// chosen only if no other is found.
     fn choose_on_rack(
         &mut self,
         jobs: &JobTable,
@@ -151,7 +161,7 @@
         preferred
     }
 
-    /// The time that a task loses far from its data or its gang, milliseconds.
+    /// The additional running time of a task away from its data or its gang, milliseconds.
     pub(super) fn remote_loss_ms(&self, request: &PlacementRequest<'_>) -> f64 {
         request.stage.estimated_runtime_ms as f64 * (self.remote_data_slowdown - 1.0)
     }
@@ -166,12 +176,12 @@
             request,
             task: jobs.task(request.task),
             demand: Resources::demand_of(request.stage),
-            is_panicking: self.panicking_services.contains(request.service),
+            is_in_panic_mode: self.panic_mode_services.contains(request.service),
             excludes_avoided,
         }
     }
 
-    /// Of the candidates that the walks lead to, the one with the least cost.
+    /// Chooses the candidate with the least cost.
     fn choose_eligible(
         &mut self,
         workers: &WorkerRegistry,
@@ -180,8 +190,8 @@
     ) -> Option<WorkerIndex> {
         let mut labels = eligibility.request.stage.constraints.clone();
         labels.extend(rack.map(str::to_owned));
-        let kind = WorkerKind { service: eligibility.request.service.clone(), labels };
-        let graph = self.graphs.graph(workers.as_slice(), kind);
+        let selector = WorkerSelector { service: eligibility.request.service.clone(), labels };
+        let graph = self.graphs.graph(workers.as_slice(), selector);
         let is_eligible = |index: WorkerIndex| eligibility.admits(index, &workers[index]);
         let candidates = draw_candidates(graph, workers.as_slice(), &mut self.rng, &is_eligible);
         let cost = |index: &WorkerIndex| workers[*index].placement_cost();
@@ -189,13 +199,13 @@
     }
 }
 
-/// Whether any worker of a service on that rack may free capacity.
-fn rack_serves(workers: &WorkerRegistry, service: &str, rack: &str) -> bool {
-    let serves = |worker: &Worker| {
+/// Whether the service has a ready and reachable worker on the rack, which may free capacity.
+fn rack_has_reachable_worker(workers: &WorkerRegistry, service: &str, rack: &str) -> bool {
+    let is_match = |worker: &Worker| {
         worker.listing() == ListingState::Ready
             && worker.is_reachable()
             && worker.service() == service
             && worker.rack() == Some(rack)
     };
-    workers.iter().any(serves)
+    workers.iter().any(is_match)
 }
--- a/crates/cluster/job-scheduler/src/placement/request.rs
+++ b/crates/cluster/job-scheduler/src/placement/request.rs
@@ -1,4 +1,4 @@
-//! What is to be placed, and which workers are eligible for it.
+//! A placement request, and the rules by which workers are eligible for it.
 use crate::ids::{TaskId, WorkerIndex};
 use crate::jobs::Task;
 use crate::resources::Resources;
@@ -6,15 +6,15 @@
 use crate::workers::Worker;
 use compact_str::CompactString;
 
-/// A task, or a gang named by its first task, that is to be placed.
+/// A request to place a task, or a gang, which is represented by its first task.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlacementRequest<'a> {
     pub(crate) task: TaskId,
     pub(crate) stage: &'a Stage,
     pub(crate) service: &'a CompactString,
-    /// How long it has waited, milliseconds.
+    /// The time for which it has been waiting, milliseconds.
     pub(crate) waited_ms: u64,
-    /// The monotonic time.
+    /// The current monotonic time, milliseconds.
     pub(crate) now_ms: u64,
 }
 
@@ -24,9 +24,10 @@
     pub(super) request: &'a PlacementRequest<'a>,
     pub(super) task: Option<&'a Task>,
     pub(super) demand: Resources,
-    /// Whether ejected workers are eligible, since most of the service are ejected.
-    pub(super) is_panicking: bool,
-    /// Whether workers that the task avoids are not eligible.
+    /// Whether ejected workers are eligible, since most workers of the service are ejected (panic
+    /// mode).
+    pub(super) is_in_panic_mode: bool,
+    /// Whether workers that the task avoids are ineligible.
     pub(super) excludes_avoided: bool,
 }
 
@@ -36,7 +37,7 @@
         worker.service() == self.request.service
             && worker.accepts_tasks()
             && worker.has_labels(&stage.constraints)
-            && (self.is_panicking || !worker.health.is_ejected(self.request.now_ms))
+            && (self.is_in_panic_mode || !worker.health.is_ejected(self.request.now_ms))
             && self.demand.fits_in(worker.free())
             && !self.task.is_some_and(|task| task.has_run_on(index))
             && !(self.excludes_avoided && self.task.is_some_and(|task| task.avoids(index)))
--- a/crates/cluster/job-scheduler/src/protocol.rs
+++ b/crates/cluster/job-scheduler/src/protocol.rs
@@ -1,31 +1,31 @@
-//! The messages between the scheduler and workers, and what the platform's list tells of workers.
+//! The messages between the scheduler and workers, and the entries of the platform's worker list.
 //!
-//! The embedder turns them into HTTP calls; the names on the wire are the platform's.
+//! The embedder translates them to and from HTTP; the platform defines the names on the wire.
 use crate::ids::TaskId;
 use compact_str::CompactString;
 use std::sync::Arc;
 
-/// A call to a worker. The embedder makes it and returns the response with
+/// A call to a worker. The embedder performs it and passes the response to
 /// [`crate::Scheduler::handle_response`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerCall {
-    /// The identifier of the incarnation that is called, as the platform lists it.
+    /// The identifier of the called incarnation of the worker, as the platform lists it.
     pub worker_id: Arc<str>,
-    /// Its address.
+    /// The address of the worker.
     pub address: Arc<str>,
     /// The request.
     pub request: WorkerRequest,
     /// The time-out of the call, milliseconds from now.
     pub timeout_ms: u64,
-    /// The fencing token: the term of the scheduler. A worker that has seen a higher one rejects
-    /// the call.
+    /// The fencing token, which is the term of the scheduler. A worker that has seen a higher token
+    /// rejects the call.
     pub fencing_token: u64,
 }
 
 /// A request to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerRequest {
-    /// Start a task.
+    /// Starts a task.
     Start {
         /// The task.
         task: TaskId,
@@ -33,27 +33,29 @@
         run: u32,
         /// The job's payload.
         payload: Arc<str>,
-        /// The end of the run's lease on the worker's clock, milliseconds. A start that arrives
-        /// after it is rejected.
+        /// The expiry of the run's lease on the worker's clock, milliseconds. The worker rejects a
+        /// start that arrives later.
         lease_expires_at_ms: u64,
-        /// The checkpoint to resume from; empty for the beginning.
+        /// The checkpoint to resume from; empty to start from the beginning.
         checkpoint: CompactString,
     },
-    /// Stop a run. After the acknowledgement this start can no longer be carried out.
+    /// Stops a run. Once the worker has acknowledged it, the start of this run can no longer take
+    /// effect.
     Stop {
         /// The task.
         task: TaskId,
         /// The number of the run.
         run: u32,
     },
-    /// Renew the lease on all that runs on the worker, and list what runs there and what ended
-    /// (`hold` on the wire).
+    /// Renews the lease on all runs of the worker and requests a report of the running and the
+    /// ended runs (`hold` on the wire).
     RenewLease {
-        /// A number of the scheduler's own, higher for each request; not sent.
+        /// A serial number that ascends with each request; used by the scheduler only, not sent.
         serial: u64,
-        /// The end of the lease on the worker's clock, milliseconds; `None` does not extend it.
+        /// The new expiry of the lease on the worker's clock, milliseconds; `None` does not extend
+        /// the lease.
         lease_expires_at_ms: Option<u64>,
-        /// The worker may forget ends up to this number.
+        /// The worker may discard run ends up to this number ([`FinishedTask::number`]).
         acknowledged_end: u64,
         /// How long the worker may delay the response until a run ends, milliseconds.
         wait_ms: u64,
@@ -63,41 +65,41 @@
 /// The result of a call to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerResponse {
-    /// The request was carried out.
+    /// The worker carried out the request.
     Acknowledged {
         /// The worker's clock, milliseconds.
         clock_ms: u64,
     },
     /// The response to [`WorkerRequest::RenewLease`].
     Report(WorkerReport),
-    /// The request was not carried out.
+    /// The worker did not carry out the request.
     Rejected {
         /// The HTTP status.
         status: u16,
         /// The reason; empty if none was given.
         reason: CompactString,
     },
-    /// Another incarnation of the worker is at that address.
+    /// The address belongs to another incarnation of the worker.
     WrongIncarnation,
-    /// No response in time, or the connection broke. The request may have been carried out, or may
-    /// be later.
+    /// The call timed out or its connection broke. The worker may have carried out the request, or
+    /// may still do so.
     NoResponse,
 }
 
-/// What a worker reports of itself.
+/// A worker's report on its runs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkerReport {
     /// The worker's clock, milliseconds.
     pub clock_ms: u64,
-    /// The tasks that run there.
+    /// The tasks that are running on the worker.
     pub running: Vec<RunningTask>,
-    /// The runs that ended there and were not yet acknowledged.
+    /// The runs that ended on the worker and whose ends are not acknowledged yet.
     pub finished: Vec<FinishedTask>,
-    /// For a draining worker, how long it still serves, milliseconds.
+    /// For a draining worker, the time for which it continues to serve, milliseconds.
     pub drain_remaining_ms: Option<u64>,
 }
 
-/// A task that runs on a worker.
+/// A task that is running on a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunningTask {
     /// The task.
@@ -113,13 +115,13 @@
 /// A run that ended on a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FinishedTask {
-    /// The number of this end, ascending at the worker.
+    /// The sequence number of this run end, ascending for each worker.
     pub number: u64,
     /// The task.
     pub task: TaskId,
     /// The number of the run.
     pub run: u32,
-    /// How it ended: `done`, `failed`, or any other word for a run that was cut off.
+    /// The outcome: `done`, `failed`, or any other word for a run that was interrupted.
     pub outcome: CompactString,
     /// Its last checkpoint; empty for none.
     pub checkpoint: CompactString,
@@ -128,9 +130,9 @@
 /// Whether a listed worker accepts new tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedWorkerState {
-    /// It does.
+    /// It accepts new tasks.
     Ready,
-    /// It is shutting down gracefully.
+    /// It is shutting down gracefully and accepts none.
     Draining,
 }
 
@@ -139,7 +141,7 @@
 pub struct ListedWorker {
     /// The identifier of this incarnation.
     pub id: CompactString,
-    /// Its service.
+    /// The service that it runs tasks of.
     pub service: CompactString,
     /// Its address.
     pub address: CompactString,
@@ -151,8 +153,8 @@
     pub cpu_millicores: u64,
     /// Memory capacity, MB.
     pub memory_mb: u64,
-    /// Number of accelerators.
+    /// The number of accelerators.
     pub gpus: u64,
-    /// Its labels: kind, then rack.
+    /// Its labels: its kind, then its rack.
     pub labels: Vec<CompactString>,
 }
--- a/crates/cluster/job-scheduler/src/record.rs
+++ b/crates/cluster/job-scheduler/src/record.rs
@@ -1,7 +1,7 @@
 //! The stored form of jobs: keys and records of the replicated key space.
 //!
-//! Records are serialised with rkyv by the order and types of their fields and variants: neither
-//! may change, names may.
+//! rkyv encodes records by the order and the types of their fields and variants. Neither may
+//! change; names may.
 use crate::ids::{JobId, QueueId, TaskId};
 use crate::spec::JobSpec;
 use rkyv::{Archive, Deserialize, Serialize};
@@ -11,33 +11,33 @@
 pub enum JobOutcome {
     /// All tasks are done.
     Succeeded,
-    /// A task has failed too often, or can never run.
+    /// A task used up its attempts, or no worker is able to run it.
     Failed,
-    /// The client cancelled it.
+    /// The client cancelled the job.
     Cancelled,
 }
 
-/// A job as it was accepted.
+/// The record of an accepted job.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub(crate) struct JobRecord {
     pub(crate) queue: QueueId,
     pub(crate) service: String,
     pub(crate) priority: u8,
     pub(crate) max_attempts: u32,
-    /// Milliseconds since 1970.
+    /// Milliseconds since the Unix epoch.
     pub(crate) accepted_at_ms: u64,
     pub(crate) spec: JobSpec,
 }
 
-/// The end of a job.
+/// The record of a closed job's end.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClosedRecord {
     pub(crate) outcome: JobOutcome,
-    /// Milliseconds since 1970.
+    /// Milliseconds since the Unix epoch.
     pub(crate) closed_at_ms: u64,
 }
 
-/// A task that was ever started.
+/// The record of a task that was started at least once.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct TaskRecord {
     /// The number of its last run.
@@ -47,11 +47,11 @@
     pub(crate) done: bool,
     /// Its last checkpoint; empty for none.
     pub(crate) checkpoint: String,
-    /// Runs whose end is not known: number and worker.
+    /// The runs whose end is not known: the number of the run and the identifier of its worker.
     pub(crate) active_runs: Vec<(u32, String)>,
 }
 
-/// A change of the key space.
+/// A change of one key of the replicated key space.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordChange {
     /// The key.
@@ -64,7 +64,7 @@
 const CLOSED_PREFIX: u8 = b's';
 const TASK_PREFIX: u8 = b't';
 
-/// A key of the key space that belongs to jobs.
+/// A key of the key space that belongs to the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum RecordKey {
     Job(JobId),
@@ -73,7 +73,8 @@
 }
 
 impl RecordKey {
-    /// A prefix byte, then the numbers in big-endian form, so that keys sort as identifiers do.
+    /// Encodes the key as a prefix byte and the numbers in big-endian order, so that encoded keys
+    /// sort like their identifiers.
     pub(crate) fn encode(self) -> Vec<u8> {
         match self {
             RecordKey::Job(job) => [&[JOB_PREFIX][..], &job.0.to_be_bytes()].concat(),
@@ -89,7 +90,7 @@
         }
     }
 
-    /// `None` for a key of another owner or another version.
+    /// Decodes a key; `None` for a key of another component or of an unknown version.
     pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
         let (prefix, rest) = bytes.split_first()?;
         let job = JobId(u64::from_be_bytes(rest.get(..8)?.try_into().ok()?));
@@ -107,7 +108,7 @@
     }
 }
 
-/// Encodes records with rkyv; decoding checks the bytes.
+/// Implements encoding with rkyv; decoding validates the bytes.
 macro_rules! impl_codec {
     ($($record:ty),*) => {$(
         impl $record {
@@ -132,7 +133,7 @@
 }
 
 impl StoredRecord {
-    /// `None` for a record that this version can't read.
+    /// Decodes a record; `None` if this version can't read it.
     pub(crate) fn decode(key: &[u8], value: &[u8]) -> Option<Self> {
         match RecordKey::decode(key)? {
             RecordKey::Job(job) => Some(StoredRecord::Job(job, JobRecord::decode(value)?)),
@@ -142,7 +143,7 @@
     }
 }
 
-/// Whether this version can read a record of the key space.
+/// Whether this version can decode a record of the key space.
 #[must_use]
 pub fn is_readable_record(key: &[u8], value: &[u8]) -> bool {
     StoredRecord::decode(key, value).is_some()
--- a/crates/cluster/job-scheduler/src/renewal.rs
+++ b/crates/cluster/job-scheduler/src/renewal.rs
@@ -1,60 +1,64 @@
-//! When worker leases are renewed, and for how long workers may delay the response.
+//! The schedule of lease renewals, and how long workers may delay their responses (long polling).
 //!
-//! Where something runs, a renewal is always in flight: it waits at the worker for an end. Where
-//! nothing does, a renewal waits too while there are few workers; many are asked one after the
-//! other, so that neither connections nor processor time grow with workers that do nothing.
+//! To a busy worker, one with runs, a renewal is always in flight: the worker delays its response
+//! until a run ends. Idle workers, those without runs, delay it too while there are few of them. If
+//! there are many, they are polled in turn, so that neither connections nor processor time grow
+//! with the number of idle workers.
 use crate::ids::WorkerIndex;
 use crate::smoothing::moving_average;
 use crate::workers::Worker;
 
-/// How long a renewal waits for an end where something runs, milliseconds.
+/// The response delay for busy workers while the renewal rate is within its limit, milliseconds.
 const BUSY_WAIT_MS: u64 = 600;
-/// The same while many renewals have no response: what ends is then learned late, by a whole
-/// renewal, unless that is short.
+/// The response delay for busy workers while many renewals get no response, milliseconds. A lost
+/// renewal delays the notice of a run's end by a whole renewal, so renewals must be short.
 const LOSSY_BUSY_WAIT_MS: u64 = 100;
-/// The share of renewals without response from which on they count as many.
+/// The smoothed share of renewals without response above which the network counts as lossy.
 const LOSSY_RATE: f64 = 0.015;
-/// The weight of one renewal in that share.
+/// The weight of one renewal in that smoothed share.
 const LOSS_WEIGHT: f64 = 0.005;
-/// The longest time that workers wait, milliseconds (the platform's bound).
+/// The longest response delay that the platform allows, milliseconds.
 const MAX_WAIT_MS: u64 = 2_000;
-/// How long a renewal waits where nothing runs, milliseconds.
+/// The response delay for idle workers while the renewal rate is within its limit, milliseconds.
 const IDLE_WAIT_MS: u64 = 1_500;
-/// The longest time that a worker where nothing runs is not asked, milliseconds.
+/// The longest pause between a response and the next renewal of an idle worker, milliseconds.
 const MAX_IDLE_PAUSE_MS: u64 = 20_000;
-/// Renewals a second without an end to report, where something runs: beyond that they wait for
-/// longer.
+/// The largest number of renewals of busy workers per second that have no run end to report. The
+/// response delay grows with the number of workers to stay below it.
 const MAX_BUSY_RENEWALS_PER_S: u64 = 500;
-/// The same while many renewals have no response: a worker with many runs answers for an end sooner
-/// in any case, so that few of these are made beside.
+/// The same limit while many renewals get no response. A worker with many runs responds early in
+/// any case because a run ends, so the higher limit adds few renewals.
 const MAX_LOSSY_RENEWALS_PER_S: u64 = 2_000;
-/// The same where nothing runs.
+/// The largest number of renewals of idle workers per second.
 const MAX_IDLE_RENEWALS_PER_S: u64 = 120;
-/// Of the calls that may be in flight, the share that renewals of busy workers may take: the rest
-/// is for starts and stops.
+/// The share of the largest number of calls in flight up to which renewals of busy workers are
+/// sent. The rest is left for starts and stops.
 const BUSY_CALL_SHARE: f64 = 0.75;
-/// The same for workers that have not responded, in this term or of late: what may run there
-/// expires if they wait long.
+/// The same share for unresponsive workers. The leases of runs that they may have expire if these
+/// renewals are delayed for long.
 const UNRESPONSIVE_CALL_SHARE: f64 = 0.5;
-/// The same for workers where nothing runs: these can wait.
+/// The same share for idle workers, whose renewals can be delayed.
 const IDLE_CALL_SHARE: f64 = 0.1;
-/// Calls that renewals of any class may take in any case.
+/// The smallest number of calls in flight up to which renewals of each class are sent, whatever the
+/// shares.
 const MIN_RENEWAL_CALLS: usize = 64;
-/// With many workers, due renewals are looked for more rarely: a millisecond for each so many
-/// workers.
+/// The number of workers for which the interval between two checks for due renewals grows by one
+/// millisecond.
 const WORKERS_PER_CHECK_MS: u64 = 500;
-/// How often the pace is computed anew, milliseconds: that looks at every worker.
+/// The interval between two updates of the pace, each of which iterates over all workers,
+/// milliseconds.
 const PACE_INTERVAL_MS: u64 = 100;
-/// The due time of a worker to which a renewal is in flight.
+/// The due time of a worker to which a renewal is in flight, milliseconds.
 const NEVER_MS: u64 = u64::MAX;
 
-/// What decides how often a worker is asked.
+/// The class of a worker, which determines the rate and the priority of its renewals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RenewalClass {
-    /// It has not responded, in this term or of late.
+    /// It has not responded in this term, or not recently.
     Unresponsive,
-    /// Something runs there.
+    /// It has runs.
     Busy,
+    /// It has no runs.
     Idle,
 }
 
@@ -70,20 +74,20 @@
     }
 }
 
-/// How long renewals wait at present.
+/// The current response delays and pauses of renewals.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RenewalPace {
-    /// How long a renewal waits where something runs, milliseconds.
+    /// The response delay for busy workers, milliseconds.
     busy_wait_ms: u64,
-    /// How long one waits where nothing runs, milliseconds.
+    /// The response delay for idle workers, milliseconds.
     idle_wait_ms: u64,
-    /// How long after its response the next is sent there, milliseconds.
+    /// The time from the response of an idle worker to its next renewal, milliseconds.
     idle_pause_ms: u64,
 }
 
 impl RenewalPace {
-    /// The pace for so many workers where something runs, and where nothing does. `is_lossy`: many
-    /// renewals have no response.
+    /// Computes the pace from the numbers of busy and of idle workers, and from whether many
+    /// renewals get no response (`is_lossy`).
     pub(crate) fn new(busy_workers: u64, idle_workers: u64, is_lossy: bool) -> Self {
         let interval_ms = |workers: u64, per_second: u64| workers * 1_000 / per_second;
         let (max_per_s, min_wait_ms) = if is_lossy {
@@ -99,7 +103,7 @@
         RenewalPace { busy_wait_ms, idle_wait_ms: 0, idle_pause_ms: idle_interval_ms.min(MAX_IDLE_PAUSE_MS) }
     }
 
-    /// How long a renewal may wait at a worker, milliseconds.
+    /// The time by which a worker may delay its response to a renewal, milliseconds.
     pub(crate) fn wait_ms(self, class: RenewalClass) -> u64 {
         match class {
             RenewalClass::Unresponsive => 0,
@@ -136,22 +140,24 @@
     }
 }
 
-/// The schedule of renewals, and the serials that order requests and responses.
+/// The schedule of renewals, and the serial numbers that order requests and responses.
 ///
-/// `due_at_ms` has by worker what its lease says, so that a check reads these few bytes rather than
-/// every worker. Invariant: whatever changes a lease's renewal goes through
-/// `Scheduler::change_renewal`, which keeps them equal.
+/// `due_at_ms` copies the due time of each worker's lease, so that a check reads a few bytes per
+/// worker instead of the worker itself. Invariant: all changes to the renewal of a lease go through
+/// `Scheduler::change_renewal`, which keeps the copy equal.
 #[derive(Debug, Default)]
 pub(crate) struct RenewalSchedule {
+    /// By worker index, monotonic milliseconds; [`NEVER_MS`] while a renewal is in flight.
     due_at_ms: Vec<u64>,
-    /// The serial of the last request, or acknowledgement of a start or stop.
+    /// The serial number of the last request, or acknowledgement of a start or stop.
     serial: u64,
     pace: RenewalPace,
-    /// The smoothed share of renewals without response, of workers that respond otherwise.
+    /// The smoothed share of renewals without response among workers that otherwise respond.
     loss_rate: f64,
+    /// When the pace was last updated, monotonic milliseconds; 0 for never.
     paced_at_ms: u64,
     last_check_ms: u64,
-    /// The worker that the next check begins with.
+    /// The worker with which the next check begins.
     first_worker: Option<WorkerIndex>,
 }
 
@@ -160,13 +166,13 @@
         self.serial
     }
 
-    /// A serial higher than all before.
+    /// Returns a new serial number, higher than all earlier ones.
     pub(crate) fn next_serial(&mut self) -> u64 {
         self.serial += 1;
         self.serial
     }
 
-    /// Whether due renewals are to be looked for now; the next time is counted from here.
+    /// Whether a check for due renewals is due. If so, the interval to the next check begins now.
     pub(crate) fn begin_check(&mut self, now_ms: u64, worker_count: usize) -> bool {
         if now_ms < self.last_check_ms + worker_count as u64 / WORKERS_PER_CHECK_MS {
             return false;
@@ -175,7 +181,8 @@
         true
     }
 
-    /// Sets when a worker's renewal is due; `None` while one is in flight.
+    /// Sets the time at which a worker's renewal is due, monotonic milliseconds; `None` while a
+    /// renewal is in flight.
     pub(crate) fn set_due(&mut self, worker: WorkerIndex, due_at_ms: Option<u64>) {
         let index = worker.0 as usize;
         if index >= self.due_at_ms.len() {
@@ -184,7 +191,8 @@
         self.due_at_ms[index] = due_at_ms.unwrap_or(NEVER_MS);
     }
 
-    /// The workers whose renewal is due, from the one on that the check begins with.
+    /// The workers whose renewal is due, in the order of their indexes, beginning with
+    /// [`RenewalSchedule::first_worker`] and wrapping around.
     pub(crate) fn due_workers(&self, now_ms: u64) -> Vec<WorkerIndex> {
         let first = self.first_worker().0 as usize;
         let (before, from_first) = self.due_at_ms.split_at(first.min(self.due_at_ms.len()));
@@ -193,7 +201,7 @@
         due.map(|(index, _)| WorkerIndex(index as u32)).collect()
     }
 
-    /// Whether the pace is to be computed anew; the next time is counted from here.
+    /// Whether an update of the pace is due. If so, the interval to the next update begins now.
     pub(crate) fn begin_pacing(&mut self, now_ms: u64) -> bool {
         if self.paced_at_ms > 0 && now_ms < self.paced_at_ms + PACE_INTERVAL_MS {
             return false;
@@ -202,13 +210,13 @@
         true
     }
 
-    /// A renewal of a worker that responds otherwise had a response, or none.
+    /// Records whether a renewal of a worker that otherwise responds got a response.
     pub(crate) fn record_result(&mut self, has_response: bool) {
         let loss = f64::from(u8::from(!has_response));
         self.loss_rate = moving_average(self.loss_rate, loss, LOSS_WEIGHT);
     }
 
-    /// Whether many renewals have no response.
+    /// Whether many renewals get no response.
     pub(crate) fn is_lossy(&self) -> bool {
         self.loss_rate > LOSSY_RATE
     }
@@ -221,17 +229,18 @@
         self.pace = pace;
     }
 
-    /// How long after a response a worker where nothing runs is asked again, milliseconds.
+    /// The time from the response of an idle worker to its next renewal, milliseconds.
     pub(crate) fn idle_pause_ms(&self) -> u64 {
         self.pace.idle_pause_ms
     }
 
+    /// The worker with which the next check begins.
     pub(crate) fn first_worker(&self) -> WorkerIndex {
         self.first_worker.unwrap_or(WorkerIndex(0))
     }
 
-    /// The next check begins with the first worker that was skipped for want of calls, so that all
-    /// have their turn.
+    /// Ends a check. The next one begins with the first worker that was skipped because too many
+    /// calls were in flight, so that every worker gets its turn.
     pub(crate) fn finish_check(&mut self, first_skipped: Option<WorkerIndex>) {
         self.first_worker = first_skipped.or(self.first_worker);
     }
--- a/crates/cluster/job-scheduler/src/resources.rs
+++ b/crates/cluster/job-scheduler/src/resources.rs
@@ -1,4 +1,4 @@
-//! Processor, memory and accelerators: what tasks demand and workers have.
+//! Amounts of processor, memory and accelerators: the demand of tasks and the capacity of workers.
 use crate::spec::Stage;
 
 /// An amount of each resource.
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The larger amount of each resource.
+    /// The element-wise maximum.
     pub(crate) fn max(self, other: Resources) -> Resources {
         Resources {
             cpu_millicores: self.cpu_millicores.max(other.cpu_millicores),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The difference, 0 where the other amount is larger.
+    /// The element-wise difference, 0 where the other amount is larger.
     pub(crate) fn minus(self, other: Resources) -> Resources {
         Resources {
             cpu_millicores: self.cpu_millicores.saturating_sub(other.cpu_millicores),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// How many times this demand fits; `u64::MAX` for a demand of nothing.
+    /// The number of times that this demand fits into `free`; `u64::MAX` for a zero demand.
     pub(crate) fn times_in(self, free: Resources) -> u64 {
         let times = |demand: u64, free: u64| free.checked_div(demand).unwrap_or(u64::MAX);
         times(self.cpu_millicores, free.cpu_millicores)
@@ -55,13 +55,15 @@
             .min(times(self.gpus, free.gpus))
     }
 
-    /// How many tasks of a stage fit, within the stage's bound for one worker.
+    /// The number of tasks of a stage that fit into a worker's free capacity, within the stage's
+    /// limit for one worker.
     pub(crate) fn tasks_that_fit(stage: &Stage, free: Resources) -> u64 {
         let times = Resources::demand_of(stage).times_in(free);
         if stage.anti_affinity == 0 { times } else { times.min(stage.anti_affinity.into()) }
     }
 
-    /// The largest share of any resource in use, 0 to 1.
+    /// The dominant share: the largest of the shares of each resource's capacity that this amount
+    /// takes, 0 to 1.
     pub(crate) fn dominant_share_of(self, capacity: Resources) -> f64 {
         let share =
             |used: u64, capacity: u64| if capacity == 0 { 0.0 } else { used as f64 / capacity as f64 };
--- a/crates/cluster/job-scheduler/src/smoothing.rs
+++ b/crates/cluster/job-scheduler/src/smoothing.rs
@@ -1,7 +1,7 @@
-//! The exponentially weighted moving average that round trips, worker speeds and failures are
-//! smoothed with.
+//! The exponentially weighted moving average that smooths round-trip times, worker speeds and
+//! failure rates.
 
-/// The average after one more sample, which counts with `weight` (0 to 1).
+/// Returns the average after one more sample, which enters with `weight` (0 to 1).
 pub(crate) fn moving_average(average: f64, sample: f64, weight: f64) -> f64 {
     average + weight * (sample - average)
 }
--- a/crates/cluster/job-scheduler/src/spec.rs
+++ b/crates/cluster/job-scheduler/src/spec.rs
@@ -1,63 +1,63 @@
-//! A job's description as a client submits it.
+//! Job specifications as clients submit them.
 use quick_error::quick_error;
 use rkyv::{Archive, Deserialize as Unarchive, Serialize as ToArchive};
 use serde::Deserialize;
 
-/// The largest number of tasks of all stages together.
+/// The largest number of tasks of all stages of one occurrence.
 const MAX_TASKS_PER_OCCURRENCE: u64 = 20_000;
 /// The longest payload, bytes.
 const MAX_PAYLOAD_BYTES: usize = 4_000;
 
 quick_error! {
-    /// Why a job's description is invalid.
+    /// Why a job specification is invalid.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum SpecError {
-        /// The body is no JSON object of this form.
+        /// The body is not a JSON object of the expected form.
         InvalidJson(reason: String) {
             display("{}", reason)
         }
-        /// A stage depends on one that does not come before it.
+        /// A stage depends on itself or on a later stage.
         DependsOnLaterStage(stage: usize) {
             display("stages[{}].dependsOn: not an earlier step", stage)
         }
-        /// A stage without tasks.
+        /// The job has no stages, or a stage has no tasks.
         NoTasks(stage: usize) {
             display("stages[{}].count: no tasks", stage)
         }
-        /// A field exceeds its bound.
+        /// A field exceeds its limit.
         TooLarge(field: &'static str) {
             display("{}: too large", field)
         }
     }
 }
 
-/// A stage: tasks of the same kind.
+/// A stage: a set of identical tasks.
 #[derive(Archive, ToArchive, Unarchive, Deserialize, Clone, Debug, Default, PartialEq)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Stage {
     /// The number of tasks.
     pub count: u32,
-    /// Processor that a task needs, thousandths of a core.
+    /// Processor demand of a task, thousandths of a core.
     #[serde(rename = "cpu")]
     pub cpu_millicores: u64,
-    /// Memory that a task needs, MB.
+    /// Memory demand of a task, MB.
     #[serde(rename = "memMb")]
     pub memory_mb: u64,
-    /// Accelerators that a task needs.
+    /// The number of accelerators that a task needs.
     pub gpus: u64,
     /// The client's rough estimate of a task's running time, milliseconds.
     #[serde(rename = "estRuntimeMs")]
     pub estimated_runtime_ms: u64,
-    /// The stages that must be done before, by number.
+    /// The numbers of the stages that must be done before this one starts.
     pub depends_on: Vec<u16>,
     /// Whether tasks save checkpoints.
     pub checkpoints: bool,
-    /// Whether the tasks work only together (gang scheduling).
+    /// Whether the tasks must run at the same time (gang scheduling).
     pub gang: bool,
-    /// Whether a gang is slower on more than one rack.
+    /// Whether a gang runs slower when it spans more than one rack.
     pub rack_local: bool,
-    /// Labels that the worker must have.
-    #[serde(deserialize_with = "one_or_more")]
+    /// The labels that a worker must have.
+    #[serde(deserialize_with = "deserialize_labels")]
     pub constraints: Vec<String>,
     /// The rack of the tasks' data.
     pub affinity: Option<String>,
@@ -69,30 +69,30 @@
     pub long_running: bool,
 }
 
-/// A job as it was submitted.
+/// A job specification as the client submitted it.
 #[derive(Archive, ToArchive, Unarchive, Deserialize, Clone, Debug, Default, PartialEq)]
 #[serde(rename_all = "camelCase", default)]
 pub struct JobSpec {
-    /// An opaque text for the workers, passed on with each start.
+    /// Opaque text that is passed to the worker with each start.
     #[serde(rename = "spec")]
     pub payload: String,
     /// The stages.
     pub stages: Vec<Stage>,
-    /// The number of occurrences; 0 for one that is due at once.
+    /// The number of occurrences; 0 for a single one that is due at once.
     pub repeats: u32,
-    /// When the first occurrence is due, milliseconds since 1970.
+    /// When the first occurrence is due, milliseconds since the Unix epoch.
     pub start_at_ms: u64,
-    /// The time between two occurrences, milliseconds.
+    /// The interval between two occurrences, milliseconds.
     pub interval_ms: u64,
     /// Whether the tasks run until the job is cancelled.
     pub long_running: bool,
 }
 
 impl JobSpec {
-    /// Parses the body of a submission and checks it.
+    /// Parses and validates the body of a submission.
     ///
-    /// # Errors
-    /// [`SpecError`] with the field that is invalid.
+    /// # Errors [`SpecError`] with the field that is invalid, or with the reason why the body
+    /// cannot be parsed.
     pub fn from_json(body: &[u8]) -> Result<Self, SpecError> {
         let mut job: JobSpec =
             serde_json::from_slice(body).map_err(|error| SpecError::InvalidJson(error.to_string()))?;
@@ -110,7 +110,7 @@
             if stage.count == 0 {
                 return Err(SpecError::NoTasks(i));
             }
-            if stage.depends_on.iter().any(|before| usize::from(*before) >= i) {
+            if stage.depends_on.iter().any(|dependency| usize::from(*dependency) >= i) {
                 return Err(SpecError::DependsOnLaterStage(i));
             }
             stage.long_running |= job.long_running;
@@ -126,15 +126,15 @@
         self.repeats.max(1)
     }
 
-    /// When an occurrence is due, milliseconds since 1970; 0 for at once.
+    /// When an occurrence is due, milliseconds since the Unix epoch; 0 for at once.
     #[must_use]
     pub fn due_at_ms(&self, occurrence: u32) -> u64 {
         if self.repeats == 0 { 0 } else { self.start_at_ms + u64::from(occurrence) * self.interval_ms }
     }
 }
 
-/// Deserializes one label or a list of them.
-fn one_or_more<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<Vec<String>, D::Error> {
+/// Deserializes a single label or a list of labels; null and an empty string give no labels.
+fn deserialize_labels<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<Vec<String>, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
     enum Labels {
