--- a/crates/cluster/job-scheduler/src/workers/worker.rs
+++ b/crates/cluster/job-scheduler/src/workers/worker.rs
@@ -229,6 +229,6 @@
     /// slowdown if it counts as slow.
     pub(crate) fn placement_cost(&self) -> f64 {
         let slowdown = if self.speed.is_slow() { self.speed.slowdown() } else { 0.0 };
-        self.allocation.used().largest_share_of(self.capacity) + slowdown
+        self.allocation.used().dominant_share_of(self.capacity) + slowdown
     }
 }
