--- a/crates/service/balancing-policy/src/admission_limiter.rs
+++ b/crates/service/balancing-policy/src/admission_limiter.rs
@@ -36,14 +36,14 @@
 
 /// What the limiter must know of a request group.
 #[derive(Clone, Copy, Debug)]
-pub struct GroupFigures {
+pub struct GroupStatistics {
     /// The value that a second of a worker earns with the group.
     pub value_rate: f64,
     /// How long its requests run, in any unit common to all groups; 0 if that is not known.
     pub run_time: f64,
 }
 
-impl GroupFigures {
+impl GroupStatistics {
     fn is_known(&self) -> bool {
         self.run_time > 0.0 && self.value_rate > 0.0
     }
@@ -104,7 +104,7 @@
     /// The fraction of a group's requests that is admitted.
     ///
     /// While the figures of any arriving group are unknown, all groups are admitted alike.
-    pub fn admitted_fraction(&self, group: usize, figures: impl Fn(usize) -> GroupFigures) -> f64 {
+    pub fn admitted_fraction(&self, group: usize, figures: impl Fn(usize) -> GroupStatistics) -> f64 {
         let arriving: Vec<usize> =
             (0..self.arrivals.len()).filter(|group| self.arrivals[*group] > MIN_ARRIVALS).collect();
         let all_known = arriving.iter().all(|group| figures(*group).is_known());
@@ -115,7 +115,7 @@
         share_of_group(group, self.admitted, demands)
     }
 
-    fn demand(&self, group: usize, figures: GroupFigures) -> Demand {
+    fn demand(&self, group: usize, figures: GroupStatistics) -> Demand {
         Demand { group, work: self.arrivals[group] * figures.run_time, weight: figures.weight() }
     }
 }
--- a/crates/service/balancing-policy/src/api/event.rs
+++ b/crates/service/balancing-policy/src/api/event.rs
@@ -51,7 +51,7 @@
         /// How it ended.
         outcome: Outcome,
         /// The request is finished; no answer is due any more.
-        closed: bool,
+        request_closed: bool,
         /// The time since the attempt was sent, in nanoseconds.
         elapsed: Nanos,
         /// The worker's load, if it came along.
@@ -77,8 +77,8 @@
     SettingsChanged {
         /// The new settings. Their classes are numbered after all earlier ones.
         settings: Box<Settings>,
-        /// For each new class the earlier class that it continues, if any.
-        continues: Vec<Option<u32>>,
+        /// For each new class, the earlier class whose statistics it takes over, if any.
+        predecessors: Vec<Option<u32>>,
     },
     /// A peer's message.
     PeerMessage {
--- a/crates/service/balancing-policy/src/api/settings_error.rs
+++ b/crates/service/balancing-policy/src/api/settings_error.rs
@@ -36,7 +36,7 @@
     /// A class names a machine kind that does not exist.
     UnknownMachineKind,
     /// A figure is negative or not finite.
-    InvalidFigure(SettingsSection),
+    InvalidNumber(SettingsSection),
     /// The dispatcher's own number is not below the number of dispatchers.
     InstanceOutOfRange,
 }
@@ -47,7 +47,7 @@
         match self {
             SettingsError::NoClasses => "classes",
             SettingsError::UnknownMachineKind => "classes.kind",
-            SettingsError::InvalidFigure(section) => section.name(),
+            SettingsError::InvalidNumber(section) => section.name(),
             SettingsError::InstanceOutOfRange => "instances",
         }
     }
@@ -56,9 +56,9 @@
     pub fn reason(&self) -> &'static str {
         match self {
             SettingsError::NoClasses => "names no class",
-            SettingsError::UnknownMachineKind => "names a machine kind that is not there",
-            SettingsError::InvalidFigure(_) => "has a negative or non-finite figure",
-            SettingsError::InstanceOutOfRange => "does not cover this dispatcher's number",
+            SettingsError::UnknownMachineKind => "names a machine kind that does not exist",
+            SettingsError::InvalidNumber(_) => "contains a negative or non-finite number",
+            SettingsError::InstanceOutOfRange => "must be greater than this dispatcher's instance number",
         }
     }
 }
--- a/crates/service/balancing-policy/src/api/validation.rs
+++ b/crates/service/balancing-policy/src/api/validation.rs
@@ -63,7 +63,7 @@
     section: SettingsSection,
 ) -> Result<(), SettingsError> {
     if figures.into_iter().any(|figure| !figure.is_finite() || figure < 0.0) {
-        return Err(SettingsError::InvalidFigure(section));
+        return Err(SettingsError::InvalidNumber(section));
     }
     Ok(())
 }
--- a/crates/service/balancing-policy/src/dispatcher/admission.rs
+++ b/crates/service/balancing-policy/src/dispatcher/admission.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatcher;
 use super::permit::may_reject;
-use crate::admission_limiter::GroupFigures;
+use crate::admission_limiter::GroupStatistics;
 use crate::api::{Action, MILLISECOND, Nanos, Request};
 use crate::state::{Job, JobNumber};
 
@@ -29,10 +29,10 @@
     /// The fraction of such new requests that is admitted.
     pub(super) fn admitted_fraction(&self, request: &Request) -> f64 {
         let group = self.request_group(request);
-        self.limiter.admitted_fraction(group, |group| self.group_figures(group))
+        self.limiter.admitted_fraction(group, |group| self.group_statistics(group))
     }
 
-    fn group_figures(&self, group: usize) -> GroupFigures {
+    fn group_statistics(&self, group: usize) -> GroupStatistics {
         let class_number = group / GROUPS_PER_CLASS;
         let is_late = group % GROUPS_PER_CLASS == 1;
         let class = &self.settings.classes[class_number];
@@ -41,7 +41,7 @@
             if is_late { class.late_value_fraction.max(MIN_LATE_VALUE_FRACTION) } else { 1.0 };
         let value = class.value * value_fraction;
         let value_rate = if self.settings.value_by_work { value } else { value / run_time };
-        GroupFigures { value_rate, run_time }
+        GroupStatistics { value_rate, run_time }
     }
 
     /// How long a request may still wait for its start and end in time, at the class's typical
--- a/crates/service/balancing-policy/src/dispatcher/attempts.rs
+++ b/crates/service/balancing-policy/src/dispatcher/attempts.rs
@@ -20,7 +20,7 @@
     pub(super) number: usize,
     pub(super) outcome: Outcome,
     /// The request is finished.
-    pub(super) closed: bool,
+    pub(super) request_closed: bool,
     /// The time since the attempt was sent, in nanoseconds.
     pub(super) elapsed: Nanos,
     pub(super) report: Option<LoadReport>,
@@ -164,7 +164,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(job) = self.jobs.get(number) else { return };
-        if ended.closed || job.phase == Phase::Closed {
+        if ended.request_closed || job.phase == Phase::Closed {
             return self.jobs.close(number);
         }
         if job.is_in_flight() || job.phase == Phase::Pending {
--- a/crates/service/balancing-policy/src/dispatcher/mod.rs
+++ b/crates/service/balancing-policy/src/dispatcher/mod.rs
@@ -109,8 +109,9 @@
             Event::AttemptProgressed { id, attempt, .. } => {
                 self.record_progress(now, id, attempt as usize);
             }
-            Event::AttemptEnded { id, attempt, outcome, closed, elapsed, report } => {
-                let ended = EndedAttempt { id, number: attempt as usize, outcome, closed, elapsed, report };
+            Event::AttemptEnded { id, attempt, outcome, request_closed, elapsed, report } => {
+                let ended =
+                    EndedAttempt { id, number: attempt as usize, outcome, request_closed, elapsed, report };
                 self.end_attempt(now, &ended, actions);
             }
             Event::ClientGone(id) => {
@@ -122,8 +123,8 @@
             Event::ProbeEnded { worker, outcome, report, .. } => {
                 self.end_probe(now, worker, outcome, report, actions);
             }
-            Event::SettingsChanged { settings, continues } => {
-                self.change_settings(*settings, &continues);
+            Event::SettingsChanged { settings, predecessors } => {
+                self.change_settings(*settings, &predecessors);
             }
             Event::PeerMessage { .. } => {}
         }
--- a/crates/service/balancing-policy/src/dispatcher/settings_change.rs
+++ b/crates/service/balancing-policy/src/dispatcher/settings_change.rs
@@ -7,21 +7,21 @@
     /// Takes new settings and keeps what was learned.
     ///
     /// Open jobs keep the class that they arrived under: numbers never shift, the new classes
-    /// follow all old ones. `continues` names for each new class the old one whose statistics it
+    /// follow all old ones. `predecessors` names for each new class the old one whose statistics it
     /// takes over.
-    pub(super) fn change_settings(&mut self, mut settings: Settings, continues: &[Option<u32>]) {
+    pub(super) fn change_settings(&mut self, mut settings: Settings, predecessors: &[Option<u32>]) {
         let old_classes = std::mem::take(&mut self.settings.classes);
         let new_classes = std::mem::replace(&mut settings.classes, old_classes);
         self.fleet.add_graphs(&new_classes);
         self.top_priority = top_priority(&new_classes);
-        self.continue_statistics(&new_classes, continues);
+        self.continue_statistics(&new_classes, predecessors);
         settings.classes.extend(new_classes);
         self.settings = settings;
     }
 
-    fn continue_statistics(&mut self, new_classes: &[RequestClass], continues: &[Option<u32>]) {
+    fn continue_statistics(&mut self, new_classes: &[RequestClass], predecessors: &[Option<u32>]) {
         for number in 0..new_classes.len() {
-            let earlier = continues.get(number).copied().flatten();
+            let earlier = predecessors.get(number).copied().flatten();
             let learned = earlier.and_then(|class| self.classes.get(class as usize));
             self.classes.push(learned.copied().unwrap_or_default());
         }
--- a/crates/service/balancing-policy/tests/admission_limiter.rs
+++ b/crates/service/balancing-policy/tests/admission_limiter.rs
@@ -1,12 +1,12 @@
 //! The fraction of requests that is admitted, seen from outside: by arrivals and by capacity
 //! signals.
 
-use spanlead_balancing_policy::admission_limiter::{AdmissionLimiter, GroupFigures};
+use spanlead_balancing_policy::admission_limiter::{AdmissionLimiter, GroupStatistics};
 
 /// The fraction of all requests that is admitted: that of each group while nothing tells the groups
 /// apart.
 fn admitted_of_all(limiter: &AdmissionLimiter) -> f64 {
-    limiter.admitted_fraction(0, |_| GroupFigures { value_rate: 0.0, run_time: 0.0 })
+    limiter.admitted_fraction(0, |_| GroupStatistics { value_rate: 0.0, run_time: 0.0 })
 }
 
 /// A limiter that has seen requests of these groups, one by one and again and again, and then
@@ -34,7 +34,7 @@
         let (limiter, arrivals) = limiter_after([0, 1, 0, 2, 1, 3, 0, 2, 1, 3], most);
         let admitted = admitted_of_all(&limiter);
         let fractions = [0, 1, 2, 3].map(|group| {
-            limiter.admitted_fraction(group, |group| GroupFigures {
+            limiter.admitted_fraction(group, |group| GroupStatistics {
                 value_rate: values[group] / run_times[group],
                 run_time: run_times[group],
             })
@@ -56,9 +56,10 @@
     let admitted = admitted_of_all(&some);
     assert!(admitted < 0.4 && admitted > 0.39, "{admitted}");
     for group in [0, 1] {
-        let alike = some.admitted_fraction(group, |_| GroupFigures { value_rate: 2.0 / 3.0, run_time: 3.0 });
+        let alike =
+            some.admitted_fraction(group, |_| GroupStatistics { value_rate: 2.0 / 3.0, run_time: 3.0 });
         assert!((alike - admitted).abs() < 1e-9, "{alike}");
-        let unknown = some.admitted_fraction(group, |group| GroupFigures {
+        let unknown = some.admitted_fraction(group, |group| GroupStatistics {
             value_rate: [1.0, 3.0][group],
             run_time: [0.0, 3.0][group],
         });
@@ -66,7 +67,7 @@
     }
     let (all, _) = limiter_after([0, 1, 1, 1, 1, 1], 1.0);
     assert_eq!(
-        [0, 1].map(|group| all.admitted_fraction(group, |group| GroupFigures {
+        [0, 1].map(|group| all.admitted_fraction(group, |group| GroupStatistics {
             value_rate: [1.0, 3.0][group],
             run_time: [1.0, 3.0][group]
         })),
--- a/crates/service/balancing-policy/tests/common/world.rs
+++ b/crates/service/balancing-policy/tests/common/world.rs
@@ -126,7 +126,14 @@
         request.closed = closed;
         let elapsed = self.now - sent_at;
         let id = RequestId(id);
-        self.handle(Event::AttemptEnded { id, attempt, outcome, closed, elapsed, report: None })
+        self.handle(Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            request_closed: closed,
+            elapsed,
+            report: None,
+        })
     }
 
     /// Answers all probes in flight, with each worker's report.
--- a/crates/service/balancing-policy/tests/endpoints.rs
+++ b/crates/service/balancing-policy/tests/endpoints.rs
@@ -100,7 +100,7 @@
         id: RequestId(2),
         attempt: 0,
         outcome: Outcome::Ok,
-        closed: true,
+        request_closed: true,
         elapsed: 0,
         report: None,
     };
--- a/crates/service/balancing-policy/tests/selection.rs
+++ b/crates/service/balancing-policy/tests/selection.rs
@@ -109,7 +109,7 @@
         id: RequestId(1),
         attempt: 0,
         outcome,
-        closed: true,
+        request_closed: true,
         elapsed: 9 * MS,
         report,
     });
--- a/crates/service/deployment-settings/tests/settings_object.rs
+++ b/crates/service/deployment-settings/tests/settings_object.rs
@@ -115,7 +115,7 @@
     assert_eq!(error.field, "familyInfo.classKind");
     assert_eq!(error.problem, FieldProblem::RejectedByPolicy(SettingsError::UnknownMachineKind));
     let message = InvalidField::from(SettingsError::InstanceOutOfRange).to_string();
-    assert_eq!(message, "field nInstances: does not cover this dispatcher's number");
+    assert_eq!(message, "field nInstances: must be greater than this dispatcher's instance number");
 }
 
 /// Requests that are open keep the numbers that they arrived with.
--- a/crates/service/engine/src/attempts.rs
+++ b/crates/service/engine/src/attempts.rs
@@ -102,7 +102,7 @@
             id: attempt.request,
             attempt: attempt.number,
             outcome: Outcome::NotSent,
-            closed,
+            request_closed: closed,
             elapsed: 0,
             report: None,
         };
@@ -207,7 +207,14 @@
         let elapsed = now.saturating_sub(this.sent);
         self.record_released(durable, token, may_have_run, out);
         let (id, attempt_number) = (attempt.request, attempt.number);
-        let event = Event::AttemptEnded { id, attempt: attempt_number, outcome, closed, elapsed, report };
+        let event = Event::AttemptEnded {
+            id,
+            attempt: attempt_number,
+            outcome,
+            request_closed: closed,
+            elapsed,
+            report,
+        };
         self.decide(now, event, out);
         self.remove_if_done(attempt.request);
     }
--- a/crates/service/engine/src/durable/recovery.rs
+++ b/crates/service/engine/src/durable/recovery.rs
@@ -142,7 +142,7 @@
                 id: request_id,
                 attempt: number as u32,
                 outcome: Outcome::Cancelled,
-                closed: false,
+                request_closed: false,
                 elapsed: 0,
                 report: None,
             };
--- a/crates/service/engine/src/engine.rs
+++ b/crates/service/engine/src/engine.rs
@@ -237,7 +237,7 @@
         self.discovery.is_pushed = !settings.must_request_endpoints;
         self.classes.extend(&settings);
         self.requests.add_classes(settings.classes.len());
-        self.decide(now, Event::SettingsChanged { settings, continues: continued_classes }, out);
+        self.decide(now, Event::SettingsChanged { settings, predecessors: continued_classes }, out);
     }
 
     /// Gives the balancing policy an event and carries out its actions.
--- a/crates/service/spanlead/tests/command.rs
+++ b/crates/service/spanlead/tests/command.rs
@@ -62,7 +62,7 @@
     spanlead: configuration key `ROUTER_CONFIG`: EOF while parsing an object at line 1 column 1
     spanlead: configuration key `settings.grades[0].effect`: unknown effect `sometimes`
     spanlead: configuration key `settings.grades[2].aim`: invalid value: integer `-1`, expected u64 at line 4 column 305
-    spanlead: configuration key `settings.nInstances`: does not cover this dispatcher's number
+    spanlead: configuration key `settings.nInstances`: must be greater than this dispatcher's instance number
     spanlead: configuration key `settings.worthBy`: unknown value `hours`
     spanlead: configuration key `limits.sockets`: must be at least 64
     spanlead: configuration key `limits.memory_mb`: must be at least 16
--- a/crates/tools/simulator-adapter/src/host.rs
+++ b/crates/tools/simulator-adapter/src/host.rs
@@ -130,7 +130,7 @@
             id: RequestId(ended.request),
             attempt: ended.attempt,
             outcome: decode::outcome(EventName::Ended, &ended.outcome)?,
-            closed: ended.closed.unwrap_or(false),
+            request_closed: ended.closed.unwrap_or(false),
             elapsed: ended.elapsed.unwrap_or(0),
             report: self.load_report(ended.instance, ended.figures),
         };
