--- a/crates/service/balancing-policy/src/api/action.rs
+++ b/crates/service/balancing-policy/src/api/action.rs
@@ -1,29 +1,29 @@
-//! What a dispatcher wants done.
+//! The actions that a dispatcher returns.
 
 use super::endpoint::WorkerId;
 use super::request::RequestId;
 use super::time::Nanos;
 
-/// What a dispatcher wants done.
+/// An action that the embedder must carry out for the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the request's next attempt.
     Send {
         /// The request.
         id: RequestId,
-        /// The worker.
+        /// The worker that gets the attempt.
         worker: WorkerId,
-        /// The attempt's time-out in nanoseconds; `None` means until the client gives up.
+        /// The attempt's time-out in nanoseconds; `None` means the time until the client gives up.
         timeout: Option<Nanos>,
     },
-    /// Final answer: rejected, harmless to retry.
+    /// Answer the request finally with a rejection, after which the client may retry safely.
     Reject {
         /// The request.
         id: RequestId,
-        /// When to retry, in nanoseconds from now.
+        /// The delay before the client should retry, in nanoseconds; `None` advises nothing.
         retry_after: Option<Nanos>,
     },
-    /// Final answer: failed.
+    /// Answer the request finally with a failure.
     Fail {
         /// The request.
         id: RequestId,
@@ -32,37 +32,37 @@
     Cancel {
         /// The request.
         id: RequestId,
-        /// The attempt's number.
+        /// The attempt's number, counted from 0 in the order of sends.
         attempt: u32,
     },
-    /// Ask for an [`Event::TimerFired`](crate::Event::TimerFired).
+    /// Start a timer that ends with an [`Event::TimerFired`](crate::Event::TimerFired).
     Timer {
-        /// How far from now, in nanoseconds.
+        /// The delay in nanoseconds.
         after: Nanos,
-        /// Handed back with the event.
+        /// The token to return with the event.
         token: u64,
     },
     /// Probe a worker for its load.
     Probe {
-        /// The worker.
+        /// The worker to probe.
         worker: WorkerId,
     },
     /// Close idle connections to a worker.
     CloseIdleConnections {
-        /// The worker.
+        /// The worker at the other end.
         worker: WorkerId,
     },
-    /// Message a peer, or all of them.
+    /// Send a message to one peer or to all of them.
     SendToPeer {
-        /// The peer; `None` means all.
+        /// The receiving peer's instance number; `None` means all peers.
         peer: Option<u32>,
-        /// At most 256 bytes.
+        /// The payload, at most 256 bytes.
         data: Vec<u8>,
     },
-    /// Ask service discovery to push changes.
+    /// Subscribe to the changes of the endpoint list at service discovery.
     Subscribe,
-    /// Ask service discovery for the complete list once.
+    /// Request the complete endpoint list from service discovery once.
     FetchEndpoints,
-    /// A line for on-call staff.
+    /// Write a log line for operators.
     Log(String),
 }
--- a/crates/service/balancing-policy/src/api/endpoint.rs
+++ b/crates/service/balancing-policy/src/api/endpoint.rs
@@ -1,58 +1,61 @@
-//! Workers as service discovery describes them.
+//! Workers and their entries in the endpoint list of service discovery.
 
 use super::time::Nanos;
 use std::sync::Arc;
 
-/// A worker's id, the same at all dispatchers. It is never parsed, only hashed and compared.
+/// A worker's id, the same at all dispatchers. It is opaque: only hashed and compared, never
+/// parsed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub Arc<str>);
 
 /// The state of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerState {
-    /// It runs and takes work.
+    /// Running and accepting requests.
     Ready,
-    /// It finishes its work and must get nothing new.
+    /// Finishing its requests; it must not get new ones.
     Draining,
-    /// It is removed from the list.
+    /// Removed from the endpoint list.
     Removed,
 }
 
 /// A worker's entry in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint<'a> {
-    /// Its id.
+    /// The worker's id.
     pub worker: &'a str,
-    /// Its state.
+    /// The worker's state.
     pub state: WorkerState,
-    /// When it last started; `None` means long ago.
+    /// The time at which the worker last started; `None` if that was long ago.
     pub started_at: Option<Nanos>,
-    /// Its machine kind.
+    /// The worker's machine kind, from 0.
     pub machine_kind: u32,
-    /// Its zone.
+    /// The worker's zone.
     pub zone: u32,
-    /// Its cell.
+    /// The worker's cell, a group of workers within which requests can be deduplicated.
     pub cell: u32,
-    /// Its capacity relative to other workers.
+    /// The worker's capacity relative to that of other workers.
     pub weight: f64,
 }
 
 impl<'a> Endpoint<'a> {
-    /// An entry in zone, cell and machine kind 0 that started long ago.
+    /// Creates the entry of a worker of weight 1 in zone, cell and machine kind 0 that started long
+    /// ago.
     pub fn new(worker: &'a str, state: WorkerState) -> Self {
         Endpoint { worker, state, started_at: None, machine_kind: 0, zone: 0, cell: 0, weight: 1.0 }
     }
 }
 
-/// What an [`Event::EndpointsChanged`](crate::Event::EndpointsChanged) covers.
+/// The kind of update that an [`Event::EndpointsChanged`](crate::Event::EndpointsChanged) carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// The entries that changed.
+    /// Only the entries that changed.
     Delta,
     /// The complete list.
     Snapshot,
-    /// The complete list as last seen, possibly stale.
+    /// The complete list from the embedder's cache, possibly stale.
     CachedSnapshot,
-    /// A request for the list failed or the subscription dropped; the old list stays valid.
+    /// No entries: a request for the list failed or the subscription ended. The last known list
+    /// stays valid.
     Unavailable,
 }
--- a/crates/service/balancing-policy/src/api/event.rs
+++ b/crates/service/balancing-policy/src/api/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a dispatcher.
+//! The events that a dispatcher handles.
 
 use super::endpoint::{Endpoint, EndpointUpdate};
 use super::load_report::LoadReport;
@@ -6,27 +6,28 @@
 use super::settings::Settings;
 use super::time::Nanos;
 
-/// What happens to a dispatcher.
+/// An event that the embedder passes to the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<'a> {
     /// Service discovery sent an update.
     EndpointsChanged {
-        /// What the entries cover.
+        /// The kind of update.
         update: EndpointUpdate,
-        /// The entries.
+        /// The entries of the update.
         endpoints: &'a [Endpoint<'a>],
     },
-    /// A request arrived and must get exactly one final answer.
+    /// A request arrived. It must get exactly one final answer.
     RequestArrived(Request),
-    /// A request that another process of this dispatcher accepted; its one final answer is now due
-    /// here.
+    /// This process took over a request that another process of the same dispatcher accepted; it
+    /// must now give the request's only final answer.
     RequestAdopted {
         /// The request.
         request: Request,
-        /// Its attempts so far, at workers that the endpoint list has named.
+        /// The request's attempts so far. The endpoint list must have named their workers before,
+        /// because attempts at unknown workers are ignored.
         attempts: &'a [PriorAttempt],
     },
-    /// A streamed answer has begun.
+    /// The response to an attempt began to stream to the client.
     ResponseStarted {
         /// The request.
         id: RequestId,
@@ -39,7 +40,7 @@
         id: RequestId,
         /// The attempt's number.
         attempt: u32,
-        /// What was reported.
+        /// The reported progress.
         progress: AttemptProgress,
     },
     /// An attempt ended.
@@ -48,41 +49,41 @@
         id: RequestId,
         /// The attempt's number.
         attempt: u32,
-        /// How it ended.
+        /// The attempt's outcome.
         outcome: Outcome,
-        /// The request is finished; no answer is due any more.
+        /// Whether the request is finished and needs no further answer.
         request_closed: bool,
         /// The time since the attempt was sent, in nanoseconds.
         elapsed: Nanos,
-        /// The worker's load, if it came along.
+        /// The worker's load report, if the response carried one.
         report: Option<LoadReport>,
     },
-    /// The client left; no answer is due any more.
+    /// The client disconnected; the request needs no answer any more.
     ClientGone(RequestId),
-    /// A timer fired that [`Action::Timer`](crate::Action::Timer) asked for; this is its token.
+    /// A timer started by [`Action::Timer`](crate::Action::Timer) fired; carries its token.
     TimerFired(u64),
     /// A load probe ended.
     ProbeEnded {
         /// The worker.
         worker: &'a str,
-        /// How it ended.
+        /// The probe's outcome.
         outcome: Outcome,
         /// The time since the probe was sent, in nanoseconds.
         elapsed: Nanos,
-        /// The worker's load, if it came along.
+        /// The worker's load report, if the response carried one.
         report: Option<LoadReport>,
     },
-    /// Operators have changed the settings. What was learned stays; requests that are open keep
-    /// their class and their attempts.
+    /// Operators changed the settings. The learned statistics are kept; open requests keep their
+    /// class and their attempts.
     SettingsChanged {
-        /// The new settings. Their classes are numbered after all earlier ones.
+        /// The new settings. The indexes of their classes follow those of all earlier classes.
         settings: Box<Settings>,
         /// For each new class, the earlier class whose statistics it takes over, if any.
         predecessors: Vec<Option<u32>>,
     },
-    /// A peer's message.
+    /// A message from a peer arrived.
     PeerMessage {
-        /// The sender's number.
+        /// The sender's instance number.
         from: u32,
         /// The payload.
         data: &'a [u8],
--- a/crates/service/balancing-policy/src/api/mod.rs
+++ b/crates/service/balancing-policy/src/api/mod.rs
@@ -1,4 +1,5 @@
-//! The whole interface of the policy: its settings, the events it takes and the actions it returns.
+//! The public types of the policy: its settings, the events that it handles and the actions that it
+//! returns.
 
 mod action;
 mod endpoint;
--- a/crates/service/balancing-policy/src/api/request.rs
+++ b/crates/service/balancing-policy/src/api/request.rs
@@ -3,33 +3,35 @@
 use super::endpoint::WorkerId;
 use super::time::Nanos;
 
-/// A request's id, unique for the life of a dispatcher.
+/// A request's id, unique over the lifetime of a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A request that a client handed to this dispatcher.
+/// A client's request to this dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// The request's id.
     pub id: RequestId,
-    /// Its class, an index into [`Settings::classes`](crate::Settings::classes).
+    /// The request's class, an index into [`Settings::classes`](crate::Settings::classes).
     pub class: u32,
-    /// The slots it takes.
+    /// The slots that the request occupies at a worker.
     pub slots: f64,
-    /// The memory units it takes.
+    /// The memory units that the request occupies at a worker.
     pub memory: f64,
-    /// Its tenant, an index into [`Settings::tenants`](crate::Settings::tenants).
+    /// The request's tenant, an index into [`Settings::tenants`](crate::Settings::tenants).
     pub tenant: u32,
-    /// What it concerns; requests that share a key profit from the same worker.
+    /// The key of the program or data that the request needs. Requests with the same key run faster
+    /// at a worker that has cached it.
     pub affinity_key: Option<u64>,
-    /// The expected work, as nanoseconds on a standard core.
+    /// The expected work, in nanoseconds on a standard core, if the client stated it.
     pub expected_work: Option<Nanos>,
-    /// How long until the client gives up, in nanoseconds.
+    /// The time until the client gives up, in nanoseconds.
     pub time_left: Nanos,
 }
 
 impl Request {
-    /// A request of one slot without affinity key, tenant or expected work.
+    /// Creates a request of tenant 0 that occupies one slot and no memory, without affinity key or
+    /// expected work. `time_left` is in nanoseconds.
     pub fn new(id: RequestId, class: u32, time_left: Nanos) -> Self {
         Request {
             id,
@@ -47,47 +49,47 @@
 /// An attempt that another process of this dispatcher made.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PriorAttempt {
-    /// Its worker.
+    /// The worker that got the attempt.
     pub worker: WorkerId,
-    /// When it was sent.
+    /// The time at which the attempt was sent.
     pub sent_at: Nanos,
-    /// Whether it may have run; `None` while it is in flight.
+    /// Whether the attempt may have run; `None` while it is in flight.
     pub may_have_run: Option<bool>,
 }
 
-/// How an attempt or a probe ended.
+/// The outcome of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was served.
+    /// Served.
     Ok,
-    /// The worker answered with an error; it may have run.
+    /// Answered with an error; the attempt may have run.
     Error,
-    /// The worker rejected it, being full, before it ran.
+    /// Rejected before it ran because the worker was full.
     Rejected,
-    /// No answer came in time; it may have run.
+    /// Not answered in time; the attempt may have run.
     Timeout,
-    /// No connection came up in time.
+    /// No connection was established in time.
     ConnectFailed,
-    /// The connection dropped; it may have run.
+    /// The connection was closed or reset before the answer; the attempt may have run.
     Reset,
-    /// It was cancelled; it may have run.
+    /// Cancelled; the attempt may have run.
     Cancelled,
-    /// It was never sent.
+    /// Never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Returns whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// What a worker reports of an attempt that is still in flight.
+/// The progress that a worker reports for an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptProgress {
-    /// It has started to run.
+    /// The attempt has started to run.
     Started,
-    /// This fraction of it is done.
+    /// This fraction of the attempt's work is done.
     Completed(f64),
 }
--- a/crates/service/balancing-policy/src/api/settings.rs
+++ b/crates/service/balancing-policy/src/api/settings.rs
@@ -1,63 +1,65 @@
-//! The settings of a dispatcher, all given at its start.
+//! The settings of a dispatcher.
 
 use super::load_report::LoadReporting;
 use super::time::{MILLISECOND, Nanos};
 
-/// How long a connection attempt may take by default.
+/// The default of [`Limits::connect_timeout`].
 const DEFAULT_CONNECT_TIMEOUT: Nanos = 250 * MILLISECOND;
 
-/// The workers among which a repeat of a deduplicated request is recognised.
+/// The group of workers that recognises a repeated send of a deduplicated request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// Every worker.
+    /// All workers.
     All,
-    /// The workers of the first attempt's zone.
+    /// The workers in the zone of the earlier attempt's worker.
     Zone,
-    /// The workers of the first attempt's cell.
+    /// The workers in the cell of the earlier attempt's worker.
     Cell,
 }
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeats are harmless.
+    /// It may run any number of times.
     Idempotent,
-    /// A group of workers drops repeats for a while, counted from the first send that may have run.
+    /// A group of workers drops repeated sends within a time window, which starts with the first
+    /// send that may have run.
     Deduplicated {
         /// The group of workers.
         scope: DeduplicationScope,
-        /// How long the group remembers a request, in nanoseconds.
+        /// The length of the window, in nanoseconds.
         window: Nanos,
     },
-    /// It must never run twice.
+    /// It must not run more than once.
     AtMostOnce,
 }
 
-/// A class of requests. Requests name theirs by its index in [`Settings::classes`].
+/// A class of requests. A request refers to its class by the index in [`Settings::classes`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// A request answered within this time earns its full value, in nanoseconds.
+    /// The time within which an answer earns its full value, in nanoseconds.
     pub latency_target: Nanos,
-    /// The latency target grows by this many times the request's own work.
+    /// The multiple of the request's own work by which the latency target is extended.
     pub latency_target_stretch: f64,
-    /// How long clients wait in all, in nanoseconds.
+    /// The total time that clients wait for an answer, in nanoseconds.
     pub deadline: Nanos,
-    /// What an answer is worth, in the deployment's unit of value.
+    /// The value of an answer in time, in the deployment's unit of value.
     pub value: f64,
     /// The fraction of the value that an answer after the latency target earns.
     pub late_value_fraction: f64,
-    /// Whether a request of this class may be sent again.
+    /// Whether a request of this class may run more than once.
     pub idempotency: Idempotency,
-    /// The answer is a stream.
+    /// Whether the answer is a stream.
     pub streaming: bool,
     /// The machine kind that the class needs, if it needs one.
     pub machine_kind: Option<u32>,
-    /// Its priority in the workers' queues; higher goes first.
+    /// The priority in the workers' queues; a higher priority runs first.
     pub priority: i32,
 }
 
 impl RequestClass {
-    /// An at-most-once class of value 1 with the given latency target and deadline.
+    /// Creates an at-most-once class of value 1 with this latency target and deadline, in
+    /// nanoseconds.
     pub fn new(latency_target: Nanos, deadline: Nanos) -> Self {
         RequestClass {
             latency_target,
@@ -76,32 +78,32 @@
 /// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second inside its quota, over all dispatchers.
+    /// The quota in requests per second, over all dispatchers.
     pub quota_per_second: f64,
 }
 
 /// The operations that the deployment permits, and their bounds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// The most attempts for one request.
+    /// The maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub can_cancel: bool,
-    /// Workers may be probed for their load.
+    /// Whether workers may be probed for their load.
     pub can_probe: bool,
-    /// Peers may be messaged.
+    /// Whether messages may be sent to peers.
     pub can_message_peers: bool,
-    /// Two attempts of a request may be in flight together.
+    /// Whether several attempts of a request may be in flight at the same time.
     pub can_hedge: bool,
-    /// Rejections may carry advice when to retry.
+    /// Whether rejections may advise the client when to retry.
     pub can_send_retry_after: bool,
-    /// The longest such advice that clients follow, in nanoseconds.
+    /// The longest retry delay that clients follow, in nanoseconds.
     pub max_retry_after: Nanos,
-    /// A connection that is not up within this time fails, in nanoseconds.
+    /// The time after which an unfinished connection attempt fails, in nanoseconds.
     pub connect_timeout: Nanos,
-    /// Idle connections close after this time, in nanoseconds.
+    /// The time after which an idle connection is closed, in nanoseconds.
     pub idle_connection_timeout: Nanos,
-    /// Attempts that one connection carries at a time.
+    /// The number of attempts that one connection can carry at the same time.
     pub streams_per_connection: u32,
 }
 
@@ -122,42 +124,45 @@
     }
 }
 
-/// What operations cost: a fraction of the total value for one per request unless stated otherwise.
+/// The prices of operations. Unless stated otherwise, a price is the fraction of the total value
+/// that one such operation per request costs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// An attempt that crosses zones.
+    /// The price of an attempt at a worker in another zone.
     pub cross_zone: f64,
-    /// Worker time that served no answer, as much as was offered.
+    /// The price of worker time that produced no answer, when it equals the offered work.
     pub wasted_work: f64,
-    /// A mean of 100 open connections for each worker.
+    /// The price of a mean of 100 open connections per worker.
     pub open_connections: f64,
-    /// A new connection.
+    /// The price of a new connection.
     pub new_connection: f64,
-    /// Fetching a program or data set from the shared store.
+    /// The price of fetching a program or data set from the shared store.
     pub origin_fetch: f64,
-    /// A load probe.
+    /// The price of a load probe.
     pub probe: f64,
-    /// 256 bytes delivered to a peer.
+    /// The price of 256 bytes delivered to a peer.
     pub peer_message: f64,
-    /// All value ending unserved after its latency target.
+    /// The price of all value ending unserved after its latency target.
     pub late_failure: f64,
 }
 
-/// The figures behind the deployment's safety rules.
+/// The parameters of the deployment's safety rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SafetyRules {
-    /// A dispatcher without a subscription must request the endpoint list at least this often, in
-    /// nanoseconds; 0 if the list is pushed.
+    /// The longest interval between two requests for the endpoint list by a dispatcher without a
+    /// subscription, in nanoseconds; 0 if the list is pushed.
     pub endpoint_poll_interval: Nanos,
-    /// A started worker reaches its full capacity after this time at most, in nanoseconds.
+    /// The longest time in which a started worker reaches its full capacity, in nanoseconds.
     pub slow_start_duration: Nanos,
-    /// It starts with this fraction of its capacity or more.
+    /// The least fraction of its capacity that a worker has when it starts.
     pub slow_start_initial_fraction: f64,
-    /// How long after the notice of a drain a send is still tolerated, in nanoseconds.
+    /// The time after the notification of a drain during which sends to the worker are still
+    /// tolerated, in nanoseconds.
     pub drain_grace: Nanos,
-    /// Work beyond this multiple of its present capacity overloads a worker in slow start ...
+    /// The multiple of its present capacity beyond which work overloads a worker in slow start, if
+    /// the excess lasts for [`SafetyRules::overload_window`].
     pub overload_multiple: f64,
-    /// ... when it lasts this long, in nanoseconds.
+    /// The time for which excess work must last to overload a worker in slow start, in nanoseconds.
     pub overload_window: Nanos,
 }
 
@@ -174,54 +179,55 @@
     }
 }
 
-/// Everything a dispatcher is given at its start. Fields left at their default mean "not stated".
+/// The settings of a dispatcher. A field at its default value counts as not configured.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// This dispatcher's number among its peers, from 0.
+    /// This dispatcher's instance number, from 0.
     pub instance: u32,
-    /// How many dispatchers share the workers.
+    /// The number of dispatchers that share the workers.
     pub instance_count: u32,
-    /// The zone this dispatcher runs in.
+    /// The zone in which this dispatcher runs.
     pub zone: u32,
     /// The number of machine kinds.
     pub machine_kind_count: u32,
-    /// The shortest gap between two rounds of events, in nanoseconds.
+    /// The shortest interval between two batches of events, in nanoseconds.
     pub tick: Nanos,
     /// The request classes.
     pub classes: Vec<RequestClass>,
     /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// What a request past its tenant's quota is worth, as a fraction of its value.
+    /// The fraction of its value that a request beyond its tenant's quota is worth.
     pub over_quota_value_fraction: f64,
-    /// A request's value counts for each unit of its work, not for the request.
+    /// Whether a class's value applies to each unit of work instead of each request.
     pub value_by_work: bool,
-    /// The endpoint list comes only after [`Action::Subscribe`] or [`Action::FetchEndpoints`].
+    /// Whether the endpoint list is sent only after [`Action::Subscribe`] or
+    /// [`Action::FetchEndpoints`].
     ///
     /// [`Action::Subscribe`]: crate::Action::Subscribe
     /// [`Action::FetchEndpoints`]: crate::Action::FetchEndpoints
     pub must_request_endpoints: bool,
-    /// What is permitted.
+    /// The permitted operations and their bounds.
     pub limits: Limits,
-    /// What operations cost.
+    /// The prices of operations.
     pub prices: Prices,
     /// How load reports reach the dispatcher.
     pub load_reporting: LoadReporting,
-    /// The figures of the safety rules.
+    /// The parameters of the safety rules.
     pub rules: SafetyRules,
-    /// The gap between progress reports, in nanoseconds; 0 means that there are none.
+    /// The interval between progress reports, in nanoseconds; 0 if there are none.
     pub progress_interval: Nanos,
-    /// Workers report when an attempt starts to run.
+    /// Whether workers report when an attempt starts to run.
     pub reports_attempt_start: bool,
 }
 
 impl Settings {
-    /// The highest priority among the classes, 0 if there is none.
+    /// Returns the highest priority among the classes, 0 without classes.
     pub(crate) fn top_priority(&self) -> i32 {
         top_priority(&self.classes)
     }
 }
 
-/// The highest priority among these classes, 0 if there is none.
+/// Returns the highest priority among these classes, 0 without classes.
 pub(crate) fn top_priority(classes: &[RequestClass]) -> i32 {
     classes.iter().map(|class| class.priority).max().unwrap_or(0)
 }
--- a/crates/service/balancing-policy/src/api/settings_error.rs
+++ b/crates/service/balancing-policy/src/api/settings_error.rs
@@ -1,8 +1,8 @@
-//! Why settings are rejected.
+//! The reasons for rejecting settings.
 
 use std::fmt;
 
-/// The part of the settings that holds a bad figure.
+/// The section of the settings that contains an invalid number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsSection {
     /// [`Settings::classes`](crate::Settings::classes).
@@ -11,13 +11,13 @@
     Prices,
     /// [`Settings::rules`](crate::Settings::rules).
     Rules,
-    /// [`Settings::tenants`](crate::Settings::tenants) and what requests past their quota are
-    /// worth.
+    /// [`Settings::tenants`](crate::Settings::tenants) and
+    /// [`Settings::over_quota_value_fraction`](crate::Settings::over_quota_value_fraction).
     Tenants,
 }
 
 impl SettingsSection {
-    /// The section's name in messages.
+    /// Returns the section's name in error messages.
     fn name(self) -> &'static str {
         match self {
             SettingsSection::Classes => "classes",
@@ -28,21 +28,21 @@
     }
 }
 
-/// Why settings were rejected.
+/// The reason for which settings are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// There is no request class.
+    /// The settings have no request class.
     NoClasses,
     /// A class names a machine kind that does not exist.
     UnknownMachineKind,
-    /// A figure is negative or not finite.
+    /// A number in this section is negative or not finite.
     InvalidNumber(SettingsSection),
-    /// The dispatcher's own number is not below the number of dispatchers.
+    /// The dispatcher's instance number is not less than the number of dispatchers.
     InstanceOutOfRange,
 }
 
 impl SettingsError {
-    /// The setting at fault.
+    /// Returns the name of the invalid setting.
     pub fn setting(&self) -> &'static str {
         match self {
             SettingsError::NoClasses => "classes",
@@ -52,7 +52,7 @@
         }
     }
 
-    /// What is wrong with it.
+    /// Returns what is wrong with the setting, as a phrase that follows its name.
     pub fn reason(&self) -> &'static str {
         match self {
             SettingsError::NoClasses => "names no class",
--- a/crates/service/balancing-policy/src/api/time.rs
+++ b/crates/service/balancing-policy/src/api/time.rs
@@ -1,8 +1,8 @@
-//! Time as the policy counts it.
+//! The unit of time.
 
-/// A point in time or a span, in nanoseconds of the embedder's monotonic clock.
+/// A point in time or a duration, in nanoseconds of the embedder's monotonic clock.
 ///
-/// The policy reads no clock: each event carries the time at which it is handled.
+/// The policy reads no clock: the embedder passes the current time with each event.
 pub type Nanos = u64;
 
 /// One millisecond, in nanoseconds.
@@ -11,5 +11,5 @@
 /// One second, in nanoseconds.
 pub(crate) const SECOND: Nanos = 1_000 * MILLISECOND;
 
-/// Nanoseconds in a second, for figures counted per second.
+/// Nanoseconds in a second, for the conversion of rates and durations.
 pub(crate) const NANOS_PER_SECOND: f64 = 1e9;
--- a/crates/service/balancing-policy/src/api/validation.rs
+++ b/crates/service/balancing-policy/src/api/validation.rs
@@ -1,13 +1,13 @@
-//! Which settings make sense.
+//! Validation of the settings.
 
 use super::settings::{Prices, RequestClass, SafetyRules, Settings, Tenant};
 use super::settings_error::{SettingsError, SettingsSection};
 
 impl Settings {
-    /// Checks that the settings make sense.
+    /// Checks that the settings are valid.
     ///
     /// # Errors
-    /// The first fault found.
+    /// Returns the first problem found.
     pub(crate) fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -26,8 +26,8 @@
 }
 
 fn validate_class(class: &RequestClass, machine_kind_count: u32) -> Result<(), SettingsError> {
-    let figures = [class.value, class.late_value_fraction, class.latency_target_stretch];
-    validate_figures(figures, SettingsSection::Classes)?;
+    let values = [class.value, class.late_value_fraction, class.latency_target_stretch];
+    validate_numbers(values, SettingsSection::Classes)?;
     if class.machine_kind.is_some_and(|kind| kind >= machine_kind_count.max(1)) {
         return Err(SettingsError::UnknownMachineKind);
     }
@@ -35,7 +35,7 @@
 }
 
 fn validate_prices(prices: &Prices) -> Result<(), SettingsError> {
-    let figures = [
+    let values = [
         prices.cross_zone,
         prices.wasted_work,
         prices.open_connections,
@@ -45,24 +45,24 @@
         prices.peer_message,
         prices.late_failure,
     ];
-    validate_figures(figures, SettingsSection::Prices)
+    validate_numbers(values, SettingsSection::Prices)
 }
 
 fn validate_rules(rules: &SafetyRules) -> Result<(), SettingsError> {
-    let figures = [rules.slow_start_initial_fraction, rules.overload_multiple];
-    validate_figures(figures, SettingsSection::Rules)
+    let values = [rules.slow_start_initial_fraction, rules.overload_multiple];
+    validate_numbers(values, SettingsSection::Rules)
 }
 
 fn validate_tenants(tenants: &[Tenant], over_quota_value_fraction: f64) -> Result<(), SettingsError> {
     let quotas = tenants.iter().map(|tenant| tenant.quota_per_second);
-    validate_figures(quotas.chain([over_quota_value_fraction]), SettingsSection::Tenants)
+    validate_numbers(quotas.chain([over_quota_value_fraction]), SettingsSection::Tenants)
 }
 
-fn validate_figures(
-    figures: impl IntoIterator<Item = f64>,
+fn validate_numbers(
+    values: impl IntoIterator<Item = f64>,
     section: SettingsSection,
 ) -> Result<(), SettingsError> {
-    if figures.into_iter().any(|figure| !figure.is_finite() || figure < 0.0) {
+    if values.into_iter().any(|value| !value.is_finite() || value < 0.0) {
         return Err(SettingsError::InvalidNumber(section));
     }
     Ok(())
--- a/crates/service/balancing-policy/src/dispatcher/admission.rs
+++ b/crates/service/balancing-policy/src/dispatcher/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests are admitted, and when one is given up.
+//! The admission of requests, and the final answer to those that are given up.
 
 use super::Dispatcher;
 use super::permit::may_reject;
@@ -6,27 +6,28 @@
 use crate::api::{Action, MILLISECOND, Nanos, Request};
 use crate::state::{Job, JobNumber};
 
-/// The advice of a rejection when to retry, unless clients follow only shorter ones.
+/// The retry delay in a rejection, unless clients follow only shorter delays.
 const RETRY_AFTER: Nanos = 300 * MILLISECOND;
 
-/// The least fraction of its value that a late answer is reckoned with, so that late requests are
-/// not starved.
+/// The lower bound of the fraction of its value that a late answer counts in admission, which
+/// prevents the starvation of late requests.
 const MIN_LATE_VALUE_FRACTION: f64 = 0.01;
 
-/// A job may wait for at least its latency target divided by this.
+/// A job may wait for at least its latency target divided by this number.
 const MIN_WAIT_DIVISOR: Nanos = 4;
 
-/// Request groups of each class: those that can still be answered in time, and those that cannot.
+/// The number of request groups of a class: the requests that can still be answered in time, and
+/// those that cannot.
 const GROUPS_PER_CLASS: usize = 2;
 
 impl Dispatcher {
-    /// The group that the admission limiter counts a request under.
+    /// Returns the request group under which the admission limiter counts a request.
     pub(super) fn request_group(&self, request: &Request) -> usize {
         let is_late = self.slack(request) == 0;
         GROUPS_PER_CLASS * request.class as usize + usize::from(is_late)
     }
 
-    /// The fraction of such new requests that is admitted.
+    /// Returns the fraction of the new requests in this request's group that is admitted.
     pub(super) fn admitted_fraction(&self, request: &Request) -> f64 {
         let group = self.request_group(request);
         self.limiter.admitted_fraction(group, |group| self.group_statistics(group))
@@ -44,9 +45,10 @@
         GroupStatistics { value_rate, run_time }
     }
 
-    /// How long a request may still wait for its start and end in time, at the class's typical
-    /// running time, in nanoseconds. A client's later attempts come with what is left of the first
-    /// one's time, from which the latency target counts.
+    /// Returns the time for which a request may still wait for its start and be answered within its
+    /// latency target, at the class's typical running time, in nanoseconds. When a client retries,
+    /// the request arrives with what is left of the time that its first attempt had; the latency
+    /// target is counted from that first attempt.
     pub(super) fn slack(&self, request: &Request) -> Nanos {
         let class = &self.settings.classes[request.class as usize];
         let statistics = &self.classes[request.class as usize];
@@ -59,18 +61,18 @@
         total.saturating_sub(waited)
     }
 
-    /// Whether a pending job has waited in vain: no walker has found room for as long as it could
-    /// wait and still end in time, so the fleet is overloaded. Joining a queue now would make this
-    /// job late and the next ones too.
-    pub(super) fn has_waited_in_vain(&self, now: Nanos, job: &Job) -> bool {
+    /// Returns whether a pending job has waited for its slack (or the minimum wait, if longer)
+    /// without finding room. The fleet is then overloaded, and joining a queue would make this job
+    /// late and the following jobs too.
+    pub(super) fn has_exceeded_max_wait(&self, now: Nanos, job: &Job) -> bool {
         let latency_target = self.settings.classes[job.request.class as usize].latency_target;
         let longest_wait = self.slack(&job.request).max(latency_target / MIN_WAIT_DIVISOR);
         now >= job.arrived_at + longest_wait
     }
 
-    /// Whether a job needs more memory than any worker has reported free since it started, all
-    /// having reported: it would be pending in vain, and its sends would make one worker after the
-    /// other look full.
+    /// Returns whether all workers of the machine kind have reported their memory since they
+    /// started, and none ever reported as much free memory as the job needs. Such a job would never
+    /// find room, and each worker that rejects it would count as full for a while.
     pub(super) fn is_too_large(&self, job: &Job, machine_kind: Option<u32>) -> bool {
         let memory = job.request.memory;
         let mut ready = self
@@ -83,11 +85,11 @@
             && !ready.any(|worker| worker.reported.max_free_memory.is_none_or(|max| memory <= max))
     }
 
-    /// Gives the final answer when no attempt can serve any more: a rejection while that is
-    /// harmless, else a failure. While an attempt is in flight, its end answers the request.
+    /// Gives up further attempts. Answers with a rejection if the client may safely retry, else
+    /// with a failure; if an attempt is in flight, its end decides the answer instead.
     pub(super) fn give_up(&mut self, number: JobNumber, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(number) else { return };
-        if job.is_in_flight() {
+        if job.has_attempt_in_flight() {
             return self.jobs.mark_sent(number);
         }
         let id = job.request.id;
--- a/crates/service/balancing-policy/src/dispatcher/candidates.rs
+++ b/crates/service/balancing-policy/src/dispatcher/candidates.rs
@@ -1,7 +1,8 @@
-//! Which workers are looked at for a job.
+//! The search for the workers that are candidates for a job.
 //!
-//! A job with an affinity key looks at the first workers of a walk that follows from the key. Any
-//! other job looks at the workers that last ended an attempt, and at the positions of the walkers.
+//! For a job with an affinity key, the search examines the first workers of a walk that is
+//! determined by the key. For any other job, and if that walk finds no eligible worker, it examines
+//! the recently used workers and the positions of the walkers.
 
 use super::Dispatcher;
 use super::permit::Permit;
@@ -12,18 +13,20 @@
 use rand_pcg::Pcg64Mcg;
 use spanlead_expander_walk::{CYCLE_COUNT, Walker, cycle_position, uniform_below};
 
-/// Walkers of each graph: the `d` of NBRW-PoD.
+/// The number of walkers on each graph: the `d` of NBRW-PoD.
 const WALKERS: usize = 6;
 
-/// How often a walker on an ineligible worker steps on before its position is left out.
+/// The maximum number of extra steps of a walker on an ineligible worker before the walker is
+/// skipped.
 const MAX_EXTRA_STEPS: usize = 4;
 
-/// Workers on a key's own walk that are looked at in the first round; each later round looks at one
+/// The number of candidates drawn from a key's walk in the first round; each later round draws one
 /// more.
 const KEY_CANDIDATES: usize = 2;
 
-/// Workers that last ended an attempt, connection still open, that are looked at beside the
-/// walkers'. This is the memory that the paper names among the variants of its scheme.
+/// The maximum number of recently used workers with an open connection that are candidates in
+/// addition to the walkers' positions. This is the memory that the paper names among the variants
+/// of its scheme.
 const RECENTLY_USED_CANDIDATES: usize = 4;
 
 /// The search for a job's candidates.
@@ -33,26 +36,27 @@
     graph: &'a mut WorkerGraph,
     recently_used: &'a [WorkerIndex],
     rng: &'a mut Pcg64Mcg,
-    /// How often this dispatcher looks at workers.
-    looks: &'a mut Rate,
+    /// The rate at which this dispatcher examines workers.
+    examined_rate: &'a mut Rate,
     job: &'a Job,
     now: Nanos,
-    /// So many workers are ejected that ejection says nothing any more.
-    is_panicking: bool,
+    /// Whether so many workers are ejected that ejection is ignored.
+    is_in_panic_mode: bool,
     slow_start: SlowStartShare,
     drawn: Vec<WorkerIndex>,
 }
 
 impl Dispatcher {
-    /// Draws eligible workers for a job from a graph, and moves the walkers.
+    /// Draws eligible workers for a job from a graph, and moves the graph's walkers if they are
+    /// used.
     pub(super) fn draw_candidates(
         &mut self,
         now: Nanos,
         number: JobNumber,
         graph: GraphIndex,
     ) -> Vec<WorkerIndex> {
-        let is_panicking = self.fleet.is_panicking();
-        self.capacity.count_workers(now, &self.fleet, &self.settings);
+        let is_in_panic_mode = self.fleet.is_in_panic_mode();
+        self.capacity.update_from_fleet(now, &self.fleet, &self.settings);
         let Some(job) = self.jobs.get(number) else { return Vec::new() };
         let worker_count = self.fleet.graph_len(graph);
         if worker_count == 0 {
@@ -73,10 +77,10 @@
             graph: parts.graph,
             recently_used: parts.recently_used,
             rng: &mut self.rng,
-            looks: &mut self.capacity.looks,
+            examined_rate: &mut self.capacity.examined_rate,
             job,
             now,
-            is_panicking,
+            is_in_panic_mode,
             slow_start,
             drawn: Vec::with_capacity(WALKERS),
         };
@@ -84,7 +88,7 @@
     }
 }
 
-/// The time for which too much work overloads a worker in slow start, in seconds.
+/// Returns the time for which excess work must last to overload a worker in slow start, in seconds.
 fn overload_window_seconds(settings: &Settings) -> f64 {
     settings.rules.overload_window as f64 / NANOS_PER_SECOND
 }
@@ -101,16 +105,17 @@
         self.draw_recently_used();
         self.draw_from_walkers();
         if self.drawn.is_empty() {
-            self.draw_any();
+            self.draw_random();
         }
         self.drawn
     }
 
-    /// Draws workers that keep what a key needs. The walk starts at the key's home and its steps
-    /// follow from the key, so all dispatchers look for it at the same few workers; later rounds
-    /// walk further.
+    /// Draws workers by affinity key. The walk starts at the key's home and its steps are
+    /// determined by the key, so all dispatchers send the key's requests to the same few workers.
+    /// Later rounds walk further.
     fn draw_by_key(&mut self, key: u64) {
-        // Seeded past the cycles, so that the home is independent of the workers' positions.
+        // The seed follows those of the cycles, so that the home is independent of the workers'
+        // positions on them.
         let home = cycle_position(&key.to_le_bytes(), CYCLE_COUNT);
         let Some(start) = self.graph.first_at_or_after(home) else { return };
         let mut walker = Walker::new(start);
@@ -119,7 +124,7 @@
         let enough = wanted.min(self.graph.len());
         for _ in 0..wanted * MAX_EXTRA_STEPS {
             let worker = walker.current;
-            if self.may_cross_to(worker) && !self.drawn.contains(&worker) && self.is_eligible(worker) {
+            if self.is_zone_allowed(worker) && !self.drawn.contains(&worker) && self.is_eligible(worker) {
                 self.drawn.push(worker);
             }
             if self.drawn.len() >= enough {
@@ -129,33 +134,33 @@
         }
     }
 
-    /// Whether a key's walk may stop at a worker: in the first round it keeps to its own zone if
-    /// crossing zones has a price.
-    fn may_cross_to(&self, worker: WorkerIndex) -> bool {
+    /// Returns whether a key's walk may draw a worker: in the first round only workers in this
+    /// dispatcher's zone if crossing zones has a price.
+    fn is_zone_allowed(&self, worker: WorkerIndex) -> bool {
         let is_own_zone = self.workers[worker.as_usize()].zone == self.settings.zone;
         is_own_zone || self.job.rounds > 0 || self.settings.prices.cross_zone == 0.0
     }
 
-    /// Divides the own share of workers in slow start by the chance that a worker is looked at in a
-    /// window.
+    /// Divides this dispatcher's share of workers in slow start by the probability that a worker is
+    /// examined within a budget window.
     ///
-    /// Walkers may be anywhere, so the share of the windows in which nobody looks would be lost,
-    /// and with few requests to a dispatcher those are nearly all. A key's own workers are looked
-    /// at far more often, so there the share is not raised.
+    /// The walkers' positions are random, so the share would be lost in the windows in which a
+    /// worker is not examined, and a dispatcher with few requests examines a worker in almost no
+    /// window. The workers of a key's walk are examined far more often, so the share is not raised
+    /// for them.
     ///
-    /// Guards the sum after a rest: what is looked at for this job counts as looked at. Otherwise
-    /// the share of a dispatcher that has rested is raised without bound, and many jobs at once
-    /// take all these shares.
+    /// The examinations for this job are counted in advance, which bounds the sum of the
+    /// dispatchers' shares after an idle time. Otherwise the share of an idle dispatcher would be
+    /// raised without bound, and many simultaneous jobs would use all these shares.
     fn raise_slow_start_share(&mut self) {
-        let own_looks = (WALKERS + RECENTLY_USED_CANDIDATES) as f64 / Rate::SPAN_SECONDS;
-        let looks_per_second = self.looks.per_second(self.now).max(own_looks);
+        let examined_for_job = (WALKERS + RECENTLY_USED_CANDIDATES) as f64 / Rate::SPAN_SECONDS;
+        let examined_per_second = self.examined_rate.per_second(self.now).max(examined_for_job);
         let window_seconds = overload_window_seconds(self.settings);
         let worker_count = self.graph.len() as f64;
-        self.slow_start.own_fraction /= 1.0 - (-looks_per_second * window_seconds / worker_count).exp();
+        self.slow_start.own_fraction /= 1.0 - (-examined_per_second * window_seconds / worker_count).exp();
     }
 
-    /// Draws workers that last ended an attempt: a slot is just free there and a connection is
-    /// open.
+    /// Draws recently used workers: a slot has just become free there and a connection is open.
     fn draw_recently_used(&mut self) {
         for &worker in self.recently_used.iter().rev() {
             let connections = &self.workers[worker.as_usize()].connections;
@@ -170,8 +175,8 @@
         }
     }
 
-    /// Draws the positions of the walkers, each stepped on past ineligible workers; then every
-    /// walker steps.
+    /// Draws the positions of the walkers after moving each past ineligible workers; then moves
+    /// every walker one step.
     fn draw_from_walkers(&mut self) {
         self.graph.start_walkers(WALKERS, self.rng);
         let mut walkers = std::mem::take(&mut self.graph.walkers);
@@ -194,8 +199,8 @@
         }
     }
 
-    /// Draws an eligible worker at random, no walker being on one.
-    fn draw_any(&mut self) {
+    /// Draws one eligible worker, the first at or after a random one. Used if no walker found any.
+    fn draw_random(&mut self) {
         let worker_count = self.graph.len();
         let start = uniform_below(self.rng, worker_count);
         for offset in 0..worker_count {
@@ -207,10 +212,10 @@
         }
     }
 
-    /// Whether a worker may get the job: by the job's class, the worker's health and its slow
-    /// start.
+    /// Returns whether a worker may get the job, by the job's permit, the worker's health and its
+    /// slow-start budget. Counts the worker as examined.
     fn is_eligible(&mut self, index: WorkerIndex) -> bool {
-        self.looks.add(self.now, 1.0);
+        self.examined_rate.add(self.now, 1.0);
         if self.job.was_sent_to(index) {
             return false;
         }
@@ -218,7 +223,7 @@
             return false;
         }
         let worker = &mut self.workers[index.as_usize()];
-        if !self.is_panicking && worker.health.is_avoided(self.now) {
+        if !self.is_in_panic_mode && worker.health.is_avoided(self.now) {
             return false;
         }
         let rules = &self.settings.rules;
--- a/crates/service/balancing-policy/src/dispatcher/capacity.rs
+++ b/crates/service/balancing-policy/src/dispatcher/capacity.rs
@@ -1,60 +1,62 @@
-//! What a warm worker can do, as the measure for workers in slow start.
+//! Estimate of the capacity of a warm worker, on which the budgets of workers in slow start are
+//! based.
 
 use crate::api::{MILLISECOND, NANOS_PER_SECOND, Nanos, Settings};
 use crate::state::{Fleet, Rate, Worker};
 
-/// How often the fleet's workers are counted.
-const COUNT_INTERVAL: Nanos = 500 * MILLISECOND;
+/// The interval at which the workers' weights and slots are summed up anew.
+const UPDATE_INTERVAL: Nanos = 500 * MILLISECOND;
 
 /// The weight of a new sample in the mean running time.
 const RUN_TIME_SAMPLE_WEIGHT: f64 = 0.02;
 
-/// Keeps a division by a mean weight of 0 finite.
+/// The lower bound of the mean weight, which prevents a division by 0.
 const MIN_MEAN_WEIGHT: f64 = 1e-3;
 
-/// What a warm worker can do.
+/// Estimate of the capacity of a warm worker.
 pub(super) struct CapacityEstimate {
-    /// Slots of this dispatcher that warm workers serve.
+    /// The rate of this dispatcher's slots that warm workers serve.
     serve_rate: Rate,
-    /// Workers that this dispatcher looks at.
-    pub(super) looks: Rate,
-    /// How long served attempts run in the mean, in nanoseconds; infinite while unknown.
+    /// The rate at which this dispatcher examines workers in the search for candidates.
+    pub(super) examined_rate: Rate,
+    /// The mean running time of served attempts, in nanoseconds; infinite while unknown.
     mean_run_time: f64,
-    /// The slots of a worker, by those that reported; 0 while unknown.
+    /// The mean number of slots of the workers that reported free slots; 0 while unknown.
     slots_per_worker: f64,
-    /// Slots a second that this dispatcher's traffic brought a warm worker of weight 1; 0 while
-    /// unknown.
+    /// The rate of this dispatcher's slots that a warm worker of weight 1 serves, per second; 0
+    /// while unknown.
     own_rate_per_weight: f64,
-    /// When the workers were last counted; 0 asks for a count.
-    counted_at: Nanos,
+    /// The time of the last update from the fleet; 0 if an update is due.
+    updated_at: Nanos,
 }
 
 impl Default for CapacityEstimate {
     fn default() -> Self {
         CapacityEstimate {
             serve_rate: Rate::default(),
-            looks: Rate::default(),
+            examined_rate: Rate::default(),
             mean_run_time: f64::INFINITY,
             slots_per_worker: 0.0,
             own_rate_per_weight: 0.0,
-            counted_at: 0,
+            updated_at: 0,
         }
     }
 }
 
 impl CapacityEstimate {
-    /// Asks for a new count, the endpoint list having changed.
+    /// Makes the next [`Self::update_from_fleet`] update the estimate, because the endpoint list
+    /// changed.
     pub(super) fn invalidate(&mut self) {
-        self.counted_at = 0;
+        self.updated_at = 0;
     }
 
-    /// Counts slots that a warm worker served. Workers in slow start do not count: what they get
-    /// goes by this estimate, and it would sink with them.
+    /// Counts slots that a warm worker served. Those of workers in slow start must not be counted:
+    /// their budgets depend on this estimate, so it would fall with them.
     pub(super) fn record_served(&mut self, now: Nanos, slots: f64) {
         self.serve_rate.add(now, slots);
     }
 
-    /// Takes the running time of a served attempt.
+    /// Records the running time of a served attempt, in nanoseconds.
     pub(super) fn record_run_time(&mut self, run_time: Nanos) {
         let mean = self.mean_run_time;
         let sample = run_time as f64;
@@ -65,17 +67,17 @@
         };
     }
 
-    /// Counts the fleet's workers if that was not done recently.
-    pub(super) fn count_workers(&mut self, now: Nanos, fleet: &Fleet, settings: &Settings) {
-        if now < self.counted_at + COUNT_INTERVAL {
+    /// Updates the estimate from the fleet unless that was done within `UPDATE_INTERVAL`.
+    pub(super) fn update_from_fleet(&mut self, now: Nanos, fleet: &Fleet, settings: &Settings) {
+        if now < self.updated_at + UPDATE_INTERVAL {
             return;
         }
-        self.count_warm_weight(now, fleet, settings);
-        self.count_slots(fleet);
-        self.counted_at = now;
+        self.update_own_rate(now, fleet, settings);
+        self.update_slots_per_worker(fleet);
+        self.updated_at = now;
     }
 
-    fn count_warm_weight(&mut self, now: Nanos, fleet: &Fleet, settings: &Settings) {
+    fn update_own_rate(&mut self, now: Nanos, fleet: &Fleet, settings: &Settings) {
         let is_warm = |worker: &&Worker| worker.is_warm(&settings.rules, now);
         let warm_weight: f64 = fleet.ready_workers().filter(is_warm).map(|worker| worker.weight).sum();
         if warm_weight > 0.0 {
@@ -83,7 +85,7 @@
         }
     }
 
-    fn count_slots(&mut self, fleet: &Fleet) {
+    fn update_slots_per_worker(&mut self, fleet: &Fleet) {
         let mut workers = 0.0;
         let mut slots = 0.0;
         for worker in fleet.ready_workers() {
@@ -92,17 +94,18 @@
                 slots += worker.reported.max_free_slots;
             }
         }
-        // Workers that just started have not reported yet.
+        // Keeps the last estimate if no worker has reported since its start.
         if workers > 0.0 {
             self.slots_per_worker = slots / workers;
         }
     }
 
-    /// The slots that a warm worker of weight 1 serves in a budget window, as far as that is known.
+    /// Estimates the slots that a warm worker of weight 1 serves in a budget window; 0 while no
+    /// running time is known and the estimate depends on it.
     ///
-    /// It goes by the slots of a worker. Where they are unknown, it is what the worker would serve
-    /// if all dispatchers had the traffic of this one; with one slot while there was no warm
-    /// worker.
+    /// The estimate is based on the mean number of slots of a worker. While that is unknown, it is
+    /// based on the rate at which warm workers serve this dispatcher's slots, as if all dispatchers
+    /// had the same traffic. While that is unknown too, a worker is assumed to have one slot.
     pub(super) fn slots_per_window(&self, window_seconds: f64, mean_weight: f64, instances: f64) -> f64 {
         let uses_slots = self.slots_per_worker > 0.0 || self.own_rate_per_weight == 0.0;
         let slots_per_second = if uses_slots {
--- a/crates/service/balancing-policy/src/dispatcher/discovery.rs
+++ b/crates/service/balancing-policy/src/dispatcher/discovery.rs
@@ -1,32 +1,35 @@
-//! When service discovery is asked for the endpoint list.
+//! The schedule of the calls to service discovery.
 
 use super::Dispatcher;
 use crate::api::{Action, EndpointUpdate, MILLISECOND, Nanos, SECOND};
 use crate::state::TimerToken;
 use spanlead_expander_walk::uniform_unit;
 
-/// A change counts as notified 6 s after service discovery had it and could be reached, whatever
-/// failed before. So dispatchers that start make their first call within this time ...
+/// The maximum delay of a dispatcher's first call to service discovery after its start.
+///
+/// A change of the endpoint list counts as notified 6 s after service discovery had it and could be
+/// reached, whatever failed before. This delay and [`MAX_BACKOFF`] are as long as that permits,
+/// since service discovery handles its calls one by one.
 const MAX_FIRST_CALL_DELAY: Nanos = 15 * SECOND / 4;
 
-/// ... and after failed calls the longest backoff ends here: a call that was in flight when service
-/// discovery came back takes 2 s, and the one that follows 1 s. The delays are as long as that
-/// allows, since service discovery handles its calls one by one.
+/// The maximum backoff after failed calls. A call that is in flight when service discovery becomes
+/// reachable again takes 2 s, and the call that follows the backoff takes 1 s; the total must stay
+/// within the 6 s after which a change counts as notified.
 const MAX_BACKOFF: Nanos = 11 * SECOND / 4;
 
-/// The backoff before its first doubling.
-const BACKOFF_UNIT: Nanos = SECOND / 4;
+/// The backoff before its first doubling. It is already doubled once after the first failure.
+const BASE_BACKOFF: Nanos = SECOND / 4;
 
-/// The backoff doubles at most this often.
+/// The maximum number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// The least fraction of the backoff that is waited.
+/// The least random factor on the backoff; the greatest is 1.
 const BACKOFF_JITTER_FLOOR: f64 = 0.75;
 
-/// The first calls spread over this time for each dispatcher.
+/// The time per dispatcher over which the first calls of all dispatchers are spread.
 const FIRST_CALL_SPREAD: Nanos = 40 * MILLISECOND;
 
-/// The subscription to the endpoint list.
+/// The state of the subscription to the endpoint list.
 #[derive(Default)]
 pub(super) struct DiscoveryState {
     is_subscribed: bool,
@@ -35,7 +38,7 @@
 }
 
 impl DiscoveryState {
-    /// Subscribes to the endpoint list, unless that was done.
+    /// Subscribes to the endpoint list unless subscribed already or a call is in flight.
     pub(super) fn subscribe(&mut self, actions: &mut Vec<Action>) {
         if !self.is_subscribed && !self.is_call_in_flight {
             self.is_call_in_flight = true;
@@ -57,22 +60,22 @@
         self.failures = (self.failures + 1).min(MAX_BACKOFF_DOUBLINGS);
     }
 
-    /// The backoff after the failures so far, in nanoseconds.
+    /// Returns the backoff after the failures so far, in nanoseconds.
     fn backoff(&self, poll_interval: Nanos) -> Nanos {
-        (BACKOFF_UNIT << self.failures).min(poll_interval).min(MAX_BACKOFF)
+        (BASE_BACKOFF << self.failures).min(poll_interval).min(MAX_BACKOFF)
     }
 }
 
 impl Dispatcher {
-    /// Plans the next call to service discovery after an update or a failure.
-    pub(super) fn plan_discovery(&mut self, update: EndpointUpdate, actions: &mut Vec<Action>) {
+    /// Schedules the next call to service discovery after an update or a failure.
+    pub(super) fn schedule_discovery(&mut self, update: EndpointUpdate, actions: &mut Vec<Action>) {
         if !self.settings.must_request_endpoints {
             return;
         }
         let poll_interval = self.settings.rules.endpoint_poll_interval.max(SECOND);
         match update {
             EndpointUpdate::CachedSnapshot => {
-                // Dispatchers that start together must not call together.
+                // Spreads the calls of dispatchers that start at the same time.
                 let instances = u64::from(self.settings.instance_count);
                 let spread = (instances * FIRST_CALL_SPREAD).min(poll_interval / 2).min(MAX_FIRST_CALL_DELAY);
                 let delay = (uniform_unit(&mut self.rng) * spread as f64) as Nanos;
--- a/crates/service/balancing-policy/src/dispatcher/endpoints.rs
+++ b/crates/service/balancing-policy/src/dispatcher/endpoints.rs
@@ -1,13 +1,13 @@
-//! What an update of the endpoint list changes.
+//! Updates of the endpoint list.
 
 use super::Dispatcher;
 use crate::api::{Action, Endpoint, EndpointUpdate, Nanos, WorkerState};
 use crate::state::WorkerIndex;
 
 impl Dispatcher {
-    /// Takes an update of the endpoint list.
+    /// Applies an update of the endpoint list and schedules the next call to service discovery.
     ///
-    /// Workers that a complete list does not name are removed.
+    /// Workers that are missing from a complete list are removed.
     pub(super) fn change_endpoints(
         &mut self,
         now: Nanos,
@@ -28,7 +28,7 @@
         }
         self.fleet.update_graphs(&changed);
         self.capacity.invalidate();
-        self.plan_discovery(update, actions);
+        self.schedule_discovery(update, actions);
     }
 
     fn update_endpoint(
--- a/crates/service/balancing-policy/src/dispatcher/mod.rs
+++ b/crates/service/balancing-policy/src/dispatcher/mod.rs
@@ -1,24 +1,25 @@
-//! All decisions of a dispatcher, one file for each kind.
+//! The decisions of a dispatcher, one file for each kind of decision.
 //!
-//! The ordinary path is NBRW-PoD: walkers move over a shared expander graph of workers, and a job
-//! goes to the worker among the walkers' positions that has the fewest of this dispatcher's own
-//! slots in flight.
+//! Jobs without an affinity key are placed by NBRW-PoD: walkers move over an expander graph of
+//! workers that all dispatchers share, and a job goes to the worker among the walkers' positions
+//! that has the fewest of this dispatcher's own slots in flight.
 //!
 //! | file | decision |
 //! | --- | --- |
-//! | `admission` | which requests are admitted, and when one is given up |
+//! | `admission` | which requests are admitted, and when a job is given up |
 //! | `rounds` | when a pending job draws candidates, probes them and waits |
-//! | `candidates` | which workers are looked at: walkers, affinity, recently used workers |
-//! | `slow_start` | how much a worker in slow start may get |
-//! | `selection` | which candidate gets the job, and the send |
-//! | `permit` | whether one more attempt keeps to the request's idempotency |
-//! | `attempts` | what the end of an attempt teaches, and whether it is retried |
-//! | `probes` | what a probe teaches |
+//! | `candidates` | which workers are examined: by walkers, affinity key or recent use |
+//! | `slow_start` | how much may be sent to a worker in slow start |
+//! | `selection` | which candidate gets the job; the send |
+//! | `permit` | whether the request's idempotency allows another attempt |
+//! | `attempts` | what is learned from an attempt, and whether the job is retried |
+//! | `probes` | what is learned from a probe, and which pending jobs are then bound |
 //! | `outlier_detection` | when a worker is ejected |
-//! | `affinity` | where a key's requests go |
-//! | `capacity` | what a warm worker can do |
-//! | `endpoints`, `discovery` | the endpoint list: what it says, and when it is requested |
-//! | `settings_change` | new settings while jobs are open |
+//! | `affinity` | which workers have cached a key |
+//! | `capacity` | estimate of what a warm worker can serve |
+//! | `endpoints`, `discovery` | updates of the endpoint list, and when it is requested |
+//! | `retry_budget` | how many retries are allowed in proportion to requests |
+//! | `settings_change` | change of the settings while jobs are open |
 
 mod admission;
 mod affinity;
@@ -49,18 +50,18 @@
 use retry_budget::RetryBudget;
 use spanlead_expander_walk::Expander;
 
-/// The decisions of one dispatcher.
+/// A dispatcher: the state and the decisions of one instance of the balancing policy.
 ///
-/// It performs no I/O and reads no clock. All chance comes from a generator seeded at the start, so
-/// the same events give the same actions.
+/// It performs no I/O and reads no clock. Its only random numbers come from a generator seeded in
+/// [`Dispatcher::new`], so the same settings, seed and events give the same actions.
 pub struct Dispatcher {
     settings: Settings,
     rng: Pcg64Mcg,
     fleet: Fleet,
     jobs: JobTable,
-    /// What is known of each request class.
+    /// The statistics of each request class, by class index.
     classes: Vec<ClassStatistics>,
-    /// The top priority among the classes that clients may name.
+    /// The top priority among the classes of the current settings, which new requests can have.
     top_priority: i32,
     limiter: AdmissionLimiter,
     retry_budget: RetryBudget,
@@ -71,10 +72,10 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows no workers yet.
+    /// Creates a dispatcher that knows no workers yet.
     ///
     /// # Errors
-    /// If a setting makes no sense; the error names it.
+    /// Returns an error that names the setting if a setting is invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Dispatcher {
@@ -93,9 +94,9 @@
         })
     }
 
-    /// Takes one event at time `now` and appends what is to be done.
+    /// Handles one event at time `now` (in nanoseconds) and appends the resulting actions.
     ///
-    /// Times must not decrease from one event to the next.
+    /// `now` must not decrease from one event to the next.
     pub fn handle(&mut self, now: Nanos, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointsChanged { update, endpoints } => {
@@ -138,9 +139,9 @@
         }
     }
 
-    /// The workers that a walker may step to from `worker`, one for each edge of the graph of all
-    /// machine kinds: what operators and tests need to see that all dispatchers hold the same
-    /// graph.
+    /// Returns the workers to which a walker can step from `worker`, one for each edge of the graph
+    /// of all machine kinds; empty if the endpoint list has never named `worker`. Operators and
+    /// tests use it to check that all dispatchers have the same graph.
     pub fn neighbours(&self, worker: &str) -> Vec<WorkerId> {
         let Some(worker) = self.fleet.find(worker) else { return Vec::new() };
         let graph = self.fleet.main_graph();
@@ -149,9 +150,10 @@
         neighbours.map(|neighbour| self.fleet.worker(neighbour).id.clone()).collect()
     }
 
-    /// Whether a worker that the endpoint list has as ready is left alone for now.
+    /// Returns whether a worker gets no new attempts at `now` because it counts as full or is
+    /// ejected.
     pub fn is_avoided(&self, now: Nanos, worker: &str) -> bool {
         let worker = self.fleet.find(worker).map(|index| self.fleet.worker(index));
-        !self.fleet.is_panicking() && worker.is_some_and(|worker| worker.health.is_avoided(now))
+        !self.fleet.is_in_panic_mode() && worker.is_some_and(|worker| worker.health.is_avoided(now))
     }
 }
--- a/crates/service/balancing-policy/src/dispatcher/outlier_detection.rs
+++ b/crates/service/balancing-policy/src/dispatcher/outlier_detection.rs
@@ -1,49 +1,53 @@
-//! When a worker is ejected: it fails, or it runs much slower than the others.
+//! Outlier detection: workers that fail or run much slower than the others are ejected for a time;
+//! workers that reject attempts count as full for a time.
 
 use super::Dispatcher;
 use crate::api::{MILLISECOND, Nanos, SECOND};
 use crate::state::{RunTimeSample, WorkerIndex};
 
-/// Failures are forgotten when the worker has had none for this time.
+/// The time without failures after which earlier failures of a worker are forgotten.
 const FAILURE_MEMORY: Nanos = 10 * SECOND;
 
-/// Failures beyond this number do not lengthen the ejection.
+/// The number of failures beyond which the ejection does not get longer.
 const MAX_FAILURES: u32 = 4;
 
-/// The first ejection after a failure to connect, or a connection that dropped. It doubles with
-/// each failure.
+/// The duration of the first ejection after a failure to connect or a dropped connection. It
+/// doubles with each failure.
 pub(super) const CONNECTION_EJECTION: Nanos = 2 * SECOND;
 
-/// The first ejection after an error or a time-out. It doubles with each failure.
+/// The duration of the first ejection after an error or a time-out. It doubles with each failure.
 pub(super) const ERROR_EJECTION: Nanos = 4 * SECOND;
 
-/// How long a slow worker is ejected.
+/// The duration of the ejection of a slow worker.
 const SLOW_EJECTION: Nanos = 5 * SECOND;
 
-/// The logarithm of how much slower than the others a worker must run to be ejected.
+/// The slowness beyond which a worker is ejected: the logarithm of its running time relative to the
+/// other workers.
 const MAX_SLOWNESS: f64 = 0.9;
 
-/// A worker's slowness must exceed this many times its class's deviation, by the samples taken.
+/// The multiple of the class's deviation, divided by the square root of the number of samples, that
+/// a worker's slowness must exceed to be significant.
 const SLOWNESS_CONFIDENCE: f64 = 3.0;
 
-/// The least deviation that is reckoned with.
+/// The lower bound of a class's deviation in the significance test.
 const MIN_DEVIATION: f64 = 0.2;
 
-/// A class's statistics count from this number of samples.
+/// The number of samples that a class's statistics must exceed to be used for ejection.
 const MIN_CLASS_SAMPLES: f64 = 30.0;
 
-/// The most samples that a worker's slowness is based on.
+/// The upper bound of the number of samples in a worker's slowness.
 const MAX_WORKER_SAMPLES: f64 = 6.0;
 
-/// How long a worker counts as full after a rejection. It doubles with each rejection in a row.
-const FULL_UNIT: Nanos = 300 * MILLISECOND;
+/// The time for which a worker counts as full after a rejection. It doubles with each consecutive
+/// rejection.
+const BASE_FULL_DURATION: Nanos = 300 * MILLISECOND;
 
-/// That time doubles at most this often.
+/// The maximum number of doublings of [`BASE_FULL_DURATION`].
 const MAX_FULL_DOUBLINGS: u32 = 5;
 
 impl Dispatcher {
-    /// Counts a failure of a worker and ejects it; `first_ejection` is how long one failure ejects
-    /// for.
+    /// Counts a failure of a worker and ejects it; `first_ejection` is the duration of the ejection
+    /// for a single failure, in nanoseconds.
     pub(super) fn record_failure(&mut self, worker: WorkerIndex, now: Nanos, first_ejection: Nanos) {
         let health = &mut self.fleet.worker_mut(worker).health;
         if now > health.last_failure_at + FAILURE_MEMORY {
@@ -55,19 +59,19 @@
         self.fleet.eject(worker, now, duration);
     }
 
-    /// Counts a rejection. A worker that rejects everything looks idle by its reports and by own
-    /// slots, and would be chosen for ever.
+    /// Counts a rejection and marks the worker as full for a time. A worker that rejects every
+    /// attempt looks idle by its reports and own slots, and would otherwise always be chosen.
     pub(super) fn record_rejection(&mut self, worker: WorkerIndex, now: Nanos) {
         let health = &mut self.fleet.worker_mut(worker).health;
-        health.full_until = now + (FULL_UNIT << health.rejections.min(MAX_FULL_DOUBLINGS));
+        health.full_until = now + (BASE_FULL_DURATION << health.rejections.min(MAX_FULL_DOUBLINGS));
         health.rejections += 1;
     }
 
-    /// Takes the running time of a served attempt: compared with its class, it tells how slow the
-    /// worker is.
+    /// Records the running time of a served attempt in the statistics of its class and the slowness
+    /// of its worker.
     ///
-    /// A worker that answers but is several times slower than the others is ejected: its free slots
-    /// are not worth taking.
+    /// A worker that answers but is several times slower than the others is ejected, because its
+    /// free slots are not worth using.
     pub(super) fn record_run_time(
         &mut self,
         worker: WorkerIndex,
--- a/crates/service/balancing-policy/src/dispatcher/permit.rs
+++ b/crates/service/balancing-policy/src/dispatcher/permit.rs
@@ -1,14 +1,14 @@
-//! Whether one more attempt keeps to the request's idempotency.
+//! Checks of whether a request's idempotency allows another attempt or a rejection.
 
 use crate::api::{DeduplicationScope, Idempotency, Nanos, Settings, WorkerState};
 use crate::state::{Attempt, Job, Phase, Worker, WorkerIndex};
 
-/// Proof that one more attempt at a worker keeps to the request's class. Only
-/// [`Permit::for_attempt`] makes one, and the only place that sends takes it.
+/// Proof that another attempt at a worker is allowed by the request's class and the limits. It is
+/// created only by [`Permit::for_attempt`] and required by the only function that sends.
 pub(super) struct Permit(WorkerIndex);
 
 impl Permit {
-    /// The permit to send a job to a worker, if it may be sent there.
+    /// Returns the permit to send a job to a worker, or `None` if it must not be sent there.
     pub(super) fn for_attempt(
         job: &Job,
         settings: &Settings,
@@ -24,37 +24,38 @@
         if target.state != WorkerState::Ready {
             return None;
         }
-        if job.is_in_flight() && !settings.limits.can_hedge {
+        if job.has_attempt_in_flight() && !settings.limits.can_hedge {
             return None;
         }
         may_repeat(job, settings, workers, target, now).then_some(Permit(worker))
     }
 
-    /// The worker that the attempt may go to.
+    /// Returns the worker to which the attempt may be sent.
     pub(super) fn worker(&self) -> WorkerIndex {
         self.0
     }
 }
 
-/// Whether the attempts that may have run allow another one at `target`.
+/// Returns whether the attempts that may have run allow another one at `target`.
 fn may_repeat(job: &Job, settings: &Settings, workers: &[Worker], target: &Worker, now: Nanos) -> bool {
     match settings.classes[job.request.class as usize].idempotency {
         Idempotency::Idempotent => true,
         Idempotency::AtMostOnce => job.never_ran(),
         Idempotency::Deduplicated { scope, window } => {
-            // Guards the window's end: the connection may take its whole time to come up before the
-            // send.
+            // The attempt must reach the worker before the window ends, even if establishing the
+            // connection takes the whole connect time-out.
             let latest_send = now + settings.limits.connect_timeout;
             let is_deduplicated = |attempt: &Attempt| {
                 let first = &workers[attempt.worker.as_usize()];
                 in_scope(scope, first, target) && latest_send < attempt.sent_at + window
             };
-            job.exposed_attempts().all(is_deduplicated)
+            job.possibly_run_attempts().all(is_deduplicated)
         }
     }
 }
 
-/// Whether two workers recognise each other's requests.
+/// Returns whether two workers are in the same deduplication group, so that one recognises requests
+/// sent to the other.
 fn in_scope(scope: DeduplicationScope, first: &Worker, second: &Worker) -> bool {
     match scope {
         DeduplicationScope::All => true,
@@ -63,7 +64,7 @@
     }
 }
 
-/// Whether a job may be answered with a rejection, which invites its client to retry.
+/// Returns whether a job may be answered with a rejection, after which the client may retry.
 pub(super) fn may_reject(job: &Job, settings: &Settings) -> bool {
     match settings.classes[job.request.class as usize].idempotency {
         Idempotency::Idempotent => true,
--- a/crates/service/balancing-policy/src/dispatcher/probes.rs
+++ b/crates/service/balancing-policy/src/dispatcher/probes.rs
@@ -1,49 +1,50 @@
-//! What a probe teaches, and which pending jobs it lets go.
+//! The results of probes, and the binding of the pending jobs that wait for them.
 
 use super::Dispatcher;
 use super::outlier_detection::CONNECTION_EJECTION;
-use super::selection::Eligible;
+use super::selection::CandidateFilter;
 use crate::api::{Action, LoadReport, Nanos, Outcome};
 use crate::state::{JobNumber, TimerPurpose, TimerToken, WorkerIndex};
 use spanlead_expander_walk::uniform_unit;
 
-/// The share of probed workers with a free slot at which the admitted fraction stays as it is.
+/// The share of probed workers with a free slot at which the admitted fraction is stable.
 pub(super) const FREE_SLOT_TARGET: f64 = 0.15;
 
-/// A worker counts as having a free slot from this many.
+/// The least number of reported free slots that counts as a free slot.
 const MIN_FREE_SLOTS: f64 = 0.5;
 
-/// The change of the confidence with a served attempt and with a rejection, and its least value.
+/// The factors on the confidence for a served attempt and for a rejection, and its lower bound.
 const CONFIDENCE_GAIN: f64 = 1.1;
 const CONFIDENCE_LOSS: f64 = 0.8;
 const MIN_CONFIDENCE: f64 = 0.1;
 
-/// The fraction of chances at a probed free slot that is taken. Other dispatchers see the same free
-/// slot: one that is often rejected takes only some of its chances.
+/// The probability with which a job is bound to a worker whose probe reported a free slot. Other
+/// dispatchers see the same free slot, so a dispatcher that is often rejected uses only some of
+/// them.
 pub(super) struct ProbeConfidence(f64);
 
 impl Default for ProbeConfidence {
-    /// Every chance is taken.
+    /// Creates a confidence of 1: every probed free slot is used.
     fn default() -> Self {
         ProbeConfidence(1.0)
     }
 }
 
 impl ProbeConfidence {
-    /// Counts a served attempt. Served, not sent: when the fleet is full most sends are rejected,
-    /// whatever the workers can do.
+    /// Raises the confidence for a served attempt. Sent attempts do not count, because most sends
+    /// are rejected when the fleet is full, whatever its capacity.
     pub(super) fn record_served(&mut self) {
         self.0 = (self.0 * CONFIDENCE_GAIN).min(1.0);
     }
 
-    /// Counts a rejection.
+    /// Lowers the confidence for a rejected attempt.
     pub(super) fn record_rejection(&mut self) {
         self.0 = (self.0 * CONFIDENCE_LOSS).max(MIN_CONFIDENCE);
     }
 }
 
 impl Dispatcher {
-    /// Takes the end of a probe.
+    /// Handles the end of a probe.
     pub(super) fn end_probe(
         &mut self,
         now: Nanos,
@@ -68,13 +69,15 @@
         self.schedule_bindings(now, index, actions);
     }
 
-    /// Schedules the binding of the pending jobs that wait for a worker that has room for them.
+    /// Schedules the binding of the pending jobs that have a probed worker as a candidate and room
+    /// there.
     ///
-    /// Answers that were sent together come within a tick of each other, so the jobs are bound on
-    /// the next one.
+    /// The results of probes that were sent together arrive within one tick, so the jobs are bound
+    /// on the next tick, when all results are known.
     fn schedule_bindings(&mut self, now: Nanos, worker: WorkerIndex, actions: &mut Vec<Action>) {
         let pending = self.jobs.pending().iter().copied();
-        let ready: Vec<JobNumber> = pending.filter(|number| self.waits_for(now, *number, worker)).collect();
+        let ready: Vec<JobNumber> =
+            pending.filter(|number| self.is_waiting_for(now, *number, worker)).collect();
         for number in ready {
             if let Some(job) = self.jobs.get_mut(number) {
                 job.binding_scheduled = true;
@@ -84,14 +87,14 @@
         }
     }
 
-    fn waits_for(&self, now: Nanos, number: JobNumber, worker: WorkerIndex) -> bool {
+    fn is_waiting_for(&self, now: Nanos, number: JobNumber, worker: WorkerIndex) -> bool {
         let Some(job) = self.jobs.get(number) else { return false };
         !job.binding_scheduled
             && job.candidates.contains(&worker)
             && self.room_test(job.request.slots, 0, now).passes(self.fleet.worker(worker))
     }
 
-    /// Binds a pending job after a probe came back with room.
+    /// Binds a pending job after a probe reported room, with the probability of the confidence.
     pub(super) fn bind_after_probe(&mut self, now: Nanos, number: JobNumber, actions: &mut Vec<Action>) {
         if self.jobs.get_pending(number).is_none() {
             return;
@@ -100,12 +103,13 @@
             job.binding_scheduled = false;
         }
         if uniform_unit(&mut self.rng) < self.probe_confidence.0 {
-            self.bind(now, number, Eligible::FreshlyReportedOrProbed, actions);
+            self.bind(now, number, CandidateFilter::FreshlyReportedOrProbed, actions);
         }
     }
 
-    /// Takes what is known of drawn workers as signals of free capacity. Walkers may be anywhere,
-    /// so their positions are a fair sample of the fleet; recently used workers are not.
+    /// Records the fresh reports of drawn workers as signals of free capacity. The walkers'
+    /// positions are an unbiased sample of the fleet; recently used workers are not and are
+    /// skipped.
     pub(super) fn observe_capacity(&mut self, now: Nanos, drawn: &[WorkerIndex]) {
         for &index in drawn {
             let worker = self.fleet.worker(index);
--- a/crates/service/balancing-policy/src/dispatcher/retry_budget.rs
+++ b/crates/service/balancing-policy/src/dispatcher/retry_budget.rs
@@ -1,36 +1,36 @@
-//! How many retries are allowed in proportion to requests.
+//! The budget that limits retries in proportion to requests.
 
-/// Tokens that each request adds.
+/// The number of tokens that each request adds.
 const TOKENS_PER_REQUEST: f64 = 0.3;
 
-/// The most tokens that are saved.
+/// The maximum number of tokens in the bucket.
 const MAX_TOKENS: f64 = 10.0;
 
-/// A token bucket for retries: it bounds them to a fraction of the requests, so retries cannot
+/// A token bucket for retries. It limits retries to a fraction of the requests, so that they cannot
 /// multiply the load on a failing fleet.
 pub(super) struct RetryBudget {
     tokens: f64,
 }
 
 impl Default for RetryBudget {
-    /// A full budget.
+    /// Creates a full bucket.
     fn default() -> Self {
         RetryBudget { tokens: MAX_TOKENS }
     }
 }
 
 impl RetryBudget {
-    /// Counts a request.
+    /// Adds the tokens of one request.
     pub(super) fn record_request(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// Whether a retry is allowed.
+    /// Returns whether there is a token for a retry.
     pub(super) fn allows_retry(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Spends a token.
+    /// Removes the token of one retry.
     pub(super) fn spend(&mut self) {
         self.tokens -= 1.0;
     }
--- a/crates/service/balancing-policy/src/dispatcher/rounds.rs
+++ b/crates/service/balancing-policy/src/dispatcher/rounds.rs
@@ -1,35 +1,35 @@
-//! When a pending job draws candidates, probes them and waits.
+//! The rounds of a pending job: in each it draws candidates, probes them and waits.
 
 use super::Dispatcher;
-use super::selection::Eligible;
+use super::selection::CandidateFilter;
 use crate::api::{Action, LoadReporting, MILLISECOND, Nanos, PriorAttempt, Request};
 use crate::state::{Attempt, AttemptState, Job, JobNumber, Phase, TimerPurpose, TimerToken, WorkerIndex};
 use spanlead_expander_walk::uniform_unit;
 use std::cmp::Ordering;
 
-/// How long a job waits when no worker is eligible.
+/// The time for which a job waits when no worker is eligible.
 const NO_CANDIDATE_WAIT: Nanos = 50 * MILLISECOND;
 
-/// How long a job waits after its first round. It doubles with each round.
+/// The time for which a job waits after its first round. It doubles with each round.
 const FIRST_ROUND_WAIT: Nanos = 40 * MILLISECOND;
 
-/// That time doubles at most this often.
+/// The maximum number of doublings of [`FIRST_ROUND_WAIT`].
 const MAX_WAIT_DOUBLINGS: u32 = 4;
 
-/// The fraction of a request's value that may be spent on its probes.
-const PROBE_SPENDING: f64 = 0.01;
+/// The fraction of a request's value that may be spent on the probes of a round.
+const MAX_PROBE_SPENDING: f64 = 0.01;
 
-/// Keeps a division by a price of 0 finite.
+/// The lower bound of the price of a probe, which prevents a division by 0.
 const MIN_PROBE_PRICE: f64 = 1e-9;
 
-/// Probes are sent if at least this many can be paid for.
+/// Probes are sent only if at least this many are affordable.
 const MIN_PROBES: f64 = 2.0;
 
-/// The order in which candidates are probed: those that did not just report first, then by own
-/// slots in flight, then by cost.
+/// The order in which candidates are probed: first those without a fresh report, then by own slots
+/// in flight, then by cost.
 ///
-/// Probing the workers that reported last would ask busy workers again and again, while a free slot
-/// elsewhere stays unknown.
+/// Probing the workers that just reported would probe busy workers repeatedly, while a free slot at
+/// another worker remains unknown.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct ProbeRank {
     is_freshly_reported: bool,
@@ -38,7 +38,8 @@
 }
 
 impl Dispatcher {
-    /// Accepts a request, perhaps one that another process of this dispatcher has begun.
+    /// Accepts a request. `prior_attempts` are the attempts that another process of this dispatcher
+    /// made for it.
     pub(super) fn accept_request(
         &mut self,
         now: Nanos,
@@ -78,7 +79,7 @@
         self.retry_budget.record_request();
     }
 
-    /// Takes over the attempts at known workers that another process made.
+    /// Converts the attempts that another process made; attempts at unknown workers are skipped.
     fn adopt_attempts(
         &mut self,
         now: Nanos,
@@ -90,7 +91,7 @@
             let Some(worker) = self.fleet.find(&prior.worker.0) else { continue };
             let state = match prior.may_have_run {
                 None => AttemptState::InFlight,
-                Some(true) => AttemptState::MayHaveRan,
+                Some(true) => AttemptState::MayHaveRun,
                 Some(false) => AttemptState::NeverRan,
             };
             if state == AttemptState::InFlight {
@@ -102,15 +103,16 @@
                 state,
                 has_started: true,
                 first_progress_at: Some(now),
-                fetches_key: false,
+                needs_fetch: false,
                 is_top_priority: false,
             });
         }
         attempts
     }
 
-    /// Begins a round of a pending job: draws candidates, then sends at once or waits for their
-    /// probes.
+    /// Begins a round of a job: draws candidates, then sends the job at once or probes them and
+    /// waits. Gives the job up if it is too late, out of attempts, too large for every worker or
+    /// shed.
     pub(super) fn begin_round(&mut self, now: Nanos, number: JobNumber, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(number) else { return };
         let machine_kind = self.settings.classes[job.request.class as usize].machine_kind;
@@ -126,7 +128,7 @@
             return self.give_up(number, actions);
         }
         if drawn.is_empty() {
-            return self.wait(now, number, NO_CANDIDATE_WAIT, actions);
+            return self.schedule_next_round(now, number, NO_CANDIDATE_WAIT, actions);
         }
         if let Some(job) = self.jobs.get_mut(number) {
             job.add_candidates(&drawn);
@@ -134,8 +136,8 @@
         self.bind_or_probe(now, number, drawn, actions);
     }
 
-    /// Whether load shedding rejects a job, by chance, in its first round; any other job stays
-    /// admitted.
+    /// Decides at random whether load shedding rejects a job. Only a job without attempts in its
+    /// first round can be shed.
     fn is_shed(&mut self, number: JobNumber) -> bool {
         let Some(job) = self.jobs.get(number) else { return false };
         if job.rounds > 0 || !job.attempts.is_empty() {
@@ -144,7 +146,7 @@
         uniform_unit(&mut self.rng) > self.admitted_fraction(&job.request)
     }
 
-    /// Sends a job to one of its candidates, or probes those just drawn.
+    /// Sends a job to one of its candidates, or probes those just drawn and ends the round.
     fn bind_or_probe(
         &mut self,
         now: Nanos,
@@ -152,22 +154,22 @@
         drawn: Vec<WorkerIndex>,
         actions: &mut Vec<Action>,
     ) {
-        let affordable_probes = PROBE_SPENDING / self.settings.prices.probe.max(MIN_PROBE_PRICE);
+        let affordable_probes = MAX_PROBE_SPENDING / self.settings.prices.probe.max(MIN_PROBE_PRICE);
         let can_learn =
             self.settings.limits.can_probe && self.settings.load_reporting != LoadReporting::Disabled;
         let uses_probes = can_learn && affordable_probes >= MIN_PROBES;
-        let eligible = if uses_probes { Eligible::FreshlyReported } else { Eligible::All };
-        if self.bind(now, number, eligible, actions) {
+        let filter = if uses_probes { CandidateFilter::FreshlyReported } else { CandidateFilter::All };
+        if self.bind(now, number, filter, actions) {
             return;
         }
         if uses_probes {
             self.probe(now, drawn, affordable_probes as usize, actions);
         }
-        self.wait_for_next_round(now, number, actions);
+        self.end_round(now, number, actions);
     }
 
-    /// Probes workers in the order of their rank, `max_probes` at most; those with a probe in
-    /// flight are not probed again.
+    /// Probes the first `max_probes` of the drawn workers in the order of [`ProbeRank`], except
+    /// those that already have a probe in flight.
     fn probe(
         &mut self,
         now: Nanos,
@@ -193,17 +195,24 @@
         }
     }
 
-    /// Ends a round; the next one begins later each time.
-    fn wait_for_next_round(&mut self, now: Nanos, number: JobNumber, actions: &mut Vec<Action>) {
+    /// Ends a round. The wait for the next round grows with each round.
+    fn end_round(&mut self, now: Nanos, number: JobNumber, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(number) else { return };
         job.round_started_at = now;
         let duration = FIRST_ROUND_WAIT << job.rounds.min(MAX_WAIT_DOUBLINGS);
         job.rounds += 1;
-        self.wait(now, number, duration, actions);
+        self.schedule_next_round(now, number, duration, actions);
     }
 
-    /// Makes a job pending until its next round.
-    fn wait(&mut self, now: Nanos, number: JobNumber, duration: Nanos, actions: &mut Vec<Action>) {
+    /// Makes a job pending and schedules its next round after `duration` nanoseconds, or at the
+    /// job's latest answer time if that is earlier.
+    fn schedule_next_round(
+        &mut self,
+        now: Nanos,
+        number: JobNumber,
+        duration: Nanos,
+        actions: &mut Vec<Action>,
+    ) {
         self.jobs.mark_pending(number);
         let Some(job) = self.jobs.get(number) else { return };
         let time_left = job.latest_answer_at(self.settings.tick).saturating_sub(now);
@@ -211,10 +220,10 @@
         actions.push(Action::Timer { after: duration.min(time_left), token });
     }
 
-    /// Begins a pending job's next round, or gives it up.
+    /// Begins a pending job's next round, or gives the job up if it has waited too long.
     pub(super) fn begin_next_round(&mut self, now: Nanos, number: JobNumber, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_pending(number) else { return };
-        if self.has_waited_in_vain(now, job) {
+        if self.has_exceeded_max_wait(now, job) {
             return self.give_up(number, actions);
         }
         self.begin_round(now, number, actions);
--- a/crates/service/balancing-policy/src/dispatcher/selection.rs
+++ b/crates/service/balancing-policy/src/dispatcher/selection.rs
@@ -1,88 +1,92 @@
-//! Which candidate gets a job, and the send.
+//! The selection of the candidate that gets a job, and the send.
 
 use super::Dispatcher;
 use super::permit::Permit;
 use crate::api::{Action, LoadReporting, MILLISECOND, Nanos};
 use crate::state::{Attempt, AttemptState, Job, JobNumber, Worker, WorkerIndex};
 
-/// A report that came with a response within this time spares a probe.
+/// The age up to which a load report received with a response makes a probe unnecessary.
 const FRESH_REPORT_AGE: Nanos = 400 * MILLISECOND;
 
-/// How many times its price a send across zones counts among workers with equally few own slots: at
-/// the price alone, a second free slot in a stale report went before it.
+/// The factor on the price of a send across zones, in the choice among workers with equally few own
+/// slots. With the price alone, a second free slot in a stale report outweighed the crossing.
 const CROSS_ZONE_FACTOR: f64 = 8.0;
 
-/// What a missing free slot counts, as a fraction of a request's value.
+/// The cost of each free slot that is missing, as a fraction of a request's value.
 const FREE_SLOT_COST: f64 = 0.1;
 
-/// Free slots beyond this number make no difference to a job.
+/// Free slots beyond this number do not lower a worker's cost.
 const MAX_COUNTED_FREE_SLOTS: f64 = 2.0;
 
-/// What a worker's slowness counts, as a fraction of a request's value.
+/// The cost of a worker's slowness, as a fraction of a request's value.
 const SLOWNESS_COST: f64 = 0.2;
 
-/// The samples at which half of a worker's slowness counts.
+/// The number of samples at which half of a worker's slowness counts.
 const SLOWNESS_HALF_SAMPLES: f64 = 2.0;
 
-/// What a worker of weight 1 counts; heavier ones count less.
+/// The cost of a worker of weight 1, as a fraction of a request's value. It is inversely
+/// proportional to the weight.
 const WEIGHT_COST: f64 = 0.1;
 
-/// The least weight that is reckoned with.
+/// The lower bound of a worker's weight in its cost.
 const MIN_WEIGHT: f64 = 0.1;
 
-/// A worker has room if its free slots fall short of a job's slots by this much at most.
+/// A worker has room if its free slots fall short of a job's slots by at most this number.
 const SLOT_TOLERANCE: f64 = 0.5;
 
-/// The further shortfall that is accepted where the job would be the first to be queued. Slots come
-/// back sooner than reports show it, so the job starts earlier there than if it were pending until
-/// a free slot is seen. Only where reports tell the queue: otherwise every dispatcher would add to
-/// one that none of them sees.
+/// The additional shortfall that is accepted if the job would be the first in the worker's queue.
+/// Slots become free before reports show it, so the job starts earlier than if it waited for a
+/// reported free slot. It applies only if reports contain the queue depth: otherwise every
+/// dispatcher would add to a queue that none of them can see.
 const FIRST_IN_QUEUE_TOLERANCE: f64 = 0.5;
 
-/// Without reports, a worker counts as having room for this many ticks after an own attempt.
+/// Without reports, a worker counts as having room for this many ticks after this dispatcher last
+/// used a connection to it.
 const ROOM_TICKS_WITHOUT_REPORTS: Nanos = 3;
 
-/// Which candidates a job may be bound to.
+/// The candidates to which a job may be bound, by the information available about them.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Eligible {
-    /// Any.
+pub(super) enum CandidateFilter {
+    /// All candidates.
     All,
-    /// Those with a report that just came.
+    /// Candidates with a fresh report.
     FreshlyReported,
-    /// Those, and the ones whose probe succeeded in this round.
+    /// Candidates with a fresh report or a successful probe in this round.
     FreshlyReportedOrProbed,
 }
 
-/// The order in which candidates are preferred: by own slots in flight, the cost of a fetch added,
-/// then by cost.
+/// The order of preference of candidates: by own slots in flight plus the cost of a fetch, then by
+/// cost.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct Rank {
     load: f64,
     cost: f64,
 }
 
-struct Choice {
+/// A candidate that can get the job now.
+struct RankedCandidate {
     rank: Rank,
     permit: Permit,
 }
 
-/// What the test for room needs beside the worker.
+/// A test of whether a worker has room for a job.
 #[derive(Clone, Copy)]
 pub(super) struct RoomTest {
-    /// The slots that the job takes.
+    /// The slots that the job occupies.
     pub(super) slots: f64,
-    /// Own attempts that would be queued before it.
+    /// The number of own attempts queued at the worker that would run before the job.
     pub(super) queued_before: u32,
     pub(super) now: Nanos,
     pub(super) tick: Nanos,
-    /// How old load reports get, in nanoseconds.
+    /// The mean age that load reports reach, in nanoseconds.
     pub(super) report_age: f64,
 }
 
 impl RoomTest {
-    /// Whether a worker seems to have room: by its report, own sends since then counted, or by this
-    /// dispatcher's own attempts, where workers report starts: none may still be queued there
-    /// before the job.
+    /// Returns whether a worker probably has room. That is decided by its load report, corrected
+    /// for own sends that the report does not show yet. Without a report it is decided by this
+    /// dispatcher's own attempts: none may be queued before the job, which is known only if workers
+    /// report starts.
     pub(super) fn passes(&self, worker: &Worker) -> bool {
         let unreported = || worker.own_load.unreported_slots(self.now, self.report_age);
         match (worker.reported.last.free_slots, worker.reported.last.queue_depth) {
@@ -102,18 +106,19 @@
 }
 
 impl Dispatcher {
-    /// Sends a job to the best of its candidates that are eligible. Returns whether there was one.
+    /// Sends a job to the best of its candidates that pass the filter and can get it now. Returns
+    /// whether there was one.
     pub(super) fn bind(
         &mut self,
         now: Nanos,
         number: JobNumber,
-        eligible: Eligible,
+        filter: CandidateFilter,
         actions: &mut Vec<Action>,
     ) -> bool {
         let Some(job) = self.jobs.get(number) else { return false };
-        let mut best: Option<Choice> = None;
+        let mut best: Option<RankedCandidate> = None;
         for &candidate in &job.candidates {
-            let Some(choice) = self.consider(now, job, candidate, eligible) else { continue };
+            let Some(choice) = self.rank_candidate(now, job, candidate, filter) else { continue };
             if best.as_ref().is_none_or(|best| choice.rank < best.rank) {
                 best = Some(choice);
             }
@@ -123,46 +128,54 @@
         true
     }
 
-    /// Ranks a candidate; `None` if it cannot get the job now.
-    fn consider(&self, now: Nanos, job: &Job, candidate: WorkerIndex, eligible: Eligible) -> Option<Choice> {
+    /// Ranks a candidate; returns `None` if it cannot get the job now.
+    fn rank_candidate(
+        &self,
+        now: Nanos,
+        job: &Job,
+        candidate: WorkerIndex,
+        filter: CandidateFilter,
+    ) -> Option<RankedCandidate> {
         let worker = self.fleet.worker(candidate);
-        if !self.is_heard_enough(now, job, worker, eligible) || !self.has_room(worker, job, now) {
+        if !self.passes_filter(now, job, worker, filter) || !self.has_room(worker, job, now) {
             return None;
         }
-        if worker.health.is_ejected(now) && !self.fleet.is_panicking() {
+        if worker.health.is_ejected(now) && !self.fleet.is_in_panic_mode() {
             return None;
         }
-        // Guards a worker in slow start: many jobs may have drawn it before the first of them went
-        // there.
+        // Checked again here because many jobs may have drawn a worker in slow start before the
+        // first of them was sent to it and used up the budget.
         if !worker.is_within_budget(&self.settings.rules, now) {
             return None;
         }
         let permit = Permit::for_attempt(job, &self.settings, self.fleet.workers(), candidate, now)?;
         let load = worker.own_load.slots + self.fetch_cost(now, job, candidate);
         let cost = self.cost(worker, now);
-        Some(Choice { rank: Rank { load, cost }, permit })
+        Some(RankedCandidate { rank: Rank { load, cost }, permit })
     }
 
-    fn is_heard_enough(&self, now: Nanos, job: &Job, worker: &Worker, eligible: Eligible) -> bool {
-        match eligible {
-            Eligible::All => true,
-            Eligible::FreshlyReported => self.is_freshly_reported(worker, now),
-            Eligible::FreshlyReportedOrProbed => {
+    fn passes_filter(&self, now: Nanos, job: &Job, worker: &Worker, filter: CandidateFilter) -> bool {
+        match filter {
+            CandidateFilter::All => true,
+            CandidateFilter::FreshlyReported => self.is_freshly_reported(worker, now),
+            CandidateFilter::FreshlyReportedOrProbed => {
                 let is_probed = worker.probe.succeeded_at.is_some_and(|time| time >= job.round_started_at);
                 is_probed || self.is_freshly_reported(worker, now)
             }
         }
     }
 
-    /// What fetching the job's key delays, in jobs; 0 at the key's home and where the key is kept.
+    /// Returns the delay of fetching the job's key, in jobs; 0 at the key's home and where the key
+    /// is cached.
     fn fetch_cost(&self, now: Nanos, job: &Job, candidate: WorkerIndex) -> f64 {
         let is_home = job.candidates.first() == Some(&candidate);
         let key = job.request.affinity_key;
-        let must_fetch = !is_home && key.is_some_and(|key| !self.affinity.is_kept(key, candidate, now));
+        let must_fetch = !is_home && key.is_some_and(|key| !self.affinity.is_cached(key, candidate, now));
         self.affinity.fetch_cost() * f64::from(u8::from(must_fetch))
     }
 
-    /// Whether a load report of a worker just came with a response.
+    /// Returns whether a worker has a fresh report: one received with a response within
+    /// `FRESH_REPORT_AGE`.
     pub(super) fn is_freshly_reported(&self, worker: &Worker, now: Nanos) -> bool {
         self.settings.load_reporting == LoadReporting::InResponses
             && worker.reported.received_at.is_some_and(|time| now < time + FRESH_REPORT_AGE)
@@ -178,7 +191,7 @@
         self.room_test(job.request.slots, queued_before, now).passes(worker)
     }
 
-    /// The test for room of `slots` behind `queued_before` own attempts.
+    /// Creates the test for room for `slots` slots behind `queued_before` own attempts.
     pub(super) fn room_test(&self, slots: f64, queued_before: u32, now: Nanos) -> RoomTest {
         let (tick, report_age) = (self.settings.tick, self.fleet.report_age());
         RoomTest { slots, queued_before, now, tick, report_age }
@@ -188,8 +201,8 @@
         self.settings.classes[job.request.class as usize].priority == self.top_priority
     }
 
-    /// What a send to a worker costs beside its own slots, as a fraction of a request's value: the
-    /// tie-break.
+    /// Returns the cost of a send to a worker apart from the load by own slots, as a fraction of a
+    /// request's value. It breaks ties between equally loaded workers.
     pub(super) fn cost(&self, worker: &Worker, now: Nanos) -> f64 {
         let prices = &self.settings.prices;
         let mut cost = 0.0;
@@ -209,11 +222,11 @@
         cost + slowness_cost + WEIGHT_COST / worker.weight.max(MIN_WEIGHT)
     }
 
-    /// Sends a job: the one place that does.
+    /// Sends a job to the worker of the permit. All sends go through this function.
     fn send(&mut self, now: Nanos, number: JobNumber, permit: &Permit, actions: &mut Vec<Action>) {
         let target = permit.worker();
         let key = self.jobs.get(number).and_then(|job| job.request.affinity_key);
-        let fetches_key = key.is_some_and(|key| !self.affinity.is_kept(key, target, now));
+        let needs_fetch = key.is_some_and(|key| !self.affinity.is_cached(key, target, now));
         if let Some(key) = key {
             self.affinity.record_send(key, target, now);
         }
@@ -227,20 +240,21 @@
             state: AttemptState::InFlight,
             has_started: !self.settings.reports_attempt_start,
             first_progress_at: None,
-            fetches_key,
+            needs_fetch,
             is_top_priority,
         };
         if let Some(job) = self.jobs.get_mut(number) {
             job.binding_scheduled = false;
             job.attempts.push(attempt);
         }
-        self.occupy(now, target, slots, is_top_priority);
+        self.add_load(now, target, slots, is_top_priority);
         let worker = self.fleet.worker(target).id.clone();
         actions.push(Action::Send { id, worker, timeout: None });
     }
 
-    /// Counts an attempt as in flight at a worker.
-    fn occupy(&mut self, now: Nanos, target: WorkerIndex, slots: f64, is_top_priority: bool) {
+    /// Adds an attempt to the load and the connections of its worker and charges its slow-start
+    /// budget.
+    fn add_load(&mut self, now: Nanos, target: WorkerIndex, slots: f64, is_top_priority: bool) {
         self.fleet.add_own_slots(target, now, slots);
         let worker = self.fleet.worker_mut(target);
         if self.settings.reports_attempt_start {
--- a/crates/service/balancing-policy/src/dispatcher/settings_change.rs
+++ b/crates/service/balancing-policy/src/dispatcher/settings_change.rs
@@ -1,14 +1,14 @@
-//! New settings while jobs are open.
+//! Change of the settings while jobs are open.
 
 use super::Dispatcher;
 use crate::api::{RequestClass, Settings, top_priority};
 
 impl Dispatcher {
-    /// Takes new settings and keeps what was learned.
+    /// Applies new settings and keeps the learned statistics.
     ///
-    /// Open jobs keep the class that they arrived under: numbers never shift, the new classes
-    /// follow all old ones. `predecessors` names for each new class the old one whose statistics it
-    /// takes over.
+    /// Open jobs keep the class with which they arrived: class indexes never change, and the new
+    /// classes follow all earlier ones. `predecessors` gives, for each new class, the index of the
+    /// earlier class whose statistics it takes over.
     pub(super) fn change_settings(&mut self, mut settings: Settings, predecessors: &[Option<u32>]) {
         let old_classes = std::mem::take(&mut self.settings.classes);
         let new_classes = std::mem::replace(&mut settings.classes, old_classes);
--- a/crates/service/balancing-policy/src/dispatcher/slow_start.rs
+++ b/crates/service/balancing-policy/src/dispatcher/slow_start.rs
@@ -1,39 +1,40 @@
-//! How much a worker in slow start may get.
+//! The budgets of workers in slow start.
 //!
-//! A worker that just started looks idle to every dispatcher at once, and together they would
-//! overload it. So each dispatcher keeps to its own share of what such a worker can do, granted
-//! window by window.
+//! A worker that just started looks idle to all dispatchers at the same time, and together they
+//! would overload it. Each dispatcher therefore limits itself to its share of what such a worker
+//! can serve, granted as a budget for each window of time.
 
 use crate::api::{Nanos, SafetyRules};
 use crate::state::Worker;
 use rand_pcg::Pcg64Mcg;
 use spanlead_expander_walk::uniform_unit;
 
-/// As a worker warms up, it is given up to this fraction of the work that overloads it: when jobs
-/// are few, chance brings twice as many.
+/// As a worker warms up, its budget rises to the work that overloads it divided by this margin:
+/// with few jobs, random variation can double their number.
 const OVERLOAD_MARGIN: f64 = 2.0;
 
-/// All dispatchers together grant a worker at least this many slots in a window: of a fleet that
-/// has just started whole, nobody would ever learn how long jobs run.
+/// The least number of slots that all dispatchers together grant a worker in a window. Without it,
+/// no dispatcher would ever learn the running time of jobs in a fleet whose workers have all just
+/// started.
 const MIN_SLOTS_PER_WINDOW: f64 = 1.0;
 
-/// What a dispatcher grants to workers in slow start.
+/// A dispatcher's share of the workers in slow start.
 #[derive(Clone, Copy)]
 pub(super) struct SlowStartShare {
-    /// Slots that a warm worker of weight 1 serves in a budget window, 0 while unknown.
+    /// The slots that a warm worker of weight 1 serves in a budget window; 0 while unknown.
     pub(super) slots_per_window: f64,
-    /// The fraction of them that this dispatcher may grant: one of equal fractions, so that all add
-    /// up whatever each dispatcher sees of the traffic.
+    /// The fraction of those slots that this dispatcher may use. It is based on equal fractions for
+    /// all dispatchers, so that their sum is right however the traffic is divided among them.
     pub(super) own_fraction: f64,
     /// The mean weight of the ready workers.
     pub(super) mean_weight: f64,
 }
 
 impl SlowStartShare {
-    /// Grants the worker a budget for a new window, if the last one is over.
+    /// Grants the worker a budget for a new window if the last window has ended.
     ///
-    /// A fraction of a slot is granted by chance. A job of several slots goes into debt with
-    /// windows to come.
+    /// A fraction of a slot is granted as a whole slot with that probability. A job of several
+    /// slots can overspend the budget; the debt is deducted from the following windows.
     pub(super) fn renew_budget(
         &self,
         worker: &mut Worker,
@@ -51,10 +52,10 @@
         worker.budget.window_end = now + rules.overload_window;
     }
 
-    /// The slots in a window that are this dispatcher's share.
+    /// Returns the slots in a window that are this dispatcher's share.
     ///
-    /// A weight that falls with load would make the worker look large, so it counts for the mean at
-    /// most.
+    /// The worker's weight is limited to the mean weight: if weights fall with load, that of an
+    /// idle worker would overstate its capacity.
     fn fair_slots(&self, worker: &Worker, rules: &SafetyRules, now: Nanos) -> f64 {
         let capacity = worker.capacity_fraction(rules, now);
         let headroom = 1.0 + (rules.overload_multiple / OVERLOAD_MARGIN - 1.0).max(0.0) * capacity;
--- a/crates/service/balancing-policy/src/lib.rs
+++ b/crates/service/balancing-policy/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! # Reading order
 //!
-//! [`Dispatcher::handle`] takes each [`Event`] and appends the [`Action`]s that follow. The private
-//! module `dispatcher` holds the decisions, one file for each; the private module `state` what they
-//! are based on.
+//! [`Dispatcher::handle`] processes one [`Event`] and appends the resulting [`Action`]s. The
+//! private module `dispatcher` makes the decisions, one file for each kind of decision; the private
+//! module `state` holds the data that they are based on.
 #![warn(missing_docs, unreachable_pub, clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
 
 #[doc(hidden)]
--- a/crates/service/balancing-policy/src/state/fleet.rs
+++ b/crates/service/balancing-policy/src/state/fleet.rs
@@ -1,4 +1,4 @@
-//! All workers, their graphs, and the order in which they last ended an attempt.
+//! All workers, their graphs, and the workers whose attempts ended most recently.
 
 use super::worker::Worker;
 use super::worker_graph::{WorkerGraph, WorkerIndex};
@@ -6,32 +6,32 @@
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// How long a send counts against a report that may not show it yet, until the reports' age is
-/// known.
+/// The initial estimate of the age that load reports reach. Reports that may be this old do not
+/// show recent sends yet.
 const INITIAL_REPORT_AGE: Nanos = 500 * MILLISECOND;
 
-/// The weight of a new sample in the mean age of reports.
+/// The weight of a new sample in the mean report age.
 const REPORT_AGE_GAIN: f64 = 0.05;
 
-/// How many of the workers that last ended an attempt are remembered.
+/// The maximum number of recently used workers that are remembered.
 const MAX_RECENTLY_USED: usize = 16;
 
 /// All workers that the endpoint list has ever named.
 ///
-/// Invariants: workers are never removed, so a [`WorkerIndex`] stays valid; `index` names each of
-/// them; the first graph is that of all machine kinds; each graph holds the ready workers of its
-/// kind.
+/// Invariants: workers are never removed, so a [`WorkerIndex`] stays valid; `index` contains every
+/// worker; the first graph covers all machine kinds; each graph contains the ready workers of its
+/// machine kind.
 pub(crate) struct Fleet {
     workers: Vec<Worker>,
     index: FxHashMap<Arc<str>, WorkerIndex>,
     graphs: Vec<WorkerGraph>,
-    /// Workers whose attempts ended last, latest at the end.
+    /// The workers whose attempts ended most recently, the latest one last.
     recently_used: Vec<WorkerIndex>,
     /// The sum of the ready workers' weights.
     weight_sum: f64,
-    /// How old load reports get, in nanoseconds.
+    /// The mean age that load reports reach before the worker renews them, in nanoseconds.
     report_age: f64,
-    /// Ready workers that were ejected when one last was.
+    /// The number of ejected ready workers, counted at the last ejection.
     ejected_count: usize,
 }
 
@@ -47,7 +47,8 @@
 }
 
 impl Fleet {
-    /// A fleet without workers, with a graph for each machine kind that the classes need.
+    /// Creates a fleet without workers, with a graph for all machine kinds and one for each machine
+    /// kind that the classes need.
     pub(crate) fn new(classes: &[RequestClass]) -> Self {
         let mut kinds: Vec<u32> = classes.iter().filter_map(|class| class.machine_kind).collect();
         kinds.sort_unstable();
@@ -64,48 +65,48 @@
         }
     }
 
-    /// The index of a worker that the endpoint list has named.
+    /// Returns the index of a worker, if the endpoint list has ever named it.
     pub(crate) fn find(&self, worker: &str) -> Option<WorkerIndex> {
         self.index.get(worker).copied()
     }
 
-    /// A worker by its index.
+    /// Returns a worker by its index.
     pub(crate) fn worker(&self, worker: WorkerIndex) -> &Worker {
         &self.workers[worker.as_usize()]
     }
 
-    /// A worker by its index, to be changed.
+    /// Returns a mutable reference to a worker by its index.
     pub(crate) fn worker_mut(&mut self, worker: WorkerIndex) -> &mut Worker {
         &mut self.workers[worker.as_usize()]
     }
 
-    /// All workers, the vertices of the graphs.
+    /// Returns all workers, which are the vertices of the graphs.
     pub(crate) fn workers(&self) -> &[Worker] {
         &self.workers
     }
 
-    /// The workers that take work, in the order in which they were first named.
+    /// Returns the ready workers, in the order in which the endpoint list first named them.
     pub(crate) fn ready_workers(&self) -> impl Iterator<Item = &Worker> {
         self.workers.iter().filter(|worker| worker.is_ready())
     }
 
-    /// The graph of all machine kinds.
+    /// Returns the graph of all machine kinds.
     pub(crate) fn main_graph(&self) -> &WorkerGraph {
         &self.graphs[0]
     }
 
-    /// The graph for a class's machine kind.
+    /// Returns the graph of a class's machine kind; that of all machine kinds for `None`.
     pub(crate) fn graph_for(&self, machine_kind: Option<u32>) -> GraphIndex {
         let position = self.graphs.iter().position(|graph| graph.machine_kind == machine_kind);
         GraphIndex(position.unwrap_or(0))
     }
 
-    /// How many workers a graph holds.
+    /// Returns the number of workers in a graph.
     pub(crate) fn graph_len(&self, graph: GraphIndex) -> usize {
         self.graphs[graph.0].len()
     }
 
-    /// What a search on one graph borrows.
+    /// Borrows the parts that a search on one graph needs.
     pub(crate) fn parts(&mut self, graph: GraphIndex) -> FleetParts<'_> {
         FleetParts {
             workers: &mut self.workers,
@@ -127,7 +128,8 @@
         }
     }
 
-    /// Takes workers whose state or kind changed into or out of the graphs, all in one pass.
+    /// Updates the membership of workers whose state or machine kind changed, in one pass over each
+    /// graph.
     pub(crate) fn update_graphs(&mut self, changed: &[WorkerIndex]) {
         if changed.is_empty() {
             return;
@@ -137,7 +139,7 @@
         }
     }
 
-    /// The worker of an entry, added if it is new.
+    /// Returns the worker of an endpoint entry; adds it if it is new.
     pub(crate) fn find_or_add(&mut self, endpoint: &Endpoint<'_>) -> WorkerIndex {
         if let Some(known) = self.find(endpoint.worker) {
             return known;
@@ -149,7 +151,7 @@
         added
     }
 
-    /// Takes a worker's weight and place from its entry.
+    /// Sets a worker's weight, zone and cell from its endpoint entry.
     pub(crate) fn set_attributes(&mut self, index: WorkerIndex, endpoint: &Endpoint<'_>) {
         let worker = &mut self.workers[index.as_usize()];
         if worker.is_ready() {
@@ -160,7 +162,7 @@
         worker.cell = endpoint.cell;
     }
 
-    /// Sets a worker's state and machine kind; returns whether one of them changed.
+    /// Sets a worker's state and machine kind; returns whether either of them changed.
     pub(crate) fn set_state(&mut self, index: WorkerIndex, state: WorkerState, machine_kind: u32) -> bool {
         let worker = &mut self.workers[index.as_usize()];
         let counted_weight =
@@ -172,17 +174,17 @@
         is_changed
     }
 
-    /// The mean weight of the ready workers if there are `count` of them.
+    /// Returns the sum of the ready workers' weights divided by `count`.
     pub(crate) fn mean_weight(&self, count: usize) -> f64 {
         self.weight_sum / count as f64
     }
 
-    /// How old load reports get, in nanoseconds.
+    /// Returns the mean age that load reports reach, in nanoseconds.
     pub(crate) fn report_age(&self) -> f64 {
         self.report_age
     }
 
-    /// Takes a worker's load report, if there is one.
+    /// Records a worker's load report, if there is one.
     pub(crate) fn record_report(&mut self, worker: WorkerIndex, now: Nanos, report: Option<LoadReport>) {
         let Some(report) = report else { return };
         if let Some(repeated_for) = self.worker_mut(worker).reported.record(now, report) {
@@ -190,13 +192,14 @@
         }
     }
 
-    /// Counts own slots at a worker as taken, or as free again if they are negative.
+    /// Adds to the slots that this dispatcher's attempts occupy at a worker; a negative number
+    /// frees slots.
     pub(crate) fn add_own_slots(&mut self, worker: WorkerIndex, now: Nanos, slots: f64) {
         let report_age = self.report_age;
         self.worker_mut(worker).own_load.add_slots(now, slots, report_age);
     }
 
-    /// An attempt at a worker ended and left its connection open.
+    /// Records that an attempt at a worker ended and left its connection open.
     pub(crate) fn release_connection(&mut self, worker: WorkerIndex, now: Nanos) {
         self.worker_mut(worker).connections.release(now);
         self.recently_used.retain(|used| *used != worker);
@@ -206,20 +209,21 @@
         }
     }
 
-    /// Whether a worker is among those that last ended an attempt.
+    /// Returns whether a worker is among those whose attempts ended most recently.
     pub(crate) fn is_recently_used(&self, worker: WorkerIndex) -> bool {
         self.recently_used.contains(&worker)
     }
 
-    /// Ejects a worker for a time.
+    /// Ejects a worker for at least `duration` nanoseconds.
     pub(crate) fn eject(&mut self, worker: WorkerIndex, now: Nanos, duration: Nanos) {
         let health = &mut self.worker_mut(worker).health;
         health.ejected_until = health.ejected_until.max(now + duration);
         self.ejected_count = self.ready_workers().filter(|worker| worker.health.is_ejected(now)).count();
     }
 
-    /// Whether so many workers are ejected that ejection says nothing any more.
-    pub(crate) fn is_panicking(&self) -> bool {
+    /// Returns whether more than half of the ready workers are ejected. Ejection is then ignored,
+    /// since it no longer distinguishes failing workers from healthy ones.
+    pub(crate) fn is_in_panic_mode(&self) -> bool {
         self.ejected_count * 2 > self.main_graph().len()
     }
 }
--- a/crates/service/balancing-policy/src/state/job.rs
+++ b/crates/service/balancing-policy/src/state/job.rs
@@ -1,17 +1,17 @@
-//! A request in this dispatcher's hands, with its attempts.
+//! Jobs: accepted requests with their attempts.
 
 use super::worker_graph::WorkerIndex;
 use crate::api::{Nanos, Request};
 
-/// What is known of an attempt's run.
+/// The state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
-    /// It is in flight.
+    /// In flight.
     InFlight,
-    /// It ended, and never ran.
+    /// Ended, certainly without having run.
     NeverRan,
-    /// It ended, and may have run.
-    MayHaveRan,
+    /// Ended, possibly after having run.
+    MayHaveRun,
 }
 
 /// One attempt of a job.
@@ -19,76 +19,78 @@
     pub(crate) worker: WorkerIndex,
     pub(crate) sent_at: Nanos,
     pub(crate) state: AttemptState,
-    /// It has left its worker's queue, or workers do not report that.
+    /// Whether it has left its worker's queue; always true if workers do not report starts.
     pub(crate) has_started: bool,
-    /// When its worker first reported progress.
+    /// The time of the worker's first progress report.
     pub(crate) first_progress_at: Option<Nanos>,
-    /// Its affinity key was not recently at the worker, which must fetch what the key needs.
-    pub(crate) fetches_key: bool,
-    /// Its class had the top priority.
+    /// Whether the request has an affinity key that the worker has probably not cached, so that it
+    /// must fetch the key's program or data.
+    pub(crate) needs_fetch: bool,
+    /// Whether its class had the top priority.
     pub(crate) is_top_priority: bool,
 }
 
-/// Where a job is on its way.
+/// The phase of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// It waits for a worker with room.
+    /// Waiting for a worker with room.
     Pending,
-    /// It was sent.
+    /// Sent to a worker.
     Sent,
-    /// It got its final answer, or needs none any more.
+    /// Finally answered, or in no need of an answer any more.
     Closed,
 }
 
-/// A request in this dispatcher's hands.
+/// A request that this dispatcher has accepted, with its attempts.
 pub(crate) struct Job {
     pub(crate) request: Request,
     pub(crate) arrived_at: Nanos,
-    /// When its client gives up.
+    /// The time at which the client gives up.
     pub(crate) deadline: Nanos,
     pub(crate) max_attempts: usize,
     pub(crate) phase: Phase,
-    /// Its answer has begun to stream.
+    /// Whether its answer has begun to stream to the client.
     pub(crate) is_streaming: bool,
     /// All attempts, in the order of sends.
     pub(crate) attempts: Vec<Attempt>,
-    /// Workers drawn for it while pending.
+    /// The candidates drawn since it became pending or was last retried.
     pub(crate) candidates: Vec<WorkerIndex>,
-    /// When the probes of the present round were sent.
+    /// The time at which the probes of the current round were sent.
     pub(crate) round_started_at: Nanos,
-    /// Rounds since it became pending.
+    /// The number of rounds since the request arrived or was last retried.
     pub(crate) rounds: u32,
-    /// A timer will bind it to a worker whose probe came back.
+    /// Whether a timer is running that binds it to a successfully probed worker.
     pub(crate) binding_scheduled: bool,
 }
 
 impl Job {
-    /// The attempts that may have run, those in flight among them.
-    pub(crate) fn exposed_attempts(&self) -> impl Iterator<Item = &Attempt> {
+    /// Returns the attempts that may have run, including those in flight.
+    pub(crate) fn possibly_run_attempts(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.state != AttemptState::NeverRan)
     }
 
-    /// Whether no attempt may have run.
+    /// Returns whether certainly no attempt has run.
     pub(crate) fn never_ran(&self) -> bool {
-        self.exposed_attempts().next().is_none()
+        self.possibly_run_attempts().next().is_none()
     }
 
-    /// Whether an attempt is in flight.
-    pub(crate) fn is_in_flight(&self) -> bool {
+    /// Returns whether an attempt is in flight.
+    pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// Whether an attempt was made at this worker.
+    /// Returns whether any attempt was sent to this worker.
     pub(crate) fn was_sent_to(&self, worker: WorkerIndex) -> bool {
         self.attempts.iter().any(|attempt| attempt.worker == worker)
     }
 
-    /// When it must be answered at the latest, a send being of no use any more.
+    /// Returns the time, two ticks before the deadline, from which a further send is useless and
+    /// the job must get its final answer.
     pub(crate) fn latest_answer_at(&self, tick: Nanos) -> Nanos {
         self.deadline.saturating_sub(2 * tick)
     }
 
-    /// Adds workers that are not among the candidates yet.
+    /// Adds the drawn workers that are not candidates yet.
     pub(crate) fn add_candidates(&mut self, drawn: &[WorkerIndex]) {
         let new: Vec<WorkerIndex> =
             drawn.iter().copied().filter(|worker| !self.candidates.contains(worker)).collect();
--- a/crates/service/balancing-policy/src/state/job_table.rs
+++ b/crates/service/balancing-policy/src/state/job_table.rs
@@ -1,18 +1,18 @@
-//! All jobs of a dispatcher.
+//! The table of a dispatcher's jobs.
 
 use super::job::{Job, Phase};
 use crate::api::RequestId;
 use rustc_hash::FxHashMap;
 
-/// A job's number, counted up in the order of arrival.
+/// A job's number, assigned in the order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct JobNumber(pub(crate) u64);
 
-/// All jobs of a dispatcher.
+/// The jobs of a dispatcher.
 ///
-/// Invariant: `pending` holds the numbers of the jobs in [`Phase::Pending`] that wait for their
-/// next round, in the order in which they became pending. A closed job stays only while attempts of
-/// it are in flight, for the count of slots.
+/// Invariants: `pending` contains the numbers of the jobs in [`Phase::Pending`] that wait for their
+/// next round, in the order in which they became pending. A closed job is kept only while it has
+/// attempts in flight, so that their slots are freed when they end.
 #[derive(Default)]
 pub(crate) struct JobTable {
     numbers: FxHashMap<RequestId, JobNumber>,
@@ -22,7 +22,7 @@
 }
 
 impl JobTable {
-    /// The number of the next job, which serves this request.
+    /// Assigns the next job number to a request.
     pub(crate) fn number_for(&mut self, request: RequestId) -> JobNumber {
         self.last_number += 1;
         let number = JobNumber(self.last_number);
@@ -30,37 +30,37 @@
         number
     }
 
-    /// Adds a job under the number that [`JobTable::number_for`] gave.
+    /// Inserts a job under the number that [`JobTable::number_for`] assigned.
     pub(crate) fn insert(&mut self, number: JobNumber, job: Job) {
         self.jobs.insert(number, job);
     }
 
-    /// The number of the job that serves a request.
+    /// Returns the number of a request's job.
     pub(crate) fn find(&self, request: RequestId) -> Option<JobNumber> {
         self.numbers.get(&request).copied()
     }
 
-    /// A job by its number, while it is known.
+    /// Returns a job by its number.
     pub(crate) fn get(&self, number: JobNumber) -> Option<&Job> {
         self.jobs.get(&number)
     }
 
-    /// A job by its number, to be changed.
+    /// Returns a mutable reference to a job by its number.
     pub(crate) fn get_mut(&mut self, number: JobNumber) -> Option<&mut Job> {
         self.jobs.get_mut(&number)
     }
 
-    /// The job, if it is pending.
+    /// Returns a job by its number, if it is pending.
     pub(crate) fn get_pending(&self, number: JobNumber) -> Option<&Job> {
         self.get(number).filter(|job| job.phase == Phase::Pending)
     }
 
-    /// The numbers of the pending jobs.
+    /// Returns the numbers of the pending jobs.
     pub(crate) fn pending(&self) -> &[JobNumber] {
         &self.pending
     }
 
-    /// Makes a job pending.
+    /// Marks a job as pending.
     pub(crate) fn mark_pending(&mut self, number: JobNumber) {
         let Some(job) = self.jobs.get_mut(&number) else { return };
         job.phase = Phase::Pending;
@@ -77,14 +77,14 @@
         }
     }
 
-    /// Ends a job.
+    /// Closes a job; removes it unless it has attempts in flight.
     pub(crate) fn close(&mut self, number: JobNumber) {
         let Some(job) = self.jobs.get_mut(&number) else { return };
         if job.phase == Phase::Pending {
             self.pending.retain(|pending| *pending != number);
         }
         job.phase = Phase::Closed;
-        if !job.is_in_flight() {
+        if !job.has_attempt_in_flight() {
             self.numbers.remove(&job.request.id);
             self.jobs.remove(&number);
         }
--- a/crates/service/balancing-policy/src/state/mod.rs
+++ b/crates/service/balancing-policy/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher knows: of workers, of its own jobs, of request classes. Nothing is decided
-//! here.
+//! The state of a dispatcher: its workers, its jobs and the statistics of its request classes. The
+//! decisions based on it are made in `dispatcher`.
 
 mod class_statistics;
 mod fleet;
--- a/crates/service/balancing-policy/src/state/timer_token.rs
+++ b/crates/service/balancing-policy/src/state/timer_token.rs
@@ -1,23 +1,23 @@
-//! What a timer is for, as it travels in the token of [`Action::Timer`](crate::Action::Timer).
+//! The purpose of a timer, encoded in the token of [`Action::Timer`](crate::Action::Timer).
 
 use super::job_table::JobNumber;
 
-/// The token's lowest bits hold the purpose, the others the number of the job.
+/// The number of the token's lowest bits that hold the purpose; the other bits hold the job number.
 const PURPOSE_BITS: u32 = 2;
 const PURPOSE_MASK: u64 = (1 << PURPOSE_BITS) - 1;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TimerPurpose {
-    /// Bind a job to a worker whose probe came back with room.
+    /// Bind a job to a worker whose probe reported room.
     BindToProbed = 0,
-    /// Begin the next round of a job.
+    /// Begin a job's next round.
     NextRound = 1,
-    /// Ask service discovery for the endpoint list.
+    /// Subscribe to the endpoint list at service discovery.
     Discovery = 2,
 }
 
-/// A timer's purpose and the job that it concerns.
+/// A timer's purpose and job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TimerToken {
     pub(crate) purpose: TimerPurpose,
@@ -25,22 +25,22 @@
 }
 
 impl TimerToken {
-    /// The timer of a job.
+    /// Creates the token of a job's timer.
     pub(crate) fn of_job(purpose: TimerPurpose, job: JobNumber) -> Self {
         TimerToken { purpose, job }
     }
 
-    /// The timer for service discovery, which concerns no job.
+    /// Creates the token of the service discovery timer, which has no job.
     pub(crate) fn discovery() -> Self {
         TimerToken { purpose: TimerPurpose::Discovery, job: JobNumber(0) }
     }
 
-    /// The token as it travels.
+    /// Encodes the token as an integer.
     pub(crate) fn encode(self) -> u64 {
         self.job.0 << PURPOSE_BITS | self.purpose as u64
     }
 
-    /// Reads a token.
+    /// Decodes a token made by [`TimerToken::encode`].
     pub(crate) fn decode(token: u64) -> Self {
         let purpose = match token & PURPOSE_MASK {
             0 => TimerPurpose::BindToProbed,
--- a/crates/service/balancing-policy/src/state/worker.rs
+++ b/crates/service/balancing-policy/src/state/worker.rs
@@ -1,4 +1,4 @@
-//! What is known of a worker: from the endpoint list, from its reports, from this dispatcher's own
+//! The state of a worker, from the endpoint list, its load reports and this dispatcher's own
 //! attempts.
 
 use crate::api::{Endpoint, Limits, LoadReport, Nanos, SafetyRules, WorkerId, WorkerState};
@@ -23,41 +23,41 @@
     pub(crate) budget: SlowStartBudget,
 }
 
-/// This dispatcher's own attempts in flight at a worker.
+/// The load of this dispatcher's own attempts in flight at a worker.
 #[derive(Default)]
 pub(crate) struct OwnLoad {
-    /// Slots in flight.
+    /// Slots occupied by attempts in flight.
     pub(crate) slots: f64,
-    /// Slots in flight as a report of typical age may have seen them, and when that was computed.
+    /// The part of `slots` that a report of typical age shows, at the time `smoothed_at`.
     smoothed_slots: f64,
     smoothed_at: Nanos,
-    /// Attempts sent that have not started yet.
+    /// Attempts that were sent and have not started yet.
     pub(crate) queued: u32,
-    /// Those of them that had the top priority.
+    /// The queued attempts that had the top priority.
     pub(crate) queued_top_priority: u32,
 }
 
 impl OwnLoad {
-    /// Own slots that a report of this age (in nanoseconds) does not show yet; negative for slots
-    /// that it still shows though they are free again.
+    /// Returns the own slots that a report of this age (in nanoseconds) does not show yet; negative
+    /// if it still shows slots that are already free again.
     pub(crate) fn unreported_slots(&self, now: Nanos, report_age: f64) -> f64 {
         (self.slots - self.smoothed_slots) * (-((now - self.smoothed_at) as f64) / report_age).exp()
     }
 
-    /// Counts slots as taken, or as free again if they are negative.
+    /// Adds occupied slots; a negative number frees slots. `report_age` is in nanoseconds.
     pub(crate) fn add_slots(&mut self, now: Nanos, slots: f64, report_age: f64) {
         self.smoothed_slots = self.slots - self.unreported_slots(now, report_age);
         self.smoothed_at = now;
         self.slots = (self.slots + slots).max(0.0);
     }
 
-    /// Counts an attempt into the worker's queue.
+    /// Adds an attempt to the count of queued attempts.
     pub(crate) fn enqueue(&mut self, is_top_priority: bool) {
         self.queued += 1;
         self.queued_top_priority += u32::from(is_top_priority);
     }
 
-    /// Counts an attempt out of the worker's queue.
+    /// Removes an attempt from the count of queued attempts.
     pub(crate) fn dequeue(&mut self, is_top_priority: bool) {
         self.queued = self.queued.saturating_sub(1);
         self.queued_top_priority = self.queued_top_priority.saturating_sub(u32::from(is_top_priority));
@@ -67,19 +67,19 @@
 /// This dispatcher's connections to a worker.
 #[derive(Default)]
 pub(crate) struct Connections {
-    /// Connections that finished their attempt and may still be open.
+    /// Connections whose attempt has ended and that may still be open.
     idle: u32,
-    /// When one was last used.
+    /// The time at which a connection was last used.
     pub(crate) last_used_at: Nanos,
 }
 
 impl Connections {
-    /// Whether a connection is open and free.
+    /// Returns whether an idle connection is open.
     pub(crate) fn has_idle(&self, limits: &Limits, now: Nanos) -> bool {
         self.idle > 0 && now <= self.last_used_at + limits.idle_connection_timeout
     }
 
-    /// An attempt takes a connection: an idle one if there is one, else a new one.
+    /// Records that an attempt takes a connection: an idle one if there is one, else a new one.
     pub(crate) fn take(&mut self, limits: &Limits, now: Nanos) {
         if now > self.last_used_at + limits.idle_connection_timeout {
             self.idle = 0;
@@ -88,37 +88,39 @@
         self.last_used_at = now;
     }
 
-    /// An attempt ended and left its connection open.
+    /// Records that an attempt ended and left its connection open.
     pub(crate) fn release(&mut self, now: Nanos) {
         self.idle += 1;
         self.last_used_at = now;
     }
 
-    /// All connections are closed.
+    /// Records that all connections are closed.
     fn reset(&mut self) {
         self.idle = 0;
     }
 }
 
-/// What a worker reported of its load.
+/// The load that a worker reported.
 #[derive(Default)]
 pub(crate) struct ReportedLoad {
     /// The last report.
     pub(crate) last: LoadReport,
-    /// When it came; `None` if the worker has not reported since it started.
+    /// The time of the last report; `None` if the worker has not reported since it started.
     pub(crate) received_at: Option<Nanos>,
-    /// The most free slots reported since the worker started: all that it has, once it was idle.
+    /// The most free slots reported since the worker started: the worker's total number of slots if
+    /// it has been idle in that time.
     pub(crate) max_free_slots: f64,
     /// The most free memory reported since the worker started; `None` if it was not reported.
     pub(crate) max_free_memory: Option<f64>,
-    /// When the report last changed, and how often it has come again since.
+    /// The time at which the report last changed, and the number of identical reports since then.
     changed_at: Nanos,
     repeats: u32,
 }
 
 impl ReportedLoad {
-    /// Takes a report. Returns for how long the one before it was repeated, in nanoseconds, if it
-    /// was: that tells how long the worker keeps a report.
+    /// Records a report. If it differs from the previous one and that one was repeated, returns the
+    /// time for which the previous one was current, in nanoseconds: the interval at which the
+    /// worker renews its report.
     pub(crate) fn record(&mut self, now: Nanos, report: LoadReport) -> Option<f64> {
         let mut repeated_for = None;
         if report == self.last {
@@ -139,7 +141,7 @@
         repeated_for
     }
 
-    /// Forgets what does not hold for a new process of the worker.
+    /// Clears the values that are not valid for a restarted worker.
     fn reset(&mut self) {
         self.received_at = None;
         self.max_free_memory = None;
@@ -147,56 +149,56 @@
     }
 }
 
-/// Probes of a worker.
+/// The state of the probes of a worker.
 #[derive(Default)]
 pub(crate) struct ProbeState {
     pub(crate) is_in_flight: bool,
     pub(crate) succeeded_at: Option<Nanos>,
 }
 
-/// Whether a worker is left alone, and why.
+/// The health of a worker, which decides whether it is avoided.
 #[derive(Default)]
 pub(crate) struct Health {
-    /// It rejected an attempt and counts as full until then.
+    /// The time until which the worker counts as full, because it rejected an attempt.
     pub(crate) full_until: Nanos,
-    /// Rejections in a row.
+    /// The number of consecutive rejections.
     pub(crate) rejections: u32,
-    /// How much slower than the others it runs: the logarithm of its running time relative to its
-    /// class.
+    /// The logarithm of the worker's running times relative to the typical ones of their classes;
+    /// positive for a worker that is slower than the others.
     pub(crate) slowness: f64,
-    /// The number of samples that it is based on.
+    /// The number of samples in `slowness`.
     pub(crate) slowness_samples: f64,
-    /// Recent failures.
+    /// The number of recent failures.
     pub(crate) failures: u32,
     pub(crate) last_failure_at: Nanos,
-    /// It is ejected until then.
+    /// The time until which the worker is ejected.
     pub(crate) ejected_until: Nanos,
 }
 
 impl Health {
-    /// Whether it is ejected.
+    /// Returns whether the worker is ejected.
     pub(crate) fn is_ejected(&self, now: Nanos) -> bool {
         self.ejected_until > now
     }
 
-    /// Whether it rejected an attempt or was ejected a short while ago.
+    /// Returns whether the worker counts as full or is ejected.
     pub(crate) fn is_avoided(&self, now: Nanos) -> bool {
         self.full_until > now || self.is_ejected(now)
     }
 
-    /// Forgets what does not hold for a new process of the worker.
+    /// Clears the values that are not valid for a restarted worker.
     fn reset(&mut self) {
         self.ejected_until = 0;
         self.failures = 0;
     }
 }
 
-/// What may be sent to a worker in slow start.
+/// The budget of what this dispatcher may send to a worker in slow start.
 #[derive(Default)]
 pub(crate) struct SlowStartBudget {
-    /// The end of the present budget window.
+    /// The end of the current budget window.
     pub(crate) window_end: Nanos,
-    /// Slots that may still be sent in it; negative for a debt.
+    /// The slots that may still be sent in the window; negative after overspending.
     pub(crate) slots_left: f64,
 }
 
@@ -207,8 +209,8 @@
 }
 
 impl Worker {
-    /// A worker that was just named; its state and start are still to be taken from the endpoint
-    /// list.
+    /// Creates a removed worker of weight 1; the caller then sets its state, start time and weight
+    /// from the endpoint entry.
     pub(crate) fn new(id: Arc<str>, endpoint: &Endpoint<'_>) -> Self {
         Worker {
             cycle_positions: cycle_positions(id.as_bytes()),
@@ -228,12 +230,12 @@
         }
     }
 
-    /// Whether the endpoint list has it as ready.
+    /// Returns whether the worker is ready according to the endpoint list.
     pub(crate) fn is_ready(&self) -> bool {
         self.state == WorkerState::Ready
     }
 
-    /// Takes a restart under the same id: what was learned was of the process before.
+    /// Handles a restart under the same id: clears what was learned about the previous process.
     pub(crate) fn restart(&mut self, started_at: Option<Nanos>) {
         self.started_at = started_at;
         self.health.reset();
@@ -242,8 +244,8 @@
         self.budget = SlowStartBudget::default();
     }
 
-    /// The fraction of its capacity that it surely has by now: it grows linearly over the slow
-    /// start.
+    /// Returns the fraction of its capacity that the worker has reached at least. It grows linearly
+    /// over the slow start.
     pub(crate) fn capacity_fraction(&self, rules: &SafetyRules, now: Nanos) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let elapsed = (now - started_at.min(now)) as f64 / rules.slow_start_duration.max(1) as f64;
@@ -251,12 +253,12 @@
         (initial + (1.0 - initial) * elapsed).min(1.0)
     }
 
-    /// Whether it has its full capacity.
+    /// Returns whether the worker has its full capacity.
     pub(crate) fn is_warm(&self, rules: &SafetyRules, now: Nanos) -> bool {
         self.capacity_fraction(rules, now) >= 1.0
     }
 
-    /// Whether the budget of its slow start allows another attempt now.
+    /// Returns whether the worker is warm or its slow-start budget allows another attempt now.
     pub(crate) fn is_within_budget(&self, rules: &SafetyRules, now: Nanos) -> bool {
         self.is_warm(rules, now) || self.budget.has_room(now)
     }
--- a/crates/service/balancing-policy/src/state/worker_graph.rs
+++ b/crates/service/balancing-policy/src/state/worker_graph.rs
@@ -1,4 +1,4 @@
-//! The graph over the ready workers of one machine kind. The graph itself is the crate
+//! The graph of the ready workers of one machine kind, an expander graph of the crate
 //! `spanlead-expander-walk`.
 
 use super::worker::Worker;
@@ -6,7 +6,7 @@
 use spanlead_expander_walk::{CyclePositions, Expander, Vertex};
 use std::ops::{Deref, DerefMut};
 
-/// A worker's index in the fleet: the workers are the vertices of the graphs.
+/// A worker's index in the fleet. The workers are the vertices of the graphs.
 pub(crate) use spanlead_expander_walk::VertexIndex as WorkerIndex;
 
 impl Vertex for Worker {
@@ -17,19 +17,19 @@
 
 /// The graph on which the jobs of one machine kind are placed.
 pub(crate) struct WorkerGraph {
-    /// The machine kind; `None` is the graph of all workers.
+    /// The machine kind; `None` for the graph of all machine kinds.
     pub(crate) machine_kind: Option<u32>,
     expander: Expander,
 }
 
 impl WorkerGraph {
-    /// A graph without workers.
+    /// Creates a graph without workers.
     pub(crate) fn new(machine_kind: Option<u32>) -> Self {
         WorkerGraph { machine_kind, expander: Expander::default() }
     }
 
-    /// Adds the changed workers that are ready and of the graph's kind and removes the others of
-    /// them.
+    /// Adds those of the changed workers that are ready and of the graph's machine kind; removes
+    /// the other changed workers.
     pub(crate) fn update_members(&mut self, workers: &[Worker], changed: &[WorkerIndex]) {
         let machine_kind = self.machine_kind;
         let belongs = |worker: &Worker| {
