--- a/crates/service/balancing-policy/tests/admission_limiter.rs
+++ b/crates/service/balancing-policy/tests/admission_limiter.rs
@@ -1,11 +1,11 @@
 //! The fraction of requests that the admission limiter admits, given arrivals and capacity signals.
 
-use spanlead_balancing_policy::admission_limiter::{AdmissionLimiter, GroupFigures};
+use spanlead_balancing_policy::admission_limiter::{AdmissionLimiter, GroupStatistics};
 
 /// The fraction of all requests that is admitted. It is the fraction of each group while the
 /// figures of the groups are unknown.
 fn admitted_of_all(limiter: &AdmissionLimiter) -> f64 {
-    limiter.admitted_fraction(0, |_| GroupFigures { value_rate: 0.0, run_time: 0.0 })
+    limiter.admitted_fraction(0, |_| GroupStatistics { value_rate: 0.0, run_time: 0.0 })
 }
 
 /// Returns a limiter that has counted requests of `groups`, in this order and 60 times over, and
@@ -34,7 +34,7 @@
         let (limiter, arrivals) = limiter_after([0, 1, 0, 2, 1, 3, 0, 2, 1, 3], max_admitted);
         let admitted = admitted_of_all(&limiter);
         let fractions = [0, 1, 2, 3].map(|group| {
-            limiter.admitted_fraction(group, |group| GroupFigures {
+            limiter.admitted_fraction(group, |group| GroupStatistics {
                 value_rate: values[group] / run_times[group],
                 run_time: run_times[group],
             })
@@ -63,9 +63,9 @@
     assert!(admitted < 0.4 && admitted > 0.39, "admitted fraction {admitted}, expected 0.39 to 0.4");
     for group in [0, 1] {
         let equal =
-            limiter.admitted_fraction(group, |_| GroupFigures { value_rate: 2.0 / 3.0, run_time: 3.0 });
+            limiter.admitted_fraction(group, |_| GroupStatistics { value_rate: 2.0 / 3.0, run_time: 3.0 });
         assert!((equal - admitted).abs() < 1e-9, "group {group}: {equal} admitted, expected {admitted}");
-        let unknown = limiter.admitted_fraction(group, |group| GroupFigures {
+        let unknown = limiter.admitted_fraction(group, |group| GroupStatistics {
             value_rate: [1.0, 3.0][group],
             run_time: [0.0, 3.0][group],
         });
@@ -73,7 +73,7 @@
     }
     let (unlimited, _) = limiter_after([0, 1, 1, 1, 1, 1], 1.0);
     assert_eq!(
-        [0, 1].map(|group| unlimited.admitted_fraction(group, |group| GroupFigures {
+        [0, 1].map(|group| unlimited.admitted_fraction(group, |group| GroupStatistics {
             value_rate: [1.0, 3.0][group],
             run_time: [1.0, 3.0][group]
         })),
--- a/crates/service/balancing-policy/tests/common/world.rs
+++ b/crates/service/balancing-policy/tests/common/world.rs
@@ -131,7 +131,14 @@
         request.closed = closed;
         let elapsed = self.now - sent_at;
         let id = RequestId(id);
-        self.handle(Event::AttemptEnded { id, attempt, outcome, closed, elapsed, report: None })
+        self.handle(Event::AttemptEnded {
+            id,
+            attempt,
+            outcome,
+            request_closed: closed,
+            elapsed,
+            report: None,
+        })
     }
 
     /// Ends all probes in flight successfully, each with the load report that `report` returns for
--- a/crates/service/balancing-policy/tests/endpoints.rs
+++ b/crates/service/balancing-policy/tests/endpoints.rs
@@ -111,7 +111,7 @@
         id: RequestId(2),
         attempt: 0,
         outcome: Outcome::Ok,
-        closed: true,
+        request_closed: true,
         elapsed: 0,
         report: None,
     };
--- a/crates/service/balancing-policy/tests/selection.rs
+++ b/crates/service/balancing-policy/tests/selection.rs
@@ -110,7 +110,7 @@
         id: RequestId(1),
         attempt: 0,
         outcome,
-        closed: true,
+        request_closed: true,
         elapsed: 9 * MS,
         report,
     });
