--- a/crates/cluster/control-plane/src/node/mod.rs
+++ b/crates/cluster/control-plane/src/node/mod.rs
@@ -121,7 +121,7 @@
                 self.feed_replica(replication::Input::Written(token));
             }
             Input::PeerDisconnected(address) => {
-                self.feed_replica(replication::Input::PeerDown(address));
+                self.feed_replica(replication::Input::PeerDisconnected(address));
             }
             Input::WorkerResponse(call, response) => self.handle_worker_response(&call, response),
             Input::WorkerList(list) => self.handle_worker_list(list),
--- a/crates/cluster/replication/src/backup/session.rs
+++ b/crates/cluster/replication/src/backup/session.rs
@@ -29,7 +29,7 @@
         /// The changes.
         changes: Vec<Change>,
         /// The index of the chunk to acknowledge once they are on disk; `None` for a batch.
-        acknowledge: Option<u64>,
+        ack_index: Option<u64>,
     },
     /// Write changes that lead to this position.
     WriteBatch {
@@ -145,7 +145,7 @@
             (StreamItem::Batch { changes, .. }, None) => {
                 if self.in_sync {
                     self.buffered_repair.extend(changes);
-                    return StreamAction::WriteRepair { changes: Vec::new(), acknowledge: None };
+                    return StreamAction::WriteRepair { changes: Vec::new(), ack_index: None };
                 }
                 apply_repair(keyspace, changes, None)
             }
@@ -167,7 +167,7 @@
     }
 }
 
-fn apply_repair(keyspace: &mut Keyspace, changes: Vec<Change>, acknowledge: Option<u64>) -> StreamAction {
+fn apply_repair(keyspace: &mut Keyspace, changes: Vec<Change>, ack_index: Option<u64>) -> StreamAction {
     keyspace.apply_all(&changes);
-    StreamAction::WriteRepair { changes, acknowledge }
+    StreamAction::WriteRepair { changes, ack_index }
 }
--- a/crates/cluster/replication/src/backup/state.rs
+++ b/crates/cluster/replication/src/backup/state.rs
@@ -72,7 +72,7 @@
     }
 
     /// The session of this number, if it is the current one.
-    pub(crate) fn session_numbered(&mut self, number: u64) -> Option<&mut BackupSession> {
+    pub(crate) fn session_mut(&mut self, number: u64) -> Option<&mut BackupSession> {
         self.session.as_mut().filter(|session| session.number == number)
     }
 
--- a/crates/cluster/replication/src/bootstrap.rs
+++ b/crates/cluster/replication/src/bootstrap.rs
@@ -34,7 +34,7 @@
     }
 
     /// Forgets the other voters: a view is known.
-    pub(crate) fn finish(&mut self) {
+    pub(crate) fn clear_other_voters(&mut self) {
         self.other_voters.clear();
     }
 
@@ -52,8 +52,8 @@
 
     /// The first view: this machine as primary, and all known voters in sync, since nobody holds
     /// anything.
-    pub(crate) fn first_view(&self, local_member: &Member, full_membership: usize) -> View {
-        let others = self.other_voters.values().take(full_membership - 1);
+    pub(crate) fn first_view(&self, local_member: &Member, full_member_count: usize) -> View {
+        let others = self.other_voters.values().take(full_member_count - 1);
         let mut members = vec![local_member.clone()];
         members.extend(others.map(|voter| voter.member.clone()));
         View {
--- a/crates/cluster/replication/src/config.rs
+++ b/crates/cluster/replication/src/config.rs
@@ -33,7 +33,7 @@
     }
 
     /// The number of members that a view should have: 2f + 1.
-    pub(crate) fn full_membership(&self) -> usize {
+    pub(crate) fn full_member_count(&self) -> usize {
         2 * self.max_failures + 1
     }
 }
--- a/crates/cluster/replication/src/election.rs
+++ b/crates/cluster/replication/src/election.rs
@@ -32,14 +32,14 @@
         Proposal { view, acceptors: Vec::new() }
     }
 
-    fn accepted(&mut self, from: MemberId, epoch: Epoch) {
+    fn record_vote(&mut self, from: MemberId, epoch: Epoch) {
         if self.view.epoch == epoch && !self.acceptors.contains(&from) {
             self.acceptors.push(from);
         }
     }
 
     fn is_decided(&self, min_quorum: usize) -> bool {
-        self.view.decided_by(&self.acceptors, min_quorum)
+        self.view.is_decided_by(&self.acceptors, min_quorum)
     }
 }
 
@@ -142,12 +142,12 @@
     }
 
     /// A machine would promise.
-    pub(crate) fn pre_vote_granted(&mut self, from: MemberId) -> ElectionStep {
+    pub(crate) fn handle_pre_vote_grant(&mut self, from: MemberId) -> ElectionStep {
         let Phase::PreVote { view, supporters } = &mut self.phase else { return ElectionStep::Wait };
         if !supporters.contains(&from) {
             supporters.push(from);
         }
-        if !view.decided_by(supporters, self.min_quorum) {
+        if !view.is_decided_by(supporters, self.min_quorum) {
             return ElectionStep::Wait;
         }
         let targets = view.voters().into_iter().cloned().collect();
@@ -166,7 +166,7 @@
     }
 
     /// A machine rejects. The election ends when too few are left.
-    pub(crate) fn rejected(&mut self, from: MemberId, retry_after_ms: u64) -> ElectionStep {
+    pub(crate) fn handle_rejection(&mut self, from: MemberId, retry_after_ms: u64) -> ElectionStep {
         self.rejections.insert(from, retry_after_ms);
         let left = self.voters.iter().filter(|id| !self.rejections.contains_key(id)).count();
         let needed = self.min_quorum.max(self.voters.len() / 2 + 1);
@@ -177,7 +177,7 @@
     }
 
     /// A machine promised, and reports the newest view that it has accepted.
-    pub(crate) fn promised(&mut self, from: MemberId, accepted: Option<AcceptedView>) -> ElectionStep {
+    pub(crate) fn handle_promise(&mut self, from: MemberId, accepted: Option<AcceptedView>) -> ElectionStep {
         self.promises.insert(from, accepted);
         if !matches!(self.phase, Phase::Preparing) {
             return ElectionStep::Wait;
@@ -189,7 +189,7 @@
             return ElectionStep::RequestPromises(new_voters);
         }
         let promised_by: Vec<MemberId> = self.promises.keys().copied().collect();
-        if !newest.view.decided_by(&promised_by, self.min_quorum) {
+        if !newest.view.is_decided_by(&promised_by, self.min_quorum) {
             return ElectionStep::Wait;
         }
         if !newest.view.is_in_sync(self.local_id) {
@@ -203,12 +203,12 @@
     }
 
     /// A witness accepted a view.
-    pub(crate) fn accepted(&mut self, from: MemberId, epoch: Epoch) -> ElectionStep {
+    pub(crate) fn handle_accepted(&mut self, from: MemberId, epoch: Epoch) -> ElectionStep {
         let min_quorum = self.min_quorum;
         match &mut self.phase {
             Phase::PreVote { .. } | Phase::Preparing => ElectionStep::Wait,
             Phase::Completing(proposal) => {
-                proposal.accepted(from, epoch);
+                proposal.record_vote(from, epoch);
                 if !proposal.is_decided(min_quorum) {
                     return ElectionStep::Wait;
                 }
@@ -216,7 +216,7 @@
                 self.propose_own_view(&completed)
             }
             Phase::Proposing(proposal) => {
-                proposal.accepted(from, epoch);
+                proposal.record_vote(from, epoch);
                 if !proposal.is_decided(min_quorum) {
                     return ElectionStep::Wait;
                 }
@@ -239,7 +239,7 @@
     fn is_in_force(&self, accepted: &AcceptedView) -> bool {
         let holders = self.promises.iter().filter(|(_, promise)| promise.as_ref() == Some(accepted));
         let holders: Vec<MemberId> = holders.map(|(id, _)| *id).collect();
-        accepted.view.decided_by(&holders, self.min_quorum)
+        accepted.view.is_decided_by(&holders, self.min_quorum)
     }
 
     /// Proposes the first view once enough voters have promised that none accepts another of a
--- a/crates/cluster/replication/src/interface.rs
+++ b/crates/cluster/replication/src/interface.rs
@@ -69,7 +69,7 @@
     /// All records up to the one with this token are on disk.
     Written(u64),
     /// The connection to this peer address was lost.
-    PeerDown(String),
+    PeerDisconnected(String),
     /// Time has passed.
     Tick,
 }
--- a/crates/cluster/replication/src/primary/batches.rs
+++ b/crates/cluster/replication/src/primary/batches.rs
@@ -33,22 +33,22 @@
     }
 
     /// The last batch that was proposed.
-    pub(crate) fn last(&self) -> u64 {
+    pub(crate) fn last_sequence(&self) -> u64 {
         self.last
     }
 
     /// The last batch on the primary's own disk.
-    pub(crate) fn durable_locally(&self) -> u64 {
+    pub(crate) fn local_durable_sequence(&self) -> u64 {
         self.durable_locally
     }
 
     /// The last committed batch.
-    pub(crate) fn committed(&self) -> u64 {
+    pub(crate) fn committed_sequence(&self) -> u64 {
         self.committed
     }
 
     /// Notes that the primary's own disk has this batch and all before.
-    pub(crate) fn written_locally(&mut self, sequence: u64) {
+    pub(crate) fn record_local_write(&mut self, sequence: u64) {
         self.durable_locally = sequence;
     }
 
--- a/crates/cluster/replication/src/primary/failure_detector.rs
+++ b/crates/cluster/replication/src/primary/failure_detector.rs
@@ -27,7 +27,7 @@
 
     /// Notes that the connection to a machine broke: it counts as silent soon unless it is in
     /// contact again.
-    pub(crate) fn connection_lost(&mut self, id: MemberId, now_ms: u64) {
+    pub(crate) fn record_disconnect(&mut self, id: MemberId, now_ms: u64) {
         let latest_ms = now_ms.saturating_sub(IN_SYNC_CONTACT_TIMEOUT_MS - RECONNECT_TIMEOUT_MS);
         let last_contact_ms = self.last_contact_ms.entry(id).or_default();
         *last_contact_ms = (*last_contact_ms).min(latest_ms);
--- a/crates/cluster/replication/src/primary/lease.rs
+++ b/crates/cluster/replication/src/primary/lease.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Grant {
     /// The primary's clock when it asked, milliseconds.
-    pub(crate) asked_at_ms: u64,
+    pub(crate) requested_at_ms: u64,
     /// The witness's clock when it granted, milliseconds.
     pub(crate) witness_clock_ms: u64,
     /// Whether the witness's replica holds records that it can't read.
@@ -24,23 +24,23 @@
     /// Records a grant, unless a newer one is known.
     pub(crate) fn record(&mut self, witness: MemberId, grant: Grant) {
         let known = self.by_witness.get(&witness);
-        if known.is_none_or(|known| known.asked_at_ms < grant.asked_at_ms) {
+        if known.is_none_or(|known| known.requested_at_ms < grant.requested_at_ms) {
             self.by_witness.insert(witness, grant);
         }
     }
 
     /// The newest grant of a witness.
-    pub(crate) fn of(&self, witness: MemberId) -> Option<&Grant> {
+    pub(crate) fn get(&self, witness: MemberId) -> Option<&Grant> {
         self.by_witness.get(&witness)
     }
 
-    /// When the primary asked for the newest grants that `votes_needed` of these members have
+    /// When the primary asked for the newest grants that `quorum_size` of these members have
     /// given, milliseconds; 0 if fewer have.
-    pub(crate) fn majority_granted_at_ms(&self, members: &[Member], votes_needed: usize) -> u64 {
-        let grants = members.iter().filter_map(|member| self.of(member.id));
-        let mut asked_at_ms: Vec<u64> = grants.map(|grant| grant.asked_at_ms).collect();
-        asked_at_ms.sort_unstable_by(|one, other| other.cmp(one));
-        asked_at_ms.get(votes_needed - 1).copied().unwrap_or(0)
+    pub(crate) fn majority_requested_at_ms(&self, members: &[Member], quorum_size: usize) -> u64 {
+        let grants = members.iter().filter_map(|member| self.get(member.id));
+        let mut requested_at_ms: Vec<u64> = grants.map(|grant| grant.requested_at_ms).collect();
+        requested_at_ms.sort_unstable_by(|one, other| other.cmp(one));
+        requested_at_ms.get(quorum_size - 1).copied().unwrap_or(0)
     }
 }
 
--- a/crates/cluster/replication/src/primary/membership.rs
+++ b/crates/cluster/replication/src/primary/membership.rs
@@ -94,7 +94,7 @@
     }
 
     /// Notes that a member asks to leave for good.
-    pub(crate) fn leave_requested(&mut self, id: MemberId, now_ms: u64) {
+    pub(crate) fn record_leave_request(&mut self, id: MemberId, now_ms: u64) {
         self.leave_requested_at_ms.insert(id, now_ms);
     }
 
--- a/crates/cluster/replication/src/primary/mod.rs
+++ b/crates/cluster/replication/src/primary/mod.rs
@@ -11,4 +11,4 @@
 pub(crate) use lease::Grant;
 pub(crate) use session::PrimarySession;
 pub(crate) use state::PrimaryState;
-pub(crate) use view_change::ReviewContext;
+pub(crate) use view_change::ViewChangeContext;
--- a/crates/cluster/replication/src/primary/session.rs
+++ b/crates/cluster/replication/src/primary/session.rs
@@ -86,7 +86,7 @@
     }
 
     /// The last batch on the backup's disk; `None` before its repair is complete.
-    pub(crate) fn acknowledged(&self) -> Option<u64> {
+    pub(crate) fn acknowledged_sequence(&self) -> Option<u64> {
         self.acknowledged
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// The backup holds the chunk of this index, and with it all before.
-    pub(crate) fn chunk_acknowledged(&mut self, index: u64) {
+    pub(crate) fn record_chunk_ack(&mut self, index: u64) {
         while self.chunks_in_flight.front().is_some_and(|sent| *sent <= index) {
             self.chunks_in_flight.pop_front();
         }
@@ -152,7 +152,7 @@
     }
 
     /// All batches up to this one are on the backup's disk.
-    pub(crate) fn batch_acknowledged(&mut self, sequence: u64) {
+    pub(crate) fn record_batch_ack(&mut self, sequence: u64) {
         self.acknowledged = self.acknowledged.max(Some(sequence));
         while let Some(oldest) = self.unacknowledged.front()
             && oldest.sequence <= sequence
--- a/crates/cluster/replication/src/primary/state.rs
+++ b/crates/cluster/replication/src/primary/state.rs
@@ -142,13 +142,13 @@
 
     /// When the primary asked for the newest grants that a majority of the witnesses has given,
     /// milliseconds; 0 if there is no majority.
-    pub(crate) fn majority_granted_at_ms(&self) -> u64 {
-        self.grants.majority_granted_at_ms(&self.view.members, self.view.votes_needed(self.min_quorum))
+    pub(crate) fn majority_requested_at_ms(&self) -> u64 {
+        self.grants.majority_requested_at_ms(&self.view.members, self.view.quorum_size(self.min_quorum))
     }
 
     /// Until when the primary may act by the grants of a majority, milliseconds.
     pub(crate) fn lease_until_ms(&self, lease_ms: u64) -> u64 {
-        usable_until_ms(self.majority_granted_at_ms(), lease_ms)
+        usable_until_ms(self.majority_requested_at_ms(), lease_ms)
     }
 
     /// Whether the primary may act now.
@@ -157,8 +157,8 @@
     }
 
     /// The last batch that is on a backup's disk; `None` while it does not replicate.
-    pub(crate) fn acknowledged(&self, id: MemberId) -> Option<u64> {
-        self.sessions.get(&id).and_then(PrimarySession::acknowledged)
+    pub(crate) fn acknowledged_sequence(&self, id: MemberId) -> Option<u64> {
+        self.sessions.get(&id).and_then(PrimarySession::acknowledged_sequence)
     }
 
     /// The last batch that is on disk at every replica whose acknowledgement a commit needs: the
@@ -169,7 +169,11 @@
         let proposed = self.proposal.iter().flat_map(|proposal| &proposal.view.in_sync);
         let needed = self.view.in_sync.iter().chain(proposed).chain(self.membership.commits_wait_for());
         let on_disk = |id: &MemberId| {
-            if *id == local_id { self.batches.durable_locally() } else { self.acknowledged(*id).unwrap_or(0) }
+            if *id == local_id {
+                self.batches.local_durable_sequence()
+            } else {
+                self.acknowledged_sequence(*id).unwrap_or(0)
+            }
         };
         needed.map(on_disk).min().unwrap_or(0)
     }
@@ -187,12 +191,12 @@
     }
 
     /// Counts a vote for the proposed view, and returns the view once it is decided.
-    pub(crate) fn accepted(&mut self, from: MemberId, epoch: Epoch) -> Option<View> {
+    pub(crate) fn record_vote(&mut self, from: MemberId, epoch: Epoch) -> Option<View> {
         let proposal = self.proposal.as_mut().filter(|proposal| proposal.view.epoch == epoch)?;
         if !proposal.acceptors.contains(&from) {
             proposal.acceptors.push(from);
         }
-        let is_decided = proposal.view.decided_by(&proposal.acceptors, self.min_quorum);
+        let is_decided = proposal.view.is_decided_by(&proposal.acceptors, self.min_quorum);
         is_decided.then(|| proposal.view.clone())
     }
 
@@ -204,7 +208,8 @@
 
     /// Whether a backup lacks only batches that are in transit to it.
     pub(crate) fn keeps_up(&self, id: MemberId, now_ms: u64) -> bool {
-        self.acknowledged(id).is_some_and(|acknowledged| self.batches.is_current(acknowledged, now_ms))
+        self.acknowledged_sequence(id)
+            .is_some_and(|acknowledged| self.batches.is_current(acknowledged, now_ms))
     }
 
     /// Whether a backup has all that is committed.
@@ -212,7 +217,8 @@
     /// That is enough to count it as in sync; how far it is behind only determines how long commits
     /// then wait for it.
     pub(crate) fn holds_committed(&self, id: MemberId) -> bool {
-        self.acknowledged(id).is_some_and(|acknowledged| acknowledged >= self.batches.committed())
+        self.acknowledged_sequence(id)
+            .is_some_and(|acknowledged| acknowledged >= self.batches.committed_sequence())
     }
 
     /// Whether a machine with another name than all members is in contact, ready or on the way to
--- a/crates/cluster/replication/src/primary/view_change.rs
+++ b/crates/cluster/replication/src/primary/view_change.rs
@@ -14,7 +14,7 @@
 
 /// What a review of the view depends on besides the primary's state.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ReviewContext {
+pub(crate) struct ViewChangeContext {
     /// The primary itself.
     pub(crate) local_id: MemberId,
     /// The number of machines that may be lost at once.
@@ -34,7 +34,7 @@
 impl PrimaryState {
     /// The view to propose now: the one that is under way, if its proposal is to be repeated, or
     /// the change that is due. Nothing new is proposed before a proposal is decided.
-    pub(crate) fn next_proposal(&mut self, context: &ReviewContext) -> Option<View> {
+    pub(crate) fn next_proposal(&mut self, context: &ViewChangeContext) -> Option<View> {
         if let Some(proposal) = &mut self.proposal {
             return proposal.take_due_repetition(context.now_ms);
         }
@@ -45,7 +45,7 @@
     }
 
     /// The change of view that is due, if any.
-    fn review_view(&mut self, context: &ReviewContext) -> Option<View> {
+    fn review_view(&mut self, context: &ViewChangeContext) -> Option<View> {
         self.wait_for_joining(context);
         self.forget_previous_members()
             .or_else(|| self.admit_standby(context))
@@ -61,7 +61,7 @@
     }
 
     /// Makes a standby a member that is in sync.
-    fn admit_standby(&self, context: &ReviewContext) -> Option<View> {
+    fn admit_standby(&self, context: &ViewChangeContext) -> Option<View> {
         self.membership.standbys().find_map(|standby| {
             let id = standby.member.id;
             let is_in_contact = standby.is_in_contact(IN_SYNC_CONTACT_TIMEOUT_MS, context.now_ms);
@@ -81,7 +81,7 @@
     }
 
     /// The place that a standby may take now.
-    fn vacancy_for(&self, standby: &Member, context: &ReviewContext) -> Option<Vacancy> {
+    fn vacancy_for(&self, standby: &Member, context: &ViewChangeContext) -> Option<Vacancy> {
         let namesake = self.view().members.iter().find(|member| member.node_name == standby.node_name);
         if let Some(namesake) = namesake {
             return (namesake.id != context.local_id).then_some(Vacancy::Replacing(namesake.id));
@@ -94,7 +94,7 @@
 
     /// The member whose place a standby may take: one that leaves, the one that has been silent the
     /// longest, or the standby's own substitute.
-    fn replaceable_by(&self, standby: MemberId, context: &ReviewContext) -> Option<MemberId> {
+    fn replaceable_by(&self, standby: MemberId, context: &ViewChangeContext) -> Option<MemberId> {
         let now_ms = context.now_ms;
         let ms_since_contact = |id: &MemberId| self.failure_detector.ms_since_contact(*id, now_ms);
         let members = self.view().members.iter().map(|member| member.id);
@@ -115,7 +115,7 @@
 
     /// Lets commits wait for backups that keep up and are to join the in-sync set, so that they
     /// come to hold all that is committed.
-    fn wait_for_joining(&mut self, context: &ReviewContext) {
+    fn wait_for_joining(&mut self, context: &ViewChangeContext) {
         let members = self.view().members.iter().map(|member| member.id);
         let out_of_sync = members.filter(|id| !self.view().is_in_sync(*id));
         let standbys = self.membership.standbys().map(|standby| &standby.member);
@@ -127,26 +127,26 @@
 
     /// Whether a backup may join the in-sync set: it holds all that is committed, and it keeps up,
     /// or the set lacks somebody. A slow replica is better than a missing one.
-    fn may_join_in_sync(&self, id: MemberId, context: &ReviewContext) -> bool {
+    fn may_join_in_sync(&self, id: MemberId, context: &ViewChangeContext) -> bool {
         let lacks_somebody = || self.view().in_sync.iter().any(|other| self.is_missing(*other, context));
         self.holds_committed(id) && (self.keeps_up(id, context.now_ms) || lacks_somebody())
     }
 
     /// Whether a replica is silent, or does not acknowledge.
-    fn is_missing(&self, id: MemberId, context: &ReviewContext) -> bool {
+    fn is_missing(&self, id: MemberId, context: &ViewChangeContext) -> bool {
         let is_silent =
             self.failure_detector.ms_since_contact(id, context.now_ms) > IN_SYNC_CONTACT_TIMEOUT_MS;
         id != context.local_id && (is_silent || self.is_acknowledgement_overdue(id, context.now_ms))
     }
 
     fn is_acknowledgement_overdue(&self, id: MemberId, now_ms: u64) -> bool {
-        self.batches.is_overdue(self.acknowledged(id).unwrap_or(0), now_ms)
+        self.batches.is_overdue(self.acknowledged_sequence(id).unwrap_or(0), now_ms)
     }
 
     /// Removes missing replicas from the in-sync set, those first that have been silent the
     /// longest. The set keeps at least f + 1 members however many are missing: committed batches
     /// must survive f losses.
-    fn drop_missing_from_in_sync(&self, context: &ReviewContext) -> Option<View> {
+    fn drop_missing_from_in_sync(&self, context: &ViewChangeContext) -> Option<View> {
         let in_sync = self.view().in_sync.iter().copied();
         let mut missing: Vec<MemberId> = in_sync.filter(|id| self.is_missing(*id, context)).collect();
         missing.sort_by_key(|id| Reverse(self.failure_detector.ms_since_contact(*id, context.now_ms)));
@@ -160,7 +160,7 @@
     }
 
     /// Returns a member to the in-sync set.
-    fn restore_to_in_sync(&self, context: &ReviewContext) -> Option<View> {
+    fn restore_to_in_sync(&self, context: &ViewChangeContext) -> Option<View> {
         let members = self.view().members.iter().map(|member| member.id);
         let mut out_of_sync = members.filter(|id| !self.view().is_in_sync(*id));
         let returning = out_of_sync.find(|id| self.may_join_in_sync(*id, context))?;
--- a/crates/cluster/replication/src/replica/backup.rs
+++ b/crates/cluster/replication/src/replica/backup.rs
@@ -60,7 +60,7 @@
     }
 
     pub(super) fn handle_leaf_digest_request(&mut self, number: u64, in_sync: bool, ranges: &[u16]) {
-        let Some(session) = self.backup.session_numbered(number) else { return };
+        let Some(session) = self.backup.session_mut(number) else { return };
         session.in_sync = in_sync;
         let primary = Destination { address: session.primary_address.clone(), id: Some(session.primary) };
         let digests_of = |range: &u16| RangeLeafDigests {
@@ -72,7 +72,7 @@
     }
 
     pub(super) fn handle_stream(&mut self, now_ms: u64, number: u64, index: u64, item: StreamItem) {
-        let Some(session) = self.backup.session_numbered(number) else { return };
+        let Some(session) = self.backup.session_mut(number) else { return };
         let primary = Destination { address: session.primary_address.clone(), id: Some(session.primary) };
         for action in session.receive(now_ms, &mut self.local_state.keyspace, index, item) {
             self.take_stream_action(&primary, number, action);
@@ -86,9 +86,9 @@
             StreamAction::AcknowledgeChunk { index } => {
                 self.send(primary, Message::ChunkAck { session, index });
             }
-            StreamAction::WriteRepair { changes, acknowledge } => {
+            StreamAction::WriteRepair { changes, ack_index } => {
                 let acknowledgement = |index| WriteCompletion::AcknowledgeChunk { primary, session, index };
-                self.write_repair(changes, acknowledge.map(acknowledgement));
+                self.write_repair(changes, ack_index.map(acknowledgement));
             }
             StreamAction::WriteBatch { position, changes } => {
                 self.local_state.batch_applied(position);
--- a/crates/cluster/replication/src/replica/bootstrap.rs
+++ b/crates/cluster/replication/src/replica/bootstrap.rs
@@ -27,7 +27,7 @@
     /// only theirs do.
     pub(super) fn may_vote_at_bootstrap(&self, member: &Member) -> bool {
         let seeds = &self.config.seeds;
-        seeds.len() < self.config.full_membership() || seeds.contains(&member.peer_address)
+        seeds.len() < self.config.full_member_count() || seeds.contains(&member.peer_address)
     }
 
     fn start_bootstrap_election(&mut self, now_ms: u64) {
@@ -35,14 +35,14 @@
         let Some(rank) = self.config.seeds.iter().position(|seed| seed == local_address) else { return };
         self.bootstrap.expire_voters(now_ms);
         let known_voters = self.bootstrap.voter_count();
-        let is_complete = known_voters >= self.config.full_membership();
+        let is_complete = known_voters >= self.config.full_member_count();
         let gather_timeout_ms = if is_complete { 0 } else { BOOTSTRAP_GATHER_TIMEOUT_MS };
         let due_at_ms = self.started_at_ms + gather_timeout_ms + rank as u64 * ELECTION_STAGGER_MS;
         if known_voters < self.min_quorum() || now_ms < due_at_ms {
             return;
         }
         let ballot = self.next_ballot();
-        let first_view = self.bootstrap.first_view(&self.local_member, self.config.full_membership());
+        let first_view = self.bootstrap.first_view(&self.local_member, self.config.full_member_count());
         let (election, step) =
             Election::start_bootstrap(self.local_member.id, self.min_quorum(), ballot, first_view, now_ms);
         self.role = Role::Candidate(Box::new(election));
--- a/crates/cluster/replication/src/replica/candidate.rs
+++ b/crates/cluster/replication/src/replica/candidate.rs
@@ -107,7 +107,7 @@
         let message = Message::PreVoteRequest { ballot, candidate: self.local_member.clone() };
         self.send_to_others(members, &message);
         if self.witness.pre_vote(now_ms, ballot) == Vote::Granted {
-            self.with_election(now_ms, ballot, |election| election.pre_vote_granted(local_id));
+            self.with_election(now_ms, ballot, |election| election.handle_pre_vote_grant(local_id));
         }
     }
 
@@ -127,7 +127,7 @@
     pub(super) fn count_own_promise(&mut self, now_ms: u64, ballot: Ballot) {
         let local_id = self.local_member.id;
         let accepted = self.witness.record.accepted.clone();
-        self.with_election(now_ms, ballot, |election| election.promised(local_id, accepted));
+        self.with_election(now_ms, ballot, |election| election.handle_promise(local_id, accepted));
     }
 
     fn abandon_election(&mut self, now_ms: u64, retry_after_ms: u64) {
@@ -157,7 +157,9 @@
                 if promised > ballot {
                     self.abandon_election(now_ms, retry_after_ms);
                 } else {
-                    self.with_election(now_ms, ballot, |election| election.rejected(from, retry_after_ms));
+                    self.with_election(now_ms, ballot, |election| {
+                        election.handle_rejection(from, retry_after_ms)
+                    });
                 }
             }
             Role::Primary(primary) if primary.ballot() == ballot && promised > ballot => {
--- a/crates/cluster/replication/src/replica/discovery.rs
+++ b/crates/cluster/replication/src/replica/discovery.rs
@@ -60,7 +60,7 @@
     /// Takes a view that may not be in force yet, if it is newer than the one known.
     pub(super) fn learn_view(&mut self, view: View) {
         if self.view.as_ref().is_none_or(|known| view.epoch > known.epoch) {
-            self.bootstrap.finish();
+            self.bootstrap.clear_other_voters();
             self.view = Some(view.clone());
             self.outbox.emit(ReplicaEvent::ViewChanged(view));
         }
--- a/crates/cluster/replication/src/replica/dispatch.rs
+++ b/crates/cluster/replication/src/replica/dispatch.rs
@@ -12,7 +12,7 @@
         match input {
             Input::Message(envelope) => self.handle_envelope(now_ms, envelope),
             Input::Written(token) => self.handle_written(now_ms, token),
-            Input::PeerDown(address) => self.handle_peer_down(now_ms, &address),
+            Input::PeerDisconnected(address) => self.handle_peer_down(now_ms, &address),
             Input::Tick => {}
         }
         self.tick(now_ms);
@@ -40,11 +40,11 @@
                 self.handle_pre_vote_request(now_ms, ballot, &candidate);
             }
             Message::PreVoteGrant { ballot } => {
-                self.with_election(now_ms, ballot, |election| election.pre_vote_granted(from));
+                self.with_election(now_ms, ballot, |election| election.handle_pre_vote_grant(from));
             }
             Message::Prepare { ballot, candidate } => self.handle_prepare(now_ms, ballot, &candidate),
             Message::Promise { ballot, accepted } => {
-                self.with_election(now_ms, ballot, |election| election.promised(from, accepted));
+                self.with_election(now_ms, ballot, |election| election.handle_promise(from, accepted));
             }
             Message::Reject { ballot, promised, retry_after_ms } => {
                 self.witness.observe_round(promised.round);
@@ -114,7 +114,7 @@
         for id in lost {
             // What was in flight on the connection is lost, so the session must begin anew.
             primary.end_session(id);
-            primary.failure_detector.connection_lost(id, now_ms);
+            primary.failure_detector.record_disconnect(id, now_ms);
         }
     }
 
--- a/crates/cluster/replication/src/replica/handover.rs
+++ b/crates/cluster/replication/src/replica/handover.rs
@@ -50,7 +50,7 @@
         let Some(primary) = self.as_primary_mut() else { return };
         let is_voter = primary.may_need_vote_of(member.id);
         if is_voter && primary.is_active() {
-            primary.membership.leave_requested(member.id, now_ms);
+            primary.membership.record_leave_request(member.id, now_ms);
         }
         let has_standby = primary.has_standby(IN_SYNC_CONTACT_TIMEOUT_MS, now_ms);
         let is_replacing = primary.view().changes_members();
--- a/crates/cluster/replication/src/replica/primary.rs
+++ b/crates/cluster/replication/src/replica/primary.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Record, ReplicaEvent};
 use crate::keyspace::Change;
 use crate::message::{Heartbeat, LeaseGrant, MajorityContact, Message};
-use crate::primary::{BatchTracker, Grant, PrimarySession, PrimaryState, ReviewContext};
+use crate::primary::{BatchTracker, Grant, PrimarySession, PrimaryState, ViewChangeContext};
 use crate::timing::{ACTIVATION_TIMEOUT_LEASES, STEP_DOWN_COOLDOWN_MS};
 use crate::view::{Ballot, Member, MemberId, Position, Term, View};
 use crate::witness::Vote;
@@ -32,8 +32,8 @@
     pub fn resign(&mut self, now_ms: u64) {
         let Some(primary) = self.as_primary() else { return };
         let ballot = primary.ballot();
-        let last = primary.batches.last();
-        let is_current = |id: &&MemberId| primary.acknowledged(**id) == Some(last);
+        let last = primary.batches.last_sequence();
+        let is_current = |id: &&MemberId| primary.acknowledged_sequence(**id) == Some(last);
         let successor = primary.view().in_sync.iter().find(is_current).copied();
         self.release_lease(now_ms, ballot, successor);
         self.timers.not_candidate_before_ms = now_ms + STEP_DOWN_COOLDOWN_MS;
@@ -107,7 +107,7 @@
         let Some(primary) = self.as_primary_mut() else { return };
         if primary.ballot() == grant.ballot {
             let LeaseGrant { sent_at_ms, witness_clock_ms, ineligible, .. } = *grant;
-            primary.grants.record(from, Grant { asked_at_ms: sent_at_ms, witness_clock_ms, ineligible });
+            primary.grants.record(from, Grant { requested_at_ms: sent_at_ms, witness_clock_ms, ineligible });
         }
     }
 
@@ -117,7 +117,7 @@
         if let Some(primary) = self.as_primary_mut()
             && primary.view().term == term
         {
-            primary.batches.written_locally(sequence);
+            primary.batches.record_local_write(sequence);
         }
     }
 
@@ -182,15 +182,15 @@
 
     pub(super) fn send_heartbeat(&mut self, now_ms: u64, member: &Member) {
         let Some(primary) = self.as_primary() else { return };
-        let age_ms = now_ms.saturating_sub(primary.majority_granted_at_ms());
+        let age_ms = now_ms.saturating_sub(primary.majority_requested_at_ms());
         let holds_lease = primary.holds_lease(self.config.lease_ms, now_ms);
-        let grant = primary.grants.of(member.id).filter(|_| holds_lease);
+        let grant = primary.grants.get(member.id).filter(|_| holds_lease);
         let contact = |grant: &Grant| MajorityContact { receiver_clock_ms: grant.witness_clock_ms, age_ms };
         let heartbeat = Heartbeat {
             ballot: primary.ballot(),
             view: primary.view().clone(),
             sent_at_ms: now_ms,
-            sequence: primary.batches.last(),
+            sequence: primary.batches.last_sequence(),
             session: primary.session(member.id).map(PrimarySession::number),
             majority_contact: grant.map(contact),
         };
@@ -203,7 +203,7 @@
         let max_failures = self.config.max_failures;
         let Some(primary) = self.as_primary_mut() else { return };
         let ballot = primary.ballot();
-        let context = ReviewContext { local_id, max_failures, now_ms };
+        let context = ViewChangeContext { local_id, max_failures, now_ms };
         if let Some(view) = primary.next_proposal(&context) {
             self.propose_view(ballot, &view);
         }
--- a/crates/cluster/replication/src/replica/repair.rs
+++ b/crates/cluster/replication/src/replica/repair.rs
@@ -39,14 +39,14 @@
     pub(super) fn handle_chunk_ack(&mut self, from: MemberId, session: u64, index: u64) {
         let Role::Primary(primary) = &mut self.role else { return };
         let Some(session) = current_session(primary, from, session) else { return };
-        session.chunk_acknowledged(index);
+        session.record_chunk_ack(index);
         self.send_next_items(from);
     }
 
     pub(super) fn handle_batch_ack(&mut self, from: MemberId, session: u64, sequence: u64) {
         let Role::Primary(primary) = &mut self.role else { return };
         if let Some(session) = current_session(primary, from, session) {
-            session.batch_acknowledged(sequence);
+            session.record_batch_ack(sequence);
         }
         self.advance_commit();
     }
@@ -55,7 +55,7 @@
     fn send_next_items(&mut self, to: MemberId) {
         let Role::Primary(primary) = &mut self.role else { return };
         let Some(address) = primary.address_of(to) else { return };
-        let sequence = primary.batches.last();
+        let sequence = primary.batches.last_sequence();
         let Some(session) = primary.session_mut(to) else { return };
         let number = session.number();
         let destination = Destination { address, id: Some(to) };
--- a/crates/cluster/replication/src/replica/state.rs
+++ b/crates/cluster/replication/src/replica/state.rs
@@ -169,7 +169,7 @@
     /// The sequence number of the last committed batch; 0 if this machine is not primary.
     #[must_use]
     pub fn committed_sequence(&self) -> u64 {
-        self.as_primary().map_or(0, |primary| primary.batches.committed())
+        self.as_primary().map_or(0, |primary| primary.batches.committed_sequence())
     }
 
     /// The members as the primary sees them; none if this machine is not primary.
@@ -178,13 +178,13 @@
         let Some(primary) = self.as_primary() else { return Vec::new() };
         let status = |member: &Member| {
             let is_local = member.id == self.local_member.id;
-            let grant = primary.grants.of(member.id);
+            let grant = primary.grants.get(member.id);
             MemberStatus {
                 member: member.clone(),
                 durable_sequence: if is_local {
-                    Some(primary.batches.durable_locally())
+                    Some(primary.batches.local_durable_sequence())
                 } else {
-                    primary.acknowledged(member.id)
+                    primary.acknowledged_sequence(member.id)
                 },
                 ineligible: if is_local {
                     self.local_state.ineligible
--- a/crates/cluster/replication/src/replica/view_proposal.rs
+++ b/crates/cluster/replication/src/replica/view_proposal.rs
@@ -21,10 +21,10 @@
     pub(super) fn handle_accepted(&mut self, now_ms: u64, from: MemberId, ballot: Ballot, epoch: Epoch) {
         match &mut self.role {
             Role::Candidate(_) => {
-                self.with_election(now_ms, ballot, |election| election.accepted(from, epoch));
+                self.with_election(now_ms, ballot, |election| election.handle_accepted(from, epoch));
             }
             Role::Primary(primary) if primary.ballot() == ballot => {
-                if let Some(view) = primary.accepted(from, epoch) {
+                if let Some(view) = primary.record_vote(from, epoch) {
                     self.adopt_view(now_ms, view);
                 }
             }
--- a/crates/cluster/replication/src/view.rs
+++ b/crates/cluster/replication/src/view.rs
@@ -123,8 +123,8 @@
     }
 
     /// How many votes of the members decide: a majority of them, and never fewer than `min_quorum`.
-    pub(crate) fn votes_needed(&self, min_quorum: usize) -> usize {
-        votes_needed(&self.members, min_quorum)
+    pub(crate) fn quorum_size(&self, min_quorum: usize) -> usize {
+        quorum_size(&self.members, min_quorum)
     }
 
     /// Whether `voters` can put this view in force.
@@ -133,9 +133,9 @@
     /// machines that may be lost), so that two views with few members can't both be decided. A
     /// change of members needs a quorum of the members before as well: any two successive views
     /// then share a voter.
-    pub(crate) fn decided_by(&self, voters: &[MemberId], min_quorum: usize) -> bool {
+    pub(crate) fn is_decided_by(&self, voters: &[MemberId], min_quorum: usize) -> bool {
         let is_quorum_of =
-            |members: &[Member]| count_votes(members, voters) >= votes_needed(members, min_quorum);
+            |members: &[Member]| count_votes(members, voters) >= quorum_size(members, min_quorum);
         is_quorum_of(&self.members) && (!self.changes_members() || is_quorum_of(&self.previous_members))
     }
 
@@ -162,7 +162,7 @@
     members.iter().filter(|member| voters.contains(&member.id)).count()
 }
 
-fn votes_needed(members: &[Member], min_quorum: usize) -> usize {
+fn quorum_size(members: &[Member], min_quorum: usize) -> usize {
     min_quorum.max(members.len() / 2 + 1)
 }
 
