--- a/crates/cluster/replication/src/backup/mod.rs
+++ b/crates/cluster/replication/src/backup/mod.rs
@@ -1,4 +1,5 @@
-//! A backup: the session in which it receives the primary's batches, and when it needs a new one.
+//! A backup: the session in which it receives the primary's batches, and the rules for replacing
+//! it.
 mod session;
 mod state;
 
--- a/crates/cluster/replication/src/config.rs
+++ b/crates/cluster/replication/src/config.rs
@@ -1,33 +1,33 @@
 //! The settings of a replica.
 
-/// How a replica is set up.
+/// The settings of one replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
     /// The machine's name.
     pub node_name: String,
-    /// The address at which other schedulers reach it.
+    /// The address at which other schedulers reach the machine.
     pub peer_address: String,
-    /// The address at which operators reach it.
+    /// The address at which operators reach the machine.
     pub operator_address: String,
-    /// Peer addresses that are known from the start.
+    /// The peer addresses that are known at start.
     pub seeds: Vec<String>,
     /// Whether this is the first start of the whole system.
     pub bootstrap: bool,
-    /// The number of machines that may be lost at once (f); there are 2f + 1 members.
+    /// The number of machines that may be lost at once (f); a full view has 2f + 1 members.
     pub max_failures: usize,
-    /// How long a lease lasts, milliseconds.
+    /// The duration of a lease, milliseconds.
     pub lease_ms: u64,
-    /// How often a primary renews its lease, milliseconds.
+    /// The interval at which a primary sends heartbeats and so renews its lease, milliseconds.
     pub heartbeat_ms: u64,
-    /// A random number, for the identity of a new folder and the numbers of sessions.
+    /// A random number from which the identity of a new data folder and the first session number
+    /// are derived.
     pub random: u64,
 }
 
 impl ReplicaConfig {
-    /// The fewest votes that decide anything, and the fewest replicas that a primary needs in sync:
-    /// f + 1.
+    /// The lower bound on the size of every quorum and of the in-sync set: f + 1.
     ///
-    /// Any two quorums then share a member, however few members the first views have.
+    /// With it, any two quorums share a member even if the first views have few members.
     pub(crate) fn min_quorum(&self) -> usize {
         self.max_failures + 1
     }
--- a/crates/cluster/replication/src/election.rs
+++ b/crates/cluster/replication/src/election.rs
@@ -1,26 +1,27 @@
-//! The course of one election.
+//! The state machine of one election.
 //!
-//! A candidate asks whether it would win (pre-vote), gathers promises, completes the newest view
-//! that it finds, and then proposes the view in which it is primary. Since any two quorums share a
-//! witness, a view that may be in force is among the promises, and it is completed before anything
-//! new is proposed.
+//! A candidate asks whether it would win (pre-vote), collects promises, completes the newest view
+//! that the promises report, and then proposes the view in which it is primary. Since any two
+//! quorums share a witness, the promises report every view that may be decided, and the newest one
+//! is completed before a new view is proposed.
 use crate::view::{AcceptedView, Ballot, Epoch, Member, MemberId, Term, View};
 use std::collections::BTreeMap;
 
-/// How far an election is.
+/// The phase of an election.
 #[derive(Clone, Debug)]
 enum Phase {
-    /// The voters of this view are asked whether they would promise.
+    /// The candidate has asked the voters of this view whether they would promise.
     PreVote { view: View, supporters: Vec<MemberId> },
-    /// Promises are gathered.
+    /// The candidate is collecting promises.
     Preparing,
-    /// A view that may be in force is proposed to all its voters under the candidate's own ballot.
+    /// The candidate has proposed a view that may be decided to all its voters, under its own
+    /// ballot.
     Completing(Proposal),
-    /// The view in which the candidate is primary is proposed.
+    /// The candidate has proposed the view in which it is primary.
     Proposing(Proposal),
 }
 
-/// A proposed view and who has accepted it.
+/// A proposed view and the witnesses that have accepted it.
 #[derive(Clone, Debug)]
 struct Proposal {
     view: View,
@@ -43,10 +44,10 @@
     }
 }
 
-/// What the candidate does next.
+/// The next action of a candidate.
 #[derive(Debug, PartialEq)]
 pub(crate) enum ElectionStep {
-    /// Wait for more answers.
+    /// Wait for more responses.
     Wait,
     /// Ask these members whether they would promise.
     RequestPreVotes(Vec<Member>),
@@ -54,18 +55,18 @@
     RequestPromises(Vec<Member>),
     /// Propose this view to its voters.
     Propose(View),
-    /// End: too many reject.
+    /// End: so many voters have rejected the ballot that no majority is left.
     Rejected {
-        /// Milliseconds until a retry makes sense.
+        /// The time until a retry may succeed, milliseconds.
         retry_after_ms: u64,
     },
-    /// End: the candidate is not in sync in the newest view, which is this one.
+    /// End: this is the newest view, and the candidate is not in its in-sync set.
     Lost(View),
-    /// End: this view, in which the candidate is primary, is in force.
+    /// End: this view, in which the candidate is primary, is decided.
     Won(View),
 }
 
-/// One election, as its candidate runs it.
+/// The state of one election at its candidate.
 #[derive(Clone, Debug)]
 pub(crate) struct Election {
     ballot: Ballot,
@@ -73,18 +74,19 @@
     pre_vote_at_ms: u64,
     local_id: MemberId,
     min_quorum: usize,
-    /// The first view, if this election is to start the system.
+    /// The first view to propose, in a bootstrap election.
     first_view: Option<View>,
+    /// The witnesses that have promised, with the newest view that each has accepted.
     promises: BTreeMap<MemberId, Option<AcceptedView>>,
-    /// Everybody who was asked.
+    /// All machines that were asked.
     voters: Vec<MemberId>,
-    /// Who rejects, and for how many milliseconds.
+    /// The machines that rejected, with the time until a retry may succeed, milliseconds.
     rejections: BTreeMap<MemberId, u64>,
     phase: Phase,
 }
 
 impl Election {
-    /// Starts an election among the voters of the newest view known.
+    /// Starts an election among the voters of the newest known view.
     pub(crate) fn start(
         local_id: MemberId,
         min_quorum: usize,
@@ -108,7 +110,7 @@
         (election, ElectionStep::RequestPreVotes(targets))
     }
 
-    /// Starts the election that starts the system with `first_view`, unless a voter has accepted
+    /// Starts the bootstrap election, which proposes `first_view` unless a voter has accepted
     /// another view.
     pub(crate) fn start_bootstrap(
         local_id: MemberId,
@@ -131,7 +133,7 @@
         self.started_at_ms
     }
 
-    /// When pre-votes were requested last, milliseconds; `None` once promises are gathered.
+    /// When pre-votes were last requested, milliseconds; `None` after the pre-vote.
     pub(crate) fn pre_vote_at_ms(&self) -> Option<u64> {
         matches!(self.phase, Phase::PreVote { .. }).then_some(self.pre_vote_at_ms)
     }
@@ -141,7 +143,7 @@
         self.promises.contains_key(&id)
     }
 
-    /// A machine would promise.
+    /// Handles a witness's pre-vote for this candidate.
     pub(crate) fn handle_pre_vote_grant(&mut self, from: MemberId) -> ElectionStep {
         let Phase::PreVote { view, supporters } = &mut self.phase else { return ElectionStep::Wait };
         if !supporters.contains(&from) {
@@ -156,7 +158,7 @@
         ElectionStep::RequestPromises(targets)
     }
 
-    /// Repeats the pre-vote with those that have not answered, or rejected.
+    /// Repeats the pre-vote request to the voters that have not responded or have rejected.
     pub(crate) fn retry_pre_vote(&mut self, now_ms: u64) -> ElectionStep {
         let Phase::PreVote { view, supporters } = &self.phase else { return ElectionStep::Wait };
         self.pre_vote_at_ms = now_ms;
@@ -165,18 +167,18 @@
         ElectionStep::RequestPreVotes(others.cloned().collect())
     }
 
-    /// A machine rejects. The election ends when too few are left.
+    /// Handles a rejection. The election ends once too few voters are left for a majority.
     pub(crate) fn handle_rejection(&mut self, from: MemberId, retry_after_ms: u64) -> ElectionStep {
         self.rejections.insert(from, retry_after_ms);
-        let left = self.voters.iter().filter(|id| !self.rejections.contains_key(id)).count();
+        let remaining = self.voters.iter().filter(|id| !self.rejections.contains_key(id)).count();
         let needed = self.min_quorum.max(self.voters.len() / 2 + 1);
-        if left >= needed {
+        if remaining >= needed {
             return ElectionStep::Wait;
         }
         ElectionStep::Rejected { retry_after_ms: self.rejections.values().copied().min().unwrap_or(0) }
     }
 
-    /// A machine promised, and reports the newest view that it has accepted.
+    /// Handles a promise, which reports the newest view that the witness has accepted.
     pub(crate) fn handle_promise(&mut self, from: MemberId, accepted: Option<AcceptedView>) -> ElectionStep {
         self.promises.insert(from, accepted);
         if !matches!(self.phase, Phase::Preparing) {
@@ -195,14 +197,14 @@
         if !newest.view.is_in_sync(self.local_id) {
             return ElectionStep::Lost(newest.view);
         }
-        if self.is_in_force(&newest) {
+        if self.is_known_decided(&newest) {
             return self.propose_own_view(&newest.view);
         }
         self.phase = Phase::Completing(Proposal::new(newest.view.clone()));
         ElectionStep::Propose(newest.view)
     }
 
-    /// A witness accepted a view.
+    /// Handles a witness's acceptance of a proposed view.
     pub(crate) fn handle_accepted(&mut self, from: MemberId, epoch: Epoch) -> ElectionStep {
         let min_quorum = self.min_quorum;
         match &mut self.phase {
@@ -225,7 +227,7 @@
         }
     }
 
-    /// The newest view among the promises.
+    /// The newest accepted view that the promises report.
     fn newest_accepted(&self) -> Option<AcceptedView> {
         let accepted = self.promises.values().flatten();
         accepted.reduce(|newest, other| if other.is_newer_than(newest) { other } else { newest }).cloned()
@@ -235,15 +237,15 @@
         view.voters().into_iter().filter(|member| !self.voters.contains(&member.id)).cloned().collect()
     }
 
-    /// Whether the promises alone show that this view is in force.
-    fn is_in_force(&self, accepted: &AcceptedView) -> bool {
+    /// Whether the promises alone show that this view is decided.
+    fn is_known_decided(&self, accepted: &AcceptedView) -> bool {
         let holders = self.promises.iter().filter(|(_, promise)| promise.as_ref() == Some(accepted));
         let holders: Vec<MemberId> = holders.map(|(id, _)| *id).collect();
         accepted.view.is_decided_by(&holders, self.min_quorum)
     }
 
-    /// Proposes the first view once enough voters have promised that none accepts another of a
-    /// lower ballot.
+    /// Proposes the first view once enough voters have promised to accept no other view of a lower
+    /// ballot.
     fn propose_first_view(&mut self) -> ElectionStep {
         let Some(view) = self.first_view.clone().filter(|_| self.promises.len() >= self.min_quorum) else {
             return ElectionStep::Wait;
@@ -252,16 +254,16 @@
         ElectionStep::Propose(view)
     }
 
-    /// Proposes the view that makes this candidate primary. The in-sync set keeps those that
-    /// promised, if they are enough.
+    /// Proposes the view that makes this candidate primary. Its in-sync set keeps only the replicas
+    /// that promised, if these are at least `min_quorum`.
     fn propose_own_view(&mut self, current: &View) -> ElectionStep {
         let mut next = current.successor();
         next.term = Term::from(next.epoch);
         next.primary = self.local_id;
-        let is_alive = |id: &MemberId| *id == self.local_id || self.has_promised(*id);
-        let alive: Vec<MemberId> = current.in_sync.iter().copied().filter(is_alive).collect();
-        if alive.len() >= self.min_quorum {
-            next.in_sync = alive;
+        let is_responsive = |id: &MemberId| *id == self.local_id || self.has_promised(*id);
+        let responsive: Vec<MemberId> = current.in_sync.iter().copied().filter(is_responsive).collect();
+        if responsive.len() >= self.min_quorum {
+            next.in_sync = responsive;
         }
         self.phase = Phase::Proposing(Proposal::new(next.clone()));
         ElectionStep::Propose(next)
--- a/crates/cluster/replication/src/keyspace.rs
+++ b/crates/cluster/replication/src/keyspace.rs
@@ -1,27 +1,27 @@
-//! A replica of the key space in memory, and the chunks of it that repair transfers.
+//! An in-memory replica of the key space, and the chunks in which repair transfers it.
 use crate::digest::{LEAF_COUNT, RANGE_COUNT, entry_digest, first_leaf_of, leaf_of, range_digest};
 use rkyv::{Archive, Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// A key's new value.
+/// A write or a removal of one key.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The key.
     pub key: Vec<u8>,
-    /// Its value; `None` removes the key.
+    /// The new value; `None` removes the key.
     pub value: Option<Vec<u8>>,
 }
 
 impl Change {
-    /// The size of key and value, bytes.
+    /// The size of the key and the value, bytes.
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         self.key.len() + self.value.as_ref().map_or(0, Vec::len)
     }
 }
 
-/// A key with its value, as repair transfers it.
+/// A key and its value in a [`LeafChunk`].
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 pub struct LeafEntry {
     /// The key.
@@ -30,42 +30,42 @@
     pub value: Vec<u8>,
 }
 
-/// The entries of one leaf in a range of its keys, in order. Repair transfers such chunks, so that
-/// no message is large.
+/// The entries of one leaf within a range of its keys, in key order. Repair transfers leaves in
+/// chunks to bound the size of a message.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 pub struct LeafChunk {
     /// The leaf's number.
     pub leaf: u16,
-    /// The range begins after this key; `None` for the leaf's first key.
+    /// The key after which the range starts; `None` if it starts with the leaf's first key.
     pub after: Option<Vec<u8>>,
-    /// Whether the range reaches to the leaf's end; if not, it ends with the last entry.
+    /// Whether the range extends to the end of the leaf; otherwise it ends with the last entry.
     pub is_last: bool,
-    /// The range's keys with their values.
+    /// The entries in the range.
     pub entries: Vec<LeafEntry>,
 }
 
 impl LeafChunk {
-    /// Whether a key of the same leaf lies in this chunk's range.
+    /// Whether a key of the same leaf is in this chunk's range.
     fn covers(&self, key: &[u8]) -> bool {
-        let is_before = self.after.as_deref().is_some_and(|after| key <= after);
-        let is_behind = !self.is_last && self.entries.last().is_none_or(|last| key > last.key.as_slice());
-        !is_before && !is_behind
+        let is_before_start = self.after.as_deref().is_some_and(|after| key <= after);
+        let is_past_end = !self.is_last && self.entries.last().is_none_or(|last| key > last.key.as_slice());
+        !is_before_start && !is_past_end
     }
 
-    /// The size of its entries, bytes.
+    /// The total size of the keys and values, bytes.
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         self.entries.iter().map(|entry| entry.key.len() + entry.value.len()).sum()
     }
 
-    /// The last key of a chunk that ends before its leaf does: the next chunk begins after it.
+    /// The key after which the leaf's next chunk starts; `None` if this chunk is the leaf's last.
     pub(crate) fn continuation(&self) -> Option<Vec<u8>> {
         let last = self.entries.last().filter(|_| !self.is_last)?;
         Some(last.key.clone())
     }
 }
 
-/// The place of an entry: keys are kept by leaf, so that a leaf's entries lie together.
+/// The sort key of an entry: by leaf first, so that the entries of a leaf are adjacent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EntryKey {
     leaf: u16,
@@ -77,16 +77,16 @@
         EntryKey { leaf: leaf_of(key), key: key.to_vec() }
     }
 
-    /// A place before all entries of a leaf, or that of its empty key.
-    fn first_of(leaf: u16) -> Self {
+    /// The lower bound of the keys of a leaf: that of the empty key.
+    fn start_of(leaf: u16) -> Self {
         EntryKey { leaf, key: Vec::new() }
     }
 }
 
-/// A replica of the key space in memory, with the digests of its leaves.
+/// An in-memory replica of the key space, with the digests of its leaves.
 ///
-/// Invariant: each leaf's digest is that of its entries, since [`Keyspace::apply`] is the only way
-/// to change them.
+/// Invariant: each leaf's digest matches its entries, since only [`Keyspace::apply`] changes
+/// either.
 #[derive(Clone, Debug)]
 pub struct Keyspace {
     entries: BTreeMap<EntryKey, Vec<u8>>,
@@ -116,20 +116,20 @@
         }
     }
 
-    /// Applies changes in order.
+    /// Applies changes in the given order.
     pub(crate) fn apply_all(&mut self, changes: &[Change]) {
         changes.iter().for_each(|change| self.apply(change));
     }
 
-    /// A key's value.
+    /// The value of a key.
     #[must_use]
     pub fn get(&self, key: &[u8]) -> Option<&[u8]> {
         self.entries.get(&EntryKey::new(key)).map(Vec::as_slice)
     }
 
-    /// All keys and values, in no particular order.
+    /// Iterates over all keys and values, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (&[u8], &[u8])> {
-        self.entries.iter().map(|(place, value)| (place.key.as_slice(), value.as_slice()))
+        self.entries.iter().map(|(entry, value)| (entry.key.as_slice(), value.as_slice()))
     }
 
     /// The number of keys.
@@ -138,7 +138,7 @@
         self.entries.len()
     }
 
-    /// Whether there are no keys.
+    /// Whether the key space has no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
@@ -150,7 +150,7 @@
         (0..RANGE_COUNT).map(|range| range_digest(self.leaf_digests(range as u16))).collect()
     }
 
-    /// The digests of a range's leaves; none for a range that does not exist.
+    /// The digests of a range's leaves; empty if there is no such range.
     #[must_use]
     pub fn leaf_digests(&self, range: u16) -> &[u64] {
         if usize::from(range) >= RANGE_COUNT {
@@ -160,40 +160,41 @@
         &self.leaf_digests[first..first + RANGE_COUNT]
     }
 
-    /// The entries of a leaf after a key: as many as fit into `limit_bytes`, but at least one.
+    /// Returns the entries of a leaf after a key: as many as fit into `limit_bytes`, but at least
+    /// one.
     #[must_use]
     pub fn leaf_chunk(&self, leaf: u16, after: Option<&[u8]>, limit_bytes: usize) -> LeafChunk {
         let start = match after {
             Some(key) => Bound::Excluded(EntryKey { leaf, key: key.to_vec() }),
-            None => Bound::Included(EntryKey::first_of(leaf)),
+            None => Bound::Included(EntryKey::start_of(leaf)),
         };
         let mut chunk =
             LeafChunk { leaf, after: after.map(<[u8]>::to_vec), is_last: true, entries: Vec::new() };
         let mut size_bytes = 0;
-        for (place, value) in self.entries.range((start, Bound::Unbounded)) {
-            if place.leaf != leaf {
+        for (entry, value) in self.entries.range((start, Bound::Unbounded)) {
+            if entry.leaf != leaf {
                 break;
             }
-            size_bytes += place.key.len() + value.len();
+            size_bytes += entry.key.len() + value.len();
             if size_bytes > limit_bytes && !chunk.entries.is_empty() {
                 chunk.is_last = false;
                 break;
             }
-            chunk.entries.push(LeafEntry { key: place.key.clone(), value: value.clone() });
+            chunk.entries.push(LeafEntry { key: entry.key.clone(), value: value.clone() });
         }
         chunk
     }
 
-    /// The changes that make this replica equal to a chunk in the chunk's range: removals, then new
-    /// values.
+    /// Returns the changes that make this replica equal to a chunk within the chunk's range: first
+    /// the removals, then the new values.
     #[must_use]
     pub fn changes_to_match(&self, chunk: &LeafChunk) -> Vec<Change> {
         let wanted: BTreeMap<&[u8], &[u8]> =
             chunk.entries.iter().map(|entry| (entry.key.as_slice(), entry.value.as_slice())).collect();
-        let present = self.entries.range(EntryKey::first_of(chunk.leaf)..);
+        let present = self.entries.range(EntryKey::start_of(chunk.leaf)..);
         let removed = present
-            .take_while(|(place, _)| place.leaf == chunk.leaf)
-            .map(|(place, _)| &place.key)
+            .take_while(|(entry, _)| entry.leaf == chunk.leaf)
+            .map(|(entry, _)| &entry.key)
             .filter(|key| chunk.covers(key) && !wanted.contains_key(key.as_slice()))
             .map(|key| Change { key: key.clone(), value: None });
         let changed = wanted
--- a/crates/cluster/replication/src/leave.rs
+++ b/crates/cluster/replication/src/leave.rs
@@ -1,21 +1,23 @@
-//! The state of a machine that was told to leave for good.
+//! The state of a machine that was told to leave permanently.
 use crate::timing::LEAVE_REQUEST_INTERVAL_MS;
 
-/// A request to leave that the primary has not granted yet, or has.
+/// The state of a request to leave.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaveState {
-    /// When the primary was asked last, milliseconds; 0 if it was not.
+    /// When the request was last sent to the primary, milliseconds; 0 if never.
     requested_at_ms: u64,
+    /// Whether the machine may terminate.
     is_allowed: bool,
 }
 
 impl LeaveState {
-    /// A machine that has not asked yet.
+    /// Creates the state of a request that has not been sent yet.
     pub(crate) fn new() -> Self {
         LeaveState { requested_at_ms: 0, is_allowed: false }
     }
 
-    /// Whether the request is to be sent now; if so, the next one is due after an interval.
+    /// Whether the request is due at `now_ms`. If so, it counts as sent, and the next one is due
+    /// after [`LEAVE_REQUEST_INTERVAL_MS`].
     pub(crate) fn take_due_request(&mut self, now_ms: u64) -> bool {
         if self.is_allowed || now_ms < self.requested_at_ms + LEAVE_REQUEST_INTERVAL_MS {
             return false;
--- a/crates/cluster/replication/src/lib.rs
+++ b/crates/cluster/replication/src/lib.rs
@@ -1,41 +1,41 @@
-//! Primary-backup replication of a key space, with views that are decided by witnesses.
+//! Primary-backup replication of a key space, with views that witnesses decide.
 //!
 //! - **Views.** A [`View`], numbered by its [`Epoch`], names the primary, the in-sync set and the
-//!   members. A view is in force when a majority of the members, acting as witnesses, have it on
-//!   disk. Witnesses store nothing else. Changes of view follow single-decree Paxos: a [`Ballot`]
-//!   is prepared, then a view is accepted under it.
-//! - **Leases.** A primary acts only while a majority of the witnesses has granted it a lease; a
-//!   witness that has granted one promises nothing to another candidate until it ends. So at most
-//!   one primary acts at any time.
-//! - **In-sync set.** A batch that the primary commits is on disk at every replica of the in-sync
-//!   set. The set never has fewer members than one more than the number of machines that may be
-//!   lost, so at least one replica with all committed batches is left, and only a replica of the
-//!   set may become primary.
-//! - **Repair.** A replica that was away compares digests of key ranges with the primary's and
-//!   receives only what differs, in chunks. It keeps each chunk that it has written, whatever ends
-//!   the session.
-//! - **Replacement.** A standby takes the place of a member that leaves for good or is silent for
-//!   too long.
-//! - **Lost disks.** Every data folder has a random identity. A machine that lost its disk is
-//!   another member until the others have replaced the old one by it, so it can't break a promise
-//!   that it forgot.
+//!   members. A view is decided, or in force, once a majority of the members, acting as witnesses,
+//!   has it on disk. Witnesses store nothing else. View changes follow single-decree Paxos: a
+//!   [`Ballot`] is prepared, then a view is accepted under it.
+//! - **Leases.** A primary acts only while a majority of the witnesses has granted it a lease. A
+//!   witness that has granted a lease makes no promise to another candidate until the lease
+//!   expires. So at most one primary acts at any time.
+//! - **In-sync set.** A batch is committed once it is on disk at every replica of the in-sync set.
+//!   The set always has at least f + 1 members, where f is the number of machines that may be lost
+//!   at once. So at least one replica with all committed batches survives, and only a replica of
+//!   the set may become primary.
+//! - **Repair.** A replica that missed batches compares digests of key ranges with the primary's
+//!   and receives only what differs, in chunks. It keeps every chunk that it has written, even if
+//!   the session ends early.
+//! - **Replacement.** A standby takes the place of a member that leaves permanently or is out of
+//!   contact for too long.
+//! - **Lost disks.** Every data folder has a random identity. A machine that lost its disk returns
+//!   with a new identity and is not a member until a view change replaces the old identity by the
+//!   new one. So it can't break a promise that it no longer remembers.
 //!
 //! [`Replica`] is the state machine. It does no I/O and reads no clock: the embedder passes in
-//! messages, finished writes and the time ([`Input`]), and carries out what the replica asks for
+//! messages, write completions and the time ([`Input`]) and executes what the replica requests
 //! ([`Output`]). All times are milliseconds of the embedder's monotonic clock.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `view` | members, ballots, views, quorums |
 //! | `witness` | promises, accepted views and lease grants of one member |
-//! | `election` | the course of one election |
+//! | `election` | the state machine of one election |
 //! | `keyspace`, `digest` | keys, values and the digests that repair compares |
-//! | `primary` | what a primary tracks, and the changes of view that it decides on |
+//! | `primary` | the state of a primary, and the view changes that it proposes |
 //! | `backup` | a backup's end of a replication session |
-//! | `bootstrap`, `leave` | the state of a machine before the first view, and of one that leaves |
-//! | `replica` | the state machine that joins these |
+//! | `bootstrap`, `leave` | the state of a machine before the first view, and of a leaving member |
+//! | `replica` | the state machine that combines these modules |
 //! | `message`, `interface`, `config` | the wire format, the embedder's interface, the settings |
-//! | `timing` | every time-out and interval |
+//! | `timing` | all time-outs and intervals |
 #![warn(
     missing_docs,
     unreachable_pub,
--- a/crates/cluster/replication/src/message.rs
+++ b/crates/cluster/replication/src/message.rs
@@ -1,7 +1,7 @@
-//! The messages that members send to each other.
+//! The messages between machines.
 //!
-//! The order and the types of fields and variants are the wire format: names may change, these may
-//! not.
+//! The wire format is given by the order and the types of fields and variants, which must not
+//! change. Their names are not part of it.
 use crate::keyspace::{Change, LeafChunk};
 use crate::view::{AcceptedView, Ballot, Epoch, Member, MemberId, Term, View};
 use rkyv::{Archive, Deserialize, Serialize};
@@ -11,168 +11,169 @@
 pub struct Envelope {
     /// The sender.
     pub from: MemberId,
-    /// The receiver; any other member drops the message. `None` where the sender knows only an
-    /// address.
+    /// The receiver; every other machine drops the message. `None` if the sender knows only the
+    /// receiver's address.
     pub to: Option<MemberId>,
     /// The message.
     pub message: Message,
 }
 
-/// A message between members.
+/// A message between machines, members or not.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub enum Message {
-    /// A machine that is no member, or receives nothing from a primary, announces itself.
+    /// An announcement by a machine that is not a member or has no contact with a primary.
     Announce {
         /// The sender.
         member: Member,
-        /// Whether the sender's folder dates from the first start of the whole system and has no
-        /// view: it may vote in the election that starts the system.
+        /// Whether the sender may vote for the first view: its data folder was first used at the
+        /// first start of the whole system and contains no view.
         bootstrap_voter: bool,
         /// The epoch of the newest view that the sender knows.
         known_epoch: Epoch,
     },
-    /// The answer to [`Message::Announce`]: the newest view that the sender knows.
+    /// The response to [`Message::Announce`]: the newest view that the sender knows.
     CurrentView {
-        /// That view.
+        /// The view.
         view: View,
     },
-    /// A machine that would start an election asks whether it would get a promise.
+    /// A candidate's question whether the witness would promise a ballot.
     ///
-    /// The answer promises nothing, so a machine that can't win does not disturb a primary.
+    /// The response makes no promise, so a candidate that can't win does not disturb a primary.
     PreVoteRequest {
-        /// The ballot that it would use.
+        /// The ballot that the candidate would use.
         ballot: Ballot,
         /// The sender.
         candidate: Member,
     },
-    /// The witness would promise.
+    /// The response to [`Message::PreVoteRequest`] of a witness that would promise.
     PreVoteGrant {
         /// The ballot of the request.
         ballot: Ballot,
     },
-    /// A candidate asks for a promise.
+    /// A candidate's request for a promise.
     Prepare {
-        /// Its ballot.
+        /// The candidate's ballot.
         ballot: Ballot,
         /// The sender.
         candidate: Member,
     },
-    /// The witness promises to ignore lower ballots. Sent once the promise is on disk.
+    /// A witness's promise to reject lower ballots. Sent once the promise is on disk.
     Promise {
         /// The ballot of the request.
         ballot: Ballot,
         /// The newest view that the witness has accepted.
         accepted: Option<AcceptedView>,
     },
-    /// The witness rejects a ballot.
+    /// A witness's rejection of a ballot.
     Reject {
         /// The rejected ballot.
         ballot: Ballot,
         /// The highest ballot that the witness has promised.
         promised: Ballot,
-        /// Milliseconds until a retry makes sense; 0 if a higher ballot is needed.
+        /// The time until a retry may succeed, milliseconds; 0 if a higher ballot is needed.
         retry_after_ms: u64,
     },
-    /// A candidate or primary proposes a view.
+    /// A candidate's or a primary's proposal of a view.
     Accept {
-        /// Its ballot.
+        /// The proposer's ballot.
         ballot: Ballot,
-        /// The view.
+        /// The proposed view.
         view: View,
     },
-    /// The witness has accepted the view. Sent once it is on disk.
+    /// A witness's acceptance of a view. Sent once the view is on disk.
     Accepted {
         /// The ballot of the proposal.
         ballot: Ballot,
         /// The view's epoch.
         epoch: Epoch,
     },
-    /// The primary is alive and asks for its lease.
+    /// A primary's heartbeat, which also requests a lease.
     Heartbeat(Heartbeat),
-    /// The witness grants the lease.
+    /// A witness's grant of a lease.
     LeaseGrant(LeaseGrant),
-    /// A backup asks the primary for a new replication session.
+    /// A backup's request to the primary for a new replication session.
     SessionRequest {
-        /// The term of the primary that it follows.
+        /// The term of the primary that the backup follows.
         term: Term,
         /// The session's number, chosen by the backup.
         session: u64,
         /// The digest of each range of the backup's key space.
         range_digests: Vec<u64>,
     },
-    /// The primary asks for the leaf digests of the ranges that differ.
+    /// A primary's request for the leaf digests of the ranges that differ.
     LeafDigestRequest {
         /// The session.
         session: u64,
-        /// Whether the backup counts as in sync, and so must stay able to become primary while it
-        /// is repaired.
+        /// Whether the backup is in the in-sync set of the decided or the proposed view, and so
+        /// must stay able to become primary during the repair.
         in_sync: bool,
         /// The numbers of the ranges.
         ranges: Vec<u16>,
     },
-    /// The answer: the digests of the leaves of these ranges.
+    /// The response to [`Message::LeafDigestRequest`].
     LeafDigests {
         /// The session.
         session: u64,
-        /// One entry for each range that was asked for.
+        /// One entry for each requested range.
         ranges: Vec<RangeLeafDigests>,
     },
     /// The next item of a session's stream.
     Stream {
         /// The session.
         session: u64,
-        /// The item's index in the stream, from 1 without gaps.
+        /// The item's index in the stream, numbered from 1 without gaps.
         index: u64,
         /// The item.
         item: StreamItem,
     },
-    /// The backup holds a chunk of the repair; the next one may be sent.
+    /// A backup's acknowledgement of a repair chunk, after which another one may be sent.
     ChunkAck {
         /// The session.
         session: u64,
         /// The chunk's index in the stream.
         index: u64,
     },
-    /// All batches up to this one are on the backup's disk.
+    /// A backup's acknowledgement that all batches up to this one are on its disk.
     BatchAck {
         /// The session.
         session: u64,
         /// The sequence number of the last batch on disk.
         sequence: u64,
     },
-    /// The primary steps down and releases its lease.
+    /// A primary's notice that it has stepped down and releases its lease.
     Resign {
-        /// Its ballot.
+        /// The primary's ballot.
         ballot: Ballot,
-        /// The replica that should take over.
+        /// The replica that should take over; `None` if the primary names none.
         successor: Option<MemberId>,
     },
-    /// A member is to leave for good and asks to be replaced by a standby.
+    /// A request of a member that is to leave permanently to be replaced by a standby.
     LeaveRequest {
         /// The sender.
         member: Member,
     },
-    /// The primary's answer to [`Message::LeaveRequest`].
+    /// A primary's response to [`Message::LeaveRequest`].
     LeaveResponse {
-        /// Whether a replacement is pending; if not, the member may terminate.
+        /// Whether the member must wait because a replacement is possible or pending; if not, it
+        /// may terminate.
         must_wait: bool,
     },
 }
 
-/// What a primary tells a member with each heartbeat; see [`Message::Heartbeat`].
+/// The content of a primary's heartbeat to a member or a standby; see [`Message::Heartbeat`].
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Heartbeat {
-    /// The ballot under which the primary's view was accepted.
+    /// The ballot under which the primary was elected.
     pub ballot: Ballot,
-    /// The view in force.
+    /// The newest decided view.
     pub view: View,
-    /// The primary's clock, milliseconds; returned with the grant.
+    /// The primary's clock when it sent the heartbeat, milliseconds; the grant returns it.
     pub sent_at_ms: u64,
-    /// The sequence number of the last batch that was sent.
+    /// The sequence number of the last proposed batch.
     pub sequence: u64,
     /// The session in which the primary replicates to the receiver; `None` if there is none.
     pub session: Option<u64>,
-    /// The primary's proof that a majority granted its lease, if it has one.
+    /// The primary's proof of contact with a majority, while it holds its lease.
     pub majority_contact: Option<MajorityContact>,
 }
 
@@ -181,9 +182,9 @@
 pub struct LeaseGrant {
     /// The ballot of the heartbeat.
     pub ballot: Ballot,
-    /// The primary's clock as the heartbeat gave it, milliseconds.
+    /// The primary's clock from the heartbeat, milliseconds.
     pub sent_at_ms: u64,
-    /// The witness's own clock, milliseconds; returned with a later heartbeat.
+    /// The witness's own clock, milliseconds; a later heartbeat returns it.
     pub witness_clock_ms: u64,
     /// Whether the witness's replica holds records that it can't read, and so must not become
     /// primary.
@@ -192,13 +193,13 @@
 
 /// Proof that a primary was in contact with a majority.
 ///
-/// Both values are of one clock each, so a delayed message can only make the contact look older
+/// Each value comes from a single clock, so a delayed message can only make the contact look older
 /// than it is.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MajorityContact {
-    /// The receiver's own clock as its last grant told the primary, milliseconds.
+    /// The receiver's own clock from its last grant, milliseconds.
     pub receiver_clock_ms: u64,
-    /// How long before this heartbeat the primary asked for the grants of the majority,
+    /// The time from the primary's request for the majority's grants until this heartbeat,
     /// milliseconds.
     pub age_ms: u64,
 }
@@ -215,34 +216,34 @@
 /// An item of a session's stream.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub enum StreamItem {
-    /// A chunk of the repair: these key ranges as they are at this index of the stream.
+    /// A repair chunk: key ranges with their state at this index of the stream.
     RepairChunk(Vec<LeafChunk>),
     /// A batch of changes.
     Batch {
-        /// Its sequence number.
+        /// The batch's sequence number.
         sequence: u64,
         /// The changes.
         changes: Vec<Change>,
     },
-    /// The repair is complete: the backup now equals the primary after this batch.
+    /// The end of the repair: the backup now has the primary's state after this batch.
     RepairComplete {
         /// The batch's sequence number.
         sequence: u64,
     },
 }
 
-/// The connection on which a message travels. Messages of one class keep their order; the classes
-/// don't delay each other.
+/// The class of a message, each of which has its own connection: messages of one class stay in
+/// order, and the classes don't delay each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TrafficClass {
-    /// Small and urgent: leases, votes, acknowledgements.
+    /// Small, urgent messages: leases, votes, acknowledgements.
     Control,
-    /// Bulk data: repair and batches.
+    /// Bulk data: repairs and batches.
     Data,
 }
 
 impl Message {
-    /// The class of this message.
+    /// The traffic class of this message.
     #[must_use]
     pub fn traffic_class(&self) -> TrafficClass {
         match self {
--- a/crates/cluster/replication/src/primary/lease.rs
+++ b/crates/cluster/replication/src/primary/lease.rs
@@ -1,4 +1,4 @@
-//! The grants of the witnesses, of which a primary's lease consists.
+//! A primary's lease, which consists of grants by the witnesses.
 use crate::timing::USABLE_LEASE_TENTHS;
 use crate::view::{Member, MemberId};
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 /// The newest grant of a witness.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Grant {
-    /// The primary's clock when it asked, milliseconds.
+    /// The primary's clock when it requested the grant, milliseconds.
     pub(crate) requested_at_ms: u64,
     /// The witness's clock when it granted, milliseconds.
     pub(crate) witness_clock_ms: u64,
@@ -29,13 +29,13 @@
         }
     }
 
-    /// The newest grant of a witness.
+    /// The newest grant of a witness, if there is one.
     pub(crate) fn get(&self, witness: MemberId) -> Option<&Grant> {
         self.by_witness.get(&witness)
     }
 
-    /// When the primary asked for the newest grants that `quorum_size` of these members have
-    /// given, milliseconds; 0 if fewer have.
+    /// The latest time such that `quorum_size` of these members have granted a request sent then or
+    /// later, milliseconds; 0 if there are fewer grants.
     pub(crate) fn majority_requested_at_ms(&self, members: &[Member], quorum_size: usize) -> u64 {
         let grants = members.iter().filter_map(|member| self.get(member.id));
         let mut requested_at_ms: Vec<u64> = grants.map(|grant| grant.requested_at_ms).collect();
@@ -44,14 +44,14 @@
     }
 }
 
-/// Until when a lease may be used whose grants were asked for at this time; 0 if there is none.
+/// Returns until when the holder may use a lease that it requested at `requested_at_ms`,
+/// milliseconds; 0 if there is no lease.
 ///
-/// A witness counts a lease from the moment at which it grants it, which is later than that at
-/// which the primary asked. The holder uses nine tenths of it, so that its clock may be slower than
-/// the witness's by a tenth.
-pub(super) fn usable_until_ms(granted_at_ms: u64, lease_ms: u64) -> u64 {
-    if granted_at_ms == 0 {
+/// A witness measures the lease from its grant, which is later than the request. The holder uses
+/// only nine tenths of the lease, so that its clock may be slower than the witness's by a tenth.
+pub(super) fn usable_until_ms(requested_at_ms: u64, lease_ms: u64) -> u64 {
+    if requested_at_ms == 0 {
         return 0;
     }
-    granted_at_ms + lease_ms * USABLE_LEASE_TENTHS / 10
+    requested_at_ms + lease_ms * USABLE_LEASE_TENTHS / 10
 }
--- a/crates/cluster/replication/src/primary/mod.rs
+++ b/crates/cluster/replication/src/primary/mod.rs
@@ -1,4 +1,4 @@
-//! A primary: its lease, its backups, its batches, and the changes of view that it decides on.
+//! A primary: its lease, its backups, its batches, and the view changes that it proposes.
 mod batches;
 mod failure_detector;
 mod lease;
--- a/crates/cluster/replication/src/primary/session.rs
+++ b/crates/cluster/replication/src/primary/session.rs
@@ -1,18 +1,19 @@
-//! The primary's end of a replication session: what differs, the repair in chunks, then the
-//! batches.
+//! The primary's end of a replication session: the comparison of digests, the repair in chunks,
+//! then the stream of batches.
 use crate::digest::{RANGE_COUNT, first_leaf_of, range_digest};
 use crate::keyspace::{Change, Keyspace, LeafChunk};
 use crate::message::{RangeLeafDigests, StreamItem};
 use std::collections::VecDeque;
 
-/// The size of a repair chunk, bytes.
+/// The maximum total size of the chunks in one repair message, bytes. A single larger entry is sent
+/// alone.
 const MAX_CHUNK_BYTES: usize = 64 * 1024;
-/// Chunks that may be in flight to a backup.
+/// The maximum number of unacknowledged repair messages to a backup.
 const MAX_CHUNKS_IN_FLIGHT: usize = 4;
-/// Bytes of batches that a backup may leave unacknowledged; beyond that the session ends. The
-/// backup starts another, which goes on where this one was.
+/// The maximum size of the unacknowledged batches of a session, bytes. Beyond it the session ends,
+/// and the backup starts another, which continues from the state that the backup has reached.
 const MAX_UNACKNOWLEDGED_BYTES: usize = 4 << 20;
-/// The same limit in batches.
+/// The same limit as a number of batches.
 const MAX_UNACKNOWLEDGED_BATCHES: usize = 2_048;
 
 /// An item of the stream with its index.
@@ -22,46 +23,51 @@
     pub(crate) item: StreamItem,
 }
 
-/// How far a session is.
+/// The phase of a session.
 #[derive(Clone, Debug)]
 enum Phase {
-    /// The backup is asked for the digests of its leaves; these are the digests of its ranges.
+    /// The primary has requested the digests of the backup's leaves; `range_digests` are the
+    /// digests of the backup's ranges.
     Comparing { range_digests: Vec<u64> },
-    /// Leaves that differ are sent in chunks, the first of them from the key after this one on.
+    /// The primary is sending the leaves that differ in chunks, the first leaf from the key after
+    /// `after` on. Batches are sent between the chunks.
     Repairing { leaves: VecDeque<u16>, after: Option<Vec<u8>> },
-    /// Batches follow as they are proposed.
+    /// The repair is complete; batches are sent as they are proposed.
     Streaming,
 }
 
-/// The size of a batch that is not acknowledged.
+/// A batch that the backup has not acknowledged.
 #[derive(Clone, Copy, Debug)]
 struct UnacknowledgedBatch {
     sequence: u64,
     size_bytes: usize,
 }
 
-/// A backup's session as the primary sees it.
+/// The primary's state of a session.
 ///
-/// Invariant: items are numbered from 1 without gaps in the order in which they are made, chunks
-/// and batches alike. A chunk shows its keys as they are at its index, so whatever order the
-/// network keeps, the backup ends with the primary's state.
+/// Invariant: items, chunks and batches alike, are numbered from 1 without gaps in the order in
+/// which they are created. A chunk contains the state of its keys at its index, so the backup
+/// reaches the primary's state in whatever order the network delivers the items.
 #[derive(Clone, Debug)]
 pub(crate) struct PrimarySession {
     number: u64,
+    /// The sequence number of the last batch on the backup's disk; `None` before its repair is
+    /// complete.
     acknowledged: Option<u64>,
     phase: Phase,
+    /// The index of the last created item.
     last_index: u64,
-    /// Indexes of the chunks in flight.
+    /// The indexes of the unacknowledged repair items.
     chunks_in_flight: VecDeque<u64>,
     unacknowledged: VecDeque<UnacknowledgedBatch>,
     unacknowledged_bytes: usize,
 }
 
 impl PrimarySession {
-    /// A session that begins, with the ranges that differ.
+    /// Creates a session and returns it with the numbers of the ranges that differ.
     pub(crate) fn begin(number: u64, range_digests: Vec<u64>, keyspace: &Keyspace) -> (Self, Vec<u16>) {
-        let own_digests = keyspace.range_digests();
-        let differs = |range: &u16| range_digests.get(*range as usize) != own_digests.get(*range as usize);
+        let local_digests = keyspace.range_digests();
+        let differs = |range: &u16| range_digests.get(*range as usize) != local_digests.get(*range as usize);
         let different_ranges: Vec<u16> = (0..RANGE_COUNT as u16).filter(differs).collect();
         let phase = if different_ranges.is_empty() {
             Phase::Repairing { leaves: VecDeque::new(), after: None }
@@ -85,25 +91,26 @@
         self.number
     }
 
-    /// The last batch on the backup's disk; `None` before its repair is complete.
+    /// The sequence number of the last batch on the backup's disk; `None` before its repair is
+    /// complete.
     pub(crate) fn acknowledged_sequence(&self) -> Option<u64> {
         self.acknowledged
     }
 
-    /// The backup reports the digests of its leaves. What differs now by these, or by the digests
-    /// of ranges that it did not report, is to be repaired.
+    /// Determines the leaves to repair from the digests of leaves that the backup reports. In
+    /// ranges that it does not report, all leaves are repaired if the range's digest differs now.
     pub(crate) fn compare_leaves(&mut self, reported: &[RangeLeafDigests], keyspace: &Keyspace) {
         let Phase::Comparing { range_digests } = &self.phase else { return };
         let mut leaves: VecDeque<u16> = VecDeque::new();
         for range in 0..RANGE_COUNT as u16 {
-            let own = keyspace.leaf_digests(range);
+            let local = keyspace.leaf_digests(range);
             let first = first_leaf_of(range);
             match reported.iter().find(|report| report.range == range) {
                 Some(report) => {
-                    let differs = |leaf: &usize| report.digests.get(*leaf) != own.get(*leaf);
+                    let differs = |leaf: &usize| report.digests.get(*leaf) != local.get(*leaf);
                     leaves.extend((0..RANGE_COUNT).filter(differs).map(|leaf| first + leaf as u16));
                 }
-                None if range_digests.get(range as usize) != Some(&range_digest(own)) => {
+                None if range_digests.get(range as usize) != Some(&range_digest(local)) => {
                     leaves.extend(first..first + RANGE_COUNT as u16);
                 }
                 None => {}
@@ -112,15 +119,15 @@
         self.phase = Phase::Repairing { leaves, after: None };
     }
 
-    /// The backup holds the chunk of this index, and with it all before.
+    /// Records that the backup has the chunk of this index and all earlier ones.
     pub(crate) fn record_chunk_ack(&mut self, index: u64) {
         while self.chunks_in_flight.front().is_some_and(|sent| *sent <= index) {
             self.chunks_in_flight.pop_front();
         }
     }
 
-    /// The items that may be sent now. A repair that ends now ends with the state after batch
-    /// `sequence`.
+    /// Returns the repair items that may be sent now. `sequence` is the primary's last batch: if
+    /// the repair completes, the backup has the state after it.
     pub(crate) fn next_items(&mut self, keyspace: &Keyspace, sequence: u64) -> Vec<IndexedItem> {
         let mut items = Vec::new();
         while self.chunks_in_flight.len() < MAX_CHUNKS_IN_FLIGHT
@@ -139,7 +146,8 @@
         items
     }
 
-    /// A batch as an item of the stream; `None` while the backup has not reported what it holds.
+    /// Adds a batch to the stream and returns its item; `None` while the backup has not reported
+    /// its digests.
     pub(crate) fn batch_item(&mut self, sequence: u64, changes: &[Change]) -> Option<IndexedItem> {
         if matches!(self.phase, Phase::Comparing { .. }) {
             return None;
@@ -151,7 +159,7 @@
         Some(IndexedItem { index: self.next_index(), item })
     }
 
-    /// All batches up to this one are on the backup's disk.
+    /// Records that all batches up to this one are on the backup's disk.
     pub(crate) fn record_batch_ack(&mut self, sequence: u64) {
         self.acknowledged = self.acknowledged.max(Some(sequence));
         while let Some(oldest) = self.unacknowledged.front()
@@ -162,7 +170,7 @@
         }
     }
 
-    /// Whether so much is in flight to the backup that the session must end.
+    /// Whether the unacknowledged batches exceed a limit, so that the session must end.
     pub(crate) fn is_over_limit(&self) -> bool {
         self.unacknowledged.len() > MAX_UNACKNOWLEDGED_BATCHES
             || self.unacknowledged_bytes > MAX_UNACKNOWLEDGED_BYTES
@@ -174,7 +182,8 @@
     }
 }
 
-/// Takes the next message's chunks off the leaves that are to be repaired; none if nothing is left.
+/// Removes the chunks of the next repair message from the leaves to repair and returns them; empty
+/// if no leaf remains.
 fn next_chunks(
     leaves: &mut VecDeque<u16>,
     after: &mut Option<Vec<u8>>,
