--- a/crates/cluster/replication/src/timing.rs
+++ b/crates/cluster/replication/src/timing.rs
@@ -24,7 +24,7 @@
 pub(crate) const PRE_VOTE_INTERVAL_MS: u64 = 40;
 /// The delay between the elections of candidates of successive ranks.
 pub(crate) const ELECTION_STAGGER_MS: u64 = 100;
-/// The minimum random delay before a candidate retries a failed election.
+/// The minimum delay before a candidate retries a failed election.
 pub(crate) const MIN_ELECTION_JITTER_MS: u64 = 10;
 /// The range of that delay above its minimum, so that candidates that collided retry at different
 /// times.
