--- a/crates/cluster/replication/src/primary/mod.rs
+++ b/crates/cluster/replication/src/primary/mod.rs
@@ -1,4 +1,4 @@
-//! A primary: its lease, its backups, its batches, and the changes of view that it decides on.
+//! A primary: its lease, its backups, its batches, and the view changes that it proposes.
 mod batches;
 mod failure_detector;
 mod lease;
@@ -11,4 +11,4 @@
 pub(crate) use lease::Grant;
 pub(crate) use session::PrimarySession;
 pub(crate) use state::PrimaryState;
-pub(crate) use view_change::ReviewContext;
+pub(crate) use view_change::ViewChangeContext;
