--- a/crates/service/durable-jobs/src/error.rs
+++ b/crates/service/durable-jobs/src/error.rs
@@ -27,16 +27,16 @@
     UnknownJob,
     /// At most one open job has an idempotency key.
     #[error("another job of its key is open")]
-    KeyOpen,
+    KeyInUse,
     /// A key whose job has a final outcome is not used again while that job is retained.
     #[error("a job of its key has its end")]
-    KeyFinished,
+    KeyHasFinalOutcome,
     /// A snapshot must not take the key of another job.
     #[error("its key is another job's")]
     KeyOfAnotherJob,
     /// At most one open job has an id.
     #[error("another job of its id is open")]
-    IdOpen,
+    IdInUse,
     /// A job that continues a failed one must inherit the attempts that may have run, or a second
     /// run would not be recognised as one.
     #[error("it lacks what the last job of its key left unsettled")]
--- a/crates/service/durable-jobs/src/table/apply.rs
+++ b/crates/service/durable-jobs/src/table/apply.rs
@@ -107,7 +107,7 @@
         }
         // The previous job of the key is over, so this is another one.
         if self.job_by_id(&accepted.id).is_some_and(Job::is_open) {
-            return Err(RejectReason::IdOpen);
+            return Err(RejectReason::IdInUse);
         }
         if let Some(number) = previous.map(|previous| previous.accepted.number) {
             self.remove(number);
@@ -182,8 +182,8 @@
         previous.possibly_executed_attempts().all(|attempt| accepted.inherited_attempts.contains(attempt));
     let second_run_is_harmless = previous.accepted.retry_safety == RetrySafety::Idempotent;
     match previous.outcome() {
-        None => Err(RejectReason::KeyOpen),
-        Some(JobOutcome::Succeeded(_) | JobOutcome::Unschedulable) => Err(RejectReason::KeyFinished),
+        None => Err(RejectReason::KeyInUse),
+        Some(JobOutcome::Succeeded(_) | JobOutcome::Unschedulable) => Err(RejectReason::KeyHasFinalOutcome),
         Some(JobOutcome::Rejected | JobOutcome::Failed) if inherits_all || second_run_is_harmless => Ok(()),
         Some(JobOutcome::Rejected | JobOutcome::Failed) => Err(RejectReason::InheritedAttemptsMissing),
     }
--- a/crates/service/durable-jobs/tests/job_table.rs
+++ b/crates/service/durable-jobs/tests/job_table.rs
@@ -39,12 +39,12 @@
         (not_leased, Record::Acknowledged { job, token, lease_aware: true }, RejectReason::NotLeased),
         (not_leased, Record::Delivered { job }, RejectReason::NotFinished),
         (&in_flight, unsafe_job(1, None), RejectReason::JobNumberReused),
-        (&in_flight, unsafe_job(2, Some("k")), RejectReason::KeyOpen),
+        (&in_flight, unsafe_job(2, Some("k")), RejectReason::KeyInUse),
         (&over, finished(1, succeeded("r")), RejectReason::AlreadyFinished),
         (&over, leased(1, 2, "s-b"), RejectReason::AlreadyFinished),
         (&over, Record::Renewed { job, token, expires_at: 0 }, RejectReason::AlreadyFinished),
-        (&over, unsafe_job(2, Some("k")), RejectReason::KeyFinished),
-        (&failed_and_open, Record::Accepted(id_of_open), RejectReason::IdOpen),
+        (&over, unsafe_job(2, Some("k")), RejectReason::KeyHasFinalOutcome),
+        (&failed_and_open, Record::Accepted(id_of_open), RejectReason::IdInUse),
     ];
     for (before, record, reason) in cases {
         let mut table = table_of(before);
--- a/crates/service/engine/src/attempts.rs
+++ b/crates/service/engine/src/attempts.rs
@@ -127,7 +127,7 @@
             DispatchResult::Accepted { lease_aware } => {
                 if self.requests.stage(attempt) == Some(AttemptStage::Dispatched) {
                     self.requests.set_stage(attempt, AttemptStage::Accepted);
-                    self.record_accepted(attempt, lease_aware, out);
+                    self.record_acknowledged(attempt, lease_aware, out);
                 }
             }
             DispatchResult::Ended(outcome, report) if is_open => {
--- a/crates/service/engine/src/durable/leases.rs
+++ b/crates/service/engine/src/durable/leases.rs
@@ -48,7 +48,12 @@
     }
 
     /// Records that the worker has the job; `lease_aware` tells whether it goes by the lease.
-    pub(crate) fn record_accepted(&mut self, attempt: AttemptId, lease_aware: bool, out: &mut Vec<Effect>) {
+    pub(crate) fn record_acknowledged(
+        &mut self,
+        attempt: AttemptId,
+        lease_aware: bool,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(JobLease { job, token }) = self.lease_of(attempt) else { return };
         self.record(Record::Acknowledged { job, token, lease_aware }, out);
         if lease_aware {
@@ -146,7 +151,7 @@
 
     /// The reply to a notice that fits no pending attempt. A worker that goes by its lease is told
     /// that this is over.
-    pub(crate) fn late_notice_reply(&mut self, job_id: &str, token: Option<u64>) -> NoticeReply {
+    pub(crate) fn unmatched_notice_reply(&mut self, job_id: &str, token: Option<u64>) -> NoticeReply {
         let acknowledged = NoticeReply::Acknowledged { lease: None };
         let (Some(token), Some(jobs)) = (token, &mut self.durable) else { return acknowledged };
         // It repeats the notice that ended the job.
--- a/crates/service/engine/src/durable/recording.rs
+++ b/crates/service/engine/src/durable/recording.rs
@@ -10,7 +10,7 @@
 
 impl Engine {
     /// The number of the last record; 0 if durable jobs are not kept.
-    pub(crate) fn last_record(&self) -> Lsn {
+    pub(crate) fn last_record_lsn(&self) -> Lsn {
         self.durable.as_ref().map_or(0, |jobs| jobs.ledger.last_lsn())
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Records a new job, if it is durable. `unresolved` are attempts of an earlier one of its key.
-    pub(crate) fn record_taken(
+    pub(crate) fn record_accepted_job(
         &mut self,
         now: Nanos,
         job: &Job,
@@ -102,7 +102,7 @@
     }
 
     /// Records a job's end.
-    pub(crate) fn record_end(
+    pub(crate) fn record_finished(
         &mut self,
         now: Nanos,
         durable: Option<JobNumber>,
--- a/crates/service/engine/src/durable/recovery.rs
+++ b/crates/service/engine/src/durable/recovery.rs
@@ -67,7 +67,7 @@
             if let Some(lease) = lease {
                 cancel_lost(now, request_id, &stored.accepted, lease, out);
             }
-            return self.record_end(now, Some(number), &Answer::Failed, out);
+            return self.record_finished(now, Some(number), &Answer::Failed, out);
         };
         let mut past: Vec<PastAttempt> =
             stored.accepted.inherited_attempts.iter().chain(&stored.past_attempts).cloned().collect();
@@ -103,7 +103,7 @@
     }
 
     /// Opens a client's request that goes on from attempts of an earlier one of its key.
-    pub(crate) fn resume_repeat(
+    pub(crate) fn resume_retry(
         &mut self,
         now: Nanos,
         request_id: RequestId,
--- a/crates/service/engine/src/durable/repeats.rs
+++ b/crates/service/engine/src/durable/repeats.rs
@@ -11,13 +11,13 @@
 const JOINED_ANSWER_TICKS: Nanos = 2;
 
 /// What is known of a request.
-pub(crate) enum KnownRequest {
+pub(crate) enum RequestLookup {
     /// It is new, and goes on from these attempts of an earlier one, whose outcome is not known.
     New(Vec<PastAttempt>),
     /// It repeats one that is open.
-    Open(RequestId),
+    InProgress(RequestId),
     /// It has its answer.
-    Ended {
+    Finished {
         /// The answer.
         answer: Answer,
         /// The job whose answer it is.
@@ -39,13 +39,13 @@
         if let Some(first) = open {
             return self.join(request_id, first, job, out);
         }
-        match self.recognise(now, &job) {
-            KnownRequest::Open(first) => self.join(request_id, first, job, out),
-            KnownRequest::Ended { answer, job: number } => {
+        match self.look_up_request(now, &job) {
+            RequestLookup::InProgress(first) => self.join(request_id, first, job, out),
+            RequestLookup::Finished { answer, job: number } => {
                 self.requests.count(job.class, &answer);
                 out.push(after_durable(Effect::Answer { request_id, answer, job: number }, job.due));
             }
-            KnownRequest::New(_) => self.fail_client(request_id, job.class, out),
+            RequestLookup::New(_) => self.fail_client(request_id, job.class, out),
         }
     }
 
@@ -55,30 +55,30 @@
     }
 
     /// What is known of a request, by its idempotency key.
-    pub(crate) fn recognise(&mut self, now: Nanos, job: &Job) -> KnownRequest {
+    pub(crate) fn look_up_request(&mut self, now: Nanos, job: &Job) -> RequestLookup {
         let key = self.idempotency_key(job);
-        let Some(jobs) = &mut self.durable else { return KnownRequest::New(Vec::new()) };
+        let Some(jobs) = &mut self.durable else { return RequestLookup::New(Vec::new()) };
         jobs.ledger.expire(now);
         let (Some(key), Some(request)) = (key, &job.durable_request) else {
-            return KnownRequest::New(Vec::new());
+            return RequestLookup::New(Vec::new());
         };
         match jobs.ledger.lookup(&key, &request.fingerprint) {
-            KeyLookup::New => KnownRequest::New(Vec::new()),
-            KeyLookup::Retryable(unresolved) => KnownRequest::New(unresolved),
+            KeyLookup::New => RequestLookup::New(Vec::new()),
+            KeyLookup::Retryable(unresolved) => RequestLookup::New(unresolved),
             KeyLookup::RequestMismatch => {
                 jobs.counters.mismatched += 1;
-                KnownRequest::Ended { answer: Answer::KeyMismatch, job: None }
+                RequestLookup::Finished { answer: Answer::KeyMismatch, job: None }
             }
             KeyLookup::Finished(number, end) => {
                 jobs.counters.replayed += 1;
-                KnownRequest::Ended { answer: recorded_answer(&end), job: Some(number) }
+                RequestLookup::Finished { answer: recorded_answer(&end), job: Some(number) }
             }
             KeyLookup::InProgress(number) => match jobs.open_requests.get(&number) {
-                Some(first) => KnownRequest::Open(*first),
+                Some(first) => RequestLookup::InProgress(*first),
                 // It is on its way to another process.
                 None => {
                     let answer = Answer::Rejected { retry_after: Some(DURABLE_RETRY_AFTER) };
-                    KnownRequest::Ended { answer, job: None }
+                    RequestLookup::Finished { answer, job: None }
                 }
             },
         }
@@ -107,7 +107,7 @@
 
     /// Whether the request goes on although this client has disconnected: others wait for it, or it
     /// may come back by its key.
-    pub(crate) fn outlives_client(&mut self, request_id: RequestId) -> bool {
+    pub(crate) fn continue_without_client(&mut self, request_id: RequestId) -> bool {
         if self.requests.remove_joined(request_id) {
             return true;
         }
--- a/crates/service/engine/src/engine.rs
+++ b/crates/service/engine/src/engine.rs
@@ -171,7 +171,7 @@
             Input::Tick => self.run_timers(now, out),
             Input::EndpointList { scope, version, hosts } => {
                 self.discovery.version = version;
-                self.endpoint_list(now, scope, hosts, out);
+                self.endpoint_list_updated(now, scope, hosts, out);
                 self.follow_agent(now, scope, out);
             }
             Input::HealthChecked { worker, sent, outcome, report } => {
--- a/crates/service/engine/src/notices.rs
+++ b/crates/service/engine/src/notices.rs
@@ -12,13 +12,13 @@
     /// Takes a worker's notice. Its acknowledgement waits until what the notice has changed is
     /// durable.
     pub(crate) fn worker_notice(&mut self, now: Nanos, notice: WorkerNotice, out: &mut Vec<Effect>) {
-        let before = self.last_record();
+        let before = self.last_record_lsn();
         let number = notice.notice;
         let is_last = !matches!(notice.update, JobUpdate::Running(_));
         let reply = self.apply_notice(now, notice, out);
         let effect = Effect::Acknowledge { notice: number, reply };
         // A repeat may come before what its first has changed is durable.
-        let must_wait = self.last_record() > before || is_last && self.durable.is_some();
+        let must_wait = self.last_record_lsn() > before || is_last && self.durable.is_some();
         out.push(if must_wait { after_durable(effect, now + ACKNOWLEDGE_TIMEOUT) } else { effect });
     }
 
@@ -28,12 +28,12 @@
     fn apply_notice(&mut self, now: Nanos, notice: WorkerNotice, out: &mut Vec<Effect>) -> NoticeReply {
         let WorkerNotice { job_id, worker, fencing_token: token, update, report, .. } = notice;
         let Some(attempt) = self.noticed_attempt(&job_id, &worker, token) else {
-            return self.late_notice_reply(&job_id, token);
+            return self.unmatched_notice_reply(&job_id, token);
         };
         if self.requests.stage(attempt) == Some(AttemptStage::Dispatched) {
             // Whatever became of its answer, it has the job.
             self.requests.set_stage(attempt, AttemptStage::Accepted);
-            self.record_accepted(attempt, token.is_some(), out);
+            self.record_acknowledged(attempt, token.is_some(), out);
         }
         let mut lease = None;
         match update {
--- a/crates/service/engine/src/requests.rs
+++ b/crates/service/engine/src/requests.rs
@@ -1,5 +1,5 @@
 //! Requests: accepted once, answered once, removed in one place.
-use crate::durable::repeats::KnownRequest;
+use crate::durable::repeats::RequestLookup;
 use crate::durable::{after_durable, answer_effect};
 use crate::request_table::{Attempt, AttemptStage, Request};
 use crate::timers::Timer;
@@ -31,10 +31,10 @@
         previous: Option<Vec<AttemptSnapshot>>,
         out: &mut Vec<Effect>,
     ) {
-        let unresolved = match self.recognise(now, &job) {
-            KnownRequest::New(unresolved) => unresolved,
-            KnownRequest::Open(first) => return self.join(request_id, first, job, out),
-            KnownRequest::Ended { answer, job: job_number } => {
+        let unresolved = match self.look_up_request(now, &job) {
+            RequestLookup::New(unresolved) => unresolved,
+            RequestLookup::InProgress(first) => return self.join(request_id, first, job, out),
+            RequestLookup::Finished { answer, job: job_number } => {
                 self.requests.count(job.class, &answer);
                 let effect = Effect::Answer { request_id, answer, job: job_number };
                 return out.push(after_durable(effect, job.due));
@@ -46,11 +46,14 @@
         }
         let previous = previous.unwrap_or_default();
         // One that a process without durable jobs hands over goes on as it began.
-        let durable =
-            if previous.is_empty() { self.record_taken(now, &job, unresolved.clone(), out) } else { None };
+        let durable = if previous.is_empty() {
+            self.record_accepted_job(now, &job, unresolved.clone(), out)
+        } else {
+            None
+        };
         if durable.is_some() && !unresolved.is_empty() {
             // It goes on from what an earlier one of its key left unresolved.
-            return self.resume_repeat(now, request_id, job, durable, unresolved, out);
+            return self.resume_retry(now, request_id, job, durable, unresolved, out);
         }
         self.open_request(now, request_id, job, durable, previous, out);
     }
@@ -144,14 +147,14 @@
     }
 
     pub(crate) fn client_disconnected(&mut self, now: Nanos, request_id: RequestId, out: &mut Vec<Effect>) {
-        if self.outlives_client(request_id) {
+        if self.continue_without_client(request_id) {
             return;
         }
         let durable = self.requests.get(request_id).and_then(|request| request.durable);
         if !self.requests.close(request_id, &Answer::Failed) {
             return;
         }
-        self.record_end(now, durable, &Answer::Failed, out);
+        self.record_finished(now, durable, &Answer::Failed, out);
         self.decide(now, Event::ClientGone(request_id), out);
         self.cancel_attempts(now, request_id, out);
         self.remove_if_done(request_id);
@@ -170,7 +173,7 @@
         if !self.requests.close(request_id, &answer) {
             return;
         }
-        self.record_end(now, durable, &answer, out);
+        self.record_finished(now, durable, &answer, out);
         for client in self.requests.take_joined(request_id, &answer) {
             out.push(answer_effect(client.request_id, answer.clone(), durable, due));
         }
--- a/crates/service/engine/src/workers/endpoint_list.rs
+++ b/crates/service/engine/src/workers/endpoint_list.rs
@@ -100,7 +100,7 @@
 
 impl Engine {
     /// Processes changes of the list, at once or, if there are many, their first slice.
-    pub(crate) fn endpoint_list(
+    pub(crate) fn endpoint_list_updated(
         &mut self,
         now: Nanos,
         scope: EndpointUpdate,
