--- a/crates/service/durable-jobs/src/error.rs
+++ b/crates/service/durable-jobs/src/error.rs
@@ -1,13 +1,14 @@
-//! Errors of this crate.
+//! The errors of this crate.
 use crate::ids::JobNumber;
 
-/// A record does not fit the state of its job: a fault of the process that made it, or of the disk.
+/// The error for a record that is invalid in the current state of its job. The fault lies with the
+/// process that wrote the record, or with the disk.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a record `{record_kind}` of job {} does not fit: {reason}", .job.0)]
 pub struct ApplyError {
     /// The kind of the record, as [`Record::kind`](crate::Record::kind) names it.
     pub record_kind: &'static str,
-    /// The job of the record; number 0 if the record concerns none.
+    /// The job of the record; number 0 if the record belongs to no job.
     pub job: JobNumber,
     /// The rule that the record breaks.
     pub reason: RejectReason,
@@ -16,49 +17,49 @@
 /// The rule that a rejected record breaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum RejectReason {
-    /// Job numbers are given once.
-    #[error("its number was given before")]
+    /// A job number is assigned only once.
+    #[error("its job number was already assigned")]
     JobNumberReused,
-    /// Fencing tokens are given once.
-    #[error("its token was given before")]
+    /// A fencing token is issued only once.
+    #[error("its fencing token was already issued")]
     TokenReused,
-    /// The job is unknown, or expired.
+    /// The job is unknown or has expired.
     #[error("there is no such job")]
     UnknownJob,
-    /// At most one open job has an idempotency key.
-    #[error("another job of its key is open")]
+    /// At most one open job may use an idempotency key.
+    #[error("another open job uses its idempotency key")]
     KeyInUse,
-    /// A key whose job has a final outcome is not used again while that job is retained.
-    #[error("a job of its key has its end")]
+    /// A key must not be reused while a job with that key and a final outcome is retained.
+    #[error("a retained job with its idempotency key has a final outcome")]
     KeyHasFinalOutcome,
-    /// A snapshot must not take the key of another job.
-    #[error("its key is another job's")]
+    /// A snapshot must not take over the idempotency key of another job.
+    #[error("its idempotency key belongs to another job")]
     KeyOfAnotherJob,
-    /// At most one open job has an id.
-    #[error("another job of its id is open")]
+    /// At most one open job may use a job id.
+    #[error("another open job uses its job id")]
     IdInUse,
-    /// A job that continues a failed one must inherit the attempts that may have run, or a second
-    /// run would not be recognised as one.
-    #[error("it lacks what the last job of its key left unsettled")]
+    /// A job that continues a failed one must inherit that job's attempts that may have run;
+    /// otherwise a second run would not be recognised as such.
+    #[error("it does not inherit all attempts of the previous job with its key that may have run")]
     InheritedAttemptsMissing,
-    /// A job has at most one lease.
-    #[error("an attempt is out")]
+    /// A job has at most one lease at a time.
+    #[error("the job already has a lease")]
     AttemptInFlight,
-    /// The record carries the token of a lease that is not the present one.
-    #[error("another lease is out")]
+    /// The record carries a fencing token other than that of the current lease.
+    #[error("its fencing token is not that of the job's current lease")]
     StaleToken,
     /// The job has no lease.
-    #[error("no lease is out")]
+    #[error("the job has no lease")]
     NotLeased,
-    /// A finished job does not change any more.
-    #[error("the job has its end")]
+    /// The outcome of a finished job cannot change.
+    #[error("the job has already finished")]
     AlreadyFinished,
     /// Only the outcome of a finished job can be delivered.
-    #[error("the job has no end")]
+    #[error("the job has not finished")]
     NotFinished,
 }
 
-/// A record could not be written as bytes, or bytes are not a record.
+/// The error for a record that cannot be encoded, or for bytes that cannot be decoded as a record.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(transparent)]
 pub struct RecordCodecError(#[from] postcard::Error);
--- a/crates/service/durable-jobs/src/job.rs
+++ b/crates/service/durable-jobs/src/job.rs
@@ -1,4 +1,4 @@
-//! A job: what was accepted, its attempts, and its state.
+//! A durable job: its accepted request, its attempts and its state.
 use crate::ids::JobNumber;
 use crate::lease::{Lease, PastAttempt};
 use bytes::Bytes;
@@ -6,18 +6,18 @@
 use spanlead_balancing_policy::Nanos;
 use std::sync::Arc;
 
-/// What a job takes beside its request and result, in memory and, once snapshotted, on disk, bytes:
-/// a high estimate.
+/// Upper estimate of the bytes that a job takes in addition to its request and result, in memory
+/// and, once a snapshot of it is written, on disk.
 const JOB_OVERHEAD_BYTES: usize = 512;
 
-/// What a second run of a job does, by the job's class when the job was accepted.
+/// The consequence of running a job a second time, according to its class at acceptance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetrySafety {
-    /// The job is idempotent: a second run is harmless.
+    /// A second run is harmless.
     #[serde(rename = "Harmless")]
     Idempotent,
-    /// Some workers deduplicate: they drop a second run for this long, counted from the first send
-    /// that may have run.
+    /// Some workers drop a second run within this deduplication window, which begins when the first
+    /// attempt that may have run was sent.
     #[serde(rename = "Dropped")]
     Deduplicated(Nanos),
     /// The job must not run twice.
@@ -25,101 +25,102 @@
     NonIdempotent,
 }
 
-/// What a client's retry is recognised by: the same key of the same owner and class. The key's
-/// spelling is the client's.
+/// The idempotency key of a client's request, which identifies the client's retries. Keys are
+/// scoped by tenant and class and compared verbatim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct IdempotencyKey {
     /// The tenant's name.
     pub owner: Arc<str>,
     /// The class's name.
     pub class: Arc<str>,
-    /// The value of the header `Idempotency-Key`.
+    /// The value of the `Idempotency-Key` header.
     pub key: Arc<str>,
 }
 
-/// How a job ended.
+/// The outcome of a finished job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobOutcome {
-    /// A worker returned this result.
+    /// A worker completed the job with this result.
     #[serde(rename = "Served")]
     Succeeded(Arc<str>),
-    /// The job was rejected; a retry is harmless.
+    /// The job was rejected; the client may safely retry it.
     #[serde(rename = "Refused")]
     Rejected,
-    /// The job failed, and may have run.
+    /// The job failed and may have run.
     Failed,
     /// No worker can run the job.
     #[serde(rename = "Unusable")]
     Unschedulable,
 }
 
-/// A job as it was accepted. It does not change afterwards.
+/// The immutable part of a job, recorded when the job is accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedJob {
     /// The job's number.
     #[serde(rename = "job")]
     pub number: JobNumber,
-    /// The id under which workers know the job.
+    /// The id that identifies the job to workers.
     pub id: Arc<str>,
-    /// The client's idempotency key, if it sent one.
+    /// The value of the client's `Idempotency-Key` header, if it sent one.
     pub key: Option<Arc<str>>,
     /// The class's name.
     pub class: Arc<str>,
     /// The tenant's name.
     pub owner: Arc<str>,
-    /// A digest of the client's request: another request under the same key is recognised by it.
+    /// A digest of the client's request, which detects the reuse of a key for a different request.
     pub fingerprint: [u8; 16],
-    /// What a second run does.
+    /// The consequence of a second run.
     #[serde(rename = "repeats")]
     pub retry_safety: RetrySafety,
     /// When the job was accepted.
     #[serde(rename = "at")]
     pub accepted_at: Nanos,
-    /// When the client gives up.
+    /// When the client stops waiting for the outcome.
     #[serde(rename = "due")]
     pub deadline: Nanos,
-    /// Worker slots that the job takes.
+    /// The number of worker slots that the job takes.
     pub slots: f64,
-    /// Memory units that the job takes.
+    /// The number of memory units that the job takes at a worker.
     pub memory: f64,
-    /// The subject that the job concerns, for affinity between jobs and workers.
+    /// A digest of the job's affinity key: jobs with the same digest prefer the same workers.
     pub subject: Option<u64>,
-    /// The request as it is sent to a worker.
+    /// The encoded request, as it is sent to a worker.
     #[serde(rename = "text")]
     pub request_body: Bytes,
-    /// Attempts that may have run of an earlier job with the same key, which this job continues.
+    /// Attempts that may have run, inherited from an earlier job with the same key that this job
+    /// continues.
     #[serde(rename = "before")]
     pub inherited_attempts: Vec<PastAttempt>,
 }
 
-/// The state of a job. The last one, expired, is that the job table does not know the job any more.
+/// The state of a job. An expired job has no state: it is removed from the job table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
     /// No attempt is in flight.
     #[serde(rename = "Taken")]
     Accepted,
-    /// An attempt is in flight; its worker has not reported that the job runs.
+    /// An attempt is in flight and its worker has not yet reported that the job runs.
     Leased(Lease),
     /// An attempt is in flight and its worker has reported that the job runs.
     #[serde(rename = "Started")]
     Running(Lease),
-    /// The job has its outcome, and no client is known to have received it.
+    /// The job has an outcome that no client is known to have received.
     #[serde(rename = "Ended")]
     Finished {
-        /// When.
+        /// When the job finished.
         #[serde(rename = "at")]
         finished_at: Nanos,
-        /// How.
+        /// The outcome.
         #[serde(rename = "end")]
         outcome: JobOutcome,
     },
-    /// The job has its outcome, and a client received it.
+    /// The job has an outcome that a client has received.
     #[serde(rename = "Answered")]
     Delivered {
         /// When the job finished.
         #[serde(rename = "at")]
         finished_at: Nanos,
-        /// How.
+        /// The outcome.
         #[serde(rename = "end")]
         outcome: JobOutcome,
     },
@@ -128,24 +129,24 @@
 /// A job with its attempts and its state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// The job as it was accepted.
+    /// The immutable part, recorded at acceptance.
     #[serde(rename = "taken")]
     pub accepted: AcceptedJob,
-    /// The attempts that are over.
+    /// The attempts that have ended, oldest first.
     #[serde(rename = "past")]
     pub past_attempts: Vec<PastAttempt>,
-    /// The state.
+    /// The current state.
     #[serde(rename = "stage")]
     pub state: JobState,
 }
 
 impl Job {
-    /// A job that has just been accepted.
+    /// Creates a job that has just been accepted.
     pub(crate) fn new(accepted: AcceptedJob) -> Self {
         Job { accepted, past_attempts: Vec::new(), state: JobState::Accepted }
     }
 
-    /// The lease of the attempt in flight.
+    /// Returns the lease of the attempt in flight, if there is one.
     #[must_use]
     pub fn lease(&self) -> Option<&Lease> {
         match &self.state {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// How the job ended, if it has.
+    /// Returns the outcome of the job if it has finished.
     #[must_use]
     pub fn outcome(&self) -> Option<&JobOutcome> {
         match &self.state {
@@ -163,7 +164,7 @@
         }
     }
 
-    /// When the job ended, if it has.
+    /// Returns when the job finished, if it has.
     #[must_use]
     pub fn finished_at(&self) -> Option<Nanos> {
         match &self.state {
@@ -174,20 +175,20 @@
         }
     }
 
-    /// Whether the job has no outcome yet.
+    /// Returns whether the job has no outcome yet.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.outcome().is_none()
     }
 
-    /// The key that a client's retry is recognised by, if the client sent one.
+    /// Returns the key that identifies the client's retries, if the client sent one.
     #[must_use]
     pub fn key(&self) -> Option<IdempotencyKey> {
         let key = self.accepted.key.clone()?;
         Some(IdempotencyKey { owner: self.accepted.owner.clone(), class: self.accepted.class.clone(), key })
     }
 
-    /// The state's name as operators are shown it.
+    /// Returns the name of the state in operator output.
     #[must_use]
     pub fn state_name(&self) -> &'static str {
         match &self.state {
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Attempts that may have run, of this job and of those that it continues.
+    /// Returns the attempts that may have run, of this job and of the jobs that it continues.
     pub fn possibly_executed_attempts(&self) -> impl Iterator<Item = &PastAttempt> {
         self.accepted
             .inherited_attempts
@@ -208,34 +209,38 @@
             .filter(|attempt| attempt.may_have_run)
     }
 
-    /// Until when a finished job must be retained: while its client may retry, and while a second
-    /// run could be one too many. `None` if the job is open; 0 if it can be forgotten at once.
+    /// Returns the time until which a finished job must be retained: as long as its client may
+    /// retry it, and as long as its attempts must be known to prevent a duplicate run. Returns
+    /// `None` if the job is open, and 0 if it can be removed at once.
     pub(crate) fn retained_until(&self, retention: Nanos) -> Option<Nanos> {
         let finished_at = self.finished_at()?;
-        if self.can_be_forgotten() {
+        if self.needs_no_retention() {
             return Some(0);
         }
         let client_may_retry_until = self.accepted.deadline.max(finished_at.saturating_add(retention));
         Some(client_may_retry_until.max(self.deduplicated_until()))
     }
 
-    /// Whether nothing depends on the finished job: without a key no client can retry, and a
-    /// rejected job that never ran (or may run twice) needs no guard against a second run.
-    fn can_be_forgotten(&self) -> bool {
+    /// Returns whether a finished job can be removed at once: a job without a key cannot be
+    /// retried, and a rejected job that never ran, or that is idempotent, needs no guard against a
+    /// second run.
+    fn needs_no_retention(&self) -> bool {
         let second_run_is_harmless = self.possibly_executed_attempts().next().is_none()
             || self.accepted.retry_safety == RetrySafety::Idempotent;
         let rejected = self.outcome() == Some(&JobOutcome::Rejected);
         self.accepted.key.is_none() || rejected && second_run_is_harmless
     }
 
-    /// Until when workers drop a second run of this job; 0 if they don't, or if it never ran.
+    /// Returns the end of the deduplication window of this job; 0 if its class has none or no
+    /// attempt may have run.
     fn deduplicated_until(&self) -> Nanos {
         let RetrySafety::Deduplicated(window) = self.accepted.retry_safety else { return 0 };
         let first_sent = self.possibly_executed_attempts().map(|attempt| attempt.sent_at).min();
         first_sent.map_or(0, |sent_at| sent_at.saturating_add(window))
     }
 
-    /// What the job takes in memory and on disk, bytes.
+    /// Returns an upper estimate of the bytes that the job takes, in memory or in a snapshot on
+    /// disk.
     pub(crate) fn size_bytes(&self) -> usize {
         let result_bytes = match self.outcome() {
             Some(JobOutcome::Succeeded(result)) => result.len(),
@@ -244,23 +249,23 @@
         JOB_OVERHEAD_BYTES + self.accepted.request_body.len() + result_bytes
     }
 
-    /// Adds `shift` nanoseconds to all times, to read them in another process's clock.
+    /// Adds `shift` nanoseconds to all times, which converts them to another process's clock.
     pub(crate) fn shift_times(&mut self, shift: i128) {
-        let move_time = |time: &mut Nanos| {
+        let shift_time = |time: &mut Nanos| {
             *time = (i128::from(*time) + shift).clamp(0, i128::from(Nanos::MAX)) as Nanos;
         };
-        move_time(&mut self.accepted.accepted_at);
-        move_time(&mut self.accepted.deadline);
+        shift_time(&mut self.accepted.accepted_at);
+        shift_time(&mut self.accepted.deadline);
         let attempts = self.accepted.inherited_attempts.iter_mut().chain(&mut self.past_attempts);
-        attempts.for_each(|attempt| move_time(&mut attempt.sent_at));
+        attempts.for_each(|attempt| shift_time(&mut attempt.sent_at));
         match &mut self.state {
             JobState::Accepted => {}
             JobState::Leased(lease) | JobState::Running(lease) => {
-                move_time(&mut lease.sent_at);
-                move_time(&mut lease.expires_at);
+                shift_time(&mut lease.sent_at);
+                shift_time(&mut lease.expires_at);
             }
             JobState::Finished { finished_at, .. } | JobState::Delivered { finished_at, .. } => {
-                move_time(finished_at);
+                shift_time(finished_at);
             }
         }
     }
--- a/crates/service/durable-jobs/src/lease.rs
+++ b/crates/service/durable-jobs/src/lease.rs
@@ -1,12 +1,12 @@
-//! Attempts of a job: the lease of the attempt in flight, and the attempts that are over.
+//! The attempts of a job: the lease of the attempt in flight, and the attempts that have ended.
 use crate::ids::FencingToken;
 use serde::{Deserialize, Serialize};
 use spanlead_balancing_policy::Nanos;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A worker as it was when an attempt was sent to it. It is stored since the worker list may not
-/// name it any more when the log is replayed.
+/// The identity and location of a worker when an attempt was sent to it. They are stored because
+/// the endpoint list may no longer contain the worker when the log is replayed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerLocation {
     /// The worker's name.
@@ -19,37 +19,37 @@
     pub cell: u32,
 }
 
-/// A lease: the only attempt of a job that is in flight.
+/// The lease of the one attempt of a job that is in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
     /// The fencing token.
     pub token: FencingToken,
-    /// The worker that the lease is granted to.
+    /// The worker that holds the lease.
     #[serde(rename = "place")]
     pub location: WorkerLocation,
     /// When the attempt was sent.
     #[serde(rename = "sent")]
     pub sent_at: Nanos,
-    /// The latest moment, by this scheduler's clock, until which the worker may believe that it has
-    /// the lease.
+    /// The latest time, on this scheduler's clock, until which the worker may consider its lease
+    /// valid.
     #[serde(rename = "until")]
     pub expires_at: Nanos,
-    /// The worker has acknowledged the job.
+    /// Whether the worker has acknowledged the job.
     #[serde(rename = "held")]
     pub acknowledged: bool,
-    /// The worker obeys the lease: it stops the job when the lease has expired.
+    /// Whether the worker honours the lease, that is, stops the job when the lease expires.
     #[serde(rename = "aware")]
     pub lease_aware: bool,
 }
 
 impl Lease {
-    /// The attempt of this lease, now that it is over.
+    /// Converts the lease into the record of its attempt, which has ended.
     pub(crate) fn into_past_attempt(self, may_have_run: bool) -> PastAttempt {
         PastAttempt { location: self.location, sent_at: self.sent_at, may_have_run, token: self.token }
     }
 }
 
-/// An attempt that is over.
+/// An attempt that has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PastAttempt {
     /// The worker of the attempt.
--- a/crates/service/durable-jobs/src/lib.rs
+++ b/crates/service/durable-jobs/src/lib.rs
@@ -1,6 +1,5 @@
-//! Durable jobs: the records that are logged for a job, the states that it goes through, what a
-//! restart recovers, and what a client's retry with the same idempotency key means. This crate does
-//! no I/O.
+//! Durable jobs: the log records of a job, its state machine, the recovery of jobs after a restart,
+//! and the handling of a client's retry with the same idempotency key. This crate does no I/O.
 //!
 //! ```text
 //!              ┌────────── Released ──────────┐
@@ -8,23 +7,23 @@
 //! Accepted ─► accepted ─ Leased ─► leased ─ Started ─► running
 //!              │                      │                   │
 //!              └────── Finished ──────┴───────────────────┘──► finished ─ Delivered ─► delivered
-//!                                                               └── retention ends ──► expired (forgotten)
+//!                                                               └── retention ends ──► expired (removed)
 //! ```
 //!
-//! [`JobTable::apply`] is the only place where the state of a job changes, both when a record is
-//! made and when it is replayed from the log, so a process that recovers has the state of the
-//! process before it. A record that does not fit the state is an [`ApplyError`] and changes
-//! nothing. Two concurrent leases of one job cannot be expressed: [`JobState::Leased`] and
-//! [`JobState::Running`] contain the only one.
+//! The state of a job changes only in [`JobTable::apply`], both when a record is created and when
+//! it is replayed from the log, so a recovering process arrives at the state of its predecessor. A
+//! record that is invalid in the current state is rejected with an [`ApplyError`] and changes no
+//! job. Two concurrent leases of one job cannot be represented: [`JobState::Leased`] and
+//! [`JobState::Running`] contain the only lease.
 //!
-//! The caller keeps the order of records and effects: it must not send, answer or acknowledge
-//! anything before the record that precedes it is durable ("output commit": Strom and Yemini,
-//! "Optimistic Recovery in Distributed Systems", TOCS 3(3), 1985). Leases with a bound on clock
-//! drift follow Gray and Cheriton, "Leases" (SOSP 1989); growing fencing tokens are Chubby's
-//! "sequencer" (Burrows, OSDI 2006, section 2.4).
+//! The caller is responsible for the order of records and effects: it must not send a job, answer a
+//! client or acknowledge a message before the record that precedes this effect is durable ("output
+//! commit": Strom and Yemini, "Optimistic Recovery in Distributed Systems", TOCS 3(3), 1985).
+//! Leases with a bound on clock drift follow Gray and Cheriton, "Leases" (SOSP 1989); increasing
+//! fencing tokens correspond to Chubby's "sequencer" (Burrows, OSDI 2006, section 2.4).
 //!
-//! All times are [`Nanos`] of the process's own clock. Times that another process logged are
-//! translated when the next process begins its session: see [`Session`].
+//! All times are [`Nanos`] on the process's own clock. Times logged by an earlier process are
+//! converted when the next process begins its session; see [`Session`].
 #![warn(missing_docs, unreachable_pub, clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
 
 mod error;
--- a/crates/service/durable-jobs/src/record.rs
+++ b/crates/service/durable-jobs/src/record.rs
@@ -1,7 +1,7 @@
-//! Records of the log. Their form on disk is postcard's (a published, compact serde format): new
-//! kinds of record go to the end of [`Record`], and any other change of form is a new version of
-//! the log. Names are not part of that form; the serde names are those of the JSON that `spanlead
-//! ledger export` writes.
+//! The records of the log. They are stored in the postcard format (a published, compact serde
+//! format): new record kinds are appended to the end of [`Record`], and any other change of the
+//! encoding requires a new version of the log. Postcard does not store names; the serde names are
+//! those in the JSON written by `spanlead ledger export`.
 use crate::error::RecordCodecError;
 use crate::ids::{FencingToken, JobNumber};
 use crate::job::{AcceptedJob, Job, JobOutcome};
@@ -10,39 +10,39 @@
 use serde::{Deserialize, Serialize};
 use spanlead_balancing_policy::Nanos;
 
-/// A record of the log: one change of one job's state, or the begin of a process's session.
+/// A record of the log: one state change of one job, or the start of a process's session.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// A process has begun to write the log.
+    /// A process started to write the log.
     Session(Session),
     /// A job was accepted.
     #[serde(rename = "Taken")]
     Accepted(AcceptedJob),
-    /// An attempt is about to be sent, under a new lease.
+    /// An attempt is about to be sent under a new lease.
     Leased {
         /// The job.
         job: JobNumber,
         /// The lease's fencing token.
         token: FencingToken,
-        /// The worker.
+        /// The worker that holds the lease.
         #[serde(rename = "place")]
         location: WorkerLocation,
-        /// When.
+        /// When the attempt is sent.
         #[serde(rename = "sent")]
         sent_at: Nanos,
-        /// The latest moment, by this scheduler's clock, until which the worker may believe that it
-        /// has the lease.
+        /// The latest time, on this scheduler's clock, until which the worker may consider its
+        /// lease valid.
         #[serde(rename = "until")]
         expires_at: Nanos,
     },
-    /// The worker has acknowledged the job.
+    /// The worker acknowledged the job.
     #[serde(rename = "Held")]
     Acknowledged {
         /// The job.
         job: JobNumber,
         /// The lease's fencing token.
         token: FencingToken,
-        /// Whether the worker obeys the lease.
+        /// Whether the worker honours the lease.
         #[serde(rename = "aware")]
         lease_aware: bool,
     },
@@ -52,18 +52,19 @@
         job: JobNumber,
         /// The lease's fencing token.
         token: FencingToken,
-        /// The latest moment until which the worker may believe that it has the lease.
+        /// The new latest time, on this scheduler's clock, until which the worker may consider its
+        /// lease valid.
         #[serde(rename = "until")]
         expires_at: Nanos,
     },
-    /// The worker has begun to run the job.
+    /// The worker reported that the job runs.
     Started {
         /// The job.
         job: JobNumber,
         /// The lease's fencing token.
         token: FencingToken,
     },
-    /// The attempt is over without a result.
+    /// The attempt ended without a result, and with it its lease.
     Released {
         /// The job.
         job: JobNumber,
@@ -73,32 +74,32 @@
         #[serde(rename = "ran")]
         may_have_run: bool,
     },
-    /// The job has its outcome.
+    /// The job finished.
     #[serde(rename = "Ended")]
     Finished {
         /// The job.
         job: JobNumber,
-        /// When.
+        /// When the job finished.
         #[serde(rename = "at")]
         finished_at: Nanos,
-        /// How.
+        /// The outcome.
         #[serde(rename = "end")]
         outcome: JobOutcome,
     },
-    /// A client received the outcome.
+    /// A client received the outcome of the job.
     #[serde(rename = "Answered")]
     Delivered {
         /// The job.
         job: JobNumber,
     },
-    /// The whole state of a job, written again so that segments with its older records can be
+    /// The whole state of a job, written so that log segments with its older records can be
     /// removed.
     #[serde(rename = "Carried")]
     Snapshot(Box<Job>),
 }
 
 impl Record {
-    /// The record's kind as operators are shown it.
+    /// Returns the name of the record kind in operator output.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
@@ -115,14 +116,14 @@
         }
     }
 
-    /// Whether no effect waits for the record to be durable: a crash that loses it costs a
-    /// recovered job time, or a counter its accuracy, and nothing else.
+    /// Returns whether no effect has to wait until the record is durable. A crash that loses such a
+    /// record only delays a recovered job or makes a counter inaccurate.
     #[must_use]
     pub fn is_deferrable(&self) -> bool {
         matches!(self, Record::Acknowledged { .. } | Record::Delivered { .. })
     }
 
-    /// The job that the record concerns.
+    /// Returns the job of the record; `None` for a session record.
     #[must_use]
     pub fn job(&self) -> Option<JobNumber> {
         match self {
@@ -139,24 +140,24 @@
         }
     }
 
-    /// Whether the record needs no earlier record to be understood.
+    /// Returns whether the record can be applied without any earlier record.
     pub(crate) fn is_self_contained(&self) -> bool {
         matches!(self, Record::Session(_) | Record::Accepted(_) | Record::Snapshot(_))
     }
 }
 
-/// Writes a record as bytes.
+/// Encodes a record.
 ///
 /// # Errors
-/// Never for records that this crate makes; else what postcard reports.
+/// The error that postcard reports. Records created by this crate can always be encoded.
 pub fn encode(record: &Record) -> Result<Vec<u8>, RecordCodecError> {
     Ok(postcard::to_stdvec(record)?)
 }
 
-/// Reads a record from bytes, all of which must belong to it.
+/// Decodes a record from exactly `bytes`.
 ///
 /// # Errors
-/// If the bytes are not a record.
+/// If the bytes are not a record, or if bytes follow after it.
 pub fn decode(bytes: &[u8]) -> Result<Record, RecordCodecError> {
     match postcard::take_from_bytes(bytes)? {
         (record, []) => Ok(record),
--- a/crates/service/durable-jobs/src/table.rs
+++ b/crates/service/durable-jobs/src/table.rs
@@ -1,8 +1,9 @@
-//! The table of all jobs, open and retained: the state that the records add up to.
+//! The table of all jobs, open and retained: the state that results from applying the log's
+//! records.
 //!
-//! - `apply`: a record changes the state of its job, or is rejected; replay of the log.
-//! - `indexes`: how jobs enter, change and leave the table, and the indexes that follow.
-//! - `compaction`: which part of the log is still needed, and how old records are made unneeded.
+//! - `apply`: applies records to jobs or rejects them, and replays the log;
+//! - `indexes`: inserts, updates and removes jobs together with their index entries;
+//! - `compaction`: the part of the log that is still needed, and snapshots that shorten it.
 mod apply;
 mod compaction;
 mod indexes;
@@ -18,65 +19,67 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Bounds of a job table.
+/// The limits of a job table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct JobTableLimits {
-    /// How long a finished job is retained at least, for clients that retry.
+    /// The minimum time for which a finished job is retained, for clients that retry.
     pub retention: Nanos,
-    /// The most jobs, open and retained together.
+    /// The maximum number of jobs, open and retained together.
     pub max_jobs: usize,
 }
 
-/// What a client's request is, by its idempotency key.
+/// The result of looking up a client's request by its idempotency key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyLookup {
-    /// Nothing is known of the key.
+    /// The key is unknown.
     New,
-    /// The request retries a job that is open.
+    /// The request is a retry of this open job.
     InProgress(JobNumber),
-    /// The request retries a job that has this outcome.
+    /// The request is a retry of this job, which has this outcome.
     Finished(JobNumber, JobOutcome),
-    /// An earlier job of this key failed, and these attempts of it may have run; the class's rules
-    /// say where a retry may go, given these.
+    /// An earlier job with this key was rejected or failed, and the request may be run as a new
+    /// job. These attempts of the earlier job may have run; the class determines which workers a
+    /// retry may use after them.
     Retryable(Vec<PastAttempt>),
-    /// The key was used for another request.
+    /// The key was used for a different request.
     RequestMismatch,
 }
 
 /// Gauges of a job table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct JobTableStats {
-    /// Jobs without an outcome.
+    /// The number of jobs without an outcome.
     pub open: usize,
-    /// Finished jobs, retained for clients that retry.
+    /// The number of finished jobs that are retained for clients that retry.
     #[serde(rename = "kept")]
     pub retained: usize,
-    /// What both take, bytes: a high estimate.
+    /// An upper estimate of the bytes that open and retained jobs take together.
     pub live_bytes: usize,
 }
 
 /// All jobs, open and retained.
 ///
-/// Invariants, kept by `indexes`: every job is in `by_id` and, if it has a key, in `by_key` unless
-/// a later job took its place there; `by_base_lsn` and `expirations` have exactly the jobs'
-/// entries; `open_count` and `live_bytes` are the sums over `entries`.
+/// Invariants, maintained by `indexes`: every job is in `by_id` and, if it has a key, in `by_key`,
+/// unless a later job replaced it there; `by_base_lsn` has one entry for each job and `expirations`
+/// one for each finished job; `open_count` and `live_bytes` are the sums over `entries`.
 #[derive(Clone, Debug)]
 pub struct JobTable {
     limits: JobTableLimits,
     entries: HashMap<JobNumber, JobEntry>,
     by_key: HashMap<IdempotencyKey, JobNumber>,
     by_id: HashMap<Arc<str>, JobNumber>,
-    /// Jobs by their oldest record that is needed: the log may drop what precedes the first of
-    /// these.
+    /// Jobs by the oldest record needed to replay them: the log may drop the records before the
+    /// first of these.
     by_base_lsn: BTreeMap<Lsn, JobNumber>,
-    /// Finished jobs by the time when their retention ends.
+    /// Finished jobs by the end of their retention.
     expirations: BTreeSet<(Nanos, JobNumber)>,
+    /// The current session.
     session: Option<Session>,
-    /// The records of sessions that are needed: the times in a record can be read only with its
-    /// session.
+    /// The session records that are still needed: the times in a record can be converted only with
+    /// the record of its session.
     session_lsns: BTreeSet<Lsn>,
     last_lsn: Lsn,
-    /// The log that this was replayed from lacks its beginning.
+    /// Whether records of the replayed log are missing because they were dropped.
     log_truncated: bool,
     next_job: JobNumber,
     next_token: FencingToken,
@@ -85,7 +88,7 @@
 }
 
 impl JobTable {
-    /// An empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(limits: JobTableLimits) -> Self {
         JobTable {
@@ -106,43 +109,43 @@
         }
     }
 
-    /// Sets other limits, for what comes from now on.
+    /// Replaces the limits, with effect from now on.
     pub fn set_limits(&mut self, limits: JobTableLimits) {
         self.limits = limits;
     }
 
-    /// Whether one more job can be accepted. No job is forgotten before its retention ends to free
-    /// capacity.
+    /// Returns whether one more job can be accepted. No job is removed before the end of its
+    /// retention to free capacity.
     #[must_use]
     pub fn has_capacity(&self) -> bool {
         self.entries.len() < self.limits.max_jobs
     }
 
-    /// The number of the next job.
+    /// Returns the number for the next job.
     #[must_use]
     pub fn next_job(&self) -> JobNumber {
         self.next_job
     }
 
-    /// The fencing token of the next lease.
+    /// Returns the fencing token for the next lease.
     #[must_use]
     pub fn next_token(&self) -> FencingToken {
         self.next_token
     }
 
-    /// A job by its number, unless it is unknown or expired.
+    /// Returns the job with this number, unless it is unknown or has expired.
     #[must_use]
     pub fn job(&self, number: JobNumber) -> Option<&Job> {
         self.entries.get(&number).map(|entry| &entry.job)
     }
 
-    /// A job by its id.
+    /// Returns the job with this id, unless it is unknown or has expired.
     #[must_use]
     pub fn job_by_id(&self, id: &str) -> Option<&Job> {
         self.job(*self.by_id.get(id)?)
     }
 
-    /// All jobs, in the order of their numbers.
+    /// Returns all jobs, ordered by number.
     #[must_use]
     pub fn jobs(&self) -> Vec<&Job> {
         let mut jobs: Vec<&Job> = self.entries.values().map(|entry| &entry.job).collect();
@@ -150,7 +153,7 @@
         jobs
     }
 
-    /// The open jobs, in the order of their numbers.
+    /// Returns the numbers of the open jobs, in ascending order.
     #[must_use]
     pub fn open_jobs(&self) -> Vec<JobNumber> {
         let open = self.entries.iter().filter(|(_, entry)| entry.job.is_open());
@@ -159,30 +162,31 @@
         numbers
     }
 
-    /// The gauges that operators are shown.
+    /// Returns the table's gauges.
     #[must_use]
     pub fn stats(&self) -> JobTableStats {
         let retained = self.entries.len() - self.open_count;
         JobTableStats { open: self.open_count, retained, live_bytes: self.live_bytes }
     }
 
-    /// The LSN of the last record that was applied or passed over.
+    /// Returns the LSN of the last record that was applied or skipped.
     #[must_use]
     pub fn last_lsn(&self) -> Lsn {
         self.last_lsn
     }
 
-    /// The record with which a process begins its session; `anchor` is a reading of its clocks.
+    /// Returns the record with which a process begins its session; `anchor` is a reading of the
+    /// process's clocks.
     #[must_use]
     pub fn session_record(&self, anchor: ClockAnchor) -> Record {
         Record::Session(Session { anchor, next_job: self.next_job, next_token: self.next_token })
     }
 
-    /// What a request with this key and fingerprint is.
+    /// Looks up a request by its key and fingerprint.
     ///
-    /// A failed job that may have run is not final for a class whose second runs some workers drop:
-    /// the retry continues from its attempts. For a class that must not run twice it is final, and
-    /// each retry gets the same outcome.
+    /// The failure of a job that may have run is not final if some workers deduplicate its class: a
+    /// retry continues from the job's attempts. For a non-idempotent class the failure is final,
+    /// and each retry gets the same outcome.
     #[must_use]
     pub fn lookup(&self, key: &IdempotencyKey, fingerprint: &[u8; 16]) -> KeyLookup {
         let Some(job) = self.by_key.get(key).and_then(|number| self.job(*number)) else {
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Forgets the jobs whose retention has ended by `now`; returns how many.
+    /// Removes the jobs whose retention has ended by `now` and returns their number.
     pub fn expire(&mut self, now: Nanos) -> usize {
         let mut expired = 0;
         while let Some((_, number)) = self.expirations.first().filter(|(until, _)| *until <= now).copied() {
@@ -211,14 +215,14 @@
         expired
     }
 
-    /// When the next job expires.
+    /// Returns the earliest end of a job's retention.
     #[must_use]
     pub fn next_expiration(&self) -> Option<Nanos> {
         self.expirations.first().map(|(until, _)| *until)
     }
 }
 
-/// What a retry of a failed or rejected job is.
+/// Returns the lookup result for a retry of a failed or rejected job.
 fn lookup_unsuccessful(job: &Job, outcome: &JobOutcome) -> KeyLookup {
     let mut possibly_executed = job.possibly_executed_attempts();
     match job.accepted.retry_safety {
--- a/crates/service/durable-jobs/src/table/apply.rs
+++ b/crates/service/durable-jobs/src/table/apply.rs
@@ -1,5 +1,5 @@
-//! How a record changes the table: the transitions of the state machine that the crate's page
-//! shows.
+//! The effect of each record on the table: the transitions of the state machine that the crate's
+//! documentation shows.
 use super::JobTable;
 use crate::error::{ApplyError, RejectReason};
 use crate::ids::{FencingToken, JobNumber, Lsn};
@@ -10,11 +10,12 @@
 use spanlead_balancing_policy::Nanos;
 
 impl JobTable {
-    /// Applies one record, the next in number. Nothing else but [`JobTable::expire`] changes a job.
+    /// Applies one record under the next LSN. Apart from [`JobTable::expire`], this is the only way
+    /// to change a job.
     ///
     /// # Errors
-    /// If the record does not fit the state; then nothing has changed, except that jobs whose
-    /// retention had ended by the time of the record may be forgotten.
+    /// If the record is invalid in the current state. Then the table is unchanged, except that jobs
+    /// whose retention ended before the time of the record may have been removed.
     pub fn apply(&mut self, record: &Record) -> Result<(), ApplyError> {
         let lsn = self.last_lsn + 1;
         self.apply_at(lsn, record).map_err(|reason| ApplyError {
@@ -42,24 +43,24 @@
             Record::Renewed { job, token, expires_at } => {
                 self.update(*job, |job| renew_lease(job, *token, *expires_at))
             }
-            Record::Started { job, token } => self.update(*job, |job| start(job, *token)),
+            Record::Started { job, token } => self.update(*job, |job| mark_running(job, *token)),
             Record::Released { job, token, may_have_run } => {
                 self.update(*job, |job| release_lease(job, *token, *may_have_run))
             }
             Record::Finished { job, finished_at, outcome } => self.finish(*job, *finished_at, outcome),
-            // The job may have expired before its client was reached.
+            // The job may have expired before its outcome reached the client.
             Record::Delivered { job } if self.job(*job).is_none() => Ok(()),
-            Record::Delivered { job } => self.update(*job, deliver),
+            Record::Delivered { job } => self.update(*job, mark_delivered),
             Record::Snapshot(job) => self.restore_snapshot(job, lsn),
         }
     }
 
-    /// Replays the record `lsn` as it is read from the log.
+    /// Replays a record that the log contains at `lsn`.
     ///
     /// # Errors
-    /// As [`JobTable::apply`]; but where the log lacks its beginning, records of jobs that only the
-    /// missing part knew are passed over: the part was dropped since those jobs were not needed any
-    /// more.
+    /// As for [`JobTable::apply`]. If the beginning of the log was dropped, records of jobs that
+    /// only the dropped part introduced are not errors but skipped: the part was dropped because
+    /// those jobs were no longer needed.
     pub fn replay(&mut self, lsn: Lsn, record: &Record) -> Result<(), ApplyError> {
         self.skip_to(lsn);
         let is_unknown = record.job().is_some_and(|number| self.job(number).is_none());
@@ -70,7 +71,8 @@
         self.apply(record)
     }
 
-    /// The next record will be `next_lsn`: what precedes it and was not read is not needed.
+    /// Sets the LSN of the next record to `next_lsn`. Records before it that were not replayed were
+    /// dropped from the log because they were no longer needed.
     pub fn skip_to(&mut self, next_lsn: Lsn) {
         if self.last_lsn + 1 != next_lsn {
             self.last_lsn = next_lsn.saturating_sub(1);
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Another process continues: all times are read in its clock from here.
+    /// Begins a session and converts all times to the clock of its process.
     fn begin_session(&mut self, session: &Session, lsn: Lsn) {
         if let Some(previous) = self.session.take() {
             let shift = previous.anchor.shift_to(&session.anchor);
@@ -97,15 +99,16 @@
         if accepted.number < self.next_job {
             return Err(RejectReason::JobNumberReused);
         }
-        // The process that accepted the job had forgotten by then what had expired.
+        // The process that accepted the job had removed all jobs that had expired by then.
         self.expire(accepted.accepted_at);
         let job = Job::new(accepted.clone());
         let previous = job.key().and_then(|key| self.by_key.get(&key).copied());
         let previous = previous.and_then(|number| self.job(number));
         if let Some(previous) = previous {
-            check_continues(accepted, previous)?;
+            check_key_reuse(accepted, previous)?;
         }
-        // The previous job of the key is over, so this is another one.
+        // The previous job with the key has finished, so an open job with this id is a different
+        // one.
         if self.job_by_id(&accepted.id).is_some_and(Job::is_open) {
             return Err(RejectReason::IdInUse);
         }
@@ -145,7 +148,7 @@
                 JobState::Finished { .. } | JobState::Delivered { .. } => {
                     return Err(RejectReason::AlreadyFinished);
                 }
-                // Whatever the outcome says, an attempt in flight may run.
+                // The attempt in flight may still run, whatever the outcome is.
                 JobState::Leased(lease) | JobState::Running(lease) => {
                     job.past_attempts.push(lease.clone().into_past_attempt(true));
                 }
@@ -175,9 +178,13 @@
     }
 }
 
-/// Whether a job may take the key of `previous`: that one must not be final, and the attempts of it
-/// that may have run must go on in the new job, or a second run would not be seen as one.
-fn check_continues(accepted: &AcceptedJob, previous: &Job) -> Result<(), RejectReason> {
+/// Checks that a job may reuse the key of `previous`: the outcome of `previous` must not be final,
+/// and the new job must inherit its attempts that may have run; otherwise a second run would not be
+/// recognised as such.
+///
+/// # Errors
+/// The rule that the new job breaks.
+fn check_key_reuse(accepted: &AcceptedJob, previous: &Job) -> Result<(), RejectReason> {
     let inherits_all =
         previous.possibly_executed_attempts().all(|attempt| accepted.inherited_attempts.contains(attempt));
     let second_run_is_harmless = previous.accepted.retry_safety == RetrySafety::Idempotent;
@@ -202,14 +209,14 @@
 
 fn renew_lease(job: &mut Job, token: FencingToken, expires_at: Nanos) -> Result<(), RejectReason> {
     let lease = current_lease(job, token)?;
-    // A worker that was granted a later moment before obeys that one.
+    // A worker that was already granted a later expiration keeps to that one.
     lease.expires_at = lease.expires_at.max(expires_at);
     lease.acknowledged = true;
     lease.lease_aware = true;
     Ok(())
 }
 
-fn start(job: &mut Job, token: FencingToken) -> Result<(), RejectReason> {
+fn mark_running(job: &mut Job, token: FencingToken) -> Result<(), RejectReason> {
     let mut lease = current_lease(job, token)?.clone();
     lease.acknowledged = true;
     job.state = JobState::Running(lease);
@@ -223,7 +230,7 @@
     Ok(())
 }
 
-fn deliver(job: &mut Job) -> Result<(), RejectReason> {
+fn mark_delivered(job: &mut Job) -> Result<(), RejectReason> {
     match &job.state {
         JobState::Finished { finished_at, outcome } => {
             job.state = JobState::Delivered { finished_at: *finished_at, outcome: outcome.clone() };
@@ -234,7 +241,10 @@
     }
 }
 
-/// The job's lease, if `token` is its fencing token.
+/// Returns the job's lease if `token` is its fencing token.
+///
+/// # Errors
+/// If the job has no lease, or one with another token.
 fn current_lease(job: &mut Job, token: FencingToken) -> Result<&mut Lease, RejectReason> {
     match &mut job.state {
         JobState::Leased(lease) | JobState::Running(lease) if lease.token == token => Ok(lease),
--- a/crates/service/durable-jobs/src/table/indexes.rs
+++ b/crates/service/durable-jobs/src/table/indexes.rs
@@ -1,26 +1,26 @@
-//! How jobs enter, change and leave the table. The indexes and sums of [`JobTable`] are changed
-//! only here, together with the jobs that they follow.
+//! Insertion, update and removal of jobs. The indexes and sums of [`JobTable`] are changed only
+//! here, together with the jobs.
 use super::JobTable;
 use crate::error::RejectReason;
 use crate::ids::{JobNumber, Lsn};
 use crate::job::Job;
 use spanlead_balancing_policy::Nanos;
 
-/// A job, where its oldest record that is needed lies, and when the job may be forgotten.
+/// A job with the position of its base record and the end of its retention.
 #[derive(Clone, Debug)]
 pub(super) struct JobEntry {
     pub(super) job: Job,
-    /// The LSN of the record from which the job can be replayed.
+    /// The LSN of the job's base record, from which it can be replayed.
     base_lsn: Lsn,
-    /// When the job's retention ends; `None` while the job is open.
+    /// When the job's retention ends: `None` while the job is open, 0 if nothing depends on it.
     retained_until: Option<Nanos>,
-    /// What the job was last counted with in the table's `live_bytes`.
+    /// The job's current share of the table's `live_bytes`.
     size_bytes: usize,
 }
 
 impl JobEntry {
-    /// Whether the job is finished and nothing depends on it.
-    fn can_be_forgotten(&self) -> bool {
+    /// Returns whether the job has finished and nothing depends on it.
+    fn needs_no_retention(&self) -> bool {
         self.retained_until == Some(0)
     }
 }
@@ -42,7 +42,7 @@
         self.entries.insert(number, entry);
     }
 
-    /// Forgets a job, if it is known. There is no other place where a job leaves the table.
+    /// Removes a job if the table contains it. This is the only place where jobs are removed.
     pub(super) fn remove(&mut self, number: JobNumber) {
         let Some(entry) = self.entries.remove(&number) else { return };
         let id = &entry.job.accepted.id;
@@ -60,15 +60,18 @@
         self.live_bytes -= entry.size_bytes;
     }
 
-    /// Forgets a job that has just finished, if nothing depends on it.
+    /// Removes a job that has just finished if nothing depends on it.
     pub(super) fn remove_if_unneeded(&mut self, number: JobNumber) {
-        if self.entries.get(&number).is_some_and(JobEntry::can_be_forgotten) {
+        if self.entries.get(&number).is_some_and(JobEntry::needs_no_retention) {
             self.remove(number);
         }
     }
 
-    /// Changes a job in place, and the indexes if that finishes it. `change` must leave the job as
-    /// it was if it fails.
+    /// Changes a job in place, and updates the indexes if the change finishes the job. `change`
+    /// must leave the job unmodified if it fails.
+    ///
+    /// # Errors
+    /// If the job is unknown or `change` fails.
     pub(super) fn update(
         &mut self,
         number: JobNumber,
@@ -88,7 +91,7 @@
         Ok(())
     }
 
-    /// Adds `shift` nanoseconds to all times, to read them in another process's clock.
+    /// Adds `shift` nanoseconds to all times, which converts them to another process's clock.
     pub(super) fn shift_times(&mut self, shift: i128) {
         self.expirations.clear();
         for (number, entry) in &mut self.entries {
--- a/crates/service/engine/src/durable/leases.rs
+++ b/crates/service/engine/src/durable/leases.rs
@@ -1,5 +1,6 @@
-//! The leases under which workers run durable jobs. A worker that goes by its lease stops when that
-//! expires, unless it was renewed by the answer to a notice; so the job can then run elsewhere.
+//! The leases under which workers run durable jobs. A worker that honours its lease stops the job
+//! when the lease expires, unless the reply to a notice has renewed it; the job can then run on
+//! another worker.
 use crate::attempts::{ACCEPT_TIMEOUT, CANCEL_TIMEOUT};
 use crate::request_table::AttemptStage;
 use crate::timers::Timer;
@@ -8,17 +9,18 @@
 use spanlead_durable_jobs::{FencingToken, JobNumber, JobOutcome, JobState, Record, WorkerLocation};
 use std::sync::Arc;
 
-/// A lease need only be recorded anew when its end has moved by this part of its length.
+/// A renewal is recorded only if it extends the lease by more than its length divided by this.
 const RENEWAL_RECORD_DIVISOR: Nanos = 4;
 
-/// A lease of a durable job.
-struct JobLease {
+/// The job and the fencing token that identify a lease.
+struct LeaseKey {
     job: JobNumber,
     token: FencingToken,
 }
 
 impl Engine {
-    /// Records that an attempt is about to be dispatched, and grants its lease.
+    /// Grants and records the lease of an attempt that is about to be dispatched. Returns `None` if
+    /// there are no durable jobs here, or if the attempt or its worker is unknown.
     pub(crate) fn grant_lease(
         &mut self,
         now: Nanos,
@@ -28,56 +30,60 @@
     ) -> Option<LeaseGrant> {
         let jobs = self.durable.as_ref()?;
         let (token, length) = (jobs.ledger.next_token(), jobs.lease);
-        let this = self.requests.attempt_mut(attempt)?;
-        this.token = Some(token);
-        let (worker, addr) = (this.worker.clone(), this.addr);
+        let entry = self.requests.attempt_mut(attempt)?;
+        entry.token = Some(token);
+        let (worker, addr) = (entry.worker.clone(), entry.addr);
         let reported = self.workers.get(&worker)?.reported?;
         let zone = self.classes.names.zones.get(reported.zone as usize).map_or("", String::as_str);
         let location = WorkerLocation { worker, addr, zone: Arc::from(zone), cell: reported.lasting_cell() };
-        // Its worker counts from when the attempt came there, which is before this process hears
-        // that it has.
-        let until = now + ACCEPT_TIMEOUT + length;
-        self.record(Record::Leased { job, token, location, sent_at: now, expires_at: until }, out);
+        // The worker counts the lease from the arrival of the attempt, which precedes the arrival
+        // of its acknowledgement here.
+        let expires_at = now + ACCEPT_TIMEOUT + length;
+        self.record(Record::Leased { job, token, location, sent_at: now, expires_at }, out);
         Some(LeaseGrant { token: token.0, length })
     }
 
-    fn lease_of(&self, attempt: AttemptId) -> Option<JobLease> {
+    /// Returns the key of an attempt's lease; `None` if the job is not durable.
+    fn lease_key(&self, attempt: AttemptId) -> Option<LeaseKey> {
         let job = self.requests.get(attempt.request)?.durable?;
         let token = self.requests.attempt(attempt)?.token?;
-        Some(JobLease { job, token })
+        Some(LeaseKey { job, token })
     }
 
-    /// Records that the worker has the job; `lease_aware` tells whether it goes by the lease.
+    /// Records that the worker has acknowledged the job; `lease_aware` states whether it honours
+    /// the lease.
     pub(crate) fn record_acknowledged(
         &mut self,
         attempt: AttemptId,
         lease_aware: bool,
         out: &mut Vec<Effect>,
     ) {
-        let Some(JobLease { job, token }) = self.lease_of(attempt) else { return };
+        let Some(LeaseKey { job, token }) = self.lease_key(attempt) else { return };
         self.record(Record::Acknowledged { job, token, lease_aware }, out);
         if lease_aware {
-            self.watch_lease(attempt);
+            self.track_lease_expiry(attempt);
         }
     }
 
-    /// Watches for the end of a lease that its worker goes by.
-    pub(super) fn watch_lease(&mut self, attempt: AttemptId) {
-        let Some(JobLease { job, .. }) = self.lease_of(attempt) else { return };
+    /// Notes when a lease that its worker honours expires, and sets the timer for it if none is
+    /// set.
+    pub(super) fn track_lease_expiry(&mut self, attempt: AttemptId) {
+        let Some(LeaseKey { job, .. }) = self.lease_key(attempt) else { return };
         let Some(jobs) = &self.durable else { return };
         let lease = jobs.ledger.job(job).and_then(|job| job.lease());
-        let Some(until) = lease.map(|lease| lease.expires_at) else { return };
-        let expiry = until + jobs.clock_bound;
-        let Some(this) = self.requests.attempt_mut(attempt) else { return };
-        let was_watched = this.lease_until.replace(until).is_some();
-        if !was_watched {
-            self.timers.set(expiry, Timer::LeaseExpiry(attempt));
+        let Some(expires_at) = lease.map(|lease| lease.expires_at) else { return };
+        let safe_expiry = expires_at + jobs.clock_bound;
+        let Some(entry) = self.requests.attempt_mut(attempt) else { return };
+        let has_timer = entry.lease_until.replace(expires_at).is_some();
+        if !has_timer {
+            self.timers.set(safe_expiry, Timer::LeaseExpiry(attempt));
         }
     }
 
-    /// A worker that goes by its lease has sent a notice: for how long it may go on from when it
-    /// sent that. Not each notice moves the recorded end: what the worker is told need only be
-    /// recorded when it has moved by a quarter.
+    /// Renews the lease of an attempt whose worker honours it and has sent a notice. Returns how
+    /// long the renewed lease lasts, counted from when the worker sent the notice; `None` if the
+    /// lease cannot be renewed. A renewal is recorded only if it extends the lease by more than a
+    /// quarter of its length.
     pub(crate) fn renew_lease(
         &mut self,
         now: Nanos,
@@ -86,32 +92,33 @@
         out: &mut Vec<Effect>,
     ) -> Option<Nanos> {
         token?;
-        let JobLease { job, token } = self.lease_of(attempt)?;
-        // What cannot be recorded must not be told: another process would believe the lease expired
-        // before its worker does.
+        let LeaseKey { job, token } = self.lease_key(attempt)?;
+        // A renewal that cannot be recorded must not be granted: the next process would consider
+        // the lease expired while the worker still holds it.
         let jobs = self.durable.as_ref().filter(|jobs| !jobs.failed)?;
         let length = jobs.lease;
         let lease = jobs.ledger.job(job)?.lease()?;
-        let is_late = now + length > lease.expires_at + length / RENEWAL_RECORD_DIVISOR;
-        if !lease.lease_aware || is_late {
+        let must_extend = now + length > lease.expires_at + length / RENEWAL_RECORD_DIVISOR;
+        if !lease.lease_aware || must_extend {
             self.record(Record::Renewed { job, token, expires_at: now + length }, out);
         }
-        self.watch_lease(attempt);
-        let until = self.durable.as_ref()?.ledger.job(job)?.lease()?.expires_at;
-        // Never beyond what is recorded, nor what a lease is long.
-        Some(until.saturating_sub(now).min(length))
+        self.track_lease_expiry(attempt);
+        let expires_at = self.durable.as_ref()?.ledger.job(job)?.lease()?.expires_at;
+        // Neither beyond the recorded expiration nor for longer than one lease.
+        Some(expires_at.saturating_sub(now).min(length))
     }
 
-    /// Records that the worker has begun to run the job.
+    /// Records that the worker has reported that the job runs.
     pub(crate) fn record_started(&mut self, attempt: AttemptId, out: &mut Vec<Effect>) {
-        let Some(JobLease { job, token }) = self.lease_of(attempt) else { return };
-        let stage = self.durable.as_ref().and_then(|jobs| jobs.ledger.job(job)).map(|job| &job.state);
-        if matches!(stage, Some(JobState::Leased(_))) {
+        let Some(LeaseKey { job, token }) = self.lease_key(attempt) else { return };
+        let state = self.durable.as_ref().and_then(|jobs| jobs.ledger.job(job)).map(|job| &job.state);
+        if matches!(state, Some(JobState::Leased(_))) {
             self.record(Record::Started { job, token }, out);
         }
     }
 
-    /// Records that an attempt is over; if the job is too, its end said so.
+    /// Records that an attempt has ended without a result. If the job has finished, the record of
+    /// its outcome has already ended the attempt, and nothing is recorded.
     pub(crate) fn record_released(
         &mut self,
         durable: Option<JobNumber>,
@@ -126,40 +133,43 @@
         }
     }
 
-    /// A lease may have expired: its worker has sent no notice for so long that it has stopped by
-    /// its own clock. What follows is the policy's to decide, by the job's class.
+    /// Handles the expiry timer of a lease. If the lease was not renewed meanwhile, the worker has
+    /// sent no notice for so long that by its own clock it has stopped the job, and the attempt
+    /// ends as timed out. The policy decides how to continue, by the class of the job.
     pub(crate) fn lease_expired(&mut self, now: Nanos, attempt: AttemptId, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get(attempt.request) else { return };
         let job_id = request.job_id.clone();
-        let Some(this) = self.requests.attempt(attempt) else { return };
-        let (Some(until), Some(jobs)) = (this.lease_until, &mut self.durable) else { return };
-        if this.stage == AttemptStage::Ended {
+        let Some(entry) = self.requests.attempt(attempt) else { return };
+        let (Some(expires_at), Some(jobs)) = (entry.lease_until, &mut self.durable) else { return };
+        if entry.stage == AttemptStage::Ended {
             return;
         }
-        let expiry = until + jobs.clock_bound;
-        if now < expiry {
-            return self.timers.set(expiry, Timer::LeaseExpiry(attempt));
+        let safe_expiry = expires_at + jobs.clock_bound;
+        if now < safe_expiry {
+            return self.timers.set(safe_expiry, Timer::LeaseExpiry(attempt));
         }
         jobs.counters.leases_ended += 1;
-        let addr = this.addr;
-        // Should the worker be there all the same, it need not finish; nothing waits for its
-        // answer.
+        let addr = entry.addr;
+        // A worker that is still reachable need not finish the job: its result is no longer
+        // awaited.
         let until = now + CANCEL_TIMEOUT;
         out.push(Effect::CancelAttempt { attempt, addr, job_id, accepted: true, until });
         self.end_attempt(now, attempt, Outcome::Timeout, None, out);
     }
 
-    /// The reply to a notice that fits no pending attempt. A worker that goes by its lease is told
-    /// that this is over.
+    /// Returns the reply to a notice that matches no pending attempt. A worker that honours its
+    /// lease is told that the lease is no longer valid, unless the notice repeats the one that
+    /// finished the job.
     pub(crate) fn unmatched_notice_reply(&mut self, job_id: &str, token: Option<u64>) -> NoticeReply {
         let acknowledged = NoticeReply::Acknowledged { lease: None };
         let (Some(token), Some(jobs)) = (token, &mut self.durable) else { return acknowledged };
-        // It repeats the notice that ended the job.
-        let is_served =
+        // The lease of the last attempt of a succeeded job: the notice repeats the one that
+        // finished the job.
+        let has_succeeded =
             |job: &&spanlead_durable_jobs::Job| matches!(job.outcome(), Some(JobOutcome::Succeeded(_)));
-        let served = jobs.ledger.job_by_id(job_id).filter(is_served);
-        let last = served.and_then(|job| job.past_attempts.last());
-        if last.is_some_and(|past| past.token.0 == token) {
+        let succeeded = jobs.ledger.job_by_id(job_id).filter(has_succeeded);
+        let last_attempt = succeeded.and_then(|job| job.past_attempts.last());
+        if last_attempt.is_some_and(|attempt| attempt.token.0 == token) {
             return acknowledged;
         }
         jobs.counters.fenced += 1;
--- a/crates/service/engine/src/durable/recording.rs
+++ b/crates/service/engine/src/durable/recording.rs
@@ -1,4 +1,4 @@
-//! Which jobs are durable, and the records of what becomes of them.
+//! The choice of the jobs that are durable, and the records of their acceptance and outcome.
 use super::DURABLE_RETRY_AFTER;
 use crate::{Answer, Effect, Engine, Job};
 use bytes::Bytes;
@@ -9,32 +9,34 @@
 use std::sync::Arc;
 
 impl Engine {
-    /// The number of the last record; 0 if durable jobs are not kept.
+    /// Returns the LSN of the last record; 0 if no log of durable jobs is open here.
     pub(crate) fn last_record_lsn(&self) -> Lsn {
         self.durable.as_ref().map_or(0, |jobs| jobs.ledger.last_lsn())
     }
 
-    /// The one place where a record is made: it changes the jobs' state and goes to the log.
+    /// Applies a record to the job table and emits the effect that appends it to the log. All
+    /// records pass through here.
     pub(crate) fn record(&mut self, record: Record, out: &mut Vec<Effect>) {
         let Some(jobs) = &mut self.durable else { return };
         match jobs.ledger.apply(&record) {
             Ok(()) if jobs.failed => {}
             Ok(()) => out.push(Effect::AppendRecord(record)),
-            Err(illegal) => {
-                debug_assert!(false, "{illegal}");
-                out.push(Effect::Log(format!("durable job record not applied: {illegal}")));
+            Err(error) => {
+                debug_assert!(false, "{error}");
+                out.push(Effect::Log(format!("durable job record rejected, not logged: {error}")));
             }
         }
     }
 
-    /// Whether this job is durable.
+    /// Returns whether a job is durable: all jobs are if so configured, otherwise those that have
+    /// an idempotency key or must run at most once.
     fn is_durable(&self, job: &Job) -> bool {
         let Some(request) = &job.durable_request else { return false };
         let keeps_all = self.durable.as_ref().is_some_and(|jobs| jobs.keeps_all);
         keeps_all || self.classes.runs_at_most_once(job.class) || request.key.is_some()
     }
 
-    /// The idempotency key of a job, with whom it belongs to.
+    /// Returns the idempotency key of a job, scoped by its tenant and class.
     pub(super) fn idempotency_key(&self, job: &Job) -> Option<IdempotencyKey> {
         let key = job.durable_request.as_ref()?.key.clone()?;
         Some(IdempotencyKey { owner: self.tenant_name(job), class: self.class_name(job), key })
@@ -48,7 +50,8 @@
         name_of(&self.classes.names.classes, job.class)
     }
 
-    /// Why a durable job cannot be accepted now.
+    /// Returns the rejection of a durable job that cannot be accepted now: the log has failed or is
+    /// not open, or the job table or the disk is full. Returns `None` for any other job.
     pub(crate) fn durable_rejection(&mut self, job: &Job) -> Option<Answer> {
         if !self.keeps_durable_jobs || !self.is_durable(job) {
             return None;
@@ -63,7 +66,8 @@
         Some(Answer::Rejected { retry_after: Some(DURABLE_RETRY_AFTER) })
     }
 
-    /// Records a new job, if it is durable. `unresolved` are attempts of an earlier one of its key.
+    /// Records a new job if it is durable, and returns its number. `unresolved` are attempts of an
+    /// earlier job with its key that may have run.
     pub(crate) fn record_accepted_job(
         &mut self,
         now: Nanos,
@@ -101,7 +105,7 @@
         Some(number)
     }
 
-    /// Records a job's end.
+    /// Records the outcome of a durable job, as given by `answer`.
     pub(crate) fn record_finished(
         &mut self,
         now: Nanos,
@@ -110,22 +114,23 @@
         out: &mut Vec<Effect>,
     ) {
         if let Some(job) = durable {
-            self.record(Record::Finished { job, finished_at: now, outcome: recorded_end(answer) }, out);
+            self.record(Record::Finished { job, finished_at: now, outcome: outcome_of(answer) }, out);
         }
     }
 
-    /// The request of a durable job as it goes to a worker, encoded.
+    /// Returns the encoded request of a durable job, as it is sent to a worker.
     pub(crate) fn stored_request(&self, job: JobNumber) -> Option<Bytes> {
         Some(self.durable.as_ref()?.ledger.job(job)?.accepted.request_body.clone())
     }
 }
 
+/// Returns the name with this number; empty if there is none.
 fn name_of(names: &[String], number: u32) -> Arc<str> {
     Arc::from(names.get(number as usize).map_or("", String::as_str))
 }
 
-/// An answer as it is recorded.
-fn recorded_end(answer: &Answer) -> JobOutcome {
+/// Returns the outcome that is recorded for an answer.
+fn outcome_of(answer: &Answer) -> JobOutcome {
     match answer {
         Answer::Served(result) => JobOutcome::Succeeded(Arc::from(result.as_str())),
         Answer::Rejected { .. } => JobOutcome::Rejected,
@@ -134,9 +139,9 @@
     }
 }
 
-/// The answer that was recorded.
-pub(super) fn recorded_answer(end: &JobOutcome) -> Answer {
-    match end {
+/// Returns the answer to a client whose job has this recorded outcome.
+pub(super) fn answer_of(outcome: &JobOutcome) -> Answer {
+    match outcome {
         JobOutcome::Succeeded(result) => Answer::Served(result.to_string()),
         JobOutcome::Rejected => Answer::Rejected { retry_after: Some(DURABLE_RETRY_AFTER) },
         JobOutcome::Failed => Answer::Failed,
--- a/crates/service/engine/src/durable/recovery.rs
+++ b/crates/service/engine/src/durable/recovery.rs
@@ -1,4 +1,4 @@
-//! What comes back after a crash: open jobs go on where the log says that they stood.
+//! Recovery after a restart: open jobs continue from the state that the log recorded.
 use super::{DurableJobs, DurableSettings, DurableSetup};
 use crate::attempts::CANCEL_TIMEOUT;
 use crate::request_table::{Attempt, AttemptStage};
@@ -9,34 +9,37 @@
 use spanlead_deployment_settings::index_of;
 use spanlead_durable_jobs::{AcceptedJob, JobNumber, Lease, PastAttempt};
 
-/// How long an attempt of the process before may bring no notice whose worker had not said that it
-/// has the job. Longer than between two notices of a job that runs, where workers report progress.
+/// How long a recovered attempt that its worker had not acknowledged may go without a notice.
+/// Longer than the interval between two progress reports of a running job, if its worker sends
+/// these.
 const RECOVERY_NOTICE_TIMEOUT: Nanos = 3_000 * MS;
-/// Set in the ids of requests that were recovered; those of clients count from 0.
+/// The bit that is set in the ids of recovered requests; the ids of clients' requests count from 0.
 const RECOVERED_REQUEST_BIT: u64 = 1 << 63;
 
-/// What is known of an attempt that was pending when the process before ended.
+/// The recorded state of an attempt that was in flight when the previous process ended.
 #[derive(Clone, Copy)]
 struct PendingAttempt {
-    /// Its worker has said that it has the job.
+    /// Whether its worker has acknowledged the job.
     accepted: bool,
-    /// Its worker goes by its lease.
+    /// Whether its worker honours the lease.
     lease_aware: bool,
 }
 
-/// A request that goes on from attempts of before.
+/// A request that continues from earlier attempts.
 struct ResumedRequest {
     request_id: RequestId,
     job: Job,
     durable: Option<JobNumber>,
+    /// The earlier attempts, including one that is still pending.
     past: Vec<PastAttempt>,
-    /// The last of them is pending.
+    /// Set if the last attempt of `past` is still pending.
     pending: Option<PendingAttempt>,
+    /// Whether the client that sent the request waits for its answer.
     client_waits: bool,
 }
 
 impl Engine {
-    /// Goes on with all open jobs of the log.
+    /// Begins a session on the log and resumes all open jobs that were read from it.
     pub(crate) fn durable_jobs_opened(&mut self, now: Nanos, setup: DurableSetup, out: &mut Vec<Effect>) {
         let DurableSetup { ledger, anchor, all, lease, clock_bound, disk, segment } = setup;
         let session = ledger.session_record(anchor);
@@ -56,6 +59,7 @@
         }
     }
 
+    /// Resumes an open job, or fails it if it cannot continue.
     fn recover(&mut self, now: Nanos, number: JobNumber, out: &mut Vec<Effect>) {
         let Some(jobs) = &mut self.durable else { return };
         let Some(stored) = jobs.ledger.job(number).cloned() else { return };
@@ -63,9 +67,9 @@
         let lease = stored.lease();
         let request_id = RequestId(RECOVERED_REQUEST_BIT | number.0);
         let Some(job) = self.recovered_job(now, &stored.accepted) else {
-            // Its client has given up, or nothing is known any more of how to go on.
+            // The deadline has passed, or the settings no longer contain the class or the tenant.
             if let Some(lease) = lease {
-                cancel_lost(now, request_id, &stored.accepted, lease, out);
+                cancel_abandoned_attempt(now, request_id, &stored.accepted, lease, out);
             }
             return self.record_finished(now, Some(number), &Answer::Failed, out);
         };
@@ -84,8 +88,8 @@
         self.resume(now, resumed, out);
     }
 
-    /// A job as it was recorded; `None` if its client has given up, or its class or tenant is not
-    /// known any more.
+    /// Restores a job from its record; returns `None` if its deadline has passed, or if its class
+    /// or tenant is no longer known.
     fn recovered_job(&self, now: Nanos, accepted: &AcceptedJob) -> Option<Job> {
         let names = &self.classes.names;
         let class = names.class_index(&accepted.class)?;
@@ -102,7 +106,7 @@
         })
     }
 
-    /// Opens a client's request that goes on from attempts of an earlier one of its key.
+    /// Opens a client's request that continues from attempts of an earlier request with its key.
     pub(crate) fn resume_retry(
         &mut self,
         now: Nanos,
@@ -116,28 +120,30 @@
         self.resume(now, resumed, out);
     }
 
+    /// Opens a request with its earlier attempts and passes both to the policy.
     fn resume(&mut self, now: Nanos, resumed: ResumedRequest, out: &mut Vec<Effect>) {
         let ResumedRequest { request_id, job, durable, past, pending, client_waits } = resumed;
-        self.introduce_workers(now, &past, out);
+        self.register_workers(now, &past, out);
         let (class, due) = (job.class, job.due);
         let attempts = resumed_attempts(&past, pending);
         let new = NewRequest { request_id, job, attempts, durable, client_waits };
         let request = self.admit(now, new);
-        // A class that must never run twice cannot go on from an attempt that may have run; the
-        // policy decides that where an attempt ends, so it is told that the last one does so now.
-        let is_exposed = self.classes.runs_at_most_once(class) && pending.is_none();
-        let exposed = past.iter().rposition(|past| past.may_have_run).filter(|_| is_exposed);
+        // A job of an at-most-once class cannot continue after an attempt that may have run. The
+        // policy decides this at the end of an attempt, so the last such attempt is passed to it as
+        // pending and reported as ended right after.
+        let must_report_end = self.classes.runs_at_most_once(class) && pending.is_none();
+        let deferred_end = past.iter().rposition(|attempt| attempt.may_have_run).filter(|_| must_report_end);
         if let (Some(last), Some(pending)) = (past.len().checked_sub(1), pending) {
             let attempt = AttemptId { request: request_id, number: last as u32 };
-            self.watch_pending(now, due, attempt, pending);
+            self.set_pending_timers(now, due, attempt, pending);
         }
-        let attempts = prior_attempts(&past, pending, exposed);
+        let attempts = prior_attempts(&past, pending, deferred_end);
         if attempts.is_empty() {
             self.decide(now, Event::RequestArrived(request), out);
         } else {
             self.decide(now, Event::RequestAdopted { request, attempts: &attempts }, out);
         }
-        if let Some(number) = exposed {
+        if let Some(number) = deferred_end {
             let event = Event::AttemptEnded {
                 id: request_id,
                 attempt: number as u32,
@@ -150,11 +156,11 @@
         }
     }
 
-    /// Sets the timers of an attempt that the process before has left pending.
-    fn watch_pending(&mut self, now: Nanos, due: Nanos, attempt: AttemptId, pending: PendingAttempt) {
+    /// Sets the timers of an attempt that the previous process left pending.
+    fn set_pending_timers(&mut self, now: Nanos, due: Nanos, attempt: AttemptId, pending: PendingAttempt) {
         self.timers.set(due, Timer::AttemptTimeout(attempt));
         if pending.lease_aware {
-            self.watch_lease(attempt);
+            self.track_lease_expiry(attempt);
         }
         if !pending.accepted {
             let notice_by = due.min(now + RECOVERY_NOTICE_TIMEOUT);
@@ -162,9 +168,10 @@
         }
     }
 
-    /// Tells the policy of workers that the endpoint list does not name (any more), as removed: it
-    /// must know where an attempt was to know where the next one may go.
-    fn introduce_workers(&mut self, now: Nanos, past: &[PastAttempt], out: &mut Vec<Effect>) {
+    /// Reports workers of earlier attempts to the policy as removed if the endpoint list has not
+    /// named them: the policy must know the locations of past attempts to decide where the next may
+    /// go.
+    fn register_workers(&mut self, now: Nanos, past: &[PastAttempt], out: &mut Vec<Effect>) {
         for PastAttempt { location, .. } in past {
             if self.workers.get(&location.worker).is_some() {
                 continue;
@@ -175,19 +182,19 @@
                 state: WorkerState::Removed,
                 started: None,
                 kind: None,
-                // A zone that is not there any more, or a pod that nobody knew, is no other
-                // worker's.
+                // A zone that the settings no longer contain, or a pod recorded as unknown, is not
+                // shared with any other worker.
                 zone: index_of(&self.classes.names.zones, &location.zone),
                 cell: Some(location.cell),
                 weight: None,
             };
-            self.introduce_removed(now, host, out);
+            self.register_removed_worker(now, host, out);
         }
     }
 }
 
-/// Cancels the attempt of a job that does not go on.
-fn cancel_lost(
+/// Cancels the attempt in flight of a job that cannot continue.
+fn cancel_abandoned_attempt(
     now: Nanos,
     request_id: RequestId,
     accepted: &AcceptedJob,
@@ -199,7 +206,8 @@
     out.push(Effect::CancelAttempt { attempt, addr, job_id, accepted: true, until });
 }
 
-/// The attempts of before, the last of them pending if `pending` says so.
+/// Converts the earlier attempts to entries of the request table; the last one is pending if
+/// `pending` is set.
 fn resumed_attempts(past: &[PastAttempt], pending: Option<PendingAttempt>) -> Vec<Attempt> {
     let attempt = |(index, past_attempt): (usize, &PastAttempt)| {
         let is_last = index + 1 == past.len();
@@ -221,16 +229,16 @@
     past.iter().enumerate().map(attempt).collect()
 }
 
-/// The same as the policy takes them; those that are pending, or whose end it is still to be told,
-/// have not ended.
+/// Converts the earlier attempts to the form that the policy takes. The pending attempt, and the
+/// one whose end is yet to be reported (`deferred_end`), count as not ended.
 fn prior_attempts(
     past: &[PastAttempt],
     pending: Option<PendingAttempt>,
-    exposed: Option<usize>,
+    deferred_end: Option<usize>,
 ) -> Vec<PriorAttempt> {
     let prior = |(index, past_attempt): (usize, &PastAttempt)| {
         let is_pending = index + 1 == past.len() && pending.is_some();
-        let has_ended = Some(index) != exposed && !is_pending;
+        let has_ended = Some(index) != deferred_end && !is_pending;
         PriorAttempt {
             worker: WorkerId(past_attempt.location.worker.clone()),
             sent_at: past_attempt.sent_at,
--- a/crates/service/engine/src/durable/repeats.rs
+++ b/crates/service/engine/src/durable/repeats.rs
@@ -1,5 +1,6 @@
-//! Retries of a request: they join one that is open, or are answered as the first was.
-use super::recording::recorded_answer;
+//! Retries of a request by idempotency key: a retry joins the request that is still open, or gets
+//! the answer to the request that has finished.
+use super::recording::answer_of;
 use super::{DURABLE_RETRY_AFTER, after_durable};
 use crate::request_table::JoinedClient;
 use crate::timers::Timer;
@@ -7,27 +8,29 @@
 use spanlead_balancing_policy::{Nanos, RequestId};
 use spanlead_durable_jobs::{JobNumber, KeyLookup, PastAttempt};
 
-/// The time before a joined client gives up at which it is answered, in ticks.
-const JOINED_ANSWER_TICKS: Nanos = 2;
+/// How long before its deadline a joined client is answered at the latest, in ticks.
+const JOINED_ANSWER_MARGIN_TICKS: Nanos = 2;
 
-/// What is known of a request.
+/// The result of looking up a request by its idempotency key.
 pub(crate) enum RequestLookup {
-    /// It is new, and goes on from these attempts of an earlier one, whose outcome is not known.
+    /// The request is new. It continues from these attempts of an earlier request with its key,
+    /// which may have run; there are none if the key is new.
     New(Vec<PastAttempt>),
-    /// It repeats one that is open.
+    /// The request is a retry of this open request.
     InProgress(RequestId),
-    /// It has its answer.
+    /// The request can be answered at once.
     Finished {
         /// The answer.
         answer: Answer,
-        /// The job whose answer it is.
+        /// The job whose outcome the answer is, if there is one.
         job: Option<JobNumber>,
     },
 }
 
 impl Engine {
-    /// A client of the process before comes back with its durable request. That is open here since
-    /// the log was read, or has had its end since; it is not accepted anew.
+    /// Handles a durable request that a previous process accepted and whose client has been handed
+    /// over to this process. The request was recovered from the log, so it is open here or has
+    /// finished since; it is not accepted again.
     pub(crate) fn adopt_durable_request(
         &mut self,
         now: Nanos,
@@ -49,12 +52,13 @@
         }
     }
 
+    /// Counts and answers a client's request as failed.
     fn fail_client(&mut self, request_id: RequestId, class: u32, out: &mut Vec<Effect>) {
         self.requests.count(class, &Answer::Failed);
         out.push(Effect::Answer { request_id, answer: Answer::Failed, job: None });
     }
 
-    /// What is known of a request, by its idempotency key.
+    /// Looks up a request by its idempotency key; a request without a key is new.
     pub(crate) fn look_up_request(&mut self, now: Nanos, job: &Job) -> RequestLookup {
         let key = self.idempotency_key(job);
         let Some(jobs) = &mut self.durable else { return RequestLookup::New(Vec::new()) };
@@ -69,13 +73,13 @@
                 jobs.counters.mismatched += 1;
                 RequestLookup::Finished { answer: Answer::KeyMismatch, job: None }
             }
-            KeyLookup::Finished(number, end) => {
+            KeyLookup::Finished(number, outcome) => {
                 jobs.counters.replayed += 1;
-                RequestLookup::Finished { answer: recorded_answer(&end), job: Some(number) }
+                RequestLookup::Finished { answer: answer_of(&outcome), job: Some(number) }
             }
             KeyLookup::InProgress(number) => match jobs.open_requests.get(&number) {
                 Some(first) => RequestLookup::InProgress(*first),
-                // It is on its way to another process.
+                // The request is being handed over to another process.
                 None => {
                     let answer = Answer::Rejected { retry_after: Some(DURABLE_RETRY_AFTER) };
                     RequestLookup::Finished { answer, job: None }
@@ -84,29 +88,33 @@
         }
     }
 
-    /// Lets a client wait for the answer to another's request, until its own time is up.
+    /// Lets a client wait for the answer to an open request of another client, until shortly before
+    /// its own deadline.
     pub(crate) fn join(&mut self, request_id: RequestId, first: RequestId, job: Job, out: &mut Vec<Effect>) {
         let client = JoinedClient { request_id, job_id: job.id };
         if !self.requests.join(first, client) {
-            // Its end waits only for a worker to know of it.
+            // The request is already answered and only waits for workers to confirm that its
+            // attempts are cancelled.
             return self.fail_client(request_id, job.class, out);
         }
         if let Some(jobs) = &mut self.durable {
             jobs.counters.joined += 1;
         }
-        let answer_by = job.due.saturating_sub(JOINED_ANSWER_TICKS * self.classes.tick);
+        let answer_by = job.due.saturating_sub(JOINED_ANSWER_MARGIN_TICKS * self.classes.tick);
         self.timers.set(answer_by, Timer::JoinedOverdue(request_id));
     }
 
-    /// The time of a client that waits for another's request is up; that request goes on.
+    /// Answers a joined client whose deadline has come as failed; the request that it joined
+    /// continues.
     pub(crate) fn joined_overdue(&mut self, request_id: RequestId, out: &mut Vec<Effect>) {
         if self.requests.remove_joined(request_id) {
             out.push(Effect::Answer { request_id, answer: Answer::Failed, job: None });
         }
     }
 
-    /// Whether the request goes on although this client has disconnected: others wait for it, or it
-    /// may come back by its key.
+    /// Detaches a client that has disconnected from its request, if the request continues without
+    /// it: other clients wait for the answer, or this client may retry with its key. Returns
+    /// whether the request continues.
     pub(crate) fn continue_without_client(&mut self, request_id: RequestId) -> bool {
         if self.requests.remove_joined(request_id) {
             return true;
@@ -116,10 +124,10 @@
         };
         let job = request.durable.and_then(|number| self.durable.as_ref()?.ledger.job(number));
         let has_key = job.is_some_and(|job| job.accepted.key.is_some());
-        let goes_on = !request.joined.is_empty() || has_key;
-        if goes_on {
+        let continues = !request.joined.is_empty() || has_key;
+        if continues {
             self.requests.detach_client(request_id);
         }
-        goes_on
+        continues
     }
 }
--- a/crates/service/engine/src/durable/storage.rs
+++ b/crates/service/engine/src/durable/storage.rs
@@ -1,35 +1,37 @@
-//! The log's size, and its failure.
+//! The size and the failure of the log of durable jobs.
 use crate::{Effect, Engine};
 use spanlead_balancing_policy::Nanos;
 use spanlead_durable_jobs::Lsn;
 
-/// Jobs that are rewritten at a time.
-const MAX_REWRITTEN_JOBS: usize = 64;
-/// Records that must have become needless before the log looks for segments to remove.
+/// The maximum number of snapshot records written at a time.
+const MAX_SNAPSHOT_RECORDS: usize = 64;
+/// The number of records that must have become unneeded before the log is asked to remove segments.
 const TRUNCATE_INTERVAL_RECORDS: Lsn = 256;
-/// Jobs are rewritten when the log is larger than what is needed and a segment, by this factor.
-const MAX_DISK_OVERHEAD: u64 = 2;
+/// Snapshots are written when the log exceeds the size of the live jobs and one segment by this
+/// factor.
+const MAX_DISK_OVERHEAD_FACTOR: u64 = 2;
 
 impl Engine {
-    /// Forgets what has expired; what that frees on disk is looked for even if nothing more is
-    /// recorded.
+    /// Removes expired jobs. If there were any, also frees disk space, since no further record
+    /// might be written that would trigger this.
     pub(crate) fn expire_durable_jobs(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         let Some(jobs) = &mut self.durable else { return };
         if jobs.ledger.expire(now) > 0 {
-            let bytes = jobs.counters.disk_bytes;
-            self.records_durable(bytes, out);
+            let disk_bytes = jobs.counters.disk_bytes;
+            self.records_durable(disk_bytes, out);
         }
     }
 
-    /// Records have become durable, and the log has this size on disk.
+    /// Handles that records have become durable and the log takes `disk_bytes` on disk: writes
+    /// snapshots if the log has grown too large, and truncates the log.
     pub(crate) fn records_durable(&mut self, disk_bytes: u64, out: &mut Vec<Effect>) {
         let Some(jobs) = &mut self.durable else { return };
         jobs.counters.disk_bytes = disk_bytes;
-        // What a few old jobs keep from being removed is rewritten when it is more than what lives.
-        // `live_bytes` is reckoned high, so that comes to an end.
+        // A few old jobs may keep many unneeded records from being removed; they are rewritten as
+        // snapshots. `live_bytes` is an upper estimate, so the rewriting ends.
         let live_bytes = jobs.ledger.stats().live_bytes as u64;
-        if disk_bytes > MAX_DISK_OVERHEAD * (live_bytes + jobs.segment_bytes) {
-            for record in jobs.ledger.snapshot_records(MAX_REWRITTEN_JOBS) {
+        if disk_bytes > MAX_DISK_OVERHEAD_FACTOR * (live_bytes + jobs.segment_bytes) {
+            for record in jobs.ledger.snapshot_records(MAX_SNAPSHOT_RECORDS) {
                 self.record(record, out);
             }
         }
@@ -41,14 +43,14 @@
         }
     }
 
-    /// The log cannot be written to any more.
+    /// Handles that the log cannot be written to any more.
     pub(crate) fn storage_failed(&mut self, out: &mut Vec<Effect>) {
         let Some(jobs) = self.durable.as_mut().filter(|jobs| !jobs.failed) else { return };
         jobs.failed = true;
         let open = jobs.ledger.stats().open;
         out.push(Effect::Log(format!(
-            "durable job log not writable: new durable jobs are refused, open ones end, restart when the disk is repaired \
-             open={open}"
+            "durable job log is not writable: new durable jobs are rejected and open ones get no new attempts; \
+             restart the process after repairing the disk open={open}"
         )));
     }
 }
--- a/crates/service/engine/src/workers/attributes.rs
+++ b/crates/service/engine/src/workers/attributes.rs
@@ -1,4 +1,5 @@
-//! What is known of one worker: the endpoint list goes first, inventories fill what it leaves open.
+//! The attributes of one worker: those of the endpoint list take precedence, and inventories supply
+//! the missing ones.
 use super::{FIRST_NAMED_POD, NamedPods, ReportedWorker, UNKNOWN_NUMBER, Worker, WorkerTable, normal_name};
 use crate::Engine;
 use crate::timers::Timer;
@@ -7,10 +8,10 @@
 use spanlead_worker_attributes::MergedInventory;
 use std::sync::Arc;
 
-/// The weight of a worker of which none is stated.
+/// The weight of a worker for which neither the list nor an inventory states one.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// What is known of a worker, with the numbers of the settings for names.
+/// The attributes of a worker; zone and kind are numbered as in the settings. `None` is unknown.
 #[derive(Clone, Copy)]
 struct WorkerAttributes {
     zone: Option<u32>,
@@ -19,13 +20,13 @@
     weight: Option<f64>,
 }
 
-/// A number that stands for a known name.
-fn known(number: Option<u32>) -> Option<u32> {
+/// Returns the number unless it stands for an unknown name.
+fn known_number(number: Option<u32>) -> Option<u32> {
     number.filter(|number| *number != UNKNOWN_NUMBER)
 }
 
 impl Worker {
-    /// What the list and the inventories say of it.
+    /// Returns the worker's attributes according to the list and the inventories.
     fn attributes(
         &mut self,
         names: &Names,
@@ -33,8 +34,8 @@
         named_pods: &mut NamedPods,
     ) -> WorkerAttributes {
         let listed = WorkerAttributes {
-            zone: known(self.host.zone),
-            kind: known(self.host.kind),
+            zone: known_number(self.host.zone),
+            kind: known_number(self.host.kind),
             pod: self.host.cell.filter(|cell| *cell < FIRST_NAMED_POD),
             weight: self.host.weight,
         };
@@ -44,7 +45,8 @@
         }
     }
 
-    /// Fills what the list leaves open from the inventories.
+    /// Completes the attributes of the list with those of the inventories, and notes whether an
+    /// inventory contains the worker.
     fn merge_inventory(
         &mut self,
         names: &Names,
@@ -66,19 +68,21 @@
     }
 }
 
-/// The weight of the list, unless the inventory that states one goes first.
+/// Returns the weight of the list, or that of an inventory if the list has none or the inventory is
+/// configured to take precedence.
 fn merged_weight(listed: Option<f64>, normal_name: &str, merged_inventory: &MergedInventory) -> Option<f64> {
     let stated = merged_inventory.weight(normal_name);
-    let inventory_goes_first =
+    let inventory_has_precedence =
         stated.as_ref().is_some_and(|fact| merged_inventory.sources[fact.source].weight_first);
     let stated = stated.and_then(|fact| fact.value.copied());
-    let merged = if inventory_goes_first { stated.or(listed) } else { listed.or(stated) };
+    let merged = if inventory_has_precedence { stated.or(listed) } else { listed.or(stated) };
     merged.or(merged_inventory.defaults.weight)
 }
 
 impl Engine {
-    /// What the policy must be told of a worker, if that is anything new.
-    pub(super) fn recheck(&mut self, now: Nanos, name: &Arc<str>) -> Option<ReportedWorker> {
+    /// Re-evaluates a worker's attributes and returns what is to be reported to the policy; `None`
+    /// if it has not changed or the worker is unknown.
+    pub(super) fn update_reported(&mut self, now: Nanos, name: &Arc<str>) -> Option<ReportedWorker> {
         let window = self.classes.longest_deduplication_window();
         let WorkerTable { workers, merged_inventory, named_pods, .. } = &mut self.workers;
         let worker = workers.get_mut(name)?;
@@ -93,12 +97,12 @@
             weight: attributes.weight.unwrap_or(DEFAULT_WEIGHT),
         };
         let isolated = (worker.pod.isolated_until, worker.zone.isolated_until);
-        let is_new = worker.reported != Some(reported);
+        let has_changed = worker.reported != Some(reported);
         worker.reported = Some(reported);
         if isolated != isolated_before {
             let until = isolated.0.max(isolated.1);
             self.timers.set(until, Timer::EndIsolation(name.clone()));
         }
-        is_new.then_some(reported)
+        has_changed.then_some(reported)
     }
 }
--- a/crates/service/engine/src/workers/endpoint_list.rs
+++ b/crates/service/engine/src/workers/endpoint_list.rs
@@ -1,7 +1,7 @@
-//! Changes of the endpoint list. **Large changes go to the policy in slices**, so that no job waits
-//! for a list: of more than [`MAX_SLICE_HOSTS`] hosts the rest is processed a slice at a time,
-//! [`SLICE_INTERVAL`] apart, and other inputs pass between. What is draining, removed or has just
-//! started goes first.
+//! Updates of the endpoint list. **Large updates are passed to the policy in slices**, so that they
+//! delay no job: at most [`MAX_SLICE_HOSTS`] hosts are processed at once, the rest in further
+//! slices [`SLICE_INTERVAL`] apart, with other inputs handled in between. Hosts that are draining,
+//! removed or have just started are processed first.
 use super::isolation::IsolatedAttribute;
 use super::{ReportedWorker, Worker, WorkerTable};
 use crate::timers::Timer;
@@ -11,33 +11,33 @@
 use std::cmp::Reverse;
 use std::sync::Arc;
 
-/// Hosts that are processed at once. A slice of them takes well under a millisecond.
+/// The maximum number of hosts processed at once. Such a slice takes well under a millisecond.
 const MAX_SLICE_HOSTS: usize = 512;
 /// The pause between slices.
 const SLICE_INTERVAL: Nanos = MS;
 
 impl WorkerTable {
-    /// Queues changes of the list before what is left of older ones.
+    /// Queues the hosts of an update ahead of the unprocessed rest of earlier updates.
     fn queue(&mut self, scope: EndpointUpdate, mut hosts: Vec<WorkerEndpoint>) {
         if matches!(scope, EndpointUpdate::Snapshot | EndpointUpdate::CachedSnapshot) {
             self.incoming.clear();
-            hosts.extend(self.missing(&hosts));
+            hosts.extend(self.removed_by_snapshot(&hosts));
             self.workers.reserve(hosts.len().saturating_sub(self.workers.len()));
         } else if !self.incoming.is_empty() {
-            // What is still to be processed of these hosts is old.
+            // The update supersedes queued entries of the same hosts.
             let named: FxHashSet<&str> = hosts.iter().map(|host| &*host.name).collect();
             self.incoming.retain(|host| !named.contains(&*host.name));
         }
         if hosts.len() > MAX_SLICE_HOSTS {
-            // Stable: of what the list names twice, the last entry stays the last.
+            // The sort is stable: if the list names a host twice, its last entry stays last.
             hosts.sort_by_key(|host| (host.state == WorkerState::Ready, Reverse(host.started)));
         }
         let older = std::mem::replace(&mut self.incoming, hosts.into());
         self.incoming.extend(older);
     }
 
-    /// The workers that a full list leaves out, as removed.
-    fn missing(&self, hosts: &[WorkerEndpoint]) -> Vec<WorkerEndpoint> {
+    /// Returns the known workers that a full list does not contain, marked as removed.
+    fn removed_by_snapshot(&self, hosts: &[WorkerEndpoint]) -> Vec<WorkerEndpoint> {
         if self.workers.is_empty() {
             return Vec::new();
         }
@@ -47,11 +47,12 @@
         missing.map(removed).collect()
     }
 
+    /// Returns whether hosts or workers are still to be processed.
     fn has_queued(&self) -> bool {
         !self.incoming.is_empty() || !self.to_recheck.is_empty()
     }
 
-    /// Notes what the list says of a host.
+    /// Stores a host's entry of the list and returns the worker's name.
     fn update_host(&mut self, now: Nanos, host: WorkerEndpoint, out: &mut Vec<Effect>) -> Arc<str> {
         let name = host.name.clone();
         if let Some(worker) = self.workers.get_mut(&name) {
@@ -82,8 +83,8 @@
 
     fn update_host(&mut self, now: Nanos, host: WorkerEndpoint, out: &mut Vec<Effect>) {
         let is_removed = host.state == WorkerState::Removed;
-        // A connection to a process that was replaced or removed only waits to be reset under a
-        // request.
+        // An idle connection to a process that was replaced or removed would be reset while it
+        // carries a request.
         let is_replaced = self.host.started != host.started || self.host.addr != host.addr;
         if is_replaced || is_removed {
             out.push(Effect::CloseIdleConnections { addr: self.host.addr });
@@ -99,7 +100,7 @@
 }
 
 impl Engine {
-    /// Processes changes of the list, at once or, if there are many, their first slice.
+    /// Queues an update of the endpoint list and processes its first slice.
     pub(crate) fn endpoint_list_updated(
         &mut self,
         now: Nanos,
@@ -108,17 +109,19 @@
         out: &mut Vec<Effect>,
     ) {
         self.workers.queue(scope, hosts);
-        // Who is not in a full list is among what is processed; the policy need not look for them.
+        // The queue contains the workers that a full list leaves out, as removed; so the policy
+        // need not find them.
         let scope = if scope == EndpointUpdate::Snapshot { EndpointUpdate::Delta } else { scope };
         self.process_slice(now, scope, out);
     }
 
-    /// Processes the next hosts and tells the policy what is new of them.
+    /// Processes the next slice of the queue and reports the changed workers to the policy. Sets
+    /// the timer for the following slice if the queue is not empty.
     pub(super) fn process_slice(&mut self, now: Nanos, scope: EndpointUpdate, out: &mut Vec<Effect>) {
         let mut changed: Vec<(Arc<str>, ReportedWorker)> = Vec::new();
         for _ in 0..MAX_SLICE_HOSTS {
             let Some(name) = self.next_to_process(now, out) else { break };
-            if let Some(reported) = self.recheck(now, &name) {
+            if let Some(reported) = self.update_reported(now, &name) {
                 changed.push((name, reported));
             }
         }
@@ -131,7 +134,7 @@
         self.decide(now, Event::EndpointsChanged { update: scope, endpoints: &endpoints }, out);
     }
 
-    /// The next worker of the queue: changes of the list go before those of inventories.
+    /// Takes the next worker from the queues: updates of the list precede those of inventories.
     fn next_to_process(&mut self, now: Nanos, out: &mut Vec<Effect>) -> Option<Arc<str>> {
         match self.workers.incoming.pop_front() {
             Some(host) => Some(self.workers.update_host(now, host, out)),
@@ -139,29 +142,34 @@
         }
     }
 
-    /// The pause between two slices is over.
+    /// Processes the next slice after the pause between slices.
     pub(crate) fn process_next_slice(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         self.workers.is_slice_due = false;
         self.process_slice(now, EndpointUpdate::Delta, out);
     }
 
-    /// Tells the policy of a worker, if anything is new.
+    /// Reports a worker to the policy if its state or attributes have changed.
     pub(crate) fn update_worker(&mut self, now: Nanos, name: Arc<str>, out: &mut Vec<Effect>) {
-        if let Some(reported) = self.recheck(now, &name) {
+        if let Some(reported) = self.update_reported(now, &name) {
             let endpoints = [reported.endpoint(&name)];
             let update = EndpointUpdate::Delta;
             self.decide(now, Event::EndpointsChanged { update, endpoints: &endpoints }, out);
         }
     }
 
-    /// A worker that the list does not name, as one that is removed: where an attempt of an earlier
-    /// process was.
-    pub(crate) fn introduce_removed(&mut self, now: Nanos, host: WorkerEndpoint, out: &mut Vec<Effect>) {
+    /// Adds a worker that the list has not named, as removed, and reports it to the policy: a
+    /// previous process sent an attempt to it.
+    pub(crate) fn register_removed_worker(
+        &mut self,
+        now: Nanos,
+        host: WorkerEndpoint,
+        out: &mut Vec<Effect>,
+    ) {
         let name = self.workers.update_host(now, host, out);
         self.update_worker(now, name, out);
     }
 
-    /// Whether slices of a large change are still to come.
+    /// Returns whether further slices of a large update are still to be processed.
     pub fn has_pending_list_changes(&self) -> bool {
         self.workers.is_slice_due
     }
--- a/crates/service/engine/src/workers/inventory.rs
+++ b/crates/service/engine/src/workers/inventory.rs
@@ -1,4 +1,4 @@
-//! New versions of the inventories.
+//! Updates of the inventories.
 use super::{UNKNOWN_NUMBER, Worker, normal_name};
 use crate::{Effect, Engine, InventoryUpdate, InventoryVersion};
 use spanlead_balancing_policy::{EndpointUpdate, Nanos, WorkerState};
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 impl Engine {
-    /// Inventories say something else from now on. If a class that has a worker would have none by
-    /// it, nothing changes, unless an operator wants it all the same.
+    /// Replaces the merged inventory and re-evaluates all workers. An update that would leave a
+    /// class without any worker of the kind it needs is rejected, unless an operator has forced it.
     pub(crate) fn inventory_updated(&mut self, now: Nanos, update: InventoryUpdate, out: &mut Vec<Effect>) {
         let InventoryUpdate { merged_inventory, by, forced } = update;
         if !forced && let Some(reason) = self.class_without_worker(&merged_inventory) {
@@ -23,12 +23,15 @@
         self.process_slice(now, EndpointUpdate::Delta, out);
     }
 
-    /// Why these inventories cannot be used: a class has a worker now and would have none by them.
+    /// Returns why these inventories cannot be used: a class has a ready worker of the kind it
+    /// needs now and would have none with them. Returns `None` if they can be used.
     fn class_without_worker(&self, merged_inventory: &MergedInventory) -> Option<String> {
         let ready = || self.workers.iter().filter(|worker| worker.host.state == WorkerState::Ready);
         for needed in self.classes.machine_kinds() {
-            let has_now = ready().any(|worker| worker.reported.is_some_and(|it| it.kind == needed.kind));
-            if has_now && !ready().any(|worker| self.kind_by(worker, merged_inventory) == Some(needed.kind)) {
+            let has_now =
+                ready().any(|worker| worker.reported.is_some_and(|reported| reported.kind == needed.kind));
+            if has_now && !ready().any(|worker| self.kind_with(worker, merged_inventory) == Some(needed.kind))
+            {
                 let names = &self.classes.names;
                 let class = &names.classes[needed.class as usize];
                 let kind = &names.kinds[needed.kind as usize];
@@ -38,8 +41,8 @@
         None
     }
 
-    /// The kind of a worker by these inventories.
-    fn kind_by(&self, worker: &Worker, merged_inventory: &MergedInventory) -> Option<u32> {
+    /// Returns the kind that a worker would have with these inventories.
+    fn kind_with(&self, worker: &Worker, merged_inventory: &MergedInventory) -> Option<u32> {
         let listed = worker.host.kind.filter(|kind| *kind != UNKNOWN_NUMBER);
         let name = normal_name(&worker.host.name);
         let stated: Option<Arc<str>> = merged_inventory
--- a/crates/service/engine/src/workers/isolation.rs
+++ b/crates/service/engine/src/workers/isolation.rs
@@ -1,30 +1,33 @@
-//! Pods and zones that change are nobody's for a while. Retries of a keyed job are dropped
-//! within its worker's pod or zone, for the class's window. A worker that another file puts
-//! elsewhere may hold jobs of the place before: until the longest window is over it is in a pod, or
-//! zone, of its own. So is one of which nothing is known.
+//! Temporary isolation of workers whose pod or zone has changed. Workers drop retries of a keyed
+//! job within the pod or zone of its worker, for the deduplication window of its class. A worker
+//! whose configured pod or zone changes may still hold jobs of its previous one, so it counts as
+//! being in a pod, or zone, of its own until the longest window has passed. So does a worker whose
+//! pod or zone is unknown.
 use spanlead_balancing_policy::Nanos;
 
-/// A worker's pod or zone.
+/// The pod or the zone of a worker, with its isolation.
 #[derive(Clone, Copy, Default)]
 pub(super) struct IsolatedAttribute {
-    /// What was known last.
-    last: Option<u32>,
-    /// Until then the worker is in none.
+    /// The last known number of the pod or zone.
+    last_known: Option<u32>,
+    /// The time until which the worker is isolated in a pod or zone of its own; 0 if it never was.
     pub(super) isolated_until: Nanos,
 }
 
 impl IsolatedAttribute {
-    /// Takes what is known now; returns where the worker counts as standing. `own_number` is its
-    /// place apart from all others.
+    /// Sets the pod or zone known now, and returns the one that the worker counts as being in: that
+    /// or, while it is isolated or nothing is known, `own_number`, which no other worker shares. A
+    /// change of the known number isolates the worker for `window` from `now`.
     pub(super) fn update(&mut self, now: Nanos, known: Option<u32>, own_number: u32, window: Nanos) -> u32 {
         let Some(number) = known else { return own_number };
-        if self.last.is_some_and(|last| last != number) {
+        if self.last_known.is_some_and(|last| last != number) {
             self.isolated_until = now + window;
         }
-        self.last = Some(number);
+        self.last_known = Some(number);
         if self.is_isolated(now) { own_number } else { number }
     }
 
+    /// Returns whether the worker is isolated at `now` because of a change.
     pub(super) fn is_isolated(&self, now: Nanos) -> bool {
         now < self.isolated_until
     }
--- a/crates/service/engine/src/workers/views.rs
+++ b/crates/service/engine/src/workers/views.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of workers.
+//! The workers as shown to operators.
 use super::{Worker, normal_name};
 use crate::{Engine, HostView, InventoryStats, MS};
 use rustc_hash::FxHashMap;
@@ -7,19 +7,20 @@
 use std::sync::Arc;
 
 impl Engine {
-    /// What inventories say.
+    /// Returns the merged inventory, if there is one.
     pub fn merged_inventory(&self) -> Option<&Arc<MergedInventory>> {
         self.workers.merged_inventory.as_ref()
     }
 
-    /// The endpoint list with names for numbers, to compare it with what inventories say.
+    /// Returns the endpoint list with names in place of numbers, to compare it with the
+    /// inventories.
     pub fn live_hosts(&self) -> Vec<LiveHost> {
-        // Zones and kinds are few: each name is made once.
-        let shared = |names: &[String]| -> Vec<Arc<str>> {
+        // There are few zones and kinds, so each name is allocated only once.
+        let shared_names = |names: &[String]| -> Vec<Arc<str>> {
             names.iter().map(|name| Arc::from(name.as_str())).collect()
         };
         let names = &self.classes.names;
-        let (zones, kinds) = (shared(&names.zones), shared(&names.kinds));
+        let (zones, kinds) = (shared_names(&names.zones), shared_names(&names.kinds));
         let mut pods: FxHashMap<u32, Arc<str>> = FxHashMap::default();
         let name_of = |names: &[Arc<str>], number: Option<u32>| names.get(number? as usize).cloned();
         let live_host = |worker: &Worker| {
@@ -39,7 +40,8 @@
         self.workers.iter().map(live_host).collect()
     }
 
-    /// What is known of a worker that the list has named, and the sources of it.
+    /// Returns the state and the attributes, with their sources, of a worker that the list has
+    /// named.
     pub fn worker_view(&self, now: Nanos, name: &str) -> Option<HostView> {
         let worker = self.worker_by_any_name(name)?;
         let host = &worker.host;
@@ -60,7 +62,7 @@
         })
     }
 
-    /// The worker of this name, or of another spelling of it.
+    /// Returns the worker with this name, or with another spelling of it.
     fn worker_by_any_name(&self, name: &str) -> Option<&Worker> {
         let wanted = normalize_host_name(name).ok()?;
         let is_wanted =
@@ -68,7 +70,7 @@
         self.workers.get(name).or_else(|| self.workers.iter().find(is_wanted))
     }
 
-    /// What the list says of a worker.
+    /// Returns the attributes of a worker according to the list.
     fn listed_attributes(&self, worker: &Worker) -> LiveHost {
         let host = &worker.host;
         let names = &self.classes.names;
@@ -87,6 +89,7 @@
         }
     }
 
+    /// Returns the statistics of the inventories; `None` if there are none.
     pub(crate) fn inventory_stats(&self, now: Nanos) -> Option<InventoryStats> {
         let merged_inventory = self.workers.merged_inventory.as_ref()?;
         let is_isolated = |worker: &&Worker| worker.pod.is_isolated(now) || worker.zone.is_isolated(now);
