--- a/crates/cluster/job-scheduler/tests/golden.rs
+++ b/crates/cluster/job-scheduler/tests/golden.rs
@@ -1,9 +1,9 @@
-//! The keys and records that are kept of jobs, the names of tasks and the form of a client's job:
-//! they must not change.
+//! Stored and external formats that must not change: the keys and records of jobs, the names of
+//! tasks, and the JSON body of a submitted job.
 //!
-//! Records are private to the scheduler. It is made to write them and to take them over;
-//! [`JobForm`] and its like are the same forms, written down here a second time, so that each field
-//! of an example is known.
+//! The record types are private to the scheduler, so the tests have a scheduler write records and
+//! recover from them. [`JobRecord`], [`ClosedRecord`] and [`TaskRecord`] repeat those types, so
+//! that the value of each field of an example is known.
 #[path = "../../replication/tests/golden/support.rs"]
 mod support;
 
@@ -19,11 +19,12 @@
 const RECORDS: &str = "records.txt";
 const SPECS: &str = "specs.txt";
 const RETENTION_MS: u64 = 120_000;
-/// How much longer than that the records of an end are kept, milliseconds.
-const FORGET_SLACK_MS: u64 = 10_000;
+/// The margin beyond [`RETENTION_MS`] for which the records of a closed job are kept, milliseconds.
+const RETENTION_MARGIN_MS: u64 = 10_000;
 const FULL_JOB: JobId = JobId(0x0123_4567_89ab_cdef);
 const PLAIN_JOB: JobId = JobId(0x00ff_0000_0000_0002);
-const ACCEPTED_AT: u64 = 1_700_000_000_123;
+/// The wall-clock time at the monotonic time 0, milliseconds since the Unix epoch.
+const ACCEPTED_AT_MS: u64 = 1_700_000_000_123;
 
 const CONFIG: SchedulerConfig = SchedulerConfig {
     max_lease_ms: 6_000,
@@ -35,48 +36,50 @@
     max_concurrent_calls: 1_000,
 };
 
-/// The form of an accepted job.
+/// The record of an accepted job.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
-struct JobForm {
+struct JobRecord {
     queue: QueueId,
     service: String,
     priority: u8,
     max_attempts: u32,
-    accepted_at: u64,
+    accepted_at_ms: u64,
     spec: JobSpec,
 }
 
-/// The form of the end of a job.
+/// The record of a closed job's end.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, PartialEq)]
-struct EndForm {
+struct ClosedRecord {
     outcome: JobOutcome,
-    at: u64,
+    closed_at_ms: u64,
 }
 
-/// The form of a task that was ever started.
+/// The record of a task that was started at least once.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
-struct TaskForm {
-    run: u32,
-    failed: Vec<u32>,
+struct TaskRecord {
+    last_run: u32,
+    failed_runs: Vec<u32>,
     done: bool,
-    saved: String,
-    active: Vec<(u32, String)>,
+    checkpoint: String,
+    active_runs: Vec<(u32, String)>,
 }
 
+/// Encodes a value with rkyv.
 macro_rules! encode {
     ($value:expr) => {
-        rkyv::to_bytes::<rkyv::rancor::Error>($value).expect("encoded").to_vec()
+        rkyv::to_bytes::<rkyv::rancor::Error>($value).expect("the value can be encoded").to_vec()
     };
 }
 
+/// Decodes a value of a type with rkyv.
 macro_rules! decode {
-    ($form:ty, $bytes:expr) => {
-        rkyv::from_bytes::<$form, rkyv::rancor::Error>($bytes).expect("decoded")
+    ($type:ty, $bytes:expr) => {
+        rkyv::from_bytes::<$type, rkyv::rancor::Error>($bytes).expect("the bytes are valid")
     };
 }
 
 fn now(monotonic_ms: u64) -> Now {
-    Now { monotonic_ms, unix_ms: ACCEPTED_AT + monotonic_ms }
+    Now { monotonic_ms, unix_ms: ACCEPTED_AT_MS + monotonic_ms }
 }
 
 fn full_stage() -> Stage {
@@ -103,24 +106,24 @@
         payload: "a text for the workers".into(),
         stages: vec![Stage { count: 1, long_running: true, ..Stage::default() }, full_stage()],
         repeats: 4,
-        start_at_ms: ACCEPTED_AT + 1_000_000,
+        start_at_ms: ACCEPTED_AT_MS + 1_000_000,
         interval_ms: 60_000,
         long_running: true,
     }
 }
 
-fn full_job() -> JobForm {
-    JobForm {
+fn full_job() -> JobRecord {
+    JobRecord {
         queue: QueueId { host: "jobs.example".into(), path_prefix: "/v1/nightly/".into() },
         service: "batch".into(),
         priority: 2,
         max_attempts: 5,
-        accepted_at: ACCEPTED_AT,
+        accepted_at_ms: ACCEPTED_AT_MS,
         spec: full_spec(),
     }
 }
 
-fn plain_job() -> JobForm {
+fn plain_job() -> JobRecord {
     let stage = Stage {
         count: 4,
         cpu_millicores: 100,
@@ -128,17 +131,17 @@
         checkpoints: true,
         ..Stage::default()
     };
-    JobForm {
+    JobRecord {
         queue: QueueId { host: "h".into(), path_prefix: "/p/".into() },
         service: "batch".into(),
         priority: 1,
         max_attempts: 2,
-        accepted_at: ACCEPTED_AT,
+        accepted_at_ms: ACCEPTED_AT_MS,
         spec: JobSpec { payload: "x".into(), stages: vec![stage], ..JobSpec::default() },
     }
 }
 
-fn policy(job: &JobForm) -> QueuePolicy {
+fn policy(job: &JobRecord) -> QueuePolicy {
     QueuePolicy {
         queue: job.queue.clone(),
         service: job.service.clone(),
@@ -147,76 +150,85 @@
     }
 }
 
-fn task(index: u32) -> TaskId {
+fn plain_task(index: u32) -> TaskId {
     TaskId { job: PLAIN_JOB, occurrence: 0, stage: 0, index }
 }
 
-fn full_task() -> TaskForm {
-    TaskForm {
-        run: 7,
-        failed: vec![1, 3],
+fn full_task_record() -> TaskRecord {
+    TaskRecord {
+        last_run: 7,
+        failed_runs: vec![1, 3],
         done: true,
-        saved: "a checkpoint longer than twenty-four bytes".into(),
-        active: vec![(6, "worker-1".into()), (7, "worker-2".into())],
+        checkpoint: "a checkpoint longer than twenty-four bytes".into(),
+        active_runs: vec![(6, "worker-1".into()), (7, "worker-2".into())],
     }
 }
 
-fn running_task() -> TaskForm {
-    TaskForm { run: 1, failed: Vec::new(), done: false, saved: String::new(), active: vec![(1, "w".into())] }
+fn running_task_record() -> TaskRecord {
+    TaskRecord {
+        last_run: 1,
+        failed_runs: Vec::new(),
+        done: false,
+        checkpoint: String::new(),
+        active_runs: vec![(1, "w".into())],
+    }
 }
 
-fn submit(scheduler: &mut Scheduler, id: JobId, job: &JobForm) {
+fn submit(scheduler: &mut Scheduler, id: JobId, job: &JobRecord) {
     assert_eq!(scheduler.submit(now(0), id, policy(job), job.spec.clone()), Admission::Accepted);
 }
 
-fn empty() -> Scheduler {
+fn empty_scheduler() -> Scheduler {
     Scheduler::new(CONFIG, 9, 1, now(0))
 }
 
-fn recovered(entries: &[(Vec<u8>, Vec<u8>)]) -> Scheduler {
-    let mut scheduler = empty();
+fn recovered_scheduler(entries: &[(Vec<u8>, Vec<u8>)]) -> Scheduler {
+    let mut scheduler = empty_scheduler();
     let unreadable = scheduler.recover(now(0), entries.iter().map(|(k, v)| (k.as_slice(), v.as_slice())));
-    assert!(unreadable.is_empty(), "{unreadable:?}");
+    assert!(unreadable.is_empty(), "unreadable keys: {unreadable:?}");
     scheduler
 }
 
+/// The golden bytes of a key or record.
 fn golden(name: &str) -> Vec<u8> {
     bytes_of(RECORDS, name)
 }
 
-/// The value that a write gives to a key.
-fn written(changes: &[RecordChange], key: &[u8]) -> Vec<u8> {
-    let change = changes.iter().find(|change| change.key == key).expect("written");
-    change.value.clone().expect("a value")
+/// The value that `changes` write to a key. Panics if they don't change the key or if they remove
+/// it.
+fn written_value(changes: &[RecordChange], key: &[u8]) -> Vec<u8> {
+    let change = changes.iter().find(|change| change.key == key).expect("the key is changed");
+    change.value.clone().expect("the key is not removed")
 }
 
-/// All examples of keys and records, as the scheduler writes them where it does.
+/// All example keys and records. The records of jobs and their keys are written by a scheduler, the
+/// rest is encoded here.
 fn records() -> Vec<NamedBytes> {
-    let mut scheduler = empty();
+    let mut scheduler = empty_scheduler();
     submit(&mut scheduler, FULL_JOB, &full_job());
     let [RecordChange { key: full_key, value: Some(full_record) }] = &scheduler.take_changes()[..] else {
-        panic!("one record")
+        panic!("expected the write of one record")
     };
-    let mut scheduler = empty();
+    let mut scheduler = empty_scheduler();
     submit(&mut scheduler, PLAIN_JOB, &plain_job());
     let [RecordChange { key: plain_key, value: Some(plain_record) }] = &scheduler.take_changes()[..] else {
-        panic!("one record")
+        panic!("expected the write of one record")
     };
-    let end = |outcome| encode!(&EndForm { outcome, at: ACCEPTED_AT + 5 });
+    let closed = |outcome| encode!(&ClosedRecord { outcome, closed_at_ms: ACCEPTED_AT_MS + 5 });
     vec![
         ("job_key", full_key.clone()),
         ("job", full_record.clone()),
         ("plain_job_key", plain_key.clone()),
         ("plain_job", plain_record.clone()),
         ("task_key", task_key(&TaskId { job: FULL_JOB, occurrence: 0x0a0b_0c0d, stage: 0x0102, index: 9 })),
-        ("plain_task_key_0", task_key(&task(0))),
-        ("plain_task_key_1", task_key(&task(1))),
-        ("task", encode!(&full_task())),
-        ("running_task", encode!(&running_task())),
+        ("plain_task_key_0", task_key(&plain_task(0))),
+        ("plain_task_key_1", task_key(&plain_task(1))),
+        ("task", encode!(&full_task_record())),
+        ("running_task", encode!(&running_task_record())),
         ("closed_key", closed_key(PLAIN_JOB)),
-        ("closed_succeeded", end(JobOutcome::Succeeded)),
-        ("closed_failed", end(JobOutcome::Failed)),
-        ("closed_cancelled", end(JobOutcome::Cancelled)),
+        ("closed_succeeded", closed(JobOutcome::Succeeded)),
+        ("closed_failed", closed(JobOutcome::Failed)),
+        ("closed_cancelled", closed(JobOutcome::Cancelled)),
     ]
 }
 
@@ -240,16 +252,19 @@
 
 #[test]
 fn golden_bytes_are_decoded_to_the_records() {
-    assert_eq!(decode!(JobForm, &golden("job")), full_job());
-    assert_eq!(decode!(JobForm, &golden("plain_job")), plain_job());
-    assert_eq!(decode!(TaskForm, &golden("task")), full_task());
-    assert_eq!(decode!(TaskForm, &golden("running_task")), running_task());
+    assert_eq!(decode!(JobRecord, &golden("job")), full_job());
+    assert_eq!(decode!(JobRecord, &golden("plain_job")), plain_job());
+    assert_eq!(decode!(TaskRecord, &golden("task")), full_task_record());
+    assert_eq!(decode!(TaskRecord, &golden("running_task")), running_task_record());
     for (name, outcome) in [
         ("closed_succeeded", JobOutcome::Succeeded),
         ("closed_failed", JobOutcome::Failed),
         ("closed_cancelled", JobOutcome::Cancelled),
     ] {
-        assert_eq!(decode!(EndForm, &golden(name)), EndForm { outcome, at: ACCEPTED_AT + 5 });
+        assert_eq!(
+            decode!(ClosedRecord, &golden(name)),
+            ClosedRecord { outcome, closed_at_ms: ACCEPTED_AT_MS + 5 }
+        );
     }
 }
 
@@ -265,15 +280,15 @@
         ("closed_key", "closed_cancelled"),
     ];
     for (key, record) in pairs {
-        assert!(is_readable_record(&golden(key), &golden(record)), "{record}");
-        assert!(!is_readable_record(&golden(key), &golden(record)[1..]), "{record} cut short");
+        assert!(is_readable_record(&golden(key), &golden(record)), "{record} is not readable");
+        assert!(!is_readable_record(&golden(key), &golden(record)[1..]), "{record} without its first byte");
         let longer = [golden(key), vec![0]].concat();
         assert!(!is_readable_record(&longer, &golden(record)), "{record} under a longer key");
     }
 }
 
-/// What a scheduler knows after it took records over, as text.
-fn dump(scheduler: &Scheduler, id: JobId) -> String {
+/// The state of a job in a scheduler that recovered from records, as text.
+fn job_text(scheduler: &Scheduler, id: JobId) -> String {
     let Some(job) = scheduler.inspect_job(id) else { return format!("{id} unknown\n") };
     let state = match job.state {
         JobState::Queued => "queued",
@@ -301,47 +316,47 @@
 }
 
 #[test]
-fn a_scheduler_goes_on_from_golden_records() {
+fn jobs_tasks_and_runs_are_recovered_from_the_golden_records() {
     let pair = |key: &str, record: &str| (golden(key), golden(record));
-    let full = recovered(&[pair("job_key", "job")]);
-    let running = recovered(&[
+    let full = recovered_scheduler(&[pair("job_key", "job")]);
+    let running = recovered_scheduler(&[
         pair("plain_job_key", "plain_job"),
         pair("plain_task_key_0", "task"),
         pair("plain_task_key_1", "running_task"),
     ]);
-    let mut text = dump(&full, FULL_JOB) + &dump(&running, PLAIN_JOB);
+    let mut text = job_text(&full, FULL_JOB) + &job_text(&running, PLAIN_JOB);
     for end in ["closed_succeeded", "closed_failed", "closed_cancelled"] {
-        let closed = recovered(&[pair("plain_job_key", "plain_job"), pair("closed_key", end)]);
-        text += &dump(&closed, PLAIN_JOB);
+        let closed = recovered_scheduler(&[pair("plain_job_key", "plain_job"), pair("closed_key", end)]);
+        text += &job_text(&closed, PLAIN_JOB);
     }
     compare_text("recovered.txt", &text);
 }
 
-/// A cancelled job's tasks are written again with all that was taken over.
+/// The cancellation of a job writes the records of its tasks again, with all recovered fields.
 #[test]
-fn a_scheduler_writes_golden_records_again() {
+fn recovered_task_records_are_written_again_with_the_golden_bytes() {
     let job = (golden("plain_job_key"), golden("plain_job"));
     let full = (golden("plain_task_key_0"), golden("task"));
     let running = (golden("plain_task_key_1"), golden("running_task"));
-    let mut scheduler = recovered(&[job, full.clone(), running.clone()]);
+    let mut scheduler = recovered_scheduler(&[job, full.clone(), running.clone()]);
     scheduler.take_changes();
     assert!(scheduler.cancel(now(5), PLAIN_JOB));
     let changes = scheduler.take_changes();
-    assert_eq!(to_hex(&written(&changes, &full.0)), to_hex(&full.1));
-    assert_eq!(to_hex(&written(&changes, &running.0)), to_hex(&running.1));
-    let closed = written(&changes, &golden("closed_key"));
+    assert_eq!(to_hex(&written_value(&changes, &full.0)), to_hex(&full.1));
+    assert_eq!(to_hex(&written_value(&changes, &running.0)), to_hex(&running.1));
+    let closed = written_value(&changes, &golden("closed_key"));
     assert_eq!(to_hex(&closed), to_hex(&golden("closed_cancelled")));
 }
 
-/// The time of a job's end is read: it is forgotten when its state need not be told any more, not
-/// before.
+/// The recovered closing time counts: the job is forgotten when its retention and the margin are
+/// over, and not before.
 #[test]
-fn a_scheduler_forgets_a_golden_end_in_time() {
+fn recovered_closed_job_is_forgotten_when_its_retention_is_over() {
     let entries =
         [(golden("plain_job_key"), golden("plain_job")), (golden("closed_key"), golden("closed_succeeded"))];
-    let mut scheduler = recovered(&entries);
+    let mut scheduler = recovered_scheduler(&entries);
     scheduler.take_changes();
-    let forgotten_at = 5 + RETENTION_MS + FORGET_SLACK_MS;
+    let forgotten_at = 5 + RETENTION_MS + RETENTION_MARGIN_MS;
     scheduler.tick(now(forgotten_at - 1));
     assert!(scheduler.take_changes().is_empty());
     scheduler.tick(now(forgotten_at + 250));
@@ -350,17 +365,19 @@
     assert_eq!(removed, [(golden("plain_job_key"), true), (golden("closed_key"), true)]);
 }
 
-/// A scheduler with one listed worker; what it writes is collected as text.
+/// A scheduler with one listed worker, whose record changes are collected as text.
 struct Harness {
     scheduler: Scheduler,
     monotonic_ms: u64,
-    sequence: u64,
+    /// The number of the last batch.
+    batch: u64,
+    /// One line per record change: the key and the value in hexadecimal digits, or `removed`.
     text: String,
 }
 
 impl Harness {
     fn new() -> Self {
-        let mut scheduler = empty();
+        let mut scheduler = empty_scheduler();
         let listed = |id: &str, address: &str| ListedWorker {
             id: id.into(),
             service: "batch".into(),
@@ -373,45 +390,46 @@
             labels: vec!["rack-1".into()],
         };
         scheduler.update_workers(now(0), &[listed("worker-1", "10.1.0.1:80")]);
-        Harness { scheduler, monotonic_ms: 0, sequence: 0, text: String::new() }
+        Harness { scheduler, monotonic_ms: 0, batch: 0, text: String::new() }
     }
 
-    /// Lets time pass; what is written lasts at once. Tells the orders, with what is called whom.
-    fn pass(&mut self, ms: u64) -> Vec<(String, WorkerRequest)> {
+    /// Advances the clock and ticks, and commits the changes at once. Returns the requests, each
+    /// with the identifier of the called worker.
+    fn advance(&mut self, ms: u64) -> Vec<(String, WorkerRequest)> {
         self.monotonic_ms += ms;
         self.scheduler.tick(now(self.monotonic_ms));
         let changes = self.scheduler.take_changes();
-        self.sequence += 1;
+        self.batch += 1;
         for RecordChange { key, value } in &changes {
             let value = value.as_ref().map_or("removed".to_owned(), |value| to_hex(value));
             let _ = writeln!(self.text, "{}\t{value}", to_hex(key));
         }
-        self.scheduler.assign_batch(self.sequence);
-        self.scheduler.handle_committed(now(self.monotonic_ms), self.sequence);
+        self.scheduler.assign_batch(self.batch);
+        self.scheduler.handle_committed(now(self.monotonic_ms), self.batch);
         let calls = self.scheduler.take_calls().into_iter();
         calls.map(|call| (call.worker_id.to_string(), call.request)).collect()
     }
 
-    fn answer(&mut self, worker: &str, request: &WorkerRequest, response: WorkerResponse) {
+    fn respond(&mut self, worker: &str, request: &WorkerRequest, response: WorkerResponse) {
         self.scheduler.handle_response(now(self.monotonic_ms), worker, request, response);
     }
 }
 
-/// All records of a job that fails once, saves a checkpoint and is done, and of one that fails too
-/// often.
+/// The records of two jobs: the task of one fails once, saves a checkpoint and succeeds; that of
+/// the other uses up its attempts.
 #[test]
-fn records_of_a_run_stay() {
+fn record_changes_of_jobs_from_submission_to_end_match_the_golden_text() {
     let mut harness = Harness::new();
     let mut succeeding = plain_job();
     succeeding.spec.stages[0].count = 1;
-    let failing = JobForm { max_attempts: 1, ..succeeding.clone() };
+    let failing = JobRecord { max_attempts: 1, ..succeeding.clone() };
     submit(&mut harness.scheduler, JobId(1), &succeeding);
     submit(&mut harness.scheduler, JobId(2), &failing);
     let mut starts: Vec<(TaskId, u32)> = Vec::new();
     let mut ended = 0;
     let mut finished: Vec<FinishedTask> = Vec::new();
     for _ in 0..200 {
-        for (worker, request) in harness.pass(50) {
+        for (worker, request) in harness.advance(50) {
             let clock_ms = 500_000 + harness.monotonic_ms;
             let response = match &request {
                 WorkerRequest::Start { task, run, .. } => {
@@ -442,7 +460,7 @@
                     })
                 }
             };
-            harness.answer(&worker, &request, response);
+            harness.respond(&worker, &request, response);
         }
     }
     assert_eq!(harness.scheduler.job_state(JobId(1)), Some(JobState::Closed(JobOutcome::Succeeded)));
@@ -451,20 +469,20 @@
 }
 
 #[test]
-fn tasks_keep_their_names() {
+fn task_names_keep_their_format() {
     let task = TaskId { job: JobId(0x00ab_cdef_0000_0001), occurrence: 12, stage: 3, index: 4_567 };
     assert_eq!(task.to_string(), "00abcdef00000001.12.3.4567");
     assert_eq!(TaskId::parse("00abcdef00000001.12.3.4567"), Some(task));
     for bad in ["00abcdef00000001.12.3", "00abcdef00000001.12.3.4.5", "x.1.2.3", ""] {
-        assert_eq!(TaskId::parse(bad), None, "{bad:?}");
+        assert_eq!(TaskId::parse(bad), None, "task name {bad:?}");
     }
 }
 
 #[test]
-fn a_client_s_job_is_read_in_all_its_fields() {
-    assert_eq!(JobSpec::from_json(read("job.json").as_bytes()).expect("good"), full_spec());
+fn all_fields_of_a_job_body_are_parsed() {
+    assert_eq!(JobSpec::from_json(read("job.json").as_bytes()).expect("the body is valid"), full_spec());
     let one_label = br#"{"stages":[{"count":1,"constraints":"ssd","affinity":""}]}"#;
-    let read = JobSpec::from_json(one_label).expect("good");
+    let read = JobSpec::from_json(one_label).expect("the body is valid");
     assert_eq!(
         (read.stages[0].constraints.as_slice(), &read.stages[0].affinity),
         (&["ssd".to_owned()][..], &None)
@@ -472,7 +490,7 @@
 }
 
 #[test]
-fn a_client_s_job_is_encoded_to_the_golden_bytes() {
+fn job_specifications_are_encoded_to_the_golden_bytes() {
     let default = JobSpec { stages: vec![Stage::default()], ..JobSpec::default() };
     compare_bytes(SPECS, &[("full", encode!(&full_spec())), ("default", encode!(&default))]);
     let golden = read_bytes(SPECS);
@@ -481,7 +499,7 @@
 }
 
 #[test]
-fn clients_are_told_of_faults_in_the_golden_words() {
+fn invalid_job_bodies_are_rejected_with_the_golden_messages() {
     let large = format!(r#"{{"spec":"{}","stages":[{{"count":1}}]}}"#, "x".repeat(4_001));
     let bodies = [
         r#"{"stages":[]}"#,
@@ -492,7 +510,8 @@
         "[",
         &large,
     ];
-    let lines =
-        bodies.iter().map(|body| format!("{}\n", JobSpec::from_json(body.as_bytes()).expect_err("faulty")));
+    let lines = bodies
+        .iter()
+        .map(|body| format!("{}\n", JobSpec::from_json(body.as_bytes()).expect_err("the body is invalid")));
     compare_text("spec_faults.txt", &lines.collect::<String>());
 }
