--- a/crates/cluster/job-scheduler/tests/common/simulated.rs
+++ b/crates/cluster/job-scheduler/tests/common/simulated.rs
@@ -1,6 +1,6 @@
-//! A cluster in memory, moved by a seed: workers, the platform's list of them, clients, and a
-//! scheduler that is killed and recovers. The rules that must hold are checked at every start and
-//! end.
+//! A deterministic simulation of a cluster from a seed: workers, the platform's worker list,
+//! clients, and a scheduler that is killed and recovers. The safety properties are checked at every
+//! start and end of a run.
 use super::{CONFIG, Records, apply_changes, policy};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -13,22 +13,25 @@
 
 /// The monotonic time at which a simulation starts, milliseconds.
 const START_MS: u64 = 1_000_000;
+/// The step of the simulated clock, milliseconds.
 const STEP_MS: u64 = 5;
+/// The interval between two ticks of the scheduler, milliseconds.
 const TICK_INTERVAL_MS: u64 = 20;
-/// How long a batch of records takes to be committed, milliseconds.
-const COMMIT_MS: u64 = 12;
-/// How often the platform lists the workers, milliseconds.
+/// The time until a batch of records is committed, milliseconds.
+const COMMIT_LATENCY_MS: u64 = 12;
+/// The interval between two worker lists of the platform, milliseconds.
 const LIST_INTERVAL_MS: u64 = 1_000;
-/// How long a new worker is missing from the list, milliseconds.
+/// The time after its start from which on a new incarnation of a worker is listed, milliseconds.
 const LIST_LAG_MS: u64 = 800;
-/// How long a response takes, milliseconds.
-const RESPONSE_MS: u64 = 2;
-/// How long a renewal that waited at a worker that is cut off takes to fail, milliseconds.
-const BROKEN_RENEWAL_MS: u64 = 400;
+/// The network latency of a response, milliseconds.
+const RESPONSE_LATENCY_MS: u64 = 2;
+/// The time until a renewal fails whose worker is partitioned or was replaced while it delayed the
+/// response, milliseconds.
+const RENEWAL_FAILURE_DELAY_MS: u64 = 400;
 
-/// Something on its way between the scheduler and a worker.
+/// A message in flight between the scheduler and a worker.
 enum Message {
-    /// A call; one that is delayed is carried out late, and its response is lost.
+    /// A call. A delayed call is carried out late, and its response is lost.
     Call {
         call: WorkerCall,
         is_delayed: bool,
@@ -52,23 +55,24 @@
     job: JobId,
 }
 
-/// A renewal that waits at its worker.
+/// A renewal whose response the worker delays until a run ends.
 struct WaitingRenewal {
     due_at_ms: u64,
     call: WorkerCall,
 }
 
+/// The simulated cluster. Times are in milliseconds of the simulated clock.
 pub struct SimulatedCluster {
     pub now_ms: u64,
     pub workers: Vec<SimulatedWorker>,
-    /// `None` while it is killed.
+    /// `None` from a kill to the restart.
     pub scheduler: Option<Scheduler>,
     pub checker: SafetyChecker,
-    /// Jobs that were acknowledged as accepted.
+    /// Jobs whose acceptance was committed.
     pub accepted: BTreeSet<JobId>,
-    /// Jobs that were cancelled.
+    /// Jobs that were cancelled while they were open.
     pub cancelled: BTreeSet<JobId>,
-    /// The share of calls that are delayed.
+    /// The share of calls that are carried out late and whose responses are lost, 0 to 1.
     pub delayed_share: f64,
     rng: ChaCha8Rng,
     fencing_token: u64,
@@ -78,14 +82,16 @@
     committed_records: Records,
     pending_batches: VecDeque<PendingBatch>,
     last_batch: u64,
-    /// By the time of arrival, then by number.
+    /// Messages in flight, by time of arrival, then in the order of sending.
     messages: BTreeMap<(u64, u64), Message>,
     message_count: u64,
     waiting_renewals: Vec<WaitingRenewal>,
+    /// The time of the last worker list; 0 for none in this term.
     listed_at_ms: u64,
 }
 
 impl SimulatedCluster {
+    /// Creates a cluster with a running scheduler and without jobs.
     pub fn new(seed: u64, workers: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let workers = (0..workers).map(|index| SimulatedWorker::new(index, 0, START_MS, &mut rng)).collect();
@@ -120,8 +126,9 @@
 
     // Faults.
 
-    /// The scheduler dies. Batches that were not committed are lost from a random one on.
-    pub fn kill_scheduler(&mut self, for_ms: u64) {
+    /// Kills the scheduler for `downtime_ms`. Of the batches that are being committed, those from a
+    /// random one on are lost.
+    pub fn kill_scheduler(&mut self, downtime_ms: u64) {
         self.scheduler = None;
         let kept = self.rng.random_range(0..=self.pending_batches.len());
         for batch in std::mem::take(&mut self.pending_batches).into_iter().take(kept) {
@@ -129,10 +136,10 @@
         }
         self.uncommitted_jobs.clear();
         self.waiting_renewals.clear();
-        self.restart_at_ms = Some(self.now_ms + for_ms);
+        self.restart_at_ms = Some(self.now_ms + downtime_ms);
     }
 
-    /// A scheduler goes on from the committed records, with a higher fencing token.
+    /// Starts a scheduler with a higher fencing token, which recovers from the committed records.
     fn restart_scheduler(&mut self) {
         self.fencing_token += 1;
         let mut scheduler = Scheduler::new(CONFIG, self.fencing_token, self.rng.random(), self.now());
@@ -143,7 +150,7 @@
         self.restart_at_ms = None;
     }
 
-    /// Replaces a worker by a new incarnation; what ran on the old one is gone.
+    /// Replaces a worker with a new incarnation. The runs of the old one are lost.
     pub fn crash_worker(&mut self, index: usize) {
         let incarnation = self.workers[index].incarnation + 1;
         self.checker.record_crash(&self.workers[index].id);
@@ -152,7 +159,7 @@
 
     // Clients.
 
-    /// Submits a job; `None` while there is no scheduler.
+    /// Submits a job and returns its identifier; `None` while the scheduler is down.
     pub fn submit(&mut self, spec: JobSpec) -> Option<JobId> {
         let job = JobId(self.next_job);
         let now = self.now();
@@ -165,6 +172,7 @@
         Some(job)
     }
 
+    /// Cancels a job if it is open. Does nothing while the scheduler is down.
     pub fn cancel(&mut self, job: JobId) {
         let now = self.now();
         let Some(scheduler) = &mut self.scheduler else { return };
@@ -174,18 +182,21 @@
         }
     }
 
+    /// The state of a job; `None` if it is not known or the scheduler is down.
     pub fn job_state(&self, job: JobId) -> Option<JobState> {
         self.scheduler.as_ref()?.job_state(job)
     }
 
     // Time.
 
+    /// Advances the simulation by `ms` milliseconds.
     pub fn run(&mut self, ms: u64) {
         for _ in 0..ms / STEP_MS {
             self.step();
         }
     }
 
+    /// Advances the simulation by one step. Panics if a safety property is violated.
     fn step(&mut self) {
         self.now_ms += STEP_MS;
         if self.restart_at_ms.is_some_and(|restart_at_ms| self.now_ms >= restart_at_ms) {
@@ -206,9 +217,15 @@
             scheduler.tick(now);
         }
         self.flush();
-        assert!(self.checker.violations.is_empty(), "at {}: {:?}", self.now_ms, self.checker.violations);
+        assert!(
+            self.checker.violations.is_empty(),
+            "violations at {} ms: {:?}",
+            self.now_ms,
+            self.checker.violations
+        );
     }
 
+    /// Commits the batches that are due, and notifies the scheduler.
     fn commit(&mut self) {
         let now_ms = self.now_ms;
         let mut committed = None;
@@ -224,14 +241,14 @@
         }
     }
 
-    /// Takes the scheduler's changes and calls.
+    /// Begins the commit of the scheduler's changes, and sends its calls.
     fn flush(&mut self) {
         let now = self.now();
         let Some(scheduler) = &mut self.scheduler else { return };
         let changes = scheduler.take_changes();
         if !changes.is_empty() {
             self.last_batch += 1;
-            let (due_at_ms, number) = (self.now_ms + COMMIT_MS, self.last_batch);
+            let (due_at_ms, number) = (self.now_ms + COMMIT_LATENCY_MS, self.last_batch);
             self.pending_batches.push_back(PendingBatch { due_at_ms, number, changes });
         }
         scheduler.assign_batch(self.last_batch);
@@ -245,6 +262,7 @@
 
     // Messages.
 
+    /// Sends a call. For a delayed one, the scheduler sees no response at its time-out.
     fn send_call(&mut self, call: WorkerCall) {
         let is_delayed = self.rng.random_bool(self.delayed_share);
         let delay_ms =
@@ -278,7 +296,8 @@
         }
     }
 
-    /// A response to a scheduler of an earlier term reaches nobody.
+    /// Passes a response to the scheduler, unless the call was sent by a scheduler of an earlier
+    /// term.
     fn deliver_response(&mut self, call: &WorkerCall, response: WorkerResponse) {
         let now = self.now();
         if let Some(scheduler) = &mut self.scheduler
@@ -298,7 +317,7 @@
                 let timeout_ms = call.timeout_ms;
                 self.respond(call, WorkerResponse::NoResponse, timeout_ms);
             }
-            Some(response) => self.respond(call, response, RESPONSE_MS),
+            Some(response) => self.respond(call, response, RESPONSE_LATENCY_MS),
             None => {
                 let WorkerRequest::RenewLease { wait_ms, .. } = call.request else { return };
                 self.waiting_renewals.push(WaitingRenewal { due_at_ms: self.now_ms + wait_ms, call });
@@ -306,7 +325,8 @@
         }
     }
 
-    /// `None` for a renewal that waits at the worker.
+    /// Carries out a call at its worker. Returns `None` for a renewal whose response the worker
+    /// delays.
     fn carry_out(&mut self, call: &WorkerCall) -> Option<WorkerResponse> {
         let worker = &mut self.workers[worker_index(call)];
         if worker.partitioned_until_ms > self.now_ms {
@@ -321,7 +341,8 @@
         }
     }
 
-    /// Answers renewals that have waited long enough, or whose worker has an end to report.
+    /// Responds to the renewals whose delay is over or whose worker has a run end to report, and
+    /// fails those whose worker is partitioned or was replaced.
     fn answer_renewals(&mut self) {
         for renewal in std::mem::take(&mut self.waiting_renewals) {
             let WaitingRenewal { due_at_ms, call } = renewal;
@@ -329,16 +350,17 @@
             let worker = &self.workers[worker_index(&call)];
             let has_end = worker.has_end_after(acknowledged_end);
             if worker.partitioned_until_ms > self.now_ms || *worker.id != *call.worker_id {
-                self.respond(call, WorkerResponse::NoResponse, BROKEN_RENEWAL_MS);
+                self.respond(call, WorkerResponse::NoResponse, RENEWAL_FAILURE_DELAY_MS);
             } else if self.now_ms >= due_at_ms || has_end {
                 let report = worker.report(self.now_ms, acknowledged_end);
-                self.respond(call, WorkerResponse::Report(report), RESPONSE_MS);
+                self.respond(call, WorkerResponse::Report(report), RESPONSE_LATENCY_MS);
             } else {
                 self.waiting_renewals.push(WaitingRenewal { due_at_ms, call });
             }
         }
     }
 
+    /// Updates the scheduler's workers from the platform's list, if a list is due.
     fn list_workers(&mut self) {
         if self.now_ms < self.listed_at_ms + LIST_INTERVAL_MS {
             return;
@@ -357,5 +379,5 @@
 }
 
 fn worker_index(call: &WorkerCall) -> usize {
-    call.address.parse().expect("an index")
+    call.address.parse().expect("the address is the worker's index")
 }
--- a/crates/cluster/job-scheduler/tests/latency.rs
+++ b/crates/cluster/job-scheduler/tests/latency.rs
@@ -1,8 +1,8 @@
-//! The histograms of the metrics.
+//! The latency histograms of the metrics.
 use spanlead_job_scheduler::LatencyHistogram;
 
 #[test]
-fn an_empty_histogram_reports_nothing() {
+fn empty_histogram_has_count_and_quantile_zero() {
     let histogram = LatencyHistogram::default();
     assert_eq!((histogram.count(), histogram.quantile_ms(0.5)), (0, 0));
 }
@@ -19,5 +19,5 @@
     assert_eq!(histogram.quantile_ms(0.5), 20);
     assert_eq!(histogram.quantile_ms(0.8), 100);
     assert_eq!(histogram.quantile_ms(0.9), 200);
-    assert_eq!(histogram.quantile_ms(1.0), 10_000, "beyond the last bound");
+    assert_eq!(histogram.quantile_ms(1.0), 10_000, "the bound of the overflow bucket");
 }
--- a/crates/cluster/job-scheduler/tests/simulation.rs
+++ b/crates/cluster/job-scheduler/tests/simulation.rs
@@ -1,6 +1,5 @@
-//! Seeded runs of the scheduler among workers that crash, are cut off, fail tasks and carry calls
-//! out late, while the scheduler itself is killed: no rule is broken, and every accepted job is
-//! closed.
+//! Seeded simulations in which workers crash, are partitioned, fail tasks and carry out calls late,
+//! and the scheduler is killed: no safety property is violated, and every accepted job is closed.
 mod common;
 use common::SimulatedCluster;
 use rand::{Rng, SeedableRng};
@@ -10,9 +9,9 @@
 const WORKERS: usize = 9;
 const ROUNDS: u32 = 200;
 const ROUND_MS: u64 = 100;
-/// How long jobs may take after the last fault, milliseconds.
+/// The time after the last fault within which all jobs must be closed, milliseconds.
 const SETTLE_MS: u64 = 45_000;
-/// The number of seeds unless the variable `SEEDS` gives another.
+/// The number of seeds unless the environment variable `SEEDS` sets another.
 const DEFAULT_SEEDS: u64 = 12;
 
 fn random_stage(rng: &mut ChaCha8Rng, number: u16) -> Stage {
@@ -59,7 +58,8 @@
     }
 }
 
-/// Runs a simulation, and returns the number of starts.
+/// Simulates random jobs and faults, checks the end states of the accepted jobs, and returns the
+/// number of starts.
 fn simulate(seed: u64) -> u64 {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xB0B);
     let mut cluster = SimulatedCluster::new(seed, WORKERS);
@@ -86,17 +86,23 @@
     }
     cluster.run(SETTLE_MS);
     for job in &cluster.accepted {
-        assert_closed_rightly(&cluster, seed, *job);
+        assert_closed_correctly(&cluster, seed, *job);
     }
     cluster.checker.starts
 }
 
-fn assert_closed_rightly(cluster: &SimulatedCluster, seed: u64, job: JobId) {
+fn assert_closed_correctly(cluster: &SimulatedCluster, seed: u64, job: JobId) {
     let state = cluster.job_state(job);
     let view = cluster.scheduler.as_ref().and_then(|scheduler| scheduler.inspect_job(job));
-    assert!(matches!(state, Some(JobState::Closed(_))), "seed {seed}: job {job} at the end: {view:#?}");
+    assert!(
+        matches!(state, Some(JobState::Closed(_))),
+        "seed {seed}: job {job} is not closed at the end: {view:#?}"
+    );
     if state == Some(JobState::Closed(JobOutcome::Succeeded)) {
-        assert!(cluster.checker.is_job_done(job), "seed {seed}: MIXED: {job}");
+        assert!(
+            cluster.checker.is_job_done(job),
+            "seed {seed}: MIXED: {job} is shown as succeeded and is not"
+        );
     }
     if state == Some(JobState::Closed(JobOutcome::Cancelled)) {
         assert!(cluster.cancelled.contains(&job), "seed {seed}: LOST: {job} was never cancelled");
@@ -104,8 +110,8 @@
 }
 
 #[test]
-fn no_rule_is_broken_and_every_job_is_closed_whatever_fails() {
+fn no_safety_property_is_violated_and_every_accepted_job_is_closed_under_random_faults() {
     let seeds = std::env::var("SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(DEFAULT_SEEDS);
     let starts: u64 = (0..seeds).map(simulate).sum();
-    assert!(starts > seeds * 200, "{starts} starts");
+    assert!(starts > seeds * 200, "expected more than 200 starts per seed, got {starts} with {seeds} seeds");
 }
