--- a/crates/cluster/job-scheduler/tests/commit_order.rs
+++ b/crates/cluster/job-scheduler/tests/commit_order.rs
@@ -1,4 +1,4 @@
-//! Nothing is sent that depends on a record before that record is durable.
+//! Output commit: a message that depends on a record is sent only once that record is durable.
 mod common;
 use common::{ManualScheduler, ONE_TASK, SMALL_TASK, first_task, renewal_to, single_start, starts};
 use spanlead_job_scheduler::{JobId, JobOutcome, JobState, WorkerCall, WorkerRequest};
@@ -7,7 +7,7 @@
 fn start_is_sent_only_when_its_record_is_durable() {
     let mut manual = ManualScheduler::new(1);
     manual.submit(1, ONE_TASK);
-    assert!(starts(&manual.write_uncommitted()).is_empty(), "not before");
+    assert!(starts(&manual.write_uncommitted()).is_empty(), "the record is not durable yet");
 
     manual.scheduler.handle_committed(manual.now(), manual.batch);
 
@@ -20,7 +20,7 @@
     manual.submit(1, ONE_TASK);
     let start = single_start(&manual.commit());
     manual.acknowledge(&start);
-    let renewal = manual.waiting_renewal("i-0");
+    let renewal = manual.take_waiting_renewal("i-0");
 
     manual.report(&renewal, &[], &[(1, first_task(1), 1, "done")]);
     manual.tick_after(20);
@@ -28,15 +28,15 @@
 
     let acknowledges =
         |call: &WorkerCall| matches!(call.request, WorkerRequest::RenewLease { acknowledged_end: 1.., .. });
-    assert!(!early.iter().any(acknowledges), "{early:?}");
-    assert!(manual.advance(20).iter().any(acknowledges), "once it is durable");
+    assert!(!early.iter().any(acknowledges), "expected no acknowledgement before the commit: {early:?}");
+    assert!(manual.advance(20).iter().any(acknowledges), "the record of the end is durable");
     assert_eq!(manual.scheduler.job_state(JobId(1)), Some(JobState::Closed(JobOutcome::Succeeded)));
 }
 
-/// Ends received while the records of earlier ones are being committed are in a later batch, which
-/// may still be lost.
+/// Run ends that are received while the records of earlier ends are being committed are part of a
+/// later batch, which may still be lost.
 #[test]
-fn end_received_after_a_batch_is_not_acknowledged_with_it() {
+fn end_received_after_a_batch_was_written_is_not_acknowledged_by_its_commit() {
     let mut manual = ManualScheduler::new(1);
     manual.submit(1, SMALL_TASK);
     manual.submit(2, SMALL_TASK);
@@ -47,13 +47,13 @@
         manual.acknowledge(start);
     }
     let (first, second) = (first_task(1), first_task(2));
-    let renewal = manual.waiting_renewal("i-0");
+    let renewal = manual.take_waiting_renewal("i-0");
     manual.report(&renewal, &[(second, 1)], &[(1, first, 1, "done")]);
     manual.write_uncommitted();
     let earlier_batch = manual.batch;
 
-    // Another report, as after a stop, brings the second end before the first one's record is
-    // durable.
+    // Another report, such as the one after a stop, contains the second end before the record of
+    // the first is durable.
     manual.report(&renewal, &[], &[(1, first, 1, "done"), (2, second, 1, "done")]);
     manual.write_uncommitted();
     assert!(manual.batch > earlier_batch, "the second end is in a batch of its own");
@@ -61,6 +61,9 @@
     manual.tick_after(20);
 
     let calls = manual.drain_calls();
-    let renewal = renewal_to(&calls, "i-0").expect("a renewal is sent");
-    assert!(matches!(renewal.request, WorkerRequest::RenewLease { acknowledged_end: 1, .. }), "{renewal:?}");
+    let renewal = renewal_to(&calls, "i-0").expect("a renewal is sent after the commit");
+    assert!(
+        matches!(renewal.request, WorkerRequest::RenewLease { acknowledged_end: 1, .. }),
+        "expected an acknowledgement of the first end only: {renewal:?}"
+    );
 }
--- a/crates/cluster/job-scheduler/tests/common/manual.rs
+++ b/crates/cluster/job-scheduler/tests/common/manual.rs
@@ -1,4 +1,4 @@
-//! A scheduler whose calls a test answers itself, in whatever order it wants.
+//! A scheduler whose calls the test answers itself, in any order.
 use super::{CONFIG, Records, apply_changes, policy};
 use spanlead_job_scheduler::{
     Admission, FinishedTask, JobId, JobSpec, ListedWorker, ListedWorkerState, Now, RunningTask, Scheduler,
@@ -8,7 +8,7 @@
 
 /// The monotonic time at which the scheduler starts, milliseconds.
 pub const START_MS: u64 = 1_000_000;
-/// How far the workers' clocks are behind, milliseconds.
+/// The time by which the workers' clocks are behind the scheduler's, milliseconds.
 const WORKER_CLOCK_LAG_MS: u64 = 900_000;
 const FENCING_TOKEN: u64 = 4;
 
@@ -17,18 +17,18 @@
     pub scheduler: Scheduler,
     /// The monotonic time, milliseconds.
     pub now_ms: u64,
-    /// The number of the last batch.
+    /// The number of the last batch that was written.
     pub batch: u64,
-    /// What was written, committed or not.
+    /// All records that were written, committed or not.
     pub records: Records,
-    /// The last renewal to each worker that waits there for an end.
+    /// By worker, the last renewal whose response the worker delays until a run ends.
     waiting_renewals: BTreeMap<String, WorkerCall>,
-    /// The number of the last end that [`ManualScheduler::report_stopped`] reported.
+    /// The number of the last run end that [`ManualScheduler::report_stopped`] reported.
     end_number: u64,
 }
 
 impl ManualScheduler {
-    /// All workers have responded once.
+    /// Creates a scheduler to which each of its workers has responded once.
     pub fn new(workers: usize) -> Self {
         let mut manual = ManualScheduler::without_responses(workers, CONFIG);
         for call in manual.advance(20) {
@@ -37,7 +37,7 @@
         manual
     }
 
-    /// The workers are listed, and none has responded yet.
+    /// Creates a scheduler whose workers are listed and have not responded yet.
     pub fn without_responses(workers: usize, config: SchedulerConfig) -> Self {
         let start = Now { monotonic_ms: START_MS, unix_ms: START_MS };
         let mut scheduler = Scheduler::new(config, FENCING_TOKEN, 1, start);
@@ -53,30 +53,32 @@
         }
     }
 
-    /// The platform lists so many workers.
+    /// Updates the platform's worker list to the first `workers` workers.
     pub fn list_workers(&mut self, workers: usize) {
         let list: Vec<ListedWorker> = (0..workers).map(listed_worker).collect();
         self.scheduler.update_workers(self.now(), &list);
     }
 
+    /// The current time, which is the same on the monotonic and the wall clock.
     pub fn now(&self) -> Now {
         Now { monotonic_ms: self.now_ms, unix_ms: self.now_ms }
     }
 
+    /// Submits a job with this JSON body, and places its tasks as far as there is capacity.
     pub fn submit(&mut self, job: u64, body: &str) {
-        let spec = JobSpec::from_json(body.as_bytes()).expect("a valid job");
+        let spec = JobSpec::from_json(body.as_bytes()).expect("the job body is valid");
         let admission = self.scheduler.submit(self.now(), JobId(job), policy(), spec);
         assert_eq!(admission, Admission::Accepted);
         self.scheduler.place_ready_tasks(self.now());
     }
 
-    /// Lets time pass and ticks, commits what came of it, and returns the calls.
+    /// Advances the clock and ticks, commits the changes, and returns the calls.
     pub fn advance(&mut self, ms: u64) -> Vec<WorkerCall> {
         self.tick_after(ms);
         self.commit()
     }
 
-    /// Lets time pass and ticks; nothing is written.
+    /// Advances the clock and ticks, without writing the changes.
     pub fn tick_after(&mut self, ms: u64) {
         self.now_ms += ms;
         self.scheduler.tick(self.now());
@@ -102,6 +104,8 @@
         self.scheduler.assign_batch(self.batch);
     }
 
+    /// Takes the scheduler's calls, and stores the renewals among them whose responses the workers
+    /// delay.
     pub fn drain_calls(&mut self) -> Vec<WorkerCall> {
         let calls = self.scheduler.take_calls();
         let is_waiting =
@@ -113,16 +117,19 @@
 
     // Responses.
 
+    /// Passes the result of a call to the scheduler.
     pub fn respond(&mut self, call: &WorkerCall, response: WorkerResponse) {
         self.scheduler.handle_response(self.now(), &call.worker_id, &call.request, response);
     }
 
+    /// Responds to a start or stop that it was carried out.
     pub fn acknowledge(&mut self, call: &WorkerCall) {
         let clock_ms = self.worker_clock_ms();
         self.respond(call, WorkerResponse::Acknowledged { clock_ms });
     }
 
-    /// Answers a renewal: runs that go on, and ends with their number, task, run and outcome.
+    /// Responds to a renewal or query with the active runs (task, run) and the run ends (number,
+    /// task, run, outcome).
     pub fn report(
         &mut self,
         call: &WorkerCall,
@@ -151,27 +158,28 @@
         self.respond(call, WorkerResponse::Report(report));
     }
 
-    /// The worker reports that a run was stopped, so that its capacity is free.
+    /// Reports the end of a stopped run, which frees its capacity, and commits the changes.
     pub fn report_stopped(&mut self, worker_id: &str, task: TaskId, run: u32) {
         self.end_number += 1;
-        let renewal = self.waiting_renewal(worker_id);
+        let renewal = self.take_waiting_renewal(worker_id);
         self.report(&renewal, &[], &[(self.end_number, task, run, "stopped")]);
         self.commit();
     }
 
-    /// The renewal that waits at a worker for an end.
-    pub fn waiting_renewal(&mut self, worker_id: &str) -> WorkerCall {
+    /// Advances by 20 ms, and removes and returns the renewal whose response the worker delays
+    /// until a run ends.
+    pub fn take_waiting_renewal(&mut self, worker_id: &str) -> WorkerCall {
         self.advance(20);
-        self.waiting_renewals.remove(worker_id).expect("a renewal waits")
+        self.waiting_renewals.remove(worker_id).expect("the worker delays a renewal")
     }
 
     fn worker_clock_ms(&self) -> u64 {
         self.now_ms - WORKER_CLOCK_LAG_MS
     }
 
-    // The next term.
+    // Recovery.
 
-    /// A scheduler of the next term, with the records as they are.
+    /// A scheduler of the next term, recovered from all records that were written.
     pub fn successor(&self) -> Scheduler {
         self.recover().0
     }
@@ -181,6 +189,7 @@
         self.recover().1.is_empty()
     }
 
+    /// A scheduler of the next term, and the keys of the records that it could not read.
     fn recover(&self) -> (Scheduler, Vec<Vec<u8>>) {
         let mut scheduler = Scheduler::new(CONFIG, FENCING_TOKEN + 1, 2, self.now());
         let records = self.records.iter().map(|(key, value)| (key.as_slice(), value.as_slice()));
--- a/crates/cluster/job-scheduler/tests/common/mod.rs
+++ b/crates/cluster/job-scheduler/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests share: a configuration, job bodies, a scheduler whose calls a test answers itself
-//! ([`ManualScheduler`]), and a cluster that a seed moves ([`SimulatedCluster`]).
-#![allow(dead_code, unused_imports, reason = "each test file uses a part of it")]
+//! Shared test support: a configuration, job bodies, a scheduler whose calls the test answers
+//! itself ([`ManualScheduler`]), and a cluster simulated from a seed ([`SimulatedCluster`]).
+#![allow(dead_code, unused_imports, reason = "each test file uses only a part of this module")]
 mod manual;
 mod simulated;
 
@@ -13,6 +13,7 @@
 };
 use std::collections::BTreeMap;
 
+/// The configuration of the schedulers under test, with the limits of the testbed's workers.
 pub const CONFIG: SchedulerConfig = SchedulerConfig {
     max_lease_ms: MAX_LEASE_MS,
     gang_assembly_timeout_ms: GANG_ASSEMBLY_TIMEOUT_MS,
@@ -23,24 +24,25 @@
     max_concurrent_calls: 10_000,
 };
 
-/// A job of one task, of which one fits a worker of [`ManualScheduler`].
+/// A job of one task. A worker of [`ManualScheduler`] has capacity for one such task.
 pub const ONE_TASK: &str = r#"{"spec":"x","stages":[{"count":1,"cpu":600,"memMb":10,"estRuntimeMs":500}]}"#;
-/// A job of one task, of which three fit.
+/// A job of one task. A worker of [`ManualScheduler`] has capacity for three such tasks.
 pub const SMALL_TASK: &str = r#"{"spec":"x","stages":[{"count":1,"cpu":300,"memMb":10,"estRuntimeMs":500}]}"#;
 
-/// The policy of the queue that all test jobs are in.
+/// The policy of the queue of all test jobs.
 pub fn policy() -> QueuePolicy {
     QueuePolicy { queue: QueueId::default(), service: "s".into(), priority: 1, max_attempts: 3 }
 }
 
-/// The first task of a job.
+/// The first task of the first stage of a job.
 pub fn first_task(job: u64) -> TaskId {
     TaskId { job: JobId(job), occurrence: 0, stage: 0, index: 0 }
 }
 
-/// The records of the key space.
+/// The records of the replicated key space: values by key.
 pub type Records = BTreeMap<Vec<u8>, Vec<u8>>;
 
+/// Writes changes to the records.
 pub fn apply_changes(records: &mut Records, changes: Vec<RecordChange>) {
     for RecordChange { key, value } in changes {
         match value {
@@ -50,33 +52,36 @@
     }
 }
 
+/// Whether a call starts a run.
 pub fn is_start(call: &WorkerCall) -> bool {
     matches!(call.request, WorkerRequest::Start { .. })
 }
 
+/// Whether a call stops a run.
 pub fn is_stop(call: &WorkerCall) -> bool {
     matches!(call.request, WorkerRequest::Stop { .. })
 }
 
+/// The starts among `calls`.
 pub fn starts(calls: &[WorkerCall]) -> Vec<&WorkerCall> {
     calls.iter().filter(|call| is_start(call)).collect()
 }
 
-/// The only start among some calls.
+/// The only start among `calls`. Panics unless there is exactly one.
 pub fn single_start(calls: &[WorkerCall]) -> WorkerCall {
     let starts = starts(calls);
-    assert_eq!(starts.len(), 1, "{calls:?}");
+    assert_eq!(starts.len(), 1, "expected one start: {calls:?}");
     starts[0].clone()
 }
 
-/// The first lease renewal, or query, to a worker.
+/// The first lease renewal or query to a worker among `calls`, if any.
 pub fn renewal_to<'a>(calls: &'a [WorkerCall], worker_id: &str) -> Option<&'a WorkerCall> {
     let is_renewal = |call: &WorkerCall| matches!(call.request, WorkerRequest::RenewLease { .. });
     calls.iter().find(|call| *call.worker_id == *worker_id && is_renewal(call))
 }
 
-/// The task and the number of the run that a call starts.
+/// The task and the number of the run that a call starts. Panics if the call is not a start.
 pub fn started_run(start: &WorkerCall) -> (TaskId, u32) {
-    let WorkerRequest::Start { task, run, .. } = start.request else { panic!("not a start") };
+    let WorkerRequest::Start { task, run, .. } = start.request else { panic!("expected a start: {start:?}") };
     (task, run)
 }
--- a/crates/cluster/job-scheduler/tests/overload.rs
+++ b/crates/cluster/job-scheduler/tests/overload.rs
@@ -1,34 +1,35 @@
-//! A scheduler with more to do than it can.
+//! Overload: the limits on calls, starts and placement attempts.
 mod common;
 use common::{CONFIG, ManualScheduler, ONE_TASK, started_run, starts};
 use spanlead_job_scheduler::{SchedulerConfig, StartBound, WorkerCall, WorkerResponse};
 use std::collections::BTreeSet;
 
-/// A job of so many tasks of [`ONE_TASK`]'s kind.
+/// A job of `count` tasks with the demand of [`ONE_TASK`].
 fn tasks(count: usize) -> String {
     ONE_TASK.replace("\"count\":1", &format!("\"count\":{count}"))
 }
 
-/// While calls are at their bound, the next check begins with the first worker that was skipped.
+/// While the calls in flight are at their limit, the next check for due renewals begins with the
+/// first worker that was skipped.
 #[test]
-fn workers_are_called_in_turn_while_calls_are_at_their_bound() {
+fn workers_are_called_in_turn_while_calls_are_at_their_limit() {
     const WORKERS: usize = 200;
     let config = SchedulerConfig { max_concurrent_calls: 100, ..CONFIG };
     let mut manual = ManualScheduler::without_responses(WORKERS, config);
     let mut called: BTreeSet<String> = BTreeSet::new();
 
     for _ in 0..4 {
-        // Those that reject the renewal are due again by the next round.
+        // A worker that rejects its renewal is due again by the next round.
         for call in manual.advance(400) {
             called.insert(call.worker_id.to_string());
             manual.respond(&call, WorkerResponse::Rejected { status: 503, reason: "".into() });
         }
     }
 
-    assert_eq!(called.len(), WORKERS);
+    assert_eq!(called.len(), WORKERS, "workers that were called");
 }
 
-/// What can't be started yet waits where its priority counts.
+/// Tasks that can't be started yet stay in the pending queue, which is ordered by priority.
 #[test]
 fn starts_in_flight_are_bounded() {
     const MAX_STARTS: usize = 160;
@@ -36,10 +37,10 @@
     manual.submit(1, &tasks(500));
 
     let mut in_flight: Vec<WorkerCall> = Vec::new();
-    // Until just before the first of them times out.
+    // Ends just before the first start times out.
     for _ in 0..14 {
         in_flight.extend(starts(&manual.advance(20)).into_iter().cloned());
-        assert!(in_flight.len() <= MAX_STARTS, "{} at once", in_flight.len());
+        assert!(in_flight.len() <= MAX_STARTS, "{} starts in flight", in_flight.len());
     }
     assert_eq!(in_flight.len(), MAX_STARTS);
 
@@ -49,7 +50,7 @@
     assert_eq!(starts(&manual.advance(20)).len(), MAX_STARTS / 2);
 }
 
-/// Workers that do not answer must not hold back starts on others.
+/// Workers that do not respond must not hold back starts on other workers.
 #[test]
 fn starts_that_timed_out_do_not_count_as_in_flight() {
     const MAX_STARTS: usize = 160;
@@ -59,16 +60,21 @@
 
     let calls = manual.advance(320);
 
-    assert_eq!(starts(&calls).len(), MAX_STARTS, "the calls of the first starts go on");
-    // Beyond as many again they do count.
+    assert_eq!(
+        starts(&calls).len(),
+        MAX_STARTS,
+        "the first starts timed out, and their calls are still open"
+    );
+    // Timed-out starts beyond the first `MAX_STARTS` do count.
     for _ in 0..20 {
-        assert!(starts(&manual.advance(20)).is_empty(), "neither half was answered");
+        assert!(starts(&manual.advance(20)).is_empty(), "no start has a response");
     }
 }
 
-/// The acknowledgement of an end waits for its commit as a start does, but occupies no worker.
+/// The acknowledgement of a run end is deferred until a commit as a start is, but occupies no
+/// worker.
 #[test]
-fn ends_that_wait_for_their_commit_do_not_count_as_starts() {
+fn run_ends_that_wait_for_their_commit_do_not_count_as_starts() {
     const WORKERS: usize = 200;
     let mut manual = ManualScheduler::new(WORKERS);
     manual.submit(1, &tasks(WORKERS));
@@ -81,17 +87,17 @@
         }
     }
     for (worker, (task, run)) in &runs {
-        let renewal = manual.waiting_renewal(worker);
+        let renewal = manual.take_waiting_renewal(worker);
         manual.report(&renewal, &[], &[(1, *task, *run, "done")]);
     }
 
     manual.submit(2, &tasks(100));
 
-    assert_eq!(starts(&manual.commit()).len(), 100, "200 ends wait for the same commit");
+    assert_eq!(starts(&manual.commit()).len(), 100, "200 run ends wait for the same commit");
 }
 
 #[test]
-fn bound_that_holds_back_the_first_in_line_is_named() {
+fn limit_that_holds_back_the_first_pending_task_is_reported() {
     let mut manual = ManualScheduler::new(600);
     manual.submit(1, &tasks(600));
     manual.advance(300);
@@ -106,9 +112,9 @@
     assert!(metrics.held_back_checks > 0);
 }
 
-/// A lack of capacity is no bound on starts.
+/// A lack of capacity is not reported as a limit on starts.
 #[test]
-fn nothing_is_held_back_while_workers_are_full() {
+fn no_limit_is_reported_while_workers_are_full() {
     let mut manual = ManualScheduler::new(2);
     manual.submit(1, &tasks(4));
     for start in starts(&manual.commit()) {
@@ -122,12 +128,12 @@
     assert_eq!(manual.scheduler.metrics().held_back_by, None);
 }
 
-/// Each end frees capacity, and none of it is enough for what waits: that is tried again from time to
-/// time, not after each end.
+/// Each run end frees capacity, but never enough for the pending tasks. Their placement is
+/// attempted again from time to time, not after each run end.
 #[test]
-fn what_does_not_fit_is_not_tried_again_after_each_end() {
+fn tasks_that_do_not_fit_are_not_retried_after_each_run_end() {
     const WORKERS: usize = 100;
-    const WAITING: u64 = 12;
+    const PENDING_JOBS: u64 = 12;
     let mut manual = ManualScheduler::new(WORKERS);
     manual.submit(1, &tasks(WORKERS));
     let mut runs = Vec::new();
@@ -137,8 +143,9 @@
             runs.push((start.worker_id.to_string(), started_run(start)));
         }
     }
-    let renewals: Vec<WorkerCall> = runs.iter().map(|(worker, _)| manual.waiting_renewal(worker)).collect();
-    for job in 0..WAITING {
+    let renewals: Vec<WorkerCall> =
+        runs.iter().map(|(worker, _)| manual.take_waiting_renewal(worker)).collect();
+    for job in 0..PENDING_JOBS {
         manual.submit(100 + job, &ONE_TASK.replace("600", &(1_100 - job).to_string()));
     }
     let before = manual.scheduler.metrics().placement_attempts;
@@ -149,11 +156,14 @@
     }
 
     let attempts = manual.scheduler.metrics().placement_attempts - before;
-    assert!(attempts <= 2 * WAITING, "{attempts} attempts after {WORKERS} ends at one moment");
+    assert!(
+        attempts <= 2 * PENDING_JOBS,
+        "{attempts} placement attempts after {WORKERS} simultaneous run ends"
+    );
 }
 
 #[test]
-fn task_that_fits_is_placed_behind_many_gangs_that_do_not() {
+fn task_that_fits_is_placed_behind_many_gangs_that_do_not_fit() {
     let mut manual = ManualScheduler::new(3);
     manual.submit(1, &tasks(2).replace("600", "900"));
     for start in starts(&manual.commit()) {
@@ -168,7 +178,7 @@
 
     let submitted_at_ms = manual.now_ms;
     while starts(&manual.advance(20)).is_empty() {
-        assert!(manual.now_ms < submitted_at_ms + 1_000, "it waits behind what does not fit");
+        assert!(manual.now_ms < submitted_at_ms + 1_000, "the task is not placed within 1 s");
     }
 }
 
@@ -182,7 +192,7 @@
     manual.submit(1, &tasks(500));
     let calls = manual.commit();
     let late = starts(&calls).len();
-    assert!((1..=8).contains(&late), "{late} while ticks are late");
+    assert!((1..=8).contains(&late), "{late} starts while ticks are late");
     for start in starts(&calls) {
         manual.acknowledge(start);
     }
@@ -192,5 +202,5 @@
     }
 
     let calls = manual.advance(20);
-    assert!(starts(&calls).len() > 100, "{} once they are in time", starts(&calls).len());
+    assert!(starts(&calls).len() > 100, "{} starts once ticks are in time", starts(&calls).len());
 }
