--- a/crates/service/engine/examples/facts.rs
+++ b/crates/service/engine/examples/facts.rs
@@ -45,7 +45,7 @@
             self.step(Input::Tick);
             self.request_id += 1;
             let (request_id, id) = (RequestId(self.request_id), format!("id-{}", self.request_id).into());
-            let due = self.now + 1_000 * MS;
+            let deadline = self.now + 1_000 * MS;
             let job = Job {
                 id,
                 class: 0,
@@ -53,7 +53,7 @@
                 slots: 1.0,
                 memory: 0.0,
                 affinity_key: None,
-                due,
+                deadline,
                 durable_request: None,
             };
             self.step(Input::RequestReceived { request_id, job, previous_attempts: None, durable: false });
@@ -77,7 +77,7 @@
     InventoryUpdate {
         merged_inventory: MergedInventory { sources: vec![source], defaults: DefaultAttributes::default() }
             .into(),
-        by: None,
+        cause: None,
         forced: false,
     }
 }
--- a/crates/service/engine/examples/recovery.rs
+++ b/crates/service/engine/examples/recovery.rs
@@ -150,10 +150,18 @@
         let begun = Instant::now();
         let anchor = ClockAnchor { uptime: 2 * SEC, process_clock: now, ..anchor };
         let (lease, clock_bound, disk, segment) = (10 * SEC, SEC / 4, 1 << 40, 16 << 20);
-        let durability = DurableSetup { ledger, anchor, all: false, lease, clock_bound, disk, segment };
+        let durability = DurableSetup {
+            job_table: ledger,
+            clock_anchor: anchor,
+            keep_all_jobs: false,
+            lease_duration: lease,
+            clock_bound,
+            max_disk_bytes: disk,
+            segment_bytes: segment,
+        };
         engine.step(now, Input::DurableJobsOpened(Box::new(durability)), &mut effects);
         let taken = begun.elapsed();
-        assert_eq!(engine.open_durable_jobs() as u64, open);
+        assert_eq!(engine.open_durable_job_count() as u64, open);
         println!(
             "{:>8}  {:>9}  {:>7}  {:>9}  {:>7}  {:>19}  {:>9}",
             opened.records,
--- a/crates/service/engine/src/attempts.rs
+++ b/crates/service/engine/src/attempts.rs
@@ -47,9 +47,10 @@
         let lease = plan.durable.and_then(|job| self.grant_lease(now, job, attempt, out));
         self.timers.set(plan.until, Timer::AttemptTimeout(attempt));
         self.timers.set(plan.until.min(now + ACCEPT_TIMEOUT), Timer::AcceptTimeout(attempt));
-        let text = plan.durable.filter(|_| !plan.client_waits).and_then(|job| self.stored_request(job));
+        let encoded_request =
+            plan.durable.filter(|_| !plan.client_waits).and_then(|job| self.stored_request(job));
         let (addr, until) = (plan.addr, plan.until);
-        let send = Effect::SendAttempt { attempt, addr, until, lease, text };
+        let send = Effect::SendAttempt { attempt, addr, until, lease, encoded_request };
         out.push(if plan.durable.is_some() { after_durable(send, until) } else { send });
     }
 
@@ -62,7 +63,7 @@
         timeout: Option<Nanos>,
     ) -> Option<AttemptPlan> {
         let request = self.requests.get(request_id)?;
-        let until = timeout.map_or(request.due, |span| request.due.min(now + span));
+        let until = timeout.map_or(request.deadline, |span| request.deadline.min(now + span));
         // What cannot be recorded must not go out.
         let is_unrecordable =
             request.durable.is_some() && self.durable.as_ref().is_none_or(|jobs| jobs.failed);
@@ -106,7 +107,7 @@
             elapsed: 0,
             report: None,
         };
-        self.decide(now, event, out);
+        self.run_policy(now, event, out);
     }
 
     /// The exchange that dispatches an attempt has ended.
@@ -160,8 +161,8 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(request) = self.requests.get_mut(attempt.request) else { return };
-        let is_over = request.answered || now >= request.due;
-        let (due, job_id) = (request.due, request.job_id.clone());
+        let is_over = request.answered || now >= request.deadline;
+        let (deadline, job_id) = (request.deadline, request.job_id.clone());
         let Some(this) = request.attempts.get_mut(attempt.number as usize) else { return };
         let accepted = match this.stage {
             AttemptStage::Dispatched => false,
@@ -170,7 +171,7 @@
         };
         this.stage = AttemptStage::Cancelling(outcome);
         let addr = this.addr;
-        let until = if is_over { now + CANCEL_TIMEOUT } else { due.max(now + CANCEL_TIMEOUT) };
+        let until = if is_over { now + CANCEL_TIMEOUT } else { deadline.max(now + CANCEL_TIMEOUT) };
         out.push(Effect::CancelAttempt { attempt, addr, job_id, accepted, until });
         if is_over {
             self.end_attempt(now, attempt, outcome, None, out);
@@ -208,7 +209,7 @@
         self.record_released(durable, token, may_have_run, out);
         let (id, attempt_number) = (attempt.request, attempt.number);
         let event = Event::AttemptEnded { id, attempt: attempt_number, outcome, closed, elapsed, report };
-        self.decide(now, event, out);
+        self.run_policy(now, event, out);
         self.remove_if_done(attempt.request);
     }
 }
--- a/crates/service/engine/src/durability_barrier.rs
+++ b/crates/service/engine/src/durability_barrier.rs
@@ -125,7 +125,7 @@
             Effect::SendAttempt { attempt, .. } => {
                 self.unsent.remove(&attempt).then_some(ReleasedEffect::NeverSent(attempt))
             }
-            Effect::Acknowledge { notice, .. } => Some(ReleasedEffect::Unacknowledged(notice)),
+            Effect::Acknowledge { notice_id, .. } => Some(ReleasedEffect::Unacknowledged(notice_id)),
             other => Some(ReleasedEffect::Perform(other)),
         }
     }
@@ -135,9 +135,9 @@
 fn release_after_failure(effect: Effect, is_wanted: bool) -> Option<ReleasedEffect> {
     match effect {
         Effect::SendAttempt { attempt, .. } => is_wanted.then_some(ReleasedEffect::NeverSent(attempt)),
-        Effect::Acknowledge { notice, reply: NoticeReply::Acknowledged { .. } } => {
+        Effect::Acknowledge { notice_id, reply: NoticeReply::Acknowledged { .. } } => {
             let reply = NoticeReply::Acknowledged { lease: None };
-            Some(ReleasedEffect::Perform(Effect::Acknowledge { notice, reply }))
+            Some(ReleasedEffect::Perform(Effect::Acknowledge { notice_id, reply }))
         }
         other => Some(ReleasedEffect::Perform(other)),
     }
--- a/crates/service/engine/src/durable.rs
+++ b/crates/service/engine/src/durable.rs
@@ -27,30 +27,30 @@
 #[derive(Debug)]
 pub struct DurableSetup {
     /// The jobs that were read.
-    pub ledger: JobTable,
+    pub job_table: JobTable,
     /// How this process's clock reads.
-    pub anchor: ClockAnchor,
+    pub clock_anchor: ClockAnchor,
     /// Whether jobs are kept that nobody can come back for and whose repeats are harmless.
-    pub all: bool,
+    pub keep_all_jobs: bool,
     /// How long a worker may hold a job without a notice.
-    pub lease: Nanos,
+    pub lease_duration: Nanos,
     /// The most by which clocks drift apart, or a message waits, within a lease.
     pub clock_bound: Nanos,
     /// The most on disk, bytes.
-    pub disk: u64,
+    pub max_disk_bytes: u64,
     /// The size of a segment, bytes.
-    pub segment: u64,
+    pub segment_bytes: u64,
 }
 
 /// The durable jobs of this process.
 pub(crate) struct DurableJobs {
-    pub(crate) ledger: JobTable,
+    pub(crate) job_table: JobTable,
     /// The log cannot be written to any more.
     pub(crate) failed: bool,
     /// The open request of each job.
     pub(crate) open_requests: HashMap<JobNumber, RequestId>,
-    keeps_all: bool,
-    lease: Nanos,
+    keep_all_jobs: bool,
+    lease_duration: Nanos,
     clock_bound: Nanos,
     max_disk_bytes: u64,
     segment_bytes: u64,
@@ -60,13 +60,13 @@
 }
 
 impl DurableJobs {
-    fn new(ledger: JobTable, setup: DurableSettings) -> Self {
+    fn new(job_table: JobTable, setup: DurableSettings) -> Self {
         DurableJobs {
-            ledger,
+            job_table,
             failed: false,
             open_requests: HashMap::new(),
-            keeps_all: setup.keeps_all,
-            lease: setup.lease,
+            keep_all_jobs: setup.keep_all_jobs,
+            lease_duration: setup.lease_duration,
             clock_bound: setup.clock_bound,
             max_disk_bytes: setup.max_disk_bytes,
             segment_bytes: setup.segment_bytes,
@@ -76,31 +76,31 @@
     }
 
     pub(crate) fn stats(&self) -> DurableJobStats {
-        let now = self.ledger.stats();
-        let (open, kept, live_bytes) = (now.open, now.retained, now.live_bytes);
-        DurableJobStats { open, kept, live_bytes, failed: self.failed, ..self.counters }
+        let now = self.job_table.stats();
+        let (open, retained, live_bytes) = (now.open, now.retained, now.live_bytes);
+        DurableJobStats { open, retained, live_bytes, failed: self.failed, ..self.counters }
     }
 
     /// Whether the job of this id is kept with its end.
-    pub(crate) fn has_end(&self, job_id: &str) -> bool {
-        self.ledger.job_by_id(job_id).is_some_and(|job| !job.is_open())
+    pub(crate) fn has_finished_job(&self, job_id: &str) -> bool {
+        self.job_table.job_by_id(job_id).is_some_and(|job| !job.is_open())
     }
 
     /// The open request of the job of this id.
     fn open_request(&self, job_id: &str) -> Option<RequestId> {
-        let job = self.ledger.job_by_id(job_id)?;
+        let job = self.job_table.job_by_id(job_id)?;
         self.open_requests.get(&job.accepted.number).copied()
     }
 
     fn is_full(&self) -> bool {
-        !self.ledger.has_capacity() || self.counters.disk_bytes >= self.max_disk_bytes
+        !self.job_table.has_capacity() || self.counters.disk_bytes >= self.max_disk_bytes
     }
 }
 
 /// How durable jobs are kept.
 struct DurableSettings {
-    keeps_all: bool,
-    lease: Nanos,
+    keep_all_jobs: bool,
+    lease_duration: Nanos,
     clock_bound: Nanos,
     max_disk_bytes: u64,
     segment_bytes: u64,
@@ -117,9 +117,9 @@
     request_id: RequestId,
     answer: Answer,
     job: Option<JobNumber>,
-    due: Nanos,
+    deadline: Nanos,
 ) -> Effect {
     let must_wait = job.is_some() && matches!(answer, Answer::Served(_));
     let effect = Effect::Answer { request_id, answer, job };
-    if must_wait { after_durable(effect, due) } else { effect }
+    if must_wait { after_durable(effect, deadline) } else { effect }
 }
--- a/crates/service/engine/src/durable/leases.rs
+++ b/crates/service/engine/src/durable/leases.rs
@@ -27,18 +27,18 @@
         out: &mut Vec<Effect>,
     ) -> Option<LeaseGrant> {
         let jobs = self.durable.as_ref()?;
-        let (token, length) = (jobs.ledger.next_token(), jobs.lease);
+        let (token, length) = (jobs.job_table.next_token(), jobs.lease_duration);
         let this = self.requests.attempt_mut(attempt)?;
         this.token = Some(token);
         let (worker, addr) = (this.worker.clone(), this.addr);
         let reported = self.workers.get(&worker)?.reported?;
         let zone = self.classes.names.zones.get(reported.zone as usize).map_or("", String::as_str);
-        let location = WorkerLocation { worker, addr, zone: Arc::from(zone), cell: reported.lasting_cell() };
+        let location = WorkerLocation { worker, addr, zone: Arc::from(zone), cell: reported.portable_cell() };
         // Its worker counts from when the attempt came there, which is before this process hears
         // that it has.
         let until = now + ACCEPT_TIMEOUT + length;
         self.record(Record::Leased { job, token, location, sent_at: now, expires_at: until }, out);
-        Some(LeaseGrant { token: token.0, length })
+        Some(LeaseGrant { token: token.0, duration: length })
     }
 
     fn lease_of(&self, attempt: AttemptId) -> Option<JobLease> {
@@ -60,7 +60,7 @@
     pub(super) fn watch_lease(&mut self, attempt: AttemptId) {
         let Some(JobLease { job, .. }) = self.lease_of(attempt) else { return };
         let Some(jobs) = &self.durable else { return };
-        let lease = jobs.ledger.job(job).and_then(|job| job.lease());
+        let lease = jobs.job_table.job(job).and_then(|job| job.lease());
         let Some(until) = lease.map(|lease| lease.expires_at) else { return };
         let expiry = until + jobs.clock_bound;
         let Some(this) = self.requests.attempt_mut(attempt) else { return };
@@ -85,14 +85,14 @@
         // What cannot be recorded must not be told: another process would believe the lease expired
         // before its worker does.
         let jobs = self.durable.as_ref().filter(|jobs| !jobs.failed)?;
-        let length = jobs.lease;
-        let lease = jobs.ledger.job(job)?.lease()?;
+        let length = jobs.lease_duration;
+        let lease = jobs.job_table.job(job)?.lease()?;
         let is_late = now + length > lease.expires_at + length / RENEWAL_RECORD_DIVISOR;
         if !lease.lease_aware || is_late {
             self.record(Record::Renewed { job, token, expires_at: now + length }, out);
         }
         self.watch_lease(attempt);
-        let until = self.durable.as_ref()?.ledger.job(job)?.lease()?.expires_at;
+        let until = self.durable.as_ref()?.job_table.job(job)?.lease()?.expires_at;
         // Never beyond what is recorded, nor what a lease is long.
         Some(until.saturating_sub(now).min(length))
     }
@@ -100,7 +100,7 @@
     /// Records that the worker has begun to run the job.
     pub(crate) fn record_started(&mut self, attempt: AttemptId, out: &mut Vec<Effect>) {
         let Some(JobLease { job, token }) = self.lease_of(attempt) else { return };
-        let stage = self.durable.as_ref().and_then(|jobs| jobs.ledger.job(job)).map(|job| &job.state);
+        let stage = self.durable.as_ref().and_then(|jobs| jobs.job_table.job(job)).map(|job| &job.state);
         if matches!(stage, Some(JobState::Leased(_))) {
             self.record(Record::Started { job, token }, out);
         }
@@ -115,7 +115,7 @@
         out: &mut Vec<Effect>,
     ) {
         let (Some(job), Some(token)) = (durable, token) else { return };
-        let lease = self.durable.as_ref().and_then(|jobs| jobs.ledger.job(job)?.lease());
+        let lease = self.durable.as_ref().and_then(|jobs| jobs.job_table.job(job)?.lease());
         if lease.is_some_and(|lease| lease.token == token) {
             self.record(Record::Released { job, token, may_have_run }, out);
         }
@@ -135,7 +135,7 @@
         if now < expiry {
             return self.timers.set(expiry, Timer::LeaseExpiry(attempt));
         }
-        jobs.counters.leases_ended += 1;
+        jobs.counters.expired_leases += 1;
         let addr = this.addr;
         // Should the worker be there all the same, it need not finish; nothing waits for its
         // answer.
@@ -152,7 +152,7 @@
         // It repeats the notice that ended the job.
         let is_served =
             |job: &&spanlead_durable_jobs::Job| matches!(job.outcome(), Some(JobOutcome::Succeeded(_)));
-        let served = jobs.ledger.job_by_id(job_id).filter(is_served);
+        let served = jobs.job_table.job_by_id(job_id).filter(is_served);
         let last = served.and_then(|job| job.past_attempts.last());
         if last.is_some_and(|past| past.token.0 == token) {
             return acknowledged;
--- a/crates/service/engine/src/durable/recording.rs
+++ b/crates/service/engine/src/durable/recording.rs
@@ -11,13 +11,13 @@
 impl Engine {
     /// The number of the last record; 0 if durable jobs are not kept.
     pub(crate) fn last_record(&self) -> Lsn {
-        self.durable.as_ref().map_or(0, |jobs| jobs.ledger.last_lsn())
+        self.durable.as_ref().map_or(0, |jobs| jobs.job_table.last_lsn())
     }
 
     /// The one place where a record is made: it changes the jobs' state and goes to the log.
     pub(crate) fn record(&mut self, record: Record, out: &mut Vec<Effect>) {
         let Some(jobs) = &mut self.durable else { return };
-        match jobs.ledger.apply(&record) {
+        match jobs.job_table.apply(&record) {
             Ok(()) if jobs.failed => {}
             Ok(()) => out.push(Effect::AppendRecord(record)),
             Err(illegal) => {
@@ -30,8 +30,8 @@
     /// Whether this job is durable.
     fn is_durable(&self, job: &Job) -> bool {
         let Some(request) = &job.durable_request else { return false };
-        let keeps_all = self.durable.as_ref().is_some_and(|jobs| jobs.keeps_all);
-        keeps_all || self.classes.runs_at_most_once(job.class) || request.key.is_some()
+        let keep_all_jobs = self.durable.as_ref().is_some_and(|jobs| jobs.keep_all_jobs);
+        keep_all_jobs || self.classes.runs_at_most_once(job.class) || request.key.is_some()
     }
 
     /// The idempotency key of a job, with whom it belongs to.
@@ -58,7 +58,7 @@
             return None;
         }
         if let Some(jobs) = &mut self.durable {
-            jobs.counters.turned_away += 1;
+            jobs.counters.rejected += 1;
         }
         Some(Answer::Rejected { retry_after: Some(DURABLE_RETRY_AFTER) })
     }
@@ -79,7 +79,7 @@
             Idempotency::Deduplicated { window, .. } => RetrySafety::Deduplicated(window),
             Idempotency::AtMostOnce => RetrySafety::NonIdempotent,
         };
-        let number = self.durable.as_ref()?.ledger.next_job();
+        let number = self.durable.as_ref()?.job_table.next_job();
         let request = job.durable_request.as_ref()?;
         let accepted = AcceptedJob {
             number,
@@ -90,11 +90,11 @@
             fingerprint: request.fingerprint,
             retry_safety,
             accepted_at: now,
-            deadline: job.due,
+            deadline: job.deadline,
             slots: job.slots,
             memory: job.memory,
             subject: job.affinity_key,
-            request_body: request.text.clone(),
+            request_body: request.encoded_request.clone(),
             inherited_attempts: unresolved,
         };
         self.record(Record::Accepted(accepted), out);
@@ -116,7 +116,7 @@
 
     /// The request of a durable job as it goes to a worker, encoded.
     pub(crate) fn stored_request(&self, job: JobNumber) -> Option<Bytes> {
-        Some(self.durable.as_ref()?.ledger.job(job)?.accepted.request_body.clone())
+        Some(self.durable.as_ref()?.job_table.job(job)?.accepted.request_body.clone())
     }
 }
 
--- a/crates/service/engine/src/durable/recovery.rs
+++ b/crates/service/engine/src/durable/recovery.rs
@@ -38,27 +38,30 @@
 impl Engine {
     /// Goes on with all open jobs of the log.
     pub(crate) fn durable_jobs_opened(&mut self, now: Nanos, setup: DurableSetup, out: &mut Vec<Effect>) {
-        let DurableSetup { ledger, anchor, all, lease, clock_bound, disk, segment } = setup;
-        let session = ledger.session_record(anchor);
-        let settings = DurableSettings {
-            keeps_all: all,
-            lease,
+        let DurableSetup {
+            job_table,
+            clock_anchor,
+            keep_all_jobs,
+            lease_duration,
             clock_bound,
-            max_disk_bytes: disk,
-            segment_bytes: segment,
-        };
-        self.durable = Some(DurableJobs::new(ledger, settings));
+            max_disk_bytes,
+            segment_bytes,
+        } = setup;
+        let session = job_table.session_record(clock_anchor);
+        let settings =
+            DurableSettings { keep_all_jobs, lease_duration, clock_bound, max_disk_bytes, segment_bytes };
+        self.durable = Some(DurableJobs::new(job_table, settings));
         self.record(session, out);
         let Some(jobs) = &mut self.durable else { return };
-        jobs.ledger.expire(now);
-        for job in jobs.ledger.open_jobs() {
+        jobs.job_table.expire(now);
+        for job in jobs.job_table.open_jobs() {
             self.recover(now, job, out);
         }
     }
 
     fn recover(&mut self, now: Nanos, number: JobNumber, out: &mut Vec<Effect>) {
         let Some(jobs) = &mut self.durable else { return };
-        let Some(stored) = jobs.ledger.job(number).cloned() else { return };
+        let Some(stored) = jobs.job_table.job(number).cloned() else { return };
         jobs.counters.recovered += 1;
         let lease = stored.lease();
         let request_id = RequestId(RECOVERED_REQUEST_BIT | number.0);
@@ -97,7 +100,7 @@
             slots: accepted.slots,
             memory: accepted.memory,
             affinity_key: accepted.subject,
-            due: accepted.deadline,
+            deadline: accepted.deadline,
             durable_request: None,
         })
     }
@@ -119,7 +122,7 @@
     fn resume(&mut self, now: Nanos, resumed: ResumedRequest, out: &mut Vec<Effect>) {
         let ResumedRequest { request_id, job, durable, past, pending, client_waits } = resumed;
         self.introduce_workers(now, &past, out);
-        let (class, due) = (job.class, job.due);
+        let (class, deadline) = (job.class, job.deadline);
         let attempts = resumed_attempts(&past, pending);
         let new = NewRequest { request_id, job, attempts, durable, client_waits };
         let request = self.admit(now, new);
@@ -129,13 +132,13 @@
         let exposed = past.iter().rposition(|past| past.may_have_run).filter(|_| is_exposed);
         if let (Some(last), Some(pending)) = (past.len().checked_sub(1), pending) {
             let attempt = AttemptId { request: request_id, number: last as u32 };
-            self.watch_pending(now, due, attempt, pending);
+            self.watch_pending(now, deadline, attempt, pending);
         }
         let attempts = prior_attempts(&past, pending, exposed);
         if attempts.is_empty() {
-            self.decide(now, Event::RequestArrived(request), out);
+            self.run_policy(now, Event::RequestArrived(request), out);
         } else {
-            self.decide(now, Event::RequestAdopted { request, attempts: &attempts }, out);
+            self.run_policy(now, Event::RequestAdopted { request, attempts: &attempts }, out);
         }
         if let Some(number) = exposed {
             let event = Event::AttemptEnded {
@@ -146,18 +149,18 @@
                 elapsed: 0,
                 report: None,
             };
-            self.decide(now, event, out);
+            self.run_policy(now, event, out);
         }
     }
 
     /// Sets the timers of an attempt that the process before has left pending.
-    fn watch_pending(&mut self, now: Nanos, due: Nanos, attempt: AttemptId, pending: PendingAttempt) {
-        self.timers.set(due, Timer::AttemptTimeout(attempt));
+    fn watch_pending(&mut self, now: Nanos, deadline: Nanos, attempt: AttemptId, pending: PendingAttempt) {
+        self.timers.set(deadline, Timer::AttemptTimeout(attempt));
         if pending.lease_aware {
             self.watch_lease(attempt);
         }
         if !pending.accepted {
-            let notice_by = due.min(now + RECOVERY_NOTICE_TIMEOUT);
+            let notice_by = deadline.min(now + RECOVERY_NOTICE_TIMEOUT);
             self.timers.set(notice_by, Timer::AcceptTimeout(attempt));
         }
     }
--- a/crates/service/engine/src/durable/repeats.rs
+++ b/crates/service/engine/src/durable/repeats.rs
@@ -43,7 +43,7 @@
             KnownRequest::Open(first) => self.join(request_id, first, job, out),
             KnownRequest::Ended { answer, job: number } => {
                 self.requests.count(job.class, &answer);
-                out.push(after_durable(Effect::Answer { request_id, answer, job: number }, job.due));
+                out.push(after_durable(Effect::Answer { request_id, answer, job: number }, job.deadline));
             }
             KnownRequest::New(_) => self.fail_client(request_id, job.class, out),
         }
@@ -58,11 +58,11 @@
     pub(crate) fn recognise(&mut self, now: Nanos, job: &Job) -> KnownRequest {
         let key = self.idempotency_key(job);
         let Some(jobs) = &mut self.durable else { return KnownRequest::New(Vec::new()) };
-        jobs.ledger.expire(now);
+        jobs.job_table.expire(now);
         let (Some(key), Some(request)) = (key, &job.durable_request) else {
             return KnownRequest::New(Vec::new());
         };
-        match jobs.ledger.lookup(&key, &request.fingerprint) {
+        match jobs.job_table.lookup(&key, &request.fingerprint) {
             KeyLookup::New => KnownRequest::New(Vec::new()),
             KeyLookup::Retryable(unresolved) => KnownRequest::New(unresolved),
             KeyLookup::RequestMismatch => {
@@ -94,7 +94,7 @@
         if let Some(jobs) = &mut self.durable {
             jobs.counters.joined += 1;
         }
-        let answer_by = job.due.saturating_sub(JOINED_ANSWER_TICKS * self.classes.tick);
+        let answer_by = job.deadline.saturating_sub(JOINED_ANSWER_TICKS * self.classes.tick);
         self.timers.set(answer_by, Timer::JoinedOverdue(request_id));
     }
 
@@ -114,7 +114,7 @@
         let Some(request) = self.requests.get(request_id).filter(|request| !request.answered) else {
             return false;
         };
-        let job = request.durable.and_then(|number| self.durable.as_ref()?.ledger.job(number));
+        let job = request.durable.and_then(|number| self.durable.as_ref()?.job_table.job(number));
         let has_key = job.is_some_and(|job| job.accepted.key.is_some());
         let goes_on = !request.joined.is_empty() || has_key;
         if goes_on {
--- a/crates/service/engine/src/durable/storage.rs
+++ b/crates/service/engine/src/durable/storage.rs
@@ -15,7 +15,7 @@
     /// recorded.
     pub(crate) fn expire_durable_jobs(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         let Some(jobs) = &mut self.durable else { return };
-        if jobs.ledger.expire(now) > 0 {
+        if jobs.job_table.expire(now) > 0 {
             let bytes = jobs.counters.disk_bytes;
             self.records_durable(bytes, out);
         }
@@ -27,17 +27,17 @@
         jobs.counters.disk_bytes = disk_bytes;
         // What a few old jobs keep from being removed is rewritten when it is more than what lives.
         // `live_bytes` is reckoned high, so that comes to an end.
-        let live_bytes = jobs.ledger.stats().live_bytes as u64;
+        let live_bytes = jobs.job_table.stats().live_bytes as u64;
         if disk_bytes > MAX_DISK_OVERHEAD * (live_bytes + jobs.segment_bytes) {
-            for record in jobs.ledger.snapshot_records(MAX_REWRITTEN_JOBS) {
+            for record in jobs.job_table.snapshot_records(MAX_REWRITTEN_JOBS) {
                 self.record(record, out);
             }
         }
         let Some(jobs) = &mut self.durable else { return };
-        let oldest = jobs.ledger.oldest_needed_lsn();
+        let oldest = jobs.job_table.oldest_needed_lsn();
         if oldest >= jobs.truncated_to + TRUNCATE_INTERVAL_RECORDS {
             jobs.truncated_to = oldest;
-            out.push(Effect::TruncateLog { oldest });
+            out.push(Effect::TruncateLog { oldest_needed_lsn: oldest });
         }
     }
 
@@ -45,7 +45,7 @@
     pub(crate) fn storage_failed(&mut self, out: &mut Vec<Effect>) {
         let Some(jobs) = self.durable.as_mut().filter(|jobs| !jobs.failed) else { return };
         jobs.failed = true;
-        let open = jobs.ledger.stats().open;
+        let open = jobs.job_table.stats().open;
         out.push(Effect::Log(format!(
             "durable job log not writable: new durable jobs are refused, open ones end, restart when the disk is repaired \
              open={open}"
--- a/crates/service/engine/src/effect.rs
+++ b/crates/service/engine/src/effect.rs
@@ -25,7 +25,7 @@
     /// The fencing token.
     pub token: u64,
     /// For how long it is valid from when the worker has received it.
-    pub length: Nanos,
+    pub duration: Nanos,
 }
 
 /// A request's one final answer.
@@ -78,7 +78,7 @@
         /// The lease on a durable job.
         lease: Option<LeaseGrant>,
         /// The encoded request, where no client's request is at hand.
-        text: Option<Bytes>,
+        encoded_request: Option<Bytes>,
     },
     /// Appends a record to the log of durable jobs.
     AppendRecord(Record),
@@ -92,14 +92,14 @@
     /// Answers a worker's notice.
     Acknowledge {
         /// The driver's number of the notice.
-        notice: u64,
+        notice_id: u64,
         /// The answer.
         reply: NoticeReply,
     },
     /// The log's records before this one are not needed any more.
     TruncateLog {
         /// The oldest record that is needed.
-        oldest: u64,
+        oldest_needed_lsn: u64,
     },
     /// Cancels an attempt and tells its worker.
     CancelAttempt {
--- a/crates/service/engine/src/engine.rs
+++ b/crates/service/engine/src/engine.rs
@@ -99,7 +99,7 @@
 
     /// Whether this job is open here, or kept with its end.
     pub fn knows_job(&self, job_id: &str) -> bool {
-        let is_kept = || self.durable.as_ref().is_some_and(|jobs| jobs.has_end(job_id));
+        let is_kept = || self.durable.as_ref().is_some_and(|jobs| jobs.has_finished_job(job_id));
         self.requests.id_of_job(job_id).is_some() || is_kept()
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// How many open requests are durable.
-    pub fn open_durable_jobs(&self) -> usize {
+    pub fn open_durable_job_count(&self) -> usize {
         self.requests.iter().filter(|(_, request)| request.durable.is_some()).count()
     }
 
@@ -122,7 +122,7 @@
     pub fn next_timer(&self, now: Nanos) -> Option<Nanos> {
         let timer = self.timers.next_due();
         let shutdown = self.lifecycle.redirect_deadline(now).filter(|_| self.requests.is_empty());
-        let expiry = self.durable.as_ref().and_then(|jobs| jobs.ledger.next_expiration());
+        let expiry = self.durable.as_ref().and_then(|jobs| jobs.job_table.next_expiration());
         [timer, shutdown, expiry].into_iter().flatten().min()
     }
 
@@ -145,9 +145,9 @@
             members_unavailable: unavailable.count(),
             config_reloads: self.counters.reloads,
             config_reload_errors: self.counters.failed_reloads,
-            bad_input: self.counters.invalid_input.clone(),
-            ledger: self.durable.as_ref().map(DurableJobs::stats),
-            facts: self.inventory_stats(now),
+            invalid_input: self.counters.invalid_input.clone(),
+            durable_jobs: self.durable.as_ref().map(DurableJobs::stats),
+            inventory: self.inventory_stats(now),
             membership: self.membership.as_ref().map(|membership| membership.members.stats()),
         }
     }
@@ -176,7 +176,7 @@
             }
             Input::HealthChecked { worker, sent, outcome, report } => {
                 let elapsed = now.saturating_sub(sent);
-                self.decide(now, Event::ProbeEnded { worker: &worker, outcome, elapsed, report }, out);
+                self.run_policy(now, Event::ProbeEnded { worker: &worker, outcome, elapsed, report }, out);
             }
             Input::InventoryUpdated(update) => self.inventory_updated(now, update, out),
             Input::ConfigurationReloaded { discovery, settings, names } => {
@@ -194,14 +194,14 @@
                 self.join_membership(now, *settings, heartbeat_interval, out);
             }
             Input::LeaveMembership => self.announce(LifecyclePhase::Left, out),
-            Input::SingletonRoles { settings, tasks } => self.take_roles(now, settings, tasks, out),
+            Input::ConfigureRoles { settings, tasks } => self.configure_roles(now, settings, tasks, out),
             Input::ReleaseRole { name } => self.release_role(now, &name, out),
             Input::RoleCallFinished { role, result } => self.role_call_finished(now, role, result, out),
             Input::Shutdown => self.shut_down(now, out),
             Input::SetDraining(draining) => self.set_draining(now, draining, out),
-            Input::SetCapacity { max_open_requests, successor } => {
+            Input::SetCapacity { max_open_requests, has_successor } => {
                 self.requests.max_open = max_open_requests;
-                self.lifecycle.has_successor = successor;
+                self.lifecycle.has_successor = has_successor;
             }
             Input::RequestRejected { class } => self.requests.count(class, &Answer::Failed),
             Input::InvalidInput { reason } => self.counters.count_invalid_input(reason),
@@ -228,7 +228,7 @@
         if self.membership.is_some() {
             self.membership_message(now, from, data, out);
         } else {
-            self.decide(now, Event::PeerMessage { from, data }, out);
+            self.run_policy(now, Event::PeerMessage { from, data }, out);
         }
     }
 
@@ -237,11 +237,11 @@
         self.discovery.is_pushed = !settings.must_request_endpoints;
         self.classes.extend(&settings);
         self.requests.add_classes(settings.classes.len());
-        self.decide(now, Event::SettingsChanged { settings, continues: continued_classes }, out);
+        self.run_policy(now, Event::SettingsChanged { settings, continues: continued_classes }, out);
     }
 
     /// Gives the balancing policy an event and carries out its actions.
-    pub(crate) fn decide(&mut self, now: Nanos, event: Event<'_>, out: &mut Vec<Effect>) {
+    pub(crate) fn run_policy(&mut self, now: Nanos, event: Event<'_>, out: &mut Vec<Effect>) {
         let mut actions = Vec::new();
         self.policy.handle(now, event, &mut actions);
         for action in actions {
--- a/crates/service/engine/src/handover.rs
+++ b/crates/service/engine/src/handover.rs
@@ -14,9 +14,9 @@
 
     fn hand_over_request(&mut self, now: Nanos, request_id: RequestId, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.remove_handed_over(request_id) else { return };
-        let due = request.due;
+        let deadline = request.deadline;
         for JoinedClient { request_id, job_id } in request.joined {
-            let snapshot = RequestSnapshot { id: job_id, due, attempts: Vec::new(), durable: true };
+            let snapshot = RequestSnapshot { id: job_id, deadline, attempts: Vec::new(), durable: true };
             out.push(Effect::HandOverRequest { request_id, snapshot });
         }
         // The successor reads the attempts of a durable job in the log.
@@ -24,10 +24,10 @@
         let attempts = if durable { Vec::new() } else { request.attempts };
         let attempts = attempts.into_iter().map(attempt_snapshot).collect();
         if request.client_waits {
-            let snapshot = RequestSnapshot { id: request.job_id, due, attempts, durable };
+            let snapshot = RequestSnapshot { id: request.job_id, deadline, attempts, durable };
             out.push(Effect::HandOverRequest { request_id, snapshot });
         }
-        self.decide(now, Event::ClientGone(request_id), out);
+        self.run_policy(now, Event::ClientGone(request_id), out);
     }
 }
 
--- a/crates/service/engine/src/input.rs
+++ b/crates/service/engine/src/input.rs
@@ -27,7 +27,7 @@
     /// Digest of the affinity key: jobs with the same one prefer the same workers.
     pub affinity_key: Option<u64>,
     /// When the client gives up, on the engine's clock. It travels with the request.
-    pub due: Nanos,
+    pub deadline: Nanos,
     /// What is logged of the job; set if this scheduler keeps durable jobs.
     pub durable_request: Option<DurableRequest>,
 }
@@ -40,7 +40,7 @@
     /// Digest of what is asked for.
     pub fingerprint: [u8; 16],
     /// The request as it goes to a worker, encoded.
-    pub text: Bytes,
+    pub encoded_request: Bytes,
 }
 
 /// A worker as the endpoint list names it; `None` is what the list does not say.
@@ -70,7 +70,7 @@
     /// The attributes of all inventories.
     pub merged_inventory: Arc<MergedInventory>,
     /// The inventory whose new version caused this update.
-    pub by: Option<InventoryVersion>,
+    pub cause: Option<InventoryVersion>,
     /// An operator accepted it: it is used even if it leaves a class without workers.
     pub forced: bool,
 }
@@ -119,7 +119,7 @@
 #[derive(Debug)]
 pub struct WorkerNotice {
     /// The driver's number of the notice, by which it is acknowledged.
-    pub notice: u64,
+    pub notice_id: u64,
     /// The job's id.
     pub job_id: String,
     /// The worker's name.
@@ -219,7 +219,7 @@
         heartbeat_interval: Nanos,
     },
     /// Singleton roles that one of the schedulers holds at a time.
-    SingletonRoles {
+    ConfigureRoles {
         /// How leases on roles are granted.
         settings: spanlead_singleton_roles::RoleConfig,
         /// The roles, in the order of their numbers.
@@ -250,7 +250,7 @@
         /// At most so many requests may be open.
         max_open_requests: usize,
         /// Another process is there to take over.
-        successor: bool,
+        has_successor: bool,
     },
     /// The successor takes over the open requests whose attempts are at rest.
     StartHandover,
--- a/crates/service/engine/src/membership.rs
+++ b/crates/service/engine/src/membership.rs
@@ -17,7 +17,8 @@
 #[derive(Debug, Serialize)]
 pub struct MembersView {
     /// This scheduler's number.
-    pub me: u16,
+    #[serde(rename = "me")]
+    pub own_number: u16,
     /// One more with each change.
     pub view: u64,
     /// The members, by their numbers.
@@ -126,7 +127,7 @@
             since_ms: member.periods_in_state * heartbeat_interval / MS,
         };
         let views = members.members().map(view).collect();
-        Some(MembersView { me: members.own_number(), view: members.stats().view, members: views })
+        Some(MembersView { own_number: members.own_number(), view: members.stats().view, members: views })
     }
 }
 
--- a/crates/service/engine/src/notices.rs
+++ b/crates/service/engine/src/notices.rs
@@ -13,10 +13,10 @@
     /// durable.
     pub(crate) fn worker_notice(&mut self, now: Nanos, notice: WorkerNotice, out: &mut Vec<Effect>) {
         let before = self.last_record();
-        let number = notice.notice;
+        let notice_id = notice.notice_id;
         let is_last = !matches!(notice.update, JobUpdate::Running(_));
         let reply = self.apply_notice(now, notice, out);
-        let effect = Effect::Acknowledge { notice: number, reply };
+        let effect = Effect::Acknowledge { notice_id, reply };
         // A repeat may come before what its first has changed is durable.
         let must_wait = self.last_record() > before || is_last && self.durable.is_some();
         out.push(if must_wait { after_durable(effect, now + ACKNOWLEDGE_TIMEOUT) } else { effect });
@@ -65,7 +65,7 @@
         out: &mut Vec<Effect>,
     ) {
         let (id, attempt) = (attempt.request, attempt.number);
-        self.decide(now, Event::AttemptProgressed { id, attempt, progress }, out);
+        self.run_policy(now, Event::AttemptProgressed { id, attempt, progress }, out);
     }
 
     /// The pending attempt that a worker's notice is about.
--- a/crates/service/engine/src/request_table.rs
+++ b/crates/service/engine/src/request_table.rs
@@ -48,7 +48,7 @@
 pub(crate) struct Request {
     pub(crate) job_id: Arc<str>,
     pub(crate) class: u32,
-    pub(crate) due: Nanos,
+    pub(crate) deadline: Nanos,
     pub(crate) answered: bool,
     pub(crate) attempts: Vec<Attempt>,
     /// Its durable job.
--- a/crates/service/engine/src/requests.rs
+++ b/crates/service/engine/src/requests.rs
@@ -37,7 +37,7 @@
             KnownRequest::Ended { answer, job: job_number } => {
                 self.requests.count(job.class, &answer);
                 let effect = Effect::Answer { request_id, answer, job: job_number };
-                return out.push(after_durable(effect, job.due));
+                return out.push(after_durable(effect, job.deadline));
             }
         };
         if let Some(answer) = self.rejection(now, &job, previous.is_some()) {
@@ -78,12 +78,12 @@
         previous: Vec<AttemptSnapshot>,
         out: &mut Vec<Effect>,
     ) {
-        let due = job.due;
+        let deadline = job.deadline;
         let all_known = previous.iter().all(|attempt| self.workers.get(&attempt.worker).is_some());
         let attempts = previous.iter().filter_map(|attempt| self.resumed_attempt(attempt)).collect();
         let request = self.admit(now, NewRequest { request_id, job, attempts, durable, client_waits: true });
         if previous.is_empty() {
-            return self.decide(now, Event::RequestArrived(request), out);
+            return self.run_policy(now, Event::RequestArrived(request), out);
         }
         if !all_known {
             // Where it may have run cannot be told to the policy, which could then send it there or
@@ -93,10 +93,10 @@
         }
         for number in 0..previous.len() as u32 {
             let attempt = AttemptId { request: request_id, number };
-            self.timers.set(due, Timer::AttemptTimeout(attempt));
+            self.timers.set(deadline, Timer::AttemptTimeout(attempt));
         }
         let attempts: Vec<PriorAttempt> = previous.into_iter().map(prior_attempt).collect();
-        self.decide(now, Event::RequestAdopted { request, attempts: &attempts }, out);
+        self.run_policy(now, Event::RequestAdopted { request, attempts: &attempts }, out);
     }
 
     /// An attempt that another process has made; `None` if its worker is not known here.
@@ -119,7 +119,7 @@
         let request = Request {
             job_id: job.id,
             class: job.class,
-            due: job.due,
+            deadline: job.deadline,
             answered: false,
             attempts,
             durable,
@@ -130,7 +130,7 @@
         if let (Some(job_number), Some(jobs)) = (durable, &mut self.durable) {
             jobs.open_requests.insert(job_number, request_id);
         }
-        self.timers.set(job.due + self.classes.tick, Timer::RequestOverdue(request_id));
+        self.timers.set(job.deadline + self.classes.tick, Timer::RequestOverdue(request_id));
         spanlead_balancing_policy::Request {
             id: request_id,
             class: job.class,
@@ -139,7 +139,7 @@
             tenant: job.tenant,
             affinity_key: job.affinity_key,
             expected_work: None,
-            time_left: job.due.saturating_sub(now),
+            time_left: job.deadline.saturating_sub(now),
         }
     }
 
@@ -152,7 +152,7 @@
             return;
         }
         self.record_end(now, durable, &Answer::Failed, out);
-        self.decide(now, Event::ClientGone(request_id), out);
+        self.run_policy(now, Event::ClientGone(request_id), out);
         self.cancel_attempts(now, request_id, out);
         self.remove_if_done(request_id);
     }
@@ -166,16 +166,16 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(request) = self.requests.get(request_id) else { return };
-        let (client_waits, durable, due) = (request.client_waits, request.durable, request.due);
+        let (client_waits, durable, deadline) = (request.client_waits, request.durable, request.deadline);
         if !self.requests.close(request_id, &answer) {
             return;
         }
         self.record_end(now, durable, &answer, out);
         for client in self.requests.take_joined(request_id, &answer) {
-            out.push(answer_effect(client.request_id, answer.clone(), durable, due));
+            out.push(answer_effect(client.request_id, answer.clone(), durable, deadline));
         }
         if client_waits {
-            out.push(answer_effect(request_id, answer, durable, due));
+            out.push(answer_effect(request_id, answer, durable, deadline));
         }
         self.remove_if_done(request_id);
     }
--- a/crates/service/engine/src/roles.rs
+++ b/crates/service/engine/src/roles.rs
@@ -29,7 +29,7 @@
     /// The path that is called.
     pub path: Arc<str>,
     /// The span between two calls.
-    pub every: Nanos,
+    pub interval: Nanos,
 }
 
 /// How the call of a role ended.
@@ -72,12 +72,13 @@
     /// `held` by this scheduler, `granted` to another, `vacant`.
     pub state: &'static str,
     /// How long the lease that this scheduler has granted lasts, milliseconds.
-    pub left_ms: u64,
+    #[serde(rename = "left_ms")]
+    pub remaining_ms: u64,
     /// Calls that this scheduler has made for it.
     pub calls: u64,
     /// The protocol's figures.
     #[serde(flatten)]
-    pub figures: RoleStats,
+    pub stats: RoleStats,
 }
 
 /// The time by which the leases of roles are measured. The engine's clock starts at the wall
@@ -87,7 +88,7 @@
 }
 
 impl Engine {
-    pub(crate) fn take_roles(
+    pub(crate) fn configure_roles(
         &mut self,
         now: Nanos,
         settings: RoleConfig,
@@ -98,7 +99,7 @@
         // Often enough to renew within the time that an answer may take.
         let maintenance_interval = settings.reply_timeout.max(2) / 2 * MS;
         for (role, task) in tasks.iter().enumerate() {
-            self.timers.set(now + task.every, Timer::RoleCall(role));
+            self.timers.set(now + task.interval, Timer::RoleCall(role));
         }
         let calls = |task| RoleCalls { task, is_calling: false, made: 0 };
         let calls = tasks.into_iter().map(calls).collect();
@@ -162,7 +163,7 @@
             let (addr, path) = (calls.task.addr, calls.task.path.clone());
             out.push(Effect::CallRole { role, term, addr, path, until: now + ROLE_CALL_TIMEOUT });
         }
-        self.timers.set(now + calls.task.every, Timer::RoleCall(role));
+        self.timers.set(now + calls.task.interval, Timer::RoleCall(role));
     }
 
     pub(crate) fn role_call_finished(
@@ -185,7 +186,7 @@
     /// The roles as operators are shown them; `None` where there are none.
     pub fn roles_view(&self, now: Nanos) -> Option<Vec<RoleView>> {
         let roles = self.roles.as_ref()?;
-        let views = roles.leases.roles().enumerate().map(|(number, (role, figures))| {
+        let views = roles.leases.roles().enumerate().map(|(number, (role, stats))| {
             let own_term = roles.leases.term_to_act_under(now / MS, RoleIndex(number));
             let granted = roles.leases.known_grant(now / MS, RoleIndex(number));
             RoleView {
@@ -197,9 +198,9 @@
                     (None, Some(_)) => "granted",
                     (None, None) => "vacant",
                 },
-                left_ms: granted.map_or(0, |grant| grant.remaining),
+                remaining_ms: granted.map_or(0, |grant| grant.remaining),
                 calls: roles.calls[number].made,
-                figures,
+                stats,
             }
         });
         Some(views.collect())
--- a/crates/service/engine/src/snapshot.rs
+++ b/crates/service/engine/src/snapshot.rs
@@ -12,7 +12,8 @@
     /// The request's id, as the client chose it.
     pub id: Arc<str>,
     /// When its client gives up.
-    pub due: Nanos,
+    #[serde(rename = "due")]
+    pub deadline: Nanos,
     /// The attempts so far. Empty for a durable request, whose attempts are in the log.
     #[serde(rename = "tries")]
     pub attempts: Vec<AttemptSnapshot>,
--- a/crates/service/engine/src/stats.rs
+++ b/crates/service/engine/src/stats.rs
@@ -43,14 +43,14 @@
     /// Configuration files that were refused, at SIGHUP.
     pub config_reload_errors: u64,
     /// Invalid input, by reason.
-    #[serde(skip_serializing_if = "BTreeMap::is_empty")]
-    pub bad_input: BTreeMap<&'static str, u64>,
+    #[serde(rename = "bad_input", skip_serializing_if = "BTreeMap::is_empty")]
+    pub invalid_input: BTreeMap<&'static str, u64>,
     /// Durable jobs, where they are kept.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub ledger: Option<DurableJobStats>,
+    #[serde(rename = "ledger", skip_serializing_if = "Option::is_none")]
+    pub durable_jobs: Option<DurableJobStats>,
     /// Worker attributes from inventories, where there are any.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub facts: Option<InventoryStats>,
+    #[serde(rename = "facts", skip_serializing_if = "Option::is_none")]
+    pub inventory: Option<InventoryStats>,
     /// The membership, where it is switched on.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub membership: Option<spanlead_membership::MembershipStats>,
@@ -67,7 +67,8 @@
     pub matched: usize,
     /// Workers whose pod or zone has changed, and which count as in none until no repeat can go
     /// wrong.
-    pub apart: usize,
+    #[serde(rename = "apart")]
+    pub isolated: usize,
     /// Workers whose changes are still to be processed.
     pub pending: usize,
 }
@@ -80,10 +81,11 @@
     /// `ready`, `draining` or `gone`.
     pub state: &'static str,
     /// Its attributes and their sources.
-    pub facts: Vec<AttributeProvenance>,
+    #[serde(rename = "facts")]
+    pub attributes: Vec<AttributeProvenance>,
     /// Attributes that have changed and count as its own alone until no repeat can go wrong.
-    #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub apart: Vec<&'static str>,
+    #[serde(rename = "apart", skip_serializing_if = "Vec::is_empty")]
+    pub isolated: Vec<&'static str>,
 }
 
 /// Figures of durable jobs. Counts begin with the process.
@@ -92,7 +94,8 @@
     /// Jobs that have not ended.
     pub open: usize,
     /// Ended jobs whose result is kept.
-    pub kept: usize,
+    #[serde(rename = "kept")]
+    pub retained: usize,
     /// Memory that open and kept jobs take, bytes.
     pub live_bytes: usize,
     /// Size of the log on disk, bytes.
@@ -106,11 +109,13 @@
     /// Requests whose idempotency key had been used for another request.
     pub mismatched: u64,
     /// Leases that expired without a notice of their worker.
-    pub leases_ended: u64,
+    #[serde(rename = "leases_ended")]
+    pub expired_leases: u64,
     /// Notices that came after their lease was over.
     pub fenced: u64,
     /// Jobs rejected because the log is full, failed, or not open yet.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub rejected: u64,
     /// The log cannot be written to any more.
     pub failed: bool,
     /// Group commits.
--- a/crates/service/engine/src/timers.rs
+++ b/crates/service/engine/src/timers.rs
@@ -71,7 +71,7 @@
 
     fn fire(&mut self, now: Nanos, timer: Timer, out: &mut Vec<Effect>) {
         match timer {
-            Timer::Policy(token) => self.decide(now, Event::TimerFired(token), out),
+            Timer::Policy(token) => self.run_policy(now, Event::TimerFired(token), out),
             Timer::AcceptTimeout(attempt) => {
                 if self.requests.stage(attempt) == Some(AttemptStage::Dispatched) {
                     self.cancel_attempt(now, attempt, Outcome::Timeout, out);
@@ -95,7 +95,7 @@
     fn request_overdue(&mut self, now: Nanos, request_id: RequestId, out: &mut Vec<Effect>) {
         if self.requests.get(request_id).is_some_and(|request| !request.answered) {
             self.answer(now, request_id, Answer::Failed, out);
-            self.decide(now, Event::ClientGone(request_id), out);
+            self.run_policy(now, Event::ClientGone(request_id), out);
             self.cancel_attempts(now, request_id, out);
         }
     }
--- a/crates/service/engine/src/workers.rs
+++ b/crates/service/engine/src/workers.rs
@@ -40,7 +40,7 @@
     /// What the policy was told of it last.
     pub(crate) reported: Option<ReportedWorker>,
     /// The name by which inventories know it.
-    normal_name: Option<Arc<str>>,
+    normalized_name: Option<Arc<str>>,
     /// An inventory names it.
     is_in_inventory: bool,
     /// Its number where it must be told apart from all others.
@@ -71,7 +71,7 @@
     }
 
     /// The pod as another process would know it.
-    pub(crate) fn lasting_cell(self) -> u32 {
+    pub(crate) fn portable_cell(self) -> u32 {
         if self.cell < FIRST_NAMED_POD { self.cell } else { UNKNOWN_NUMBER }
     }
 }
@@ -135,7 +135,7 @@
 }
 
 /// The name by which inventories know a host; one that is no name in DNS is known as it is.
-fn normal_name(name: &Arc<str>) -> Arc<str> {
+fn normalized_name(name: &Arc<str>) -> Arc<str> {
     match normalize_host_name(name) {
         Ok(same) if same.len() == name.len() && *same == **name => name.clone(),
         Ok(normal) => Arc::from(&*normal),
--- a/crates/service/engine/src/workers/attributes.rs
+++ b/crates/service/engine/src/workers/attributes.rs
@@ -1,5 +1,7 @@
 //! What is known of one worker: the endpoint list goes first, inventories fill what it leaves open.
-use super::{FIRST_NAMED_POD, NamedPods, ReportedWorker, UNKNOWN_NUMBER, Worker, WorkerTable, normal_name};
+use super::{
+    FIRST_NAMED_POD, NamedPods, ReportedWorker, UNKNOWN_NUMBER, Worker, WorkerTable, normalized_name,
+};
 use crate::Engine;
 use crate::timers::Timer;
 use spanlead_balancing_policy::Nanos;
@@ -52,7 +54,7 @@
         merged_inventory: &MergedInventory,
         named_pods: &mut NamedPods,
     ) -> WorkerAttributes {
-        let normal = &**self.normal_name.get_or_insert_with(|| normal_name(&self.host.name));
+        let normal = &**self.normalized_name.get_or_insert_with(|| normalized_name(&self.host.name));
         self.is_in_inventory = merged_inventory.names(normal);
         let number =
             |names: &[String], stated: Option<&Arc<str>>| stated.and_then(|name| index_of(names, name));
@@ -67,8 +69,12 @@
 }
 
 /// The weight of the list, unless the inventory that states one goes first.
-fn merged_weight(listed: Option<f64>, normal_name: &str, merged_inventory: &MergedInventory) -> Option<f64> {
-    let stated = merged_inventory.weight(normal_name);
+fn merged_weight(
+    listed: Option<f64>,
+    normalized_name: &str,
+    merged_inventory: &MergedInventory,
+) -> Option<f64> {
+    let stated = merged_inventory.weight(normalized_name);
     let inventory_goes_first =
         stated.as_ref().is_some_and(|fact| merged_inventory.sources[fact.source].weight_first);
     let stated = stated.and_then(|fact| fact.value.copied());
--- a/crates/service/engine/src/workers/endpoint_list.rs
+++ b/crates/service/engine/src/workers/endpoint_list.rs
@@ -70,7 +70,7 @@
         Worker {
             host,
             reported: None,
-            normal_name: None,
+            normalized_name: None,
             is_in_inventory: false,
             own_number,
             pod: IsolatedAttribute::default(),
@@ -128,7 +128,7 @@
         }
         let endpoints = changed.iter().map(|(name, reported)| reported.endpoint(name));
         let endpoints: Vec<Endpoint<'_>> = endpoints.collect();
-        self.decide(now, Event::EndpointsChanged { update: scope, endpoints: &endpoints }, out);
+        self.run_policy(now, Event::EndpointsChanged { update: scope, endpoints: &endpoints }, out);
     }
 
     /// The next worker of the queue: changes of the list go before those of inventories.
@@ -150,7 +150,7 @@
         if let Some(reported) = self.recheck(now, &name) {
             let endpoints = [reported.endpoint(&name)];
             let update = EndpointUpdate::Delta;
-            self.decide(now, Event::EndpointsChanged { update, endpoints: &endpoints }, out);
+            self.run_policy(now, Event::EndpointsChanged { update, endpoints: &endpoints }, out);
         }
     }
 
--- a/crates/service/engine/src/workers/inventory.rs
+++ b/crates/service/engine/src/workers/inventory.rs
@@ -1,5 +1,5 @@
 //! New versions of the inventories.
-use super::{UNKNOWN_NUMBER, Worker, normal_name};
+use super::{UNKNOWN_NUMBER, Worker, normalized_name};
 use crate::{Effect, Engine, InventoryUpdate, InventoryVersion};
 use spanlead_balancing_policy::{EndpointUpdate, Nanos, WorkerState};
 use spanlead_deployment_settings::index_of;
@@ -10,9 +10,9 @@
     /// Inventories say something else from now on. If a class that has a worker would have none by
     /// it, nothing changes, unless an operator wants it all the same.
     pub(crate) fn inventory_updated(&mut self, now: Nanos, update: InventoryUpdate, out: &mut Vec<Effect>) {
-        let InventoryUpdate { merged_inventory, by, forced } = update;
+        let InventoryUpdate { merged_inventory, cause, forced } = update;
         if !forced && let Some(reason) = self.class_without_worker(&merged_inventory) {
-            if let Some(InventoryVersion { name, number }) = by {
+            if let Some(InventoryVersion { name, number }) = cause {
                 out.push(Effect::InventoryRejected { name, version: number, reason });
             }
             return;
@@ -41,7 +41,7 @@
     /// The kind of a worker by these inventories.
     fn kind_by(&self, worker: &Worker, merged_inventory: &MergedInventory) -> Option<u32> {
         let listed = worker.host.kind.filter(|kind| *kind != UNKNOWN_NUMBER);
-        let name = normal_name(&worker.host.name);
+        let name = normalized_name(&worker.host.name);
         let stated: Option<Arc<str>> = merged_inventory
             .kind(&name)
             .and_then(|fact| fact.value.or(merged_inventory.defaults.kind.as_ref()).cloned());
--- a/crates/service/engine/src/workers/views.rs
+++ b/crates/service/engine/src/workers/views.rs
@@ -1,5 +1,5 @@
 //! What operators are shown of workers.
-use super::{Worker, normal_name};
+use super::{Worker, normalized_name};
 use crate::{Engine, HostView, InventoryStats, MS};
 use rustc_hash::FxHashMap;
 use spanlead_balancing_policy::{Nanos, WorkerState};
@@ -27,7 +27,10 @@
             let pod = |cell| pods.entry(cell).or_insert_with(|| cell.to_string().into()).clone();
             LiveHost {
                 name: host.name.clone(),
-                normalized_name: worker.normal_name.clone().unwrap_or_else(|| normal_name(&host.name)),
+                normalized_name: worker
+                    .normalized_name
+                    .clone()
+                    .unwrap_or_else(|| normalized_name(&host.name)),
                 zone: name_of(&zones, host.zone),
                 pod: host.cell.map(pod),
                 kind: name_of(&kinds, host.kind),
@@ -55,8 +58,8 @@
         Some(HostView {
             host: host.name.clone(),
             state,
-            facts: provenance(&self.listed_attributes(worker), merged_inventory),
-            apart: isolated.map(|(name, _)| name).collect(),
+            attributes: provenance(&self.listed_attributes(worker), merged_inventory),
+            isolated: isolated.map(|(name, _)| name).collect(),
         })
     }
 
@@ -77,7 +80,7 @@
         };
         LiveHost {
             name: host.name.clone(),
-            normalized_name: normal_name(&host.name),
+            normalized_name: normalized_name(&host.name),
             zone: name_of(&names.zones, host.zone),
             pod: host.cell.map(|cell| cell.to_string().into()),
             kind: name_of(&names.kinds, host.kind),
@@ -94,7 +97,7 @@
             inventories: merged_inventory.sources.len(),
             hosts: merged_inventory.sources.iter().map(|source| source.version.hosts.len()).sum(),
             matched: self.workers.listed().filter(|worker| worker.is_in_inventory).count(),
-            apart: self.workers.listed().filter(is_isolated).count(),
+            isolated: self.workers.listed().filter(is_isolated).count(),
             pending: self.workers.incoming.len() + self.workers.to_recheck.len(),
         })
     }
--- a/crates/service/engine/tests/bounds.rs
+++ b/crates/service/engine/tests/bounds.rs
@@ -54,7 +54,15 @@
         world.step(Input::EndpointList { scope: EndpointUpdate::Snapshot, version: 1, hosts: vec![host] });
         let anchor = ClockAnchor { boot_id: "b".into(), uptime: now, process_clock: now };
         let (lease, clock_bound, segment) = (10 * SEC, SEC, SEGMENT);
-        let durability = DurableSetup { ledger, anchor, all: false, lease, clock_bound, disk, segment };
+        let durability = DurableSetup {
+            job_table: ledger,
+            clock_anchor: anchor,
+            keep_all_jobs: false,
+            lease_duration: lease,
+            clock_bound,
+            max_disk_bytes: disk,
+            segment_bytes: segment,
+        };
         world.step(Input::DurableJobsOpened(Box::new(durability)));
         world
     }
@@ -71,7 +79,7 @@
             };
             match effect {
                 Effect::AppendRecord(record) => records.push(encode(&record).expect("it has a form")),
-                Effect::TruncateLog { oldest } => trim = Some(oldest),
+                Effect::TruncateLog { oldest_needed_lsn: oldest } => trim = Some(oldest),
                 Effect::Answer { answer: given, .. } => answer = Some(given),
                 _ => {}
             }
@@ -90,7 +98,8 @@
     fn ask(&mut self, key: &str, body: usize) -> Option<Answer> {
         self.asks += 1;
         let text = vec![b'x'; body].into();
-        let durable_request = DurableRequest { key: Some(key.into()), fingerprint: [1; 16], text };
+        let durable_request =
+            DurableRequest { key: Some(key.into()), fingerprint: [1; 16], encoded_request: text };
         let job = Job {
             id: format!("r{}", self.asks).into(),
             class: 0,
@@ -98,7 +107,7 @@
             slots: 1.0,
             memory: 0.0,
             affinity_key: None,
-            due: self.now + 15 * SEC,
+            deadline: self.now + 15 * SEC,
             durable_request: Some(durable_request),
         };
         self.step(Input::RequestReceived {
@@ -114,7 +123,7 @@
         let (job_id, worker, update) =
             (format!("r{}", self.asks), "s-a".to_owned(), JobUpdate::Done("R".into()));
         self.step(Input::WorkerNotice(WorkerNotice {
-            notice: self.asks,
+            notice_id: self.asks,
             job_id,
             worker,
             fencing_token: None,
--- a/crates/service/engine/tests/crash.rs
+++ b/crates/service/engine/tests/crash.rs
@@ -324,7 +324,15 @@
         self.step(Input::EndpointList { scope: EndpointUpdate::CachedSnapshot, version: 1, hosts });
         let anchor = ClockAnchor { boot_id: "b".into(), uptime: self.now, process_clock: self.now };
         let (lease, clock_bound, disk, segment) = (LEASE, BOUND, 1 << 30, 700);
-        let durability = DurableSetup { ledger, anchor, all: false, lease, clock_bound, disk, segment };
+        let durability = DurableSetup {
+            job_table: ledger,
+            clock_anchor: anchor,
+            keep_all_jobs: false,
+            lease_duration: lease,
+            clock_bound,
+            max_disk_bytes: disk,
+            segment_bytes: segment,
+        };
         self.step(Input::DurableJobsOpened(Box::new(durability)));
         self.after(20 * MS, Happening::Tick { epoch: self.epoch });
     }
@@ -407,7 +415,7 @@
                     }
                 }
             }
-            Effect::SendAttempt { attempt, addr, lease, text, .. } => {
+            Effect::SendAttempt { attempt, addr, lease, encoded_request: text, .. } => {
                 let key = match text {
                     Some(text) => String::from_utf8_lossy(&text).parse().ok(),
                     None => {
@@ -440,7 +448,7 @@
                     self.after(delay, Happening::CallOff { worker, id, attempt, epoch });
                 }
             },
-            Effect::Acknowledge { notice: note, reply } => {
+            Effect::Acknowledge { notice_id: note, reply } => {
                 if let Some(notice) = self.notes.remove(&note) {
                     self.acknowledge(&notice, reply);
                 }
@@ -603,8 +611,11 @@
         let (ask, request_id) = (self.asks, RequestId(self.asks));
         self.clients[client].asking = Some((ask, request_id));
         let key: Option<Arc<str>> = Some(format!("key-{client}").into());
-        let durable_request =
-            DurableRequest { key, fingerprint: [client as u8; 16], text: client.to_string().into() };
+        let durable_request = DurableRequest {
+            key,
+            fingerprint: [client as u8; 16],
+            encoded_request: client.to_string().into(),
+        };
         let job = Job {
             id: format!("r{ask}").into(),
             class: self.clients[client].class,
@@ -612,7 +623,7 @@
             slots: 1.0,
             memory: 0.0,
             affinity_key: None,
-            due,
+            deadline: due,
             durable_request: Some(durable_request),
         };
         self.after(due - self.now + 50 * MS, Happening::GiveUp { client, ask });
@@ -639,7 +650,7 @@
         self.must(!aware || lease.is_some(), "a durable job has a lease");
         // Its clock may run slow, by less than the bound over a lease.
         let drift = self.rng.random_range(0..BOUND / 2);
-        let until = lease.map_or(Nanos::MAX, |l| self.now + l.length + drift);
+        let until = lease.map_or(Nanos::MAX, |l| self.now + l.duration + drift);
         let (life, token) = (self.workers[worker].life, lease.map(|l| l.token));
         // Now and then its answer is lost with the connection, and it goes on.
         let answered = self.rng.random_bool(0.95);
@@ -708,7 +719,7 @@
         };
         self.notes.insert(note, notice);
         self.step(Input::WorkerNotice(WorkerNotice {
-            notice: note,
+            notice_id: note,
             job_id: id,
             worker: from,
             fencing_token: token,
--- a/crates/service/engine/tests/members.rs
+++ b/crates/service/engine/tests/members.rs
@@ -87,7 +87,7 @@
             slots: 1.0,
             memory: 0.0,
             affinity_key: None,
-            due: self.now + 15 * SEC,
+            deadline: self.now + 15 * SEC,
             durable_request: None,
         };
         let effects =
@@ -99,7 +99,7 @@
         let merged_inventory = merged_inventory(rows);
         self.step(Input::InventoryUpdated(InventoryUpdate {
             merged_inventory: merged_inventory.into(),
-            by: Some(InventoryVersion { name: "clubs".into(), number: 1 }),
+            cause: Some(InventoryVersion { name: "clubs".into(), number: 1 }),
             forced: false,
         }))
     }
@@ -204,12 +204,12 @@
     effects.extend(world.pass(world.now + 500 * MS));
     let (attempt, first) = World::sent(&effects).expect("sent");
     world.offer(&[("w1", pod("b")), ("w2", pod("b")), ("w3", pod("b"))]);
-    assert_eq!(world.engine.stats(world.now, &names().classes).facts.expect("facts").apart, 2);
+    assert_eq!(world.engine.stats(world.now, &names().classes).inventory.expect("facts").isolated, 2);
     let next = world.broke(attempt);
     assert!(first == 3 || next.is_none(), "{first} ran it, and {next:?} does not drop its repeat");
     world.step(Input::ClientDisconnected { request_id });
     world.pass(world.now + WINDOW + SEC);
-    assert_eq!(world.engine.stats(world.now, &names().classes).facts.expect("facts").apart, 0);
+    assert_eq!(world.engine.stats(world.now, &names().classes).inventory.expect("facts").isolated, 0);
     assert!(followers(&mut world, 10).iter().any(|(_, next)| next.is_some()), "they are in one pod now");
 }
 
@@ -225,7 +225,7 @@
     world.offer(&[("w1", other.clone()), ("ghost", other)]);
     let view = world.engine.worker_view(world.now, "W1.").expect("listed");
     let said = |fact: &str| {
-        let known = view.facts.iter().find(|k| k.attribute.name() == fact).expect("a fact");
+        let known = view.attributes.iter().find(|k| k.attribute.name() == fact).expect("a fact");
         (known.value.clone().unwrap_or_default(), known.from.clone())
     };
     let list = |value: &str| (value.to_owned(), "list".to_owned());
@@ -263,11 +263,15 @@
         matches!(&effects[..], [Effect::InventoryRejected { reason, version: 1, .. }] if reason.contains("class settle")),
         "{effects:?}"
     );
-    let kind =
-        |world: &World| world.engine.worker_view(world.now, "w1").expect("listed").facts[2].value.clone();
+    let kind = |world: &World| {
+        world.engine.worker_view(world.now, "w1").expect("listed").attributes[2].value.clone()
+    };
     assert_eq!(kind(&world).as_deref(), Some("slow"), "the one before goes on");
-    let forced =
-        InventoryUpdate { merged_inventory: merged_inventory(&[("w1", std)]).into(), by: None, forced: true };
+    let forced = InventoryUpdate {
+        merged_inventory: merged_inventory(&[("w1", std)]).into(),
+        cause: None,
+        forced: true,
+    };
     world.step(Input::InventoryUpdated(forced));
     assert_eq!(kind(&world).as_deref(), Some("std"));
 }
@@ -337,7 +341,7 @@
     world.offer(&rows);
     assert!(world.engine.has_pending_list_changes());
     world.pass(world.now + 20 * MS);
-    let facts = world.engine.stats(world.now, &[]).facts.expect("facts");
+    let facts = world.engine.stats(world.now, &[]).inventory.expect("facts");
     assert_eq!((facts.matched, facts.pending, facts.hosts), (3000, 0, 3000));
     let (attempt, first) = loop {
         let (_, mut effects) = world.request(0);
--- a/crates/service/net/src/clients/requests.rs
+++ b/crates/service/net/src/clients/requests.rs
@@ -112,7 +112,7 @@
             decode_job(&head, class, &names, arrived).inspect_err(|_| self.count_rejected(class))?;
         let body = guard.read_body(body).await?;
         // Its time counts from the last byte.
-        job.due += self.clock.now() - arrived;
+        job.deadline += self.clock.now() - arrived;
         guard.connection.proven.store(true, Ordering::Relaxed);
         let was_adopted = guard.connection.adopted.swap(false, Ordering::Relaxed);
         if !was_adopted && guard.connection.is_disconnected().await {
--- a/crates/service/net/src/wire/client_request.rs
+++ b/crates/service/net/src/wire/client_request.rs
@@ -84,7 +84,7 @@
         slots: decode_resource(extra, "slots", DEFAULT_SLOTS)?,
         memory: decode_resource(extra, "memory", 0.0)?,
         affinity_key: head.headers.get(&REQ_KEY).map(|key| xxh3_64(key.as_bytes())),
-        due: arrived + deadline_ms * NANOS_PER_MS,
+        deadline: arrived + deadline_ms * NANOS_PER_MS,
         durable_request: None,
     })
 }
--- a/crates/service/net/src/wire/stored_request.rs
+++ b/crates/service/net/src/wire/stored_request.rs
@@ -30,7 +30,7 @@
 /// [`RequestError::InvalidIdempotencyKey`].
 pub fn durable_request(request: &ClientRequest) -> Result<DurableRequest, RequestError> {
     let key = request.headers.get(&IDEMPOTENCY_KEY).map(decode_key).transpose()?;
-    Ok(DurableRequest { key, fingerprint: fingerprint(request), text: store_request(request) })
+    Ok(DurableRequest { key, fingerprint: fingerprint(request), encoded_request: store_request(request) })
 }
 
 fn decode_key(value: &HeaderValue) -> Result<Arc<str>, RequestError> {
--- a/crates/service/net/src/wire/worker.rs
+++ b/crates/service/net/src/wire/worker.rs
@@ -73,9 +73,9 @@
         }
     }
     headers.insert(&REQ_DEADLINE, HeaderValue::from(left_ms));
-    if let Some(LeaseGrant { token, length }) = lease {
+    if let Some(LeaseGrant { token, duration }) = lease {
         headers.insert(&LEASE_TOKEN, HeaderValue::from(token));
-        headers.insert(&LEASE_MS, HeaderValue::from(length / NANOS_PER_MS));
+        headers.insert(&LEASE_MS, HeaderValue::from(duration / NANOS_PER_MS));
     }
     dispatch
 }
--- a/crates/service/net/tests/golden.rs
+++ b/crates/service/net/tests/golden.rs
@@ -280,7 +280,7 @@
         };
         assert_eq!(durable.key.as_deref(), key);
         found.push((digest, durable.fingerprint.to_vec()));
-        found.push((kept, durable.text.to_vec()));
+        found.push((kept, durable.encoded_request.to_vec()));
         found.push((again, request.to_http()));
     }
     golden::assert_bytes("requests.txt", &found);
@@ -298,7 +298,7 @@
         let again = wire::durable_request(
             &wire::restore_request(&Bytes::from(kept.clone())).expect("it is a request"),
         );
-        assert_eq!(again.expect("it can be kept").text, *kept, "{name}");
+        assert_eq!(again.expect("it can be kept").encoded_request, *kept, "{name}");
     }
 }
 
@@ -339,7 +339,7 @@
     let (_, full) = requests().remove(1);
     let calls = [
         wire::dispatch_request(&full, 1234, None),
-        wire::dispatch_request(&full, 1234, Some(LeaseGrant { token: 77, length: 10 * SEC })),
+        wire::dispatch_request(&full, 1234, Some(LeaseGrant { token: 77, duration: 10 * SEC })),
         wire::cancel_request("id-1").expect("a call"),
         wire::health_check_request().expect("a call"),
         wire::full_list_request().expect("a call"),
--- a/crates/service/spanlead/src/driver/durable_log.rs
+++ b/crates/service/spanlead/src/driver/durable_log.rs
@@ -90,9 +90,9 @@
         let Some(log) = &mut self.durable_log else { return };
         let OpenedDurableJobs { setup, writer } = opened;
         (log.stage, log.writer) = (DurableLogStage::Open, Some(writer));
-        log.barrier.open(setup.ledger.last_lsn());
+        log.barrier.open(setup.job_table.last_lsn());
         let held_back = std::mem::take(&mut log.held_back);
-        let figures = setup.ledger.stats();
+        let figures = setup.job_table.stats();
         tracing::info!(open = figures.open, kept = figures.retained, "durable job log open");
         self.step(Input::DurableJobsOpened(Box::new(setup)));
         for message in held_back {
@@ -180,7 +180,7 @@
     /// Leaves the log to the successor, when nothing of it is open here any more.
     pub(super) fn release_durable_log(&mut self) {
         let Some(log) = &mut self.durable_log else { return };
-        let is_unused = log.barrier.is_empty() && self.engine.open_durable_jobs() == 0;
+        let is_unused = log.barrier.is_empty() && self.engine.open_durable_job_count() == 0;
         if log.stage == DurableLogStage::Open && is_unused {
             log.stage = DurableLogStage::Released;
             // Ends it in order, and lets go of the folder.
--- a/crates/service/spanlead/src/driver/effects.rs
+++ b/crates/service/spanlead/src/driver/effects.rs
@@ -47,8 +47,8 @@
     pub(super) fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Answer { request_id, answer, job } => self.answer_client(request_id, answer, job),
-            Effect::SendAttempt { attempt, addr, until, lease, text } => {
-                self.dispatch(Dispatch { attempt, addr, until, lease, stored: text });
+            Effect::SendAttempt { attempt, addr, until, lease, encoded_request } => {
+                self.dispatch(Dispatch { attempt, addr, until, lease, stored: encoded_request });
             }
             Effect::CancelAttempt { attempt, addr, job_id, accepted, until } => {
                 self.cancel(Cancellation { attempt, addr, job_id, accepted, until });
@@ -76,12 +76,12 @@
                     inventories.roll_back(name, version, reason);
                 }
             }
-            Effect::Acknowledge { notice, reply } => self.acknowledge(notice, reply),
+            Effect::Acknowledge { notice_id, reply } => self.acknowledge(notice_id, reply),
             Effect::AppendRecord(record) => self.append_record(&record),
             Effect::AfterDurable { effect, until } => self.perform_after_durable(*effect, until),
-            Effect::TruncateLog { oldest } => {
+            Effect::TruncateLog { oldest_needed_lsn } => {
                 if let Some(log) = &self.durable_log {
-                    log.truncate(oldest);
+                    log.truncate(oldest_needed_lsn);
                 }
             }
         }
--- a/crates/service/spanlead/src/driver/notices.rs
+++ b/crates/service/spanlead/src/driver/notices.rs
@@ -70,7 +70,7 @@
         let number = self.notices.last_number;
         self.notices.replies.extend(reply.map(|reply| (number, reply)));
         self.step(Input::WorkerNotice(WorkerNotice {
-            notice: number,
+            notice_id: number,
             job_id: notice.id,
             worker: notice.from,
             fencing_token: notice.token,
--- a/crates/service/spanlead/src/driver/operators.rs
+++ b/crates/service/spanlead/src/driver/operators.rs
@@ -137,7 +137,7 @@
     fn stats(&self) -> EngineStats {
         let mut stats = self.engine.stats(self.clock.now(), &self.names.borrow().classes);
         let log_stats = self.durable_log.as_ref().and_then(super::durable_log::DurableLog::stats);
-        if let (Some(jobs), Some(log)) = (&mut stats.ledger, log_stats) {
+        if let (Some(jobs), Some(log)) = (&mut stats.durable_jobs, log_stats) {
             (jobs.commits, jobs.records) = (log.commits, log.records);
             jobs.commit_p50_us = log.latency_p50.as_micros() as u64;
             jobs.commit_p99_us = log.latency_p99.as_micros() as u64;
--- a/crates/service/spanlead/src/driver/peer_processes.rs
+++ b/crates/service/spanlead/src/driver/peer_processes.rs
@@ -104,7 +104,7 @@
         let capacity = if predecessor || successor { self.capacities.shared } else { self.capacities.alone };
         self.client_listener.set_max_connections(capacity.client_connections);
         self.pool.set_max_connections(capacity.worker_connections);
-        self.step(Input::SetCapacity { max_open_requests: capacity.open_requests, successor });
+        self.step(Input::SetCapacity { max_open_requests: capacity.open_requests, has_successor: successor });
     }
 
     /// Hands an open request over to the successor, with its client's socket.
--- a/crates/service/spanlead/src/driver/receive.rs
+++ b/crates/service/spanlead/src/driver/receive.rs
@@ -56,9 +56,9 @@
             let input = Input::RequestReceived { request_id, job, previous_attempts: None, durable: false };
             return self.step(input);
         };
-        let RequestSnapshot { due, attempts, durable, .. } = handed_over.snapshot;
+        let RequestSnapshot { deadline, attempts, durable, .. } = handed_over.snapshot;
         if !durable {
-            job.due = due;
+            job.deadline = deadline;
         }
         let previous_attempts = Some(attempts);
         self.step(Input::RequestReceived { request_id, job, previous_attempts, durable });
--- a/crates/service/spanlead/src/driver/startup.rs
+++ b/crates/service/spanlead/src/driver/startup.rs
@@ -181,8 +181,9 @@
     }
     let messages = messages.clone();
     let notify = move |InventoryChange { merged_inventory, version, forced }| {
-        let by = version.map(|version| InventoryVersion { name: version.inventory, number: version.number });
-        let update = InventoryUpdate { merged_inventory, by, forced };
+        let cause =
+            version.map(|version| InventoryVersion { name: version.inventory, number: version.number });
+        let update = InventoryUpdate { merged_inventory, cause, forced };
         let _ = messages.send(Message::Input(Input::InventoryUpdated(update)));
     };
     Some(InventoryService::start(inventories, vocabulary(names), notify))
@@ -269,7 +270,7 @@
             seed,
         };
         let tasks = roles.into_iter().map(role_task).collect();
-        self.step(Input::SingletonRoles { settings, tasks });
+        self.step(Input::ConfigureRoles { settings, tasks });
     }
 }
 
@@ -279,6 +280,6 @@
         name: role.name,
         addr: address,
         path: path.into(),
-        every: role.call_interval.as_nanos() as Nanos,
+        interval: role.call_interval.as_nanos() as Nanos,
     }
 }
--- a/crates/service/spanlead/src/durable_log.rs
+++ b/crates/service/spanlead/src/durable_log.rs
@@ -120,13 +120,13 @@
     tracing::info!(records, bytes, took = ?begun.elapsed(), "durable job log read");
     let report_progress = move |progress| drop(messages.send(Message::LogProgress(progress)));
     let setup = DurableSetup {
-        ledger,
-        anchor: clock.anchor(),
-        all: settings.recorded_jobs == conf::RecordedJobs::All,
-        lease: settings.lease_duration.as_nanos() as Nanos,
+        job_table: ledger,
+        clock_anchor: clock.anchor(),
+        keep_all_jobs: settings.recorded_jobs == conf::RecordedJobs::All,
+        lease_duration: settings.lease_duration.as_nanos() as Nanos,
         clock_bound: settings.clock_drift_bound.as_nanos() as Nanos,
-        disk: settings.max_disk_bytes,
-        segment: settings.max_segment_bytes,
+        max_disk_bytes: settings.max_disk_bytes,
+        segment_bytes: settings.max_segment_bytes,
     };
     let writer = LogWriter::spawn(log, settings.group_delay, report_progress)?;
     Ok(OpenedDurableJobs { setup, writer })
--- a/crates/tools/experiments/src/rival.rs
+++ b/crates/tools/experiments/src/rival.rs
@@ -100,10 +100,10 @@
         match input {
             Input::RequestReceived { request_id, job, .. } => {
                 self.by_id.insert(job.id.clone(), request_id);
-                self.dues.push(Reverse((job.due, request_id)));
+                self.dues.push(Reverse((job.deadline, request_id)));
                 self.open.insert(
                     request_id,
-                    Open { id: job.id, class: job.class, due: job.due, tries: Vec::new() },
+                    Open { id: job.id, class: job.class, due: job.deadline, tries: Vec::new() },
                 );
                 self.next_try(now, request_id, out);
             }
@@ -283,7 +283,7 @@
         if let Some(open) = self.open.get_mut(&request_id) {
             open.tries.push(Tried { worker, sent: now, out: true, may_have_run: true });
         }
-        out.push(Effect::SendAttempt { attempt, addr, until: due, lease: None, text: None });
+        out.push(Effect::SendAttempt { attempt, addr, until: due, lease: None, encoded_request: None });
     }
 
     /// For the ideal: the world has chosen.
--- a/crates/tools/experiments/src/world.rs
+++ b/crates/tools/experiments/src/world.rs
@@ -474,7 +474,7 @@
             slots: 1.0,
             memory: 0.0,
             affinity_key: None,
-            due,
+            deadline: due,
             durable_request: None,
         };
         self.after(due - now, Event::Patience { job, request_id, node, epoch });
@@ -835,7 +835,7 @@
             node,
             epoch,
             Input::WorkerNotice(WorkerNotice {
-                notice: 0,
+                notice_id: 0,
                 job_id: id,
                 worker: from,
                 fencing_token: None,
