--- a/crates/service/engine/src/attempts.rs
+++ b/crates/service/engine/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of requests at workers, from the dispatch to the one place where they end.
+//! Attempts to run requests at workers, from the dispatch to the end.
 use crate::durable::after_durable;
 use crate::request_table::{Attempt, AttemptStage};
 use crate::timers::Timer;
@@ -7,28 +7,29 @@
 use spanlead_durable_jobs::JobNumber;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// How long a worker may take to acknowledge that an attempt is cancelled when the request is over
-/// anyway.
+/// How long a worker may take to confirm a cancellation when the request is over anyway.
 pub(crate) const CANCEL_TIMEOUT: Nanos = 1_000 * MS;
-/// How long a worker may take to say that it has a job: it answers at once, so one that does not by
-/// then has lost it.
+/// How long a worker may take to accept a job. Workers answer a dispatch at once, so one that has
+/// not answered by then has lost the job.
 pub(crate) const ACCEPT_TIMEOUT: Nanos = 1_000 * MS;
 
-/// The address of an attempt that goes nowhere.
+/// The address recorded for an attempt that was not sent.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-/// What an attempt is dispatched with.
+/// The parameters of a dispatch.
 struct AttemptPlan {
     addr: SocketAddr,
-    /// When the time that it gets is up.
+    /// The time at which the attempt times out.
     until: Nanos,
     durable: Option<JobNumber>,
-    /// The client that brought the request waits here, with the request.
+    /// Whether the client that sent the request waits in this process, which then holds the
+    /// request.
     client_waits: bool,
 }
 
 impl Engine {
-    /// The policy sends a request to a worker; `timeout` is what it gives the attempt.
+    /// Dispatches a request to a worker on behalf of the policy; `timeout` limits the attempt,
+    /// which otherwise lasts until the request's deadline.
     pub(crate) fn send_attempt(
         &mut self,
         now: Nanos,
@@ -41,7 +42,7 @@
         let number = request.attempts.len() as u32;
         let attempt = AttemptId { request: request_id, number };
         let Some(plan) = self.plan_attempt(now, request_id, worker, timeout) else {
-            return self.attempt_not_sent(now, attempt, worker, out);
+            return self.report_not_sent(now, attempt, worker, out);
         };
         self.add_attempt(now, attempt, worker, plan.addr, AttemptStage::Dispatched);
         let lease = plan.durable.and_then(|job| self.grant_lease(now, job, attempt, out));
@@ -54,7 +55,8 @@
         out.push(if plan.durable.is_some() { after_durable(send, until) } else { send });
     }
 
-    /// What an attempt is dispatched with; `None` if it must not go out.
+    /// The parameters of a dispatch; `None` if the attempt must not be sent: the request is
+    /// answered, no time is left, its records cannot be written, or the worker is not known.
     fn plan_attempt(
         &self,
         now: Nanos,
@@ -64,7 +66,7 @@
     ) -> Option<AttemptPlan> {
         let request = self.requests.get(request_id)?;
         let until = timeout.map_or(request.deadline, |span| request.deadline.min(now + span));
-        // What cannot be recorded must not go out.
+        // An attempt of a durable job whose lease cannot be recorded must not be sent.
         let is_unrecordable =
             request.durable.is_some() && self.durable.as_ref().is_none_or(|jobs| jobs.failed);
         if request.answered || now >= until || is_unrecordable {
@@ -95,8 +97,8 @@
         });
     }
 
-    /// Tells the policy that an attempt has not gone out.
-    fn attempt_not_sent(&mut self, now: Nanos, attempt: AttemptId, worker: &WorkerId, out: &mut Vec<Effect>) {
+    /// Records an attempt that was not sent and reports it to the policy.
+    fn report_not_sent(&mut self, now: Nanos, attempt: AttemptId, worker: &WorkerId, out: &mut Vec<Effect>) {
         self.add_attempt(now, attempt, worker, NO_ADDRESS, AttemptStage::Ended);
         let closed = self.requests.get(attempt.request).is_some_and(|request| request.answered);
         let event = Event::AttemptEnded {
@@ -110,7 +112,7 @@
         self.run_policy(now, event, out);
     }
 
-    /// The exchange that dispatches an attempt has ended.
+    /// Processes the result of the exchange that dispatches an attempt.
     pub(crate) fn dispatch_finished(
         &mut self,
         now: Nanos,
@@ -120,8 +122,8 @@
     ) {
         let is_open = match self.requests.stage(attempt) {
             Some(AttemptStage::Dispatched | AttemptStage::Cancelling(_)) => true,
-            // It was cancelled meanwhile, or a worker's notice has ended it before the answer to
-            // the dispatch came.
+            // A worker's notice was processed before the answer to the dispatch arrived, or the
+            // attempt has ended since, for example by cancellation.
             Some(AttemptStage::Accepted | AttemptStage::Ended) | None => false,
         };
         match result {
@@ -134,8 +136,8 @@
             DispatchResult::Ended(outcome, report) if is_open => {
                 self.end_attempt(now, attempt, outcome, report, out);
             }
-            // The fault is the request's, so the worker must not be avoided for it, and a retry
-            // would only take it to the next one.
+            // The request is at fault: the worker must not be avoided for it, and a retry would
+            // only fail at another worker.
             DispatchResult::Unprocessable if is_open => {
                 self.answer(now, attempt.request, Answer::Unprocessable, out);
                 self.end_attempt(now, attempt, Outcome::Cancelled, None, out);
@@ -144,15 +146,16 @@
         }
     }
 
-    /// The worker knows that an attempt is cancelled.
+    /// Ends an attempt whose cancellation the worker has confirmed.
     pub(crate) fn attempt_cancelled(&mut self, now: Nanos, attempt: AttemptId, out: &mut Vec<Effect>) {
         if let Some(AttemptStage::Cancelling(outcome)) = self.requests.stage(attempt) {
             self.end_attempt(now, attempt, outcome, None, out);
         }
     }
 
-    /// Cancels an attempt. While another may follow, its outcome waits until the worker knows, so
-    /// that two are never pending at once; when the request is over, nothing waits for it.
+    /// Cancels an attempt. As long as another attempt may follow, this one ends only when the
+    /// worker has confirmed or the call to it was given up, so that two attempts are never pending
+    /// at once. When the request is over, the attempt ends immediately.
     pub(crate) fn cancel_attempt(
         &mut self,
         now: Nanos,
@@ -187,7 +190,8 @@
         }
     }
 
-    /// The one place where an attempt ends.
+    /// Ends an attempt and reports its outcome to the policy. Attempts that were sent end nowhere
+    /// else.
     pub(crate) fn end_attempt(
         &mut self,
         now: Nanos,
--- a/crates/service/engine/src/classes.rs
+++ b/crates/service/engine/src/classes.rs
@@ -1,25 +1,25 @@
-//! What the deployment's settings say of classes. Numbers of classes are never used again: after
-//! new settings the classes of the old ones keep theirs, so that open requests go on by the rules
-//! they came under.
+//! The deployment's settings for classes. Class numbers are never reused: when the settings change,
+//! the classes of the earlier settings keep their numbers, so that open requests continue under the
+//! rules under which they were accepted.
 use spanlead_balancing_policy::{Idempotency, Nanos, Settings};
 use spanlead_deployment_settings::Names;
 use std::sync::Arc;
 
-/// A class that needs a kind of machine.
+/// A class that requires a machine kind.
 pub(crate) struct ClassMachineKind {
     pub(crate) class: u32,
     pub(crate) kind: u32,
 }
 
-/// The classes, by their numbers.
+/// The classes, by number.
 pub(crate) struct ClassTable {
-    /// The least span of a timer.
+    /// The minimum delay of a timer.
     pub(crate) tick: Nanos,
-    /// The names behind the numbers.
+    /// The names of classes, tenants, zones and kinds, by number.
     pub(crate) names: Arc<Names>,
-    /// What repeats of each class do.
+    /// The idempotency of each class.
     idempotency: Vec<Idempotency>,
-    /// The classes of the present settings that need a kind of machine.
+    /// The classes of the current settings that require a machine kind.
     machine_kinds: Vec<ClassMachineKind>,
 }
 
@@ -31,7 +31,7 @@
         table
     }
 
-    /// Adds the classes of new settings behind those that are there.
+    /// Appends the classes of new settings to the existing ones.
     pub(crate) fn extend(&mut self, settings: &Settings) {
         let first = self.idempotency.len();
         self.tick = settings.tick;
@@ -43,7 +43,7 @@
         self.idempotency.extend(settings.classes.iter().map(|class| class.idempotency));
     }
 
-    /// How many classes there have been.
+    /// The number of classes of all settings so far.
     pub(crate) fn len(&self) -> usize {
         self.idempotency.len()
     }
@@ -52,12 +52,12 @@
         self.idempotency.get(class as usize).copied()
     }
 
-    /// Whether jobs of this class must never run twice.
+    /// Whether jobs of this class must run at most once.
     pub(crate) fn runs_at_most_once(&self, class: u32) -> bool {
         self.idempotency(class) == Some(Idempotency::AtMostOnce)
     }
 
-    /// The longest time for which repeats of some class are dropped by workers.
+    /// The longest deduplication window of any class, within which workers drop repeats of a job.
     pub(crate) fn longest_deduplication_window(&self) -> Nanos {
         let window = |idempotency: &Idempotency| match idempotency {
             Idempotency::Deduplicated { window, .. } => *window,
--- a/crates/service/engine/src/discovery.rs
+++ b/crates/service/engine/src/discovery.rs
@@ -1,29 +1,29 @@
-//! Where the endpoint list comes from: discovery is watched, or an agent on this machine that lists
-//! are pushed to.
+//! The source of the endpoint list: discovery, which is watched or asked, or an agent on this
+//! machine to which lists are pushed.
 use crate::timers::Timer;
 use crate::{Effect, Engine, MS};
 use spanlead_balancing_policy::{EndpointUpdate, Nanos};
 use std::net::SocketAddr;
 
-/// How soon after a failed call an agent is asked again: within the shortest grace for draining
-/// that is left after a call.
+/// Delay before the agent is called again after a failed call. It is within the shortest grace
+/// period for draining that remains after a call.
 const AGENT_RETRY_INTERVAL: Nanos = 100 * MS;
 
-/// Discovery as this scheduler sees it.
+/// The state of the watch on discovery.
 pub(crate) struct DiscoveryState {
-    /// Its address.
+    /// The address of discovery.
     pub(crate) addr: SocketAddr,
-    /// Version of its list that is known.
+    /// The known version of the endpoint list.
     pub(crate) version: u64,
-    /// It is watched for changes.
+    /// Whether discovery is watched for changes.
     pub(crate) is_watched: bool,
-    /// Lists come unasked, to an agent beside this process.
+    /// Whether lists are pushed, to an agent on this machine.
     pub(crate) is_pushed: bool,
 }
 
 impl Engine {
-    /// Goes on with the list at another address. For the policy the watch just goes on: a call at
-    /// the old address that ends with it is no failure of discovery.
+    /// Changes the address of discovery and restarts a watch in progress there. The policy is not
+    /// told: the end of the call to the old address is not a failure of discovery.
     pub(crate) fn move_discovery(&mut self, addr: SocketAddr, out: &mut Vec<Effect>) {
         if addr != self.discovery.addr {
             self.discovery.addr = addr;
@@ -33,16 +33,17 @@
         }
     }
 
-    /// Watches discovery for what is newer than the known version.
+    /// Watches discovery for versions newer than the known one.
     pub(crate) fn watch_endpoints(&mut self, out: &mut Vec<Effect>) {
         self.discovery.is_watched = true;
         let (addr, version) = (self.discovery.addr, self.discovery.version);
         out.push(Effect::WatchEndpoints { addr, version });
     }
 
-    /// Where lists are pushed, the policy waits for them and asks for none. On sockets they lie
-    /// with an agent on this machine, and what it holds counts as notified: it is watched from the
-    /// start, and again soon after a call that failed.
+    /// Watches the agent if lists are pushed. The policy then requests no list but waits for one to
+    /// be pushed. In this program lists are pushed to an agent on this machine, and a list held by
+    /// the agent counts as pushed. So the agent is watched from the start, and again
+    /// [`AGENT_RETRY_INTERVAL`] after a failed call.
     pub(crate) fn follow_agent(&mut self, now: Nanos, scope: EndpointUpdate, out: &mut Vec<Effect>) {
         if !self.discovery.is_pushed {
             return;
--- a/crates/service/engine/src/durability_barrier.rs
+++ b/crates/service/engine/src/durability_barrier.rs
@@ -1,20 +1,21 @@
-//! Effects that may be seen only when the records before them are durable.
+//! The barrier that delays effects until the records that they depend on are durable.
 use crate::{Answer, AttemptId, Effect, NoticeReply};
 use spanlead_balancing_policy::Nanos;
 use std::collections::{HashSet, VecDeque};
 
-/// Holds effects back until their records are durable, and releases them when that comes too late
-/// or never.
+/// Holds effects until the records appended before them are durable. Effects that have waited too
+/// long, or whose records can no longer become durable, are released in a form that is safe without
+/// them.
 #[derive(Debug, Default)]
 pub struct DurabilityBarrier {
-    /// The last record that was appended.
+    /// Log sequence number of the last appended record.
     last_appended: u64,
-    /// The last record that is durable.
+    /// Log sequence number of the last durable record.
     last_durable: u64,
     failed: bool,
-    /// In the order in which they were submitted, so by their records too.
+    /// In the order of submission, which is also the order of their records.
     waiting: VecDeque<WaitingEffect>,
-    /// Attempts among them that were not cancelled.
+    /// The attempts among the waiting effects that were not cancelled.
     unsent: HashSet<AttemptId>,
 }
 
@@ -26,35 +27,35 @@
     effect: Effect,
 }
 
-/// What becomes of an effect that has waited.
+/// How to proceed with an effect that was submitted to the barrier.
 #[derive(Debug)]
 pub enum ReleasedEffect {
-    /// It is to be performed now.
+    /// Perform the effect now.
     Perform(Effect),
-    /// This attempt was never sent, and will not be.
+    /// The attempt was not sent and must not be sent any more.
     NeverSent(AttemptId),
-    /// The worker of this notice gets no answer, and sends it again.
+    /// The notice with this id gets no reply; its worker sends it again.
     Unacknowledged(u64),
 }
 
 impl DurabilityBarrier {
-    /// The log is open, and durable up to this record.
+    /// Starts from an open log that is durable up to record `last`.
     pub fn open(&mut self, last: u64) {
         (self.last_appended, self.last_durable) = (last, last);
     }
 
-    /// A record was appended under this number.
+    /// Notes that a record was appended with this log sequence number.
     pub fn record_appended(&mut self, record: u64) {
         self.last_appended = record;
     }
 
-    /// Whether nothing waits.
+    /// Whether no effect is waiting.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Takes an effect that must not be seen before all records so far are durable. Returns what
-    /// can be done at once.
+    /// Submits an effect that must not be performed before all records appended so far are durable,
+    /// and that expires at `until`. Returns what can be released at once.
     pub fn submit(&mut self, effect: Effect, until: Nanos) -> Option<ReleasedEffect> {
         if self.failed {
             return release_after_failure(effect, true);
@@ -69,7 +70,7 @@
         None
     }
 
-    /// Records are durable up to this one.
+    /// Notes that the records up to `last` are durable, and returns the effects that this releases.
     pub fn records_durable(&mut self, last: u64) -> Vec<ReleasedEffect> {
         self.last_durable = last;
         let mut released = Vec::new();
@@ -81,7 +82,7 @@
         released
     }
 
-    /// Whether an effect is still to be performed: an attempt may have been cancelled meanwhile.
+    /// Whether an effect is still to be performed: a waiting attempt may have been cancelled.
     fn is_wanted(&mut self, effect: &Effect) -> bool {
         match effect {
             Effect::SendAttempt { attempt, .. } => self.unsent.remove(attempt),
@@ -89,14 +90,15 @@
         }
     }
 
-    /// Cancels an attempt that still waits here; whether there was one.
+    /// Cancels an attempt that is still waiting. Returns whether there was one.
     pub fn cancel(&mut self, attempt: AttemptId) -> bool {
         self.unsent.remove(&attempt)
     }
 
-    /// No record will become durable any more. What was not sent must not be, since its lease may
-    /// not be on disk, and none is renewed. Ends and notices are released all the same: the leases
-    /// behind them are on disk, so no other process runs these jobs anew.
+    /// Notes that the log has failed, so that no further record becomes durable, and releases all
+    /// effects. Attempts that were not sent must not be, since their leases may not be on disk; no
+    /// lease is renewed. Answers and acknowledgements are released all the same: the leases of
+    /// their jobs are on disk, so no other process starts these jobs again.
     pub fn fail(&mut self) -> Vec<ReleasedEffect> {
         self.failed = true;
         let mut released = Vec::new();
@@ -107,8 +109,9 @@
         released
     }
 
-    /// Releases what has waited too long: a client is answered that its request failed while it
-    /// still waits, which claims nothing; an attempt is not worth sending any more.
+    /// Releases the effects that have expired by `now`. A waiting client is answered that its
+    /// request failed, which claims nothing about the job; an attempt is not sent, since its time
+    /// is over.
     pub fn expire(&mut self, now: Nanos) -> Vec<ReleasedEffect> {
         let all = std::mem::take(&mut self.waiting).into_iter();
         let (expired, waiting): (VecDeque<_>, VecDeque<_>) = all.partition(|waiting| waiting.until <= now);
@@ -131,7 +134,7 @@
     }
 }
 
-/// What becomes of an effect when the log has failed.
+/// The form in which an effect is released after the log has failed.
 fn release_after_failure(effect: Effect, is_wanted: bool) -> Option<ReleasedEffect> {
     match effect {
         Effect::SendAttempt { attempt, .. } => is_wanted.then_some(ReleasedEffect::NeverSent(attempt)),
--- a/crates/service/engine/src/durable.rs
+++ b/crates/service/engine/src/durable.rs
@@ -1,13 +1,14 @@
-//! Durable jobs: jobs that go on through a crash of the process.
+//! Durable jobs: jobs that survive a crash of the process.
 //!
-//! - `recording`: which jobs are durable, and the records of what becomes of them;
-//! - `repeats`: repeats of a request, which join it or are answered again;
+//! - `recording`: which jobs are durable, and their records in the log;
+//! - `repeats`: repeated requests, which join the open request or get the recorded answer;
 //! - `leases`: the leases under which workers run durable jobs;
-//! - `storage`: the log's size, and its failure;
-//! - `recovery`: what comes back after a crash.
+//! - `storage`: the log's size and failure;
+//! - `recovery`: the continuation of open jobs after a crash.
 //!
-//! The order between records and what is seen of them is kept by where [`Effect::AppendRecord`]
-//! stands: what must wait for it is wrapped in [`Effect::AfterDurable`] behind it.
+//! The order of effects keeps a record ahead of what depends on it: an effect that must not be
+//! visible before a record is durable follows its [`Effect::AppendRecord`], wrapped in
+//! [`Effect::AfterDurable`].
 mod leases;
 mod recording;
 mod recovery;
@@ -20,41 +21,42 @@
 use spanlead_durable_jobs::{ClockAnchor, JobNumber, JobTable, Lsn};
 use std::collections::HashMap;
 
-/// What a client is told to wait whose job cannot be recorded now.
+/// Retry delay advised to a client whose job cannot be recorded now.
 const DURABLE_RETRY_AFTER: Nanos = 1_000 * MS;
 
-/// The log of durable jobs, read, and how jobs are kept.
+/// The jobs read from the log of durable jobs, and the settings for durable jobs.
 #[derive(Debug)]
 pub struct DurableSetup {
-    /// The jobs that were read.
+    /// The jobs read from the log.
     pub job_table: JobTable,
-    /// How this process's clock reads.
+    /// Relates the clock of this process to those of other processes.
     pub clock_anchor: ClockAnchor,
-    /// Whether jobs are kept that nobody can come back for and whose repeats are harmless.
+    /// Whether all jobs are durable, including those without an idempotency key, which no client
+    /// can ask for again, in classes whose jobs may run more than once.
     pub keep_all_jobs: bool,
-    /// How long a worker may hold a job without a notice.
+    /// How long a worker may keep a job without sending a notice.
     pub lease_duration: Nanos,
-    /// The most by which clocks drift apart, or a message waits, within a lease.
+    /// Bound on the clock drift, and on the delay of a message, within a lease.
     pub clock_bound: Nanos,
-    /// The most on disk, bytes.
+    /// The maximum size of the log on disk, bytes.
     pub max_disk_bytes: u64,
-    /// The size of a segment, bytes.
+    /// The size of a log segment, bytes.
     pub segment_bytes: u64,
 }
 
 /// The durable jobs of this process.
 pub(crate) struct DurableJobs {
     pub(crate) job_table: JobTable,
-    /// The log cannot be written to any more.
+    /// Whether the log is no longer writable.
     pub(crate) failed: bool,
-    /// The open request of each job.
+    /// The open request of each open job.
     pub(crate) open_requests: HashMap<JobNumber, RequestId>,
     keep_all_jobs: bool,
     lease_duration: Nanos,
     clock_bound: Nanos,
     max_disk_bytes: u64,
     segment_bytes: u64,
-    /// The oldest record that the log was told to keep.
+    /// The oldest needed record at the last truncation of the log.
     truncated_to: Lsn,
     counters: DurableJobStats,
 }
@@ -81,7 +83,7 @@
         DurableJobStats { open, retained, live_bytes, failed: self.failed, ..self.counters }
     }
 
-    /// Whether the job of this id is kept with its end.
+    /// Whether the job of this id has ended and its result is retained.
     pub(crate) fn has_finished_job(&self, job_id: &str) -> bool {
         self.job_table.job_by_id(job_id).is_some_and(|job| !job.is_open())
     }
@@ -97,7 +99,7 @@
     }
 }
 
-/// How durable jobs are kept.
+/// The settings for durable jobs.
 struct DurableSettings {
     keep_all_jobs: bool,
     lease_duration: Nanos,
@@ -106,13 +108,13 @@
     segment_bytes: u64,
 }
 
-/// An effect that waits for all records before it.
+/// Wraps an effect so that it waits until all earlier records are durable, at most until `until`.
 pub(crate) fn after_durable(effect: Effect, until: Nanos) -> Effect {
     Effect::AfterDurable { effect: Box::new(effect), until }
 }
 
-/// An answer to a client. A result waits until it is durable; whatever else is said of a job claims
-/// nothing that a crash could make untrue.
+/// The effect that answers a client. A job's result is sent only once it is durable. Other answers
+/// are sent at once, since they claim nothing that a crash could make untrue.
 pub(crate) fn answer_effect(
     request_id: RequestId,
     answer: Answer,
--- a/crates/service/engine/src/effect.rs
+++ b/crates/service/engine/src/effect.rs
@@ -1,4 +1,4 @@
-//! The effects of the engine: everything that it wants read, written or sent.
+//! The effects of the engine: the I/O that it asks the driver to perform.
 use crate::input::AttemptId;
 use crate::snapshot::RequestSnapshot;
 use bytes::Bytes;
@@ -7,64 +7,65 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The answer to a worker's notice.
+/// The reply to a worker's notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoticeReply {
-    /// The notice was taken.
+    /// The notice was processed.
     Acknowledged {
-        /// For how long the worker's lease is valid from when it sent the notice.
+        /// The remaining validity of the worker's lease, counted from when the worker sent the
+        /// notice; `None` if the lease is not renewed.
         lease: Option<Nanos>,
     },
-    /// The worker's lease is over: it must stop, and its result is not used.
+    /// The worker's lease is over: the worker must stop the job, and its result is discarded.
     Fenced,
 }
 
-/// A lease as its worker gets it.
+/// A lease as granted to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseGrant {
     /// The fencing token.
     pub token: u64,
-    /// For how long it is valid from when the worker has received it.
+    /// The lease's validity, counted from when the worker receives it.
     pub duration: Nanos,
 }
 
-/// A request's one final answer.
+/// The final answer to a request; each request is answered once.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// The job is done, with this result.
+    /// The job succeeded with this result.
     Served(String),
-    /// Nothing has run; the client may try again.
+    /// The job has not run; the client may retry.
     Rejected {
-        /// After this time, if the deployment gives such advice.
+        /// The delay after which to retry, if one is advised.
         retry_after: Option<Nanos>,
     },
-    /// The job has failed, or may have run without a result.
+    /// The job failed, or may have run without a known result.
     Failed,
-    /// A worker says that it cannot process the request.
+    /// A worker found the request invalid.
     Unprocessable,
-    /// The id is that of a request that is still open.
+    /// Another open request has the same id.
     DuplicateId,
-    /// The idempotency key was used for another request.
+    /// The idempotency key was used before for a different request.
     KeyMismatch,
 }
 
-/// Everything that the engine wants done.
+/// An action that the engine asks the driver to perform.
 #[derive(Debug)]
 pub enum Effect {
-    /// The request belongs to the successor process from now on.
+    /// Hands a request over to the successor process.
     HandOverRequest {
         /// The request.
         request_id: RequestId,
-        /// What the successor must know of it.
+        /// The state that the successor needs to continue the request.
         snapshot: RequestSnapshot,
     },
-    /// Answers a client.
+    /// Sends a client its answer.
     Answer {
         /// The client's request.
         request_id: RequestId,
         /// The answer.
         answer: Answer,
-        /// The durable job whose answer it is, if its delivery is to be recorded.
+        /// The durable job that the answer belongs to, if its delivery must be recorded.
         job: Option<JobNumber>,
     },
     /// Dispatches an attempt to a worker.
@@ -73,35 +74,35 @@
         attempt: AttemptId,
         /// The worker's address.
         addr: SocketAddr,
-        /// When the dispatch is given up.
+        /// The time at which the dispatch is given up.
         until: Nanos,
-        /// The lease on a durable job.
+        /// The lease granted to the worker, if the job is durable.
         lease: Option<LeaseGrant>,
-        /// The encoded request, where no client's request is at hand.
+        /// The encoded request, if the driver does not hold the request of a waiting client.
         encoded_request: Option<Bytes>,
     },
     /// Appends a record to the log of durable jobs.
     AppendRecord(Record),
-    /// Performs the effect when all records appended so far are durable.
+    /// Performs an effect once all records appended so far are durable.
     AfterDurable {
-        /// What is performed then.
+        /// The delayed effect.
         effect: Box<Effect>,
-        /// If the records are not durable by then, it is too late for the effect.
+        /// The time after which the effect is released as expired if its records are not durable.
         until: Nanos,
     },
-    /// Answers a worker's notice.
+    /// Replies to a worker's notice.
     Acknowledge {
-        /// The driver's number of the notice.
+        /// The id that the driver gave the notice.
         notice_id: u64,
-        /// The answer.
+        /// The reply.
         reply: NoticeReply,
     },
-    /// The log's records before this one are not needed any more.
+    /// Lets the log remove records that are no longer needed.
     TruncateLog {
-        /// The oldest record that is needed.
+        /// Log sequence number of the oldest record that is still needed.
         oldest_needed_lsn: u64,
     },
-    /// Cancels an attempt and tells its worker.
+    /// Cancels an attempt at its worker.
     CancelAttempt {
         /// The attempt.
         attempt: AttemptId,
@@ -109,9 +110,9 @@
         addr: SocketAddr,
         /// The job's id.
         job_id: Arc<str>,
-        /// The worker has accepted the job.
+        /// Whether the worker has accepted the job.
         accepted: bool,
-        /// When the worker is not called any longer.
+        /// The time at which the driver stops trying to reach the worker.
         until: Nanos,
     },
     /// Checks a worker's health.
@@ -120,7 +121,7 @@
         worker: Arc<str>,
         /// The worker's address.
         addr: SocketAddr,
-        /// When the check counts as timed out.
+        /// The time at which the check times out.
         until: Nanos,
     },
     /// Closes the idle connections to a worker.
@@ -130,39 +131,38 @@
     },
     /// Sends a datagram to another scheduler.
     SendPeerMessage {
-        /// The peer's index; all peers if there is none.
+        /// The peer's index; `None` sends to all peers.
         peer: Option<u32>,
-        /// Its bytes.
+        /// The datagram's payload.
         data: Vec<u8>,
     },
-    /// Makes the call that a role's holder owes, with its term.
+    /// Makes the periodic call of a singleton role's holder.
     CallRole {
         /// The role's number.
         role: usize,
-        /// The term of the lease on the role.
+        /// The term of the lease on the role, sent with the call.
         term: u64,
-        /// The address that is called.
+        /// The address to call.
         addr: SocketAddr,
-        /// The path that is called.
+        /// The path to call.
         path: Arc<str>,
-        /// When the call is given up.
+        /// The time at which the call is given up.
         until: Nanos,
     },
-    /// This scheduler has taken or lost a singleton role.
+    /// Reports that this scheduler acquired or lost a singleton role.
     RoleChanged {
         /// The role's name.
         name: String,
-        /// What happened.
+        /// The change.
         change: spanlead_singleton_roles::LeaseChange,
     },
-    /// The state of another scheduler has changed.
+    /// Reports that the state of another scheduler changed.
     MemberChanged(spanlead_membership::MemberStateChange),
-    /// Watches discovery for versions of the endpoint list after this one, in place of any watch
-    /// under way.
+    /// Watches discovery for newer versions of the endpoint list, replacing any watch in progress.
     WatchEndpoints {
         /// The address of discovery.
         addr: SocketAddr,
-        /// The version that is known.
+        /// The known version; newer ones are watched for.
         version: u64,
     },
     /// Fetches the full endpoint list once.
@@ -170,15 +170,15 @@
         /// The address of discovery.
         addr: SocketAddr,
     },
-    /// Writes a line to the log for operators.
+    /// Writes a line to the program's log.
     Log(String),
-    /// A version of an inventory is not used.
+    /// Reports that a version of an inventory was rejected.
     InventoryRejected {
         /// The inventory's name.
         name: Arc<str>,
         /// The version's number.
         version: u64,
-        /// Why.
+        /// The reason.
         reason: String,
     },
 }
--- a/crates/service/engine/src/engine.rs
+++ b/crates/service/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's state, and the one entry for inputs.
+//! The engine's state and the dispatch of inputs.
 use crate::classes::ClassTable;
 use crate::discovery::DiscoveryState;
 use crate::durable::DurableJobs;
@@ -19,17 +19,17 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How long a health check may take.
+/// Timeout of a health check.
 const HEALTH_CHECK_TIMEOUT: Nanos = 500 * MS;
 
-/// What is counted beside requests. All counts begin with the process.
+/// Counters other than those of requests. They start from 0 when the process starts.
 #[derive(Default)]
 struct Counters {
-    /// Attempts that were written whole to their workers.
+    /// Attempts whose request was written completely to a worker.
     written_attempts: u64,
     reloads: u64,
     failed_reloads: u64,
-    /// Invalid input, by reason; the reasons are a fixed few.
+    /// Number of invalid inputs, by reason; there is a small fixed set of reasons.
     invalid_input: BTreeMap<&'static str, u64>,
 }
 
@@ -39,21 +39,21 @@
     }
 }
 
-/// The whole state of a scheduler. Each field keeps its own invariants; what concerns several of
-/// them is done by the engine's methods, which stand in the module of their concern.
+/// The whole state of a scheduler. Each field keeps its own invariants. Operations that involve
+/// several fields are methods of the engine, defined in the module of their subject.
 pub struct Engine {
     policy: Dispatcher,
     pub(crate) classes: ClassTable,
     pub(crate) requests: RequestTable,
     pub(crate) workers: WorkerTable,
     pub(crate) discovery: DiscoveryState,
-    /// Durable jobs are kept; none is accepted before their log is open.
+    /// Whether this scheduler keeps durable jobs; it accepts none before their log is open.
     pub(crate) keeps_durable_jobs: bool,
-    /// The durable jobs, while their log is open here.
+    /// The durable jobs, while this process has their log open.
     pub(crate) durable: Option<DurableJobs>,
-    /// The other schedulers, where that is switched on.
+    /// The membership of schedulers, if it is enabled.
     pub(crate) membership: Option<Membership>,
-    /// The singleton roles, where there are any.
+    /// The singleton roles, if any are configured.
     pub(crate) roles: Option<SingletonRoles>,
     pub(crate) timers: TimerQueue,
     pub(crate) lifecycle: Lifecycle,
@@ -61,11 +61,12 @@
 }
 
 impl Engine {
-    /// A scheduler that knows no workers yet and has at most `max_open_requests` open. With
-    /// `keeps_durable_jobs` no durable job is accepted before [`Input::DurableJobsOpened`].
+    /// Creates an engine that knows no workers yet and holds at most `max_open_requests` open
+    /// requests. `seed` seeds the balancing policy and `discovery` is the address of discovery.
+    /// With `keeps_durable_jobs`, no durable job is accepted before [`Input::DurableJobsOpened`].
     ///
     /// # Errors
-    /// If the balancing policy refuses the settings.
+    /// If the balancing policy rejects the settings.
     pub fn new(
         settings: Settings,
         names: Arc<Names>,
@@ -97,28 +98,29 @@
         })
     }
 
-    /// Whether this job is open here, or kept with its end.
+    /// Whether this job is open in this process, or is a durable job that has ended and whose
+    /// result is retained.
     pub fn knows_job(&self, job_id: &str) -> bool {
-        let is_kept = || self.durable.as_ref().is_some_and(|jobs| jobs.has_finished_job(job_id));
-        self.requests.id_of_job(job_id).is_some() || is_kept()
+        let is_retained = || self.durable.as_ref().is_some_and(|jobs| jobs.has_finished_job(job_id));
+        self.requests.id_of_job(job_id).is_some() || is_retained()
     }
 
-    /// The id that workers know this open request by.
+    /// The job id under which workers know this open request.
     pub fn job_id(&self, request_id: RequestId) -> Option<Arc<str>> {
         self.requests.get(request_id).map(|request| request.job_id.clone())
     }
 
-    /// Whether the log of durable jobs cannot be written to any more.
+    /// Whether the log of durable jobs is no longer writable.
     pub fn has_storage_failed(&self) -> bool {
         self.durable.as_ref().is_some_and(|jobs| jobs.failed)
     }
 
-    /// How many open requests are durable.
+    /// The number of open requests whose jobs are durable.
     pub fn open_durable_job_count(&self) -> usize {
         self.requests.iter().filter(|(_, request)| request.durable.is_some()).count()
     }
 
-    /// When [`Input::Tick`] is next due.
+    /// The time at which [`Input::Tick`] is next due; `None` if nothing is pending.
     pub fn next_timer(&self, now: Nanos) -> Option<Nanos> {
         let timer = self.timers.next_due();
         let shutdown = self.lifecycle.redirect_deadline(now).filter(|_| self.requests.is_empty());
@@ -126,7 +128,7 @@
         [timer, shutdown, expiry].into_iter().flatten().min()
     }
 
-    /// The figures that operators are shown, with the classes under their names.
+    /// The statistics shown to operators. `classes` are the names of all classes, by number.
     pub fn stats(&self, now: Nanos, classes: &[String]) -> EngineStats {
         let mut downstream_requests: BTreeMap<String, RequestCounts> = BTreeMap::new();
         for (name, counts) in classes.iter().zip(self.requests.counts()) {
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Takes one input at time `now` and appends what is to be done.
+    /// Processes one input at time `now` and appends the resulting effects to `out`.
     pub fn step(&mut self, now: Nanos, input: Input, out: &mut Vec<Effect>) {
         match input {
             Input::RequestReceived { request_id, job, previous_attempts, durable: false } => {
@@ -223,7 +225,7 @@
         }
     }
 
-    /// A datagram is the membership's; without one it is the balancing policy's.
+    /// Passes a datagram to the membership if that is enabled, else to the balancing policy.
     fn peer_message(&mut self, now: Nanos, from: u32, data: &[u8], out: &mut Vec<Effect>) {
         if self.membership.is_some() {
             self.membership_message(now, from, data, out);
@@ -240,16 +242,16 @@
         self.run_policy(now, Event::SettingsChanged { settings, continues: continued_classes }, out);
     }
 
-    /// Gives the balancing policy an event and carries out its actions.
+    /// Passes an event to the balancing policy and performs the resulting actions.
     pub(crate) fn run_policy(&mut self, now: Nanos, event: Event<'_>, out: &mut Vec<Effect>) {
         let mut actions = Vec::new();
         self.policy.handle(now, event, &mut actions);
         for action in actions {
-            self.carry_out(now, action, out);
+            self.perform_action(now, action, out);
         }
     }
 
-    fn carry_out(&mut self, now: Nanos, action: Action, out: &mut Vec<Effect>) {
+    fn perform_action(&mut self, now: Nanos, action: Action, out: &mut Vec<Effect>) {
         match action {
             Action::Send { id, worker, timeout } => self.send_attempt(now, id, &worker, timeout, out),
             Action::Reject { id, retry_after } => {
@@ -260,8 +262,8 @@
                 let attempt = AttemptId { request: id, number: attempt };
                 self.cancel_attempt(now, attempt, Outcome::Cancelled, out);
             }
-            // A timer never fires in the step that sets it; what is a round in the simulator is a
-            // tick here.
+            // A timer never fires in the step that sets it, so the delay is at least one tick. A
+            // tick corresponds to a round of the simulator.
             Action::Timer { after, token } => {
                 self.timers.set(now + after.max(self.classes.tick), Timer::Policy(token));
             }
--- a/crates/service/engine/src/handover.rs
+++ b/crates/service/engine/src/handover.rs
@@ -1,13 +1,13 @@
-//! Open requests that the successor process takes over.
+//! The handover of open requests to the successor process.
 use crate::request_table::{Attempt, AttemptStage, JoinedClient};
 use crate::{AttemptSnapshot, Effect, Engine, RequestSnapshot};
 use spanlead_balancing_policy::{Event, Nanos, RequestId};
 
 impl Engine {
-    /// Gives up what is open to the successor; a request of which a worker is just being told, one
-    /// way or the other, must wait.
+    /// Hands over the open requests to the successor, except those with a dispatch or a
+    /// cancellation in progress.
     pub(crate) fn hand_over_requests(&mut self, now: Nanos, out: &mut Vec<Effect>) {
-        for request_id in self.requests.movable() {
+        for request_id in self.requests.ready_for_handover() {
             self.hand_over_request(now, request_id, out);
         }
     }
@@ -19,7 +19,7 @@
             let snapshot = RequestSnapshot { id: job_id, deadline, attempts: Vec::new(), durable: true };
             out.push(Effect::HandOverRequest { request_id, snapshot });
         }
-        // The successor reads the attempts of a durable job in the log.
+        // The successor reads the attempts of a durable job from the log.
         let durable = request.durable.is_some();
         let attempts = if durable { Vec::new() } else { request.attempts };
         let attempts = attempts.into_iter().map(attempt_snapshot).collect();
--- a/crates/service/engine/src/input.rs
+++ b/crates/service/engine/src/input.rs
@@ -1,4 +1,5 @@
-//! The inputs of the engine: everything that can happen to a scheduler.
+//! The inputs of the engine: client requests, worker notices, results of calls, operator commands
+//! and ticks.
 use crate::snapshot::AttemptSnapshot;
 use crate::{DurableSetup, RoleCallResult, RoleTask};
 use bytes::Bytes;
@@ -11,67 +12,70 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A client's request for a job, as decoded.
+/// A decoded request of a client to run a job.
 #[derive(Debug)]
 pub struct Job {
-    /// The id that the client chose; workers know the job by it.
+    /// The id chosen by the client, under which workers know the job.
     pub id: Arc<str>,
-    /// Number of the class in the deployment's settings.
+    /// Number of the class, an index into [`Names::classes`].
     pub class: u32,
-    /// Number of the tenant in the deployment's settings.
+    /// Number of the tenant, an index into [`Names::tenants`].
     pub tenant: u32,
-    /// Slots that the job takes at a worker.
+    /// Slots that the job occupies at a worker.
     pub slots: f64,
-    /// Memory units that the job takes at a worker.
+    /// Memory units that the job occupies at a worker.
     pub memory: f64,
-    /// Digest of the affinity key: jobs with the same one prefer the same workers.
+    /// Digest of the affinity key; jobs with the same digest prefer the same workers.
     pub affinity_key: Option<u64>,
-    /// When the client gives up, on the engine's clock. It travels with the request.
+    /// The time at which the client gives up, on the engine's clock. It is passed on with the
+    /// request.
     pub deadline: Nanos,
-    /// What is logged of the job; set if this scheduler keeps durable jobs.
+    /// The data to log for the job; set if this scheduler keeps durable jobs.
     pub durable_request: Option<DurableRequest>,
 }
 
-/// What makes a request recognisable when it is repeated, and lets another process send it.
+/// The part of a request that is logged: it identifies repeats of the request and lets another
+/// process dispatch it.
 #[derive(Clone, Debug)]
 pub struct DurableRequest {
     /// The request's `Idempotency-Key`.
     pub key: Option<Arc<str>>,
-    /// Digest of what is asked for.
+    /// Digest of the request's content.
     pub fingerprint: [u8; 16],
-    /// The request as it goes to a worker, encoded.
+    /// The request to dispatch to a worker, encoded.
     pub encoded_request: Bytes,
 }
 
-/// A worker as the endpoint list names it; `None` is what the list does not say.
+/// An entry of the endpoint list. A field is `None` if the list does not state it.
 #[derive(Clone, Debug)]
 pub struct WorkerEndpoint {
     /// The worker's name.
     pub name: Arc<str>,
-    /// Where it takes jobs.
+    /// The address to which jobs are dispatched.
     pub addr: SocketAddr,
-    /// Whether it is ready, draining or gone.
+    /// Whether the worker is ready, draining or removed.
     pub state: WorkerState,
-    /// When its process started, on the engine's clock.
+    /// The start time of the worker's process, on the engine's clock.
     pub started: Option<Nanos>,
-    /// Number of its kind of machine; `u32::MAX` for one that the settings do not name.
+    /// Number of its machine kind; `u32::MAX` for a kind that the settings do not name.
     pub kind: Option<u32>,
-    /// Number of its zone; `u32::MAX` for one that the settings do not name.
+    /// Number of its zone; `u32::MAX` for a zone that the settings do not name.
     pub zone: Option<u32>,
-    /// Number of its pod.
+    /// Number of its pod, which the balancing policy calls a cell.
     pub cell: Option<u32>,
-    /// Its weight against other workers.
+    /// Its weight relative to other workers.
     pub weight: Option<f64>,
 }
 
-/// A new version of the workers' attributes, as inventories state them.
+/// A new version of the workers' attributes stated by the inventories.
 #[derive(Debug)]
 pub struct InventoryUpdate {
-    /// The attributes of all inventories.
+    /// The merged attributes of all inventories.
     pub merged_inventory: Arc<MergedInventory>,
     /// The inventory whose new version caused this update.
     pub cause: Option<InventoryVersion>,
-    /// An operator accepted it: it is used even if it leaves a class without workers.
+    /// Whether an operator has accepted the update: it then applies even if it leaves a class
+    /// without workers.
     pub forced: bool,
 }
 
@@ -84,79 +88,80 @@
     pub number: u64,
 }
 
-/// How the exchange that dispatches an attempt to its worker ended.
+/// The result of the exchange that dispatches an attempt to its worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DispatchResult {
-    /// The worker has the job and will notify the scheduler of what becomes of it.
+    /// The worker has accepted the job and will send notices of its progress and its end.
     Accepted {
-        /// The worker understood its lease and stops when it expires.
+        /// Whether the worker supports leases and stops the job when its lease expires.
         lease_aware: bool,
     },
-    /// The worker cannot process the request, nor could another.
+    /// The request is invalid: no worker could process it.
     Unprocessable,
-    /// The attempt is over.
+    /// The attempt has ended with this outcome and load report.
     Ended(Outcome, Option<LoadReport>),
 }
 
-/// What a worker's notice says of a job that it has accepted.
+/// The state of an accepted job, as a worker's notice reports it.
 #[derive(Debug)]
 pub enum JobUpdate {
-    /// It has begun to run.
+    /// The job has started to run.
     Started,
-    /// It runs; the share that is done, from 0 to 1.
+    /// The job is running; the completed fraction, from 0 to 1.
     Running(f64),
-    /// It is done, with this result.
+    /// The job has succeeded with this result.
     Done(String),
-    /// It ran and failed.
+    /// The job ran and failed.
     Failed,
-    /// The worker gives it back without having run it.
+    /// The worker returns the job without having run it.
     Returned,
-    /// The worker does not have it any more.
+    /// The worker no longer has the job.
     Lost,
 }
 
-/// What a worker notifies this scheduler of.
+/// A notice of a worker about a job.
 #[derive(Debug)]
 pub struct WorkerNotice {
-    /// The driver's number of the notice, by which it is acknowledged.
+    /// The id that the driver gave the notice; [`Effect::Acknowledge`](crate::Effect::Acknowledge)
+    /// refers to it.
     pub notice_id: u64,
     /// The job's id.
     pub job_id: String,
     /// The worker's name.
     pub worker: String,
-    /// The fencing token, from a worker that knows leases.
+    /// The fencing token of the worker's lease, if the worker supports leases.
     pub fencing_token: Option<u64>,
-    /// What the worker says of the job.
+    /// The state of the job.
     pub update: JobUpdate,
-    /// The worker's load.
+    /// The worker's load report.
     pub report: Option<LoadReport>,
 }
 
 /// New settings of the deployment.
 #[derive(Debug)]
 pub struct SettingsChange {
-    /// The settings from now on.
+    /// The new settings.
     pub settings: Box<Settings>,
-    /// For each class of them the number of the earlier class that it continues.
+    /// For each class of the new settings, the number of the earlier class that it continues.
     pub continued_classes: Vec<Option<u32>>,
 }
 
-/// Everything that can happen.
+/// An input of the engine.
 #[derive(Debug)]
 pub enum Input {
-    /// A client's request has arrived whole.
+    /// A client's request was received completely.
     RequestReceived {
-        /// Chosen by the driver; unique in the process.
+        /// The id that the driver gave the request; unique in the process.
         request_id: RequestId,
         /// The request.
         job: Job,
-        /// What another process of this scheduler did for it before; set for one that was handed
-        /// over.
+        /// The attempts made by the process that handed the request over; `None` for a request that
+        /// was not handed over.
         previous_attempts: Option<Vec<AttemptSnapshot>>,
-        /// It was handed over, and the log of durable jobs holds it.
+        /// Whether the request was handed over and is in the log of durable jobs.
         durable: bool,
     },
-    /// The client has closed its connection before the answer.
+    /// The client closed its connection before it was answered.
     ClientDisconnected {
         /// The client's request.
         request_id: RequestId,
@@ -165,130 +170,136 @@
     DispatchFinished {
         /// The attempt.
         attempt: AttemptId,
-        /// How it ended.
+        /// The result.
         result: DispatchResult,
     },
-    /// A worker's notice; it is answered by [`Effect::Acknowledge`](crate::Effect::Acknowledge).
+    /// A worker sent a notice; [`Effect::Acknowledge`](crate::Effect::Acknowledge) answers it.
     WorkerNotice(WorkerNotice),
-    /// The worker knows that the attempt is cancelled, or it is not tried any longer to tell it.
+    /// The worker has confirmed that the attempt is cancelled, or the call that cancels it was
+    /// given up.
     AttemptCancelled {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The endpoint list of discovery, or the changes in it, at this version.
+    /// Discovery sent the endpoint list or changes to it, or a call to discovery failed.
     EndpointList {
-        /// Whether it is the full list, or changes; or that the call failed.
+        /// Whether `hosts` is the full list or only changes, or the call failed.
         scope: EndpointUpdate,
-        /// Version of the list.
+        /// The list's version.
         version: u64,
-        /// The workers that it names.
+        /// The entries of the list.
         hosts: Vec<WorkerEndpoint>,
     },
-    /// The configuration file was read again.
+    /// The configuration file was reloaded.
     ConfigurationReloaded {
-        /// Where discovery is from now on.
+        /// The new address of discovery.
         discovery: SocketAddr,
-        /// The settings, if they have changed.
+        /// The new settings, if they have changed.
         settings: Option<SettingsChange>,
-        /// The names behind the settings' numbers.
+        /// The names of the classes, tenants, zones and kinds, which the settings refer to by
+        /// number.
         names: Arc<Names>,
     },
     /// A health check has ended.
     HealthChecked {
-        /// The worker that was checked.
+        /// The checked worker.
         worker: Arc<str>,
-        /// When the check was sent.
+        /// The time at which the check was sent.
         sent: Nanos,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// The worker's load.
+        /// The worker's load report.
         report: Option<LoadReport>,
     },
-    /// A datagram of another scheduler.
+    /// A datagram of another scheduler was received.
     PeerMessage {
         /// The peer's index.
         from: u32,
-        /// Its bytes.
+        /// The datagram's payload.
         data: Vec<u8>,
     },
     /// This scheduler joins the membership.
     JoinMembership {
-        /// How it takes part.
+        /// The settings of the membership protocol.
         settings: Box<spanlead_membership::MembershipConfig>,
-        /// The span between two heartbeats.
+        /// The interval between heartbeats.
         heartbeat_interval: Nanos,
     },
-    /// Singleton roles that one of the schedulers holds at a time.
+    /// Configures the singleton roles; at most one scheduler at a time holds each of them.
     ConfigureRoles {
-        /// How leases on roles are granted.
+        /// The settings of the lease protocol.
         settings: spanlead_singleton_roles::RoleConfig,
-        /// The roles, in the order of their numbers.
+        /// The roles and the calls that their holders make, by role number.
         tasks: Vec<RoleTask>,
     },
-    /// An operator wants another scheduler to hold this role.
+    /// An operator asks this scheduler to release a role so that another one takes it over.
     ReleaseRole {
         /// The role's name.
         name: String,
     },
-    /// The call that a role's holder makes has ended.
+    /// A call made by this scheduler as holder of a role has ended.
     RoleCallFinished {
         /// The role's number.
         role: usize,
-        /// How the call ended.
+        /// The result.
         result: RoleCallResult,
     },
-    /// This process ends and owes nothing any more: the peers are told that it has left.
+    /// This process exits and has no work left: it announces to the peers that it leaves.
     LeaveMembership,
-    /// A timer may be due.
+    /// Fires the timers that are due.
     Tick,
-    /// Shut down gracefully: finish what is open, accept nothing new.
+    /// Shuts down gracefully: open requests are finished and, after a grace period, new ones are
+    /// rejected unless a successor process takes the new connections.
     Shutdown,
-    /// An operator starts (`true`) or stops draining: clients are sent to other schedulers.
+    /// An operator starts (`true`) or stops (`false`) draining, which redirects clients to other
+    /// schedulers.
     SetDraining(bool),
-    /// The capacity of this process has changed, since another one came or went.
+    /// The capacity of this process has changed because another process of this scheduler started
+    /// or exited.
     SetCapacity {
-        /// At most so many requests may be open.
+        /// The maximum number of open requests.
         max_open_requests: usize,
-        /// Another process is there to take over.
+        /// Whether a successor process is running that can take over.
         has_successor: bool,
     },
-    /// The successor takes over the open requests whose attempts are at rest.
+    /// Hands over to the successor the open requests that have no dispatch or cancellation in
+    /// progress.
     StartHandover,
     /// A request was rejected before it reached the engine.
     RequestRejected {
-        /// Its class.
+        /// The request's class.
         class: u32,
     },
-    /// A client, a worker or discovery sent something invalid; it was rejected or dropped.
+    /// Invalid input of a client, a worker or discovery was rejected or dropped.
     InvalidInput {
-        /// Why; the reasons are a fixed few.
+        /// The reason, one of a small fixed set.
         reason: &'static str,
     },
-    /// The last byte of an attempt has been written to its worker.
+    /// The request of an attempt was written completely to its worker.
     AttemptWritten,
-    /// The configuration file could not be used.
+    /// A reload failed because the configuration file could not be used.
     ReloadFailed,
-    /// The log of durable jobs was read: the jobs that it holds are open here from now on.
+    /// The log of durable jobs was read; this process owns its jobs from now on.
     DurableJobsOpened(Box<DurableSetup>),
-    /// Records have become durable.
+    /// Records became durable.
     RecordsDurable {
         /// Size of the log on disk, bytes.
         bytes: u64,
     },
-    /// The log cannot be written to any more.
+    /// The log of durable jobs is no longer writable.
     StorageFailed,
-    /// The log belongs to another process from now on.
+    /// This process released the log to another process.
     DurableJobsReleased,
-    /// A client was handed this job's answer.
+    /// The answer of a durable job was delivered to its client.
     AnswerDelivered {
         /// The job.
         job: JobNumber,
     },
-    /// Inventories state other attributes of workers.
+    /// The inventories changed.
     InventoryUpdated(InventoryUpdate),
 }
 
-/// An attempt to run a request at a worker.
+/// Identifies an attempt to run a request at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptId {
     /// The request.
--- a/crates/service/engine/src/lib.rs
+++ b/crates/service/engine/src/lib.rs
@@ -1,18 +1,19 @@
-//! The engine of the program in service: a pure state machine. [`Engine::step`] takes one [`Input`]
-//! and appends the [`Effect`]s that follow from it. It owns the balancing policy, the requests,
-//! their attempts and the timers; it knows no socket and no protocol, and is given the time.
+//! The scheduler's engine: a state machine without I/O. [`Engine::step`] processes one [`Input`]
+//! and appends the resulting [`Effect`]s. The engine owns the balancing policy, the requests, their
+//! attempts and the timers. It opens no sockets, knows no network protocol and reads no clock: the
+//! caller passes the time with each input.
 //!
-//! | module | concern |
+//! | module | contents |
 //! | --- | --- |
-//! | `engine` | the state, and the one entry for inputs |
-//! | `input`, `effect`, `snapshot`, `stats` | the types at the border |
-//! | `request_table`, `requests`, `handover` | open requests: accepted once, ended once, removed in one place |
-//! | `attempts`, `notices` | attempts at workers, and what workers notify of |
-//! | `durable` | durable jobs: records, repeats, leases, recovery |
+//! | `engine` | the state and the dispatch of inputs |
+//! | `input`, `effect`, `snapshot`, `stats` | the types of the public interface |
+//! | `request_table`, `requests`, `handover` | open requests and their handover to a successor |
+//! | `attempts`, `notices` | attempts at workers and the notices that workers send |
+//! | `durable` | durable jobs: records, repeated requests, leases, recovery |
 //! | `durability_barrier` | effects that wait until their records are durable |
 //! | `workers` | the endpoint list and the workers' attributes |
-//! | `discovery` | where the endpoint list comes from |
-//! | `membership`, `roles` | the other schedulers, and singleton roles among them |
+//! | `discovery` | the source of the endpoint list |
+//! | `membership`, `roles` | the membership of schedulers and the singleton roles among them |
 //! | `classes`, `timers`, `lifecycle` | settings by class, timers, shutdown and draining |
 #![warn(
     missing_docs,
@@ -57,5 +58,5 @@
 
 use spanlead_balancing_policy::Nanos;
 
-/// Nanoseconds of a millisecond.
+/// Nanoseconds per millisecond.
 const MS: Nanos = 1_000_000;
--- a/crates/service/engine/src/membership.rs
+++ b/crates/service/engine/src/membership.rs
@@ -1,5 +1,5 @@
-//! The membership's place in the engine: heartbeats by the timers, and what this scheduler
-//! announces of its own state.
+//! The integration of the membership: sends heartbeats by timer, announces this scheduler's
+//! lifecycle phase, and passes messages of other protocols on.
 use crate::roles::ROLES_PROTOCOL;
 use crate::timers::Timer;
 use crate::{Effect, Engine, MS};
@@ -7,39 +7,40 @@
 use spanlead_balancing_policy::Nanos;
 use spanlead_membership::{Action, GossipMembership, LifecyclePhase, MemberState, MembershipConfig};
 
-/// The members, and the span between two heartbeats.
+/// The membership and the interval between its heartbeats.
 pub(crate) struct Membership {
     pub(crate) members: GossipMembership,
     heartbeat_interval: Nanos,
 }
 
-/// The membership as operators are shown it. Field names are keys of `/ops` JSON.
+/// The membership, for operators. The serialised names are keys of `/ops` JSON.
 #[derive(Debug, Serialize)]
 pub struct MembersView {
-    /// This scheduler's number.
+    /// This scheduler's member number.
     #[serde(rename = "me")]
     pub own_number: u16,
-    /// One more with each change.
+    /// The version of the membership view, incremented by each change.
     pub view: u64,
-    /// The members, by their numbers.
+    /// The members, by number.
     pub members: Vec<MemberView>,
 }
 
-/// One member.
+/// A member, for operators.
 #[derive(Debug, Serialize)]
 pub struct MemberView {
     /// Its number.
     pub number: u16,
-    /// Its name, once it was received.
+    /// Its name, once received.
     pub name: Option<String>,
-    /// Grows with each start; text, since programs that read JSON may round numbers.
+    /// Its incarnation, which grows with each start. A string, since JSON readers may round large
+    /// numbers.
     pub incarnation: String,
-    /// The version of its program, once it was received.
+    /// The version of its program, once received.
     pub version: Option<String>,
     /// Its state.
     pub state: MemberState,
-    /// How long it has been in that state, milliseconds, by the time that this scheduler has lived
-    /// through.
+    /// How long it has been in that state, milliseconds. Counted in heartbeat intervals that this
+    /// scheduler has run through, so the time in which it was stopped does not count.
     pub since_ms: u64,
 }
 
@@ -55,20 +56,21 @@
         self.heartbeat(now, out);
     }
 
-    /// A heartbeat is due.
+    /// Sends the heartbeat that is due and schedules the next one.
     pub(crate) fn heartbeat(&mut self, now: Nanos, out: &mut Vec<Effect>) {
-        self.announce_stage(out);
+        self.announce_lifecycle_phase(out);
         let Some(membership) = &mut self.membership else { return };
         let mut messages = Vec::new();
         membership.members.tick(&mut messages);
-        // From now on, not from when it was due: one that was stopped lives through one period when
-        // it wakes, not through all that it missed.
+        // The interval counts from now, not from the time at which this heartbeat was due: a
+        // scheduler that was stopped runs through one period when it resumes, not through all that
+        // it missed.
         self.timers.set(now + membership.heartbeat_interval, Timer::Heartbeat);
         push_effects(messages, out);
     }
 
-    /// Announces what this scheduler does to the others, if that has changed.
-    pub(crate) fn announce_stage(&mut self, out: &mut Vec<Effect>) {
+    /// Announces this scheduler's lifecycle phase to the other members if it has changed.
+    pub(crate) fn announce_lifecycle_phase(&mut self, out: &mut Vec<Effect>) {
         let phase = if self.is_closing() {
             LifecyclePhase::Draining
         } else if self.is_serving() {
@@ -86,7 +88,7 @@
         push_effects(messages, out);
     }
 
-    /// Sends another protocol's message to a member.
+    /// Sends a message of another protocol to a member.
     pub(crate) fn send_to_member(
         &mut self,
         member: u16,
@@ -100,7 +102,7 @@
         push_effects(messages, out);
     }
 
-    /// A datagram of a peer.
+    /// Processes a datagram of a peer.
     pub(crate) fn membership_message(&mut self, now: Nanos, from: u32, data: &[u8], out: &mut Vec<Effect>) {
         let Some(membership) = &mut self.membership else { return };
         let mut messages = Vec::new();
@@ -115,7 +117,7 @@
         }
     }
 
-    /// The membership as operators are shown it; `None` where it is not switched on.
+    /// The membership for operators; `None` if it is not enabled.
     pub fn members_view(&self) -> Option<MembersView> {
         let Membership { members, heartbeat_interval } = self.membership.as_ref()?;
         let view = |member: spanlead_membership::Member| MemberView {
@@ -135,7 +137,7 @@
     match message {
         Action::Send { to, datagram: data } => Some(Effect::SendPeerMessage { peer: Some(to.into()), data }),
         Action::StateChanged(change) => Some(Effect::MemberChanged(change)),
-        // Of a protocol that this program does not know.
+        // The payload of a protocol that this version does not know.
         Action::Payload { .. } => None,
     }
 }
--- a/crates/service/engine/src/notices.rs
+++ b/crates/service/engine/src/notices.rs
@@ -1,37 +1,38 @@
-//! What workers notify of: notices repeat, overtake the answer to the dispatch and come late.
+//! Notices of workers. A notice may be repeated, may overtake the answer to the dispatch, and may
+//! arrive after its attempt has ended.
 use crate::durable::after_durable;
 use crate::request_table::{Attempt, AttemptStage};
 use crate::{Answer, AttemptId, Effect, Engine, JobUpdate, MS, NoticeReply, WorkerNotice};
 use spanlead_balancing_policy::{AttemptProgress, Event, Nanos, Outcome};
 
-/// How long a worker's notice may wait for its record: its call is given up then, and it comes
-/// again.
+/// How long the acknowledgement of a notice may wait for its record. The worker's call is given up
+/// then, and the worker sends the notice again.
 const ACKNOWLEDGE_TIMEOUT: Nanos = 1_000 * MS;
 
 impl Engine {
-    /// Takes a worker's notice. Its acknowledgement waits until what the notice has changed is
-    /// durable.
+    /// Processes a worker's notice and acknowledges it once the records that it caused are durable.
     pub(crate) fn worker_notice(&mut self, now: Nanos, notice: WorkerNotice, out: &mut Vec<Effect>) {
         let before = self.last_record();
         let notice_id = notice.notice_id;
         let is_last = !matches!(notice.update, JobUpdate::Running(_));
         let reply = self.apply_notice(now, notice, out);
         let effect = Effect::Acknowledge { notice_id, reply };
-        // A repeat may come before what its first has changed is durable.
+        // A repeated notice may arrive before the records of the first one are durable.
         let must_wait = self.last_record() > before || is_last && self.durable.is_some();
         out.push(if must_wait { after_durable(effect, now + ACKNOWLEDGE_TIMEOUT) } else { effect });
     }
 
-    /// Only a notice that matches a pending attempt at the worker that it was sent to changes
-    /// anything. (The policy never sends a request twice to one worker, so id and worker name the
-    /// attempt.)
+    /// Applies a notice to the pending attempt that it is about; any other notice changes nothing.
+    /// The policy never sends a request to the same worker twice, so the job id and the worker
+    /// identify the attempt.
     fn apply_notice(&mut self, now: Nanos, notice: WorkerNotice, out: &mut Vec<Effect>) -> NoticeReply {
         let WorkerNotice { job_id, worker, fencing_token: token, update, report, .. } = notice;
-        let Some(attempt) = self.noticed_attempt(&job_id, &worker, token) else {
+        let Some(attempt) = self.attempt_of_notice(&job_id, &worker, token) else {
             return self.late_notice_reply(&job_id, token);
         };
         if self.requests.stage(attempt) == Some(AttemptStage::Dispatched) {
-            // Whatever became of its answer, it has the job.
+            // The notice shows that the worker has the job, even if its answer to the dispatch is
+            // late or lost.
             self.requests.set_stage(attempt, AttemptStage::Accepted);
             self.record_accepted(attempt, token.is_some(), out);
         }
@@ -69,15 +70,15 @@
     }
 
     /// The pending attempt that a worker's notice is about.
-    fn noticed_attempt(&self, job_id: &str, worker: &str, token: Option<u64>) -> Option<AttemptId> {
+    fn attempt_of_notice(&self, job_id: &str, worker: &str, token: Option<u64>) -> Option<AttemptId> {
         let request_id = self.requests.id_of_job(job_id)?;
         let request = self.requests.get(request_id)?;
-        let is_meant = |attempt: &Attempt| {
+        let matches_notice = |attempt: &Attempt| {
             let known = attempt.token.map(|token| token.0);
             let is_same_lease = known.is_none() || token.is_none() || known == token;
             &*attempt.worker == worker && attempt.stage != AttemptStage::Ended && is_same_lease
         };
-        let number = request.attempts.iter().rposition(is_meant)?;
+        let number = request.attempts.iter().rposition(matches_notice)?;
         Some(AttemptId { request: request_id, number: number as u32 })
     }
 }
--- a/crates/service/engine/src/request_table.rs
+++ b/crates/service/engine/src/request_table.rs
@@ -1,8 +1,10 @@
-//! The requests that are open, and how those that were accepted have ended.
+//! The open requests, and counts of ended requests by result.
 //!
-//! Invariants: each open request stands under its id in `by_job_id`; each client that waits for
-//! another's request stands in `joined` and in that request's list; `pending` is the number of
-//! clients that wait for an answer.
+//! Invariants:
+//! - `by_job_id` maps the job id of each open request to its request id;
+//! - each client that waits for another client's request is in `joined` and in the `joined` list of
+//!   that request;
+//! - `pending` is the number of clients that wait for an answer.
 use crate::input::AttemptId;
 use crate::{Answer, RequestCounts};
 use spanlead_balancing_policy::{Nanos, Outcome, RequestId};
@@ -11,16 +13,17 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What has become of an attempt.
+/// The stage of an attempt.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum AttemptStage {
-    /// Sent; the worker has not said that it has the job.
+    /// Dispatched; the worker has not yet accepted the job.
     Dispatched,
-    /// The worker has the job.
+    /// The worker has accepted the job.
     Accepted,
-    /// Being cancelled; this outcome stands once the worker knows.
+    /// Being cancelled; the attempt ends with this outcome once the worker has confirmed or the
+    /// call to it was given up.
     Cancelling(Outcome),
-    /// Over.
+    /// Ended.
     Ended,
 }
 
@@ -30,15 +33,16 @@
     pub(crate) addr: SocketAddr,
     pub(crate) sent: Nanos,
     pub(crate) stage: AttemptStage,
-    /// Known once it is over.
+    /// Whether the job may have run at the worker; meaningful once the attempt has ended.
     pub(crate) may_have_run: bool,
-    /// Its lease's fencing token, if the job is durable.
+    /// The fencing token of its lease, if the job is durable.
     pub(crate) token: Option<FencingToken>,
-    /// The worker goes by the lease, and may believe in it until then at the latest.
+    /// The latest time until which the worker may hold the lease to be valid; `None` if the worker
+    /// does not support leases.
     pub(crate) lease_until: Option<Nanos>,
 }
 
-/// A client that waits for the answer to another's request.
+/// A client that waits for the answer to another client's request.
 pub(crate) struct JoinedClient {
     pub(crate) request_id: RequestId,
     pub(crate) job_id: Arc<str>,
@@ -51,24 +55,25 @@
     pub(crate) deadline: Nanos,
     pub(crate) answered: bool,
     pub(crate) attempts: Vec<Attempt>,
-    /// Its durable job.
+    /// Number of its durable job, if the job is durable.
     pub(crate) durable: Option<JobNumber>,
-    /// The client that brought it still waits.
+    /// Whether the client that sent it still waits.
     pub(crate) client_waits: bool,
     pub(crate) joined: Vec<JoinedClient>,
 }
 
 impl Request {
-    /// Whether it is answered and no attempt is pending.
+    /// Whether the request is answered and no attempt is pending.
     fn is_done(&self) -> bool {
         self.answered && self.attempts.iter().all(|attempt| attempt.stage == AttemptStage::Ended)
     }
 
-    /// Whether another process can take it over: no worker is just being told anything of it.
+    /// Whether another process can take the request over: no dispatch or cancellation is in
+    /// progress.
     fn can_be_handed_over(&self) -> bool {
-        let is_at_rest =
+        let is_settled =
             |attempt: &Attempt| matches!(attempt.stage, AttemptStage::Accepted | AttemptStage::Ended);
-        !self.answered && self.attempts.iter().all(is_at_rest)
+        !self.answered && self.attempts.iter().all(is_settled)
     }
 }
 
@@ -76,12 +81,12 @@
 pub(crate) struct RequestTable {
     open: HashMap<RequestId, Request>,
     by_job_id: HashMap<Arc<str>, RequestId>,
-    /// The request that a joined client waits for.
+    /// For each joined client, the request that it waits for.
     joined: HashMap<RequestId, RequestId>,
-    /// How requests ended, by class.
+    /// Ended requests by result, by class.
     counts: Vec<RequestCounts>,
     pending: usize,
-    /// The most requests that may be open.
+    /// The maximum number of open requests.
     pub(crate) max_open: usize,
 }
 
@@ -97,17 +102,17 @@
         }
     }
 
-    /// Counts so many further classes.
+    /// Adds counters for this many new classes.
     pub(crate) fn add_classes(&mut self, classes: usize) {
         self.counts.resize(self.counts.len() + classes, RequestCounts::default());
     }
 
-    /// How requests ended, by class.
+    /// Ended requests by result, by class.
     pub(crate) fn counts(&self) -> &[RequestCounts] {
         &self.counts
     }
 
-    /// How many clients wait for an answer.
+    /// The number of clients that wait for an answer.
     pub(crate) fn pending(&self) -> usize {
         self.pending
     }
@@ -132,7 +137,7 @@
         self.open.get_mut(&request_id)
     }
 
-    /// The open request of a job.
+    /// The id of the open request of a job.
     pub(crate) fn id_of_job(&self, job_id: &str) -> Option<RequestId> {
         self.by_job_id.get(job_id).copied()
     }
@@ -155,7 +160,7 @@
         }
     }
 
-    /// Opens a request.
+    /// Adds an open request.
     pub(crate) fn insert(&mut self, request_id: RequestId, request: Request) {
         self.by_job_id.insert(request.job_id.clone(), request_id);
         self.pending += usize::from(request.client_waits);
@@ -171,12 +176,12 @@
     }
 
     /// The requests that another process can take over.
-    pub(crate) fn movable(&self) -> Vec<RequestId> {
-        let movable = self.open.iter().filter(|(_, request)| request.can_be_handed_over());
-        movable.map(|(request_id, _)| *request_id).collect()
+    pub(crate) fn ready_for_handover(&self) -> Vec<RequestId> {
+        let ready = self.open.iter().filter(|(_, request)| request.can_be_handed_over());
+        ready.map(|(request_id, _)| *request_id).collect()
     }
 
-    /// Removes a request that another process takes over, with all its clients.
+    /// Removes a request that another process takes over, together with its clients.
     pub(crate) fn remove_handed_over(&mut self, request_id: RequestId) -> Option<Request> {
         let request = self.open.remove(&request_id)?;
         self.by_job_id.remove(&request.job_id);
@@ -187,7 +192,8 @@
         Some(request)
     }
 
-    /// Lets a client wait for the answer to another's request; whether that is still open.
+    /// Adds a client that waits for the answer to another client's request. Returns `false` if that
+    /// request is answered or no longer open.
     pub(crate) fn join(&mut self, first: RequestId, client: JoinedClient) -> bool {
         let Some(request) = self.open.get_mut(&first).filter(|request| !request.answered) else {
             return false;
@@ -198,8 +204,7 @@
         true
     }
 
-    /// A client that waits for another's request does so no longer; whether there was one. Counts
-    /// as failed.
+    /// Removes a joined client and counts its request as failed. Returns whether there was one.
     pub(crate) fn remove_joined(&mut self, request_id: RequestId) -> bool {
         let Some(first) = self.joined.remove(&request_id) else { return false };
         let Some(request) = self.open.get_mut(&first) else { return false };
@@ -210,7 +215,7 @@
         true
     }
 
-    /// Takes all clients that wait for this request; each is counted as answered so.
+    /// Removes and returns the clients that joined this request, and counts the answer for each.
     pub(crate) fn take_joined(&mut self, request_id: RequestId, answer: &Answer) -> Vec<JoinedClient> {
         let Some(request) = self.open.get_mut(&request_id) else { return Vec::new() };
         let class = request.class;
@@ -223,7 +228,7 @@
         joined
     }
 
-    /// The request goes on without the client that brought it. Counts as failed.
+    /// Lets the request continue without the client that sent it; counts as failed for that client.
     pub(crate) fn detach_client(&mut self, request_id: RequestId) {
         let Some(request) = self.open.get_mut(&request_id).filter(|request| request.client_waits) else {
             return;
@@ -234,8 +239,9 @@
         self.count(class, &Answer::Failed);
     }
 
-    /// Marks a request answered and counts it; whether it was not answered before.
-    pub(crate) fn close(&mut self, request_id: RequestId, answer: &Answer) -> bool {
+    /// Marks a request as answered and, if its client waits, counts the answer. Returns `false` if
+    /// the request was answered before.
+    pub(crate) fn mark_answered(&mut self, request_id: RequestId, answer: &Answer) -> bool {
         let Some(request) = self.open.get_mut(&request_id).filter(|request| !request.answered) else {
             return false;
         };
@@ -248,7 +254,7 @@
         true
     }
 
-    /// Counts a client's request of this class that is answered so.
+    /// Counts an answer to a request of this class.
     pub(crate) fn count(&mut self, class: u32, answer: &Answer) {
         let Some(counts) = self.counts.get_mut(class as usize) else { return };
         match answer {
--- a/crates/service/engine/src/requests.rs
+++ b/crates/service/engine/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: accepted once, answered once, removed in one place.
+//! The life of a request: it is accepted once, answered once and removed in one place.
 use crate::durable::repeats::KnownRequest;
 use crate::durable::{after_durable, answer_effect};
 use crate::request_table::{Attempt, AttemptStage, Request};
@@ -8,21 +8,22 @@
 use spanlead_durable_jobs::JobNumber;
 use std::sync::Arc;
 
-/// What a client is told to wait when too many requests are open.
+/// Retry delay advised to a client when too many requests are open or the process is shutting down.
 const OVERLOAD_RETRY_AFTER: Nanos = 300 * MS;
 
-/// A request that is to be opened.
+/// A request to be opened.
 pub(crate) struct NewRequest {
     pub(crate) request_id: RequestId,
     pub(crate) job: Job,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) durable: Option<JobNumber>,
-    /// Its client waits here.
+    /// Whether a client of this process waits for the answer.
     pub(crate) client_waits: bool,
 }
 
 impl Engine {
-    /// A client's request, or one that another process hands over with its attempts.
+    /// Processes a client's request, or one that another process hands over with its attempts
+    /// (`previous`).
     pub(crate) fn receive_request(
         &mut self,
         now: Nanos,
@@ -45,20 +46,22 @@
             return out.push(Effect::Answer { request_id, answer, job: None });
         }
         let previous = previous.unwrap_or_default();
-        // One that a process without durable jobs hands over goes on as it began.
+        // A request that is handed over with attempts was not durable in the process before and
+        // does not become durable here.
         let durable =
             if previous.is_empty() { self.record_taken(now, &job, unresolved.clone(), out) } else { None };
         if durable.is_some() && !unresolved.is_empty() {
-            // It goes on from what an earlier one of its key left unresolved.
+            // The request continues from the unresolved attempts of an earlier one with its key.
             return self.resume_repeat(now, request_id, job, durable, unresolved, out);
         }
         self.open_request(now, request_id, job, durable, previous, out);
     }
 
-    /// Why a new request is not accepted. One that was handed over was accepted before.
+    /// The answer to a request that must be rejected. The capacity limits do not apply to a request
+    /// that was handed over, since another process has accepted it.
     fn rejection(&mut self, now: Nanos, job: &Job, is_handed_over: bool) -> Option<Answer> {
-        // Two open requests under one id could be told apart by no worker, and would be two
-        // attempts of one.
+        // No worker could tell two open requests with the same id apart; it would take them for two
+        // attempts of one request.
         if self.requests.id_of_job(&job.id).is_some() {
             return Some(Answer::DuplicateId);
         }
@@ -86,8 +89,8 @@
             return self.run_policy(now, Event::RequestArrived(request), out);
         }
         if !all_known {
-            // Where it may have run cannot be told to the policy, which could then send it there or
-            // elsewhere again.
+            // The policy cannot be told of an attempt at an unknown worker, so it could dispatch
+            // the job again although it may have run there.
             self.answer(now, request_id, Answer::Failed, out);
             return self.cancel_attempts(now, request_id, out);
         }
@@ -99,7 +102,7 @@
         self.run_policy(now, Event::RequestAdopted { request, attempts: &attempts }, out);
     }
 
-    /// An attempt that another process has made; `None` if its worker is not known here.
+    /// Converts an attempt made by another process; `None` if its worker is not known here.
     fn resumed_attempt(&self, attempt: &AttemptSnapshot) -> Option<Attempt> {
         let is_pending = attempt.may_have_run.is_none();
         Some(Attempt {
@@ -113,7 +116,7 @@
         })
     }
 
-    /// Opens a request. Returns it as the policy takes it.
+    /// Opens a request and returns the policy's view of it.
     pub(crate) fn admit(&mut self, now: Nanos, new: NewRequest) -> spanlead_balancing_policy::Request {
         let NewRequest { request_id, job, attempts, durable, client_waits } = new;
         let request = Request {
@@ -148,7 +151,7 @@
             return;
         }
         let durable = self.requests.get(request_id).and_then(|request| request.durable);
-        if !self.requests.close(request_id, &Answer::Failed) {
+        if !self.requests.mark_answered(request_id, &Answer::Failed) {
             return;
         }
         self.record_end(now, durable, &Answer::Failed, out);
@@ -157,7 +160,7 @@
         self.remove_if_done(request_id);
     }
 
-    /// Answers a request and all clients that wait for it, if it has not been answered.
+    /// Answers a request, to its own client and to the joined ones, unless it was answered before.
     pub(crate) fn answer(
         &mut self,
         now: Nanos,
@@ -167,7 +170,7 @@
     ) {
         let Some(request) = self.requests.get(request_id) else { return };
         let (client_waits, durable, deadline) = (request.client_waits, request.durable, request.deadline);
-        if !self.requests.close(request_id, &answer) {
+        if !self.requests.mark_answered(request_id, &answer) {
             return;
         }
         self.record_end(now, durable, &answer, out);
@@ -180,7 +183,8 @@
         self.remove_if_done(request_id);
     }
 
-    /// The one place where a request is removed: it is answered and no attempt is pending.
+    /// Removes a request that is answered and has no pending attempt. Requests that end are removed
+    /// nowhere else.
     pub(crate) fn remove_if_done(&mut self, request_id: RequestId) {
         if let Some(request) = self.requests.remove_done(request_id)
             && let (Some(job), Some(jobs)) = (request.durable, &mut self.durable)
--- a/crates/service/engine/src/roles.rs
+++ b/crates/service/engine/src/roles.rs
@@ -1,6 +1,6 @@
-//! Singleton roles' place in the engine: their leases by the timers and the members' datagrams, and
-//! what the holder of a role does: a call to an address that operators have named, with the term in
-//! it.
+//! The integration of singleton roles: maintains their leases by timer and by messages between
+//! members, and makes the periodic call of each role that this scheduler holds. The call goes to an
+//! address that operators configure and carries the term of the lease.
 use crate::timers::Timer;
 use crate::{Effect, Engine, MS};
 use serde::Serialize;
@@ -11,42 +11,42 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The protocol's number among those that members' datagrams carry.
+/// The protocol number of role messages in the datagrams of the membership.
 pub(crate) const ROLES_PROTOCOL: u8 = 1;
-/// How long a call may take.
+/// Timeout of a role's call.
 const ROLE_CALL_TIMEOUT: Nanos = 2_000 * MS;
-/// The most bytes of an item in a datagram.
+/// The maximum encoded size of an item in a datagram, bytes.
 const MAX_ITEM_BYTES: usize = 36;
 const _: () = assert!(MAX_MESSAGES * MAX_ITEM_BYTES <= spanlead_membership::MAX_PAYLOAD_BYTES);
 
-/// What the holder of a role does: it calls this address, so often.
+/// A role and the call that its holder makes periodically.
 #[derive(Clone, Debug)]
 pub struct RoleTask {
     /// The role's name, the same at all schedulers.
     pub name: String,
-    /// The address that is called.
+    /// The address to call.
     pub addr: SocketAddr,
-    /// The path that is called.
+    /// The path to call.
     pub path: Arc<str>,
-    /// The span between two calls.
+    /// The interval between calls.
     pub interval: Nanos,
 }
 
-/// How the call of a role ended.
+/// The result of a role's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoleCallResult {
-    /// It was answered yes.
+    /// The callee accepted the call.
     Done,
-    /// Whoever was called knows this later term.
+    /// The callee rejected the call because it knows this later term.
     Fenced(Term),
-    /// It could not be reached, or answered something else.
+    /// The callee could not be reached or gave another answer.
     Failed,
 }
 
-/// The roles, and the calls that their holder makes.
+/// The singleton roles and the calls of their holders.
 pub(crate) struct SingletonRoles {
     leases: RoleManager,
-    /// The calls, by the roles' numbers.
+    /// The calls, by role number.
     calls: Vec<RoleCalls>,
     maintenance_interval: Nanos,
 }
@@ -54,35 +54,35 @@
 /// The calls of one role.
 struct RoleCalls {
     task: RoleTask,
-    /// A call is in progress.
+    /// Whether a call is in progress.
     is_calling: bool,
-    /// Calls that were made.
-    made: u64,
+    /// Calls made so far.
+    calls_made: u64,
 }
 
-/// A role as operators are shown it. Field names are keys of `/ops` JSON.
+/// A role, for operators. The serialised names are keys of `/ops` JSON.
 #[derive(Debug, Serialize)]
 pub struct RoleView {
     /// The role's name.
     pub name: String,
-    /// Who holds it as far as this scheduler has granted it.
+    /// Member number of the holder to which this scheduler has granted the role.
     pub holder: Option<u16>,
     /// The term of its lease.
     pub term: Option<Term>,
-    /// `held` by this scheduler, `granted` to another, `vacant`.
+    /// `held` by this scheduler, `granted` to another one, or `vacant`.
     pub state: &'static str,
-    /// How long the lease that this scheduler has granted lasts, milliseconds.
+    /// Remaining time of the lease that this scheduler has granted, milliseconds.
     #[serde(rename = "left_ms")]
     pub remaining_ms: u64,
-    /// Calls that this scheduler has made for it.
+    /// Calls that this scheduler has made for the role.
     pub calls: u64,
-    /// The protocol's figures.
+    /// Statistics of the lease protocol.
     #[serde(flatten)]
     pub stats: RoleStats,
 }
 
-/// The time by which the leases of roles are measured. The engine's clock starts at the wall
-/// clock's time, so it stands for both.
+/// The clock reading, in milliseconds, for the lease protocol. The engine's clock starts at the
+/// wall clock's time, so it serves as both.
 fn clock_reading(now: Nanos) -> ClockReading {
     ClockReading { monotonic: now / MS, wall: now / MS }
 }
@@ -96,24 +96,25 @@
         out: &mut Vec<Effect>,
     ) {
         let names: Vec<String> = tasks.iter().map(|task| task.name.clone()).collect();
-        // Often enough to renew within the time that an answer may take.
+        // Half the reply timeout, so that the leases are maintained at least once within it.
         let maintenance_interval = settings.reply_timeout.max(2) / 2 * MS;
         for (role, task) in tasks.iter().enumerate() {
             self.timers.set(now + task.interval, Timer::RoleCall(role));
         }
-        let calls = |task| RoleCalls { task, is_calling: false, made: 0 };
+        let calls = |task| RoleCalls { task, is_calling: false, calls_made: 0 };
         let calls = tasks.into_iter().map(calls).collect();
         let leases = RoleManager::new(settings, &names, now / MS);
         self.roles = Some(SingletonRoles { leases, calls, maintenance_interval });
         self.maintain_role_leases(now, out);
     }
 
-    /// Asks for leases, renews them, and loses them by the time that has passed.
+    /// Requests, renews and expires the leases on roles.
     pub(crate) fn maintain_role_leases(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         let Some(roles) = &mut self.roles else { return };
         let Some(membership) = &self.membership else { return };
         let mut messages = Vec::new();
-        // One that serves nobody does not ask for roles; what it held it has released.
+        // A scheduler that is shutting down or draining does not request roles; it has released
+        // those that it held.
         roles.leases.set_passive(self.lifecycle.is_closing());
         let serves = |member| membership.members.is_serving(member);
         roles.leases.tick(clock_reading(now), serves, &mut messages);
@@ -121,7 +122,7 @@
         self.push_role_effects(messages, out);
     }
 
-    /// Releases all roles.
+    /// Releases all roles that this scheduler holds and stops requesting them.
     pub(crate) fn release_roles(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         let Some(roles) = &mut self.roles else { return };
         let mut messages = Vec::new();
@@ -132,7 +133,7 @@
         self.push_role_effects(messages, out);
     }
 
-    /// Releases a role by its name, if it is held.
+    /// Releases the role of this name, if this scheduler holds it.
     pub(crate) fn release_role(&mut self, now: Nanos, name: &str, out: &mut Vec<Effect>) {
         let Some(roles) = &mut self.roles else { return };
         let Some(role) = roles.calls.iter().position(|calls| calls.task.name == name) else { return };
@@ -141,7 +142,7 @@
         self.push_role_effects(messages, out);
     }
 
-    /// The roles' message of another member.
+    /// Processes a role message of another member.
     pub(crate) fn roles_message(&mut self, now: Nanos, from: u16, bytes: &[u8], out: &mut Vec<Effect>) {
         let (Some(roles), Some(membership)) = (&mut self.roles, &self.membership) else { return };
         let Some(items) = decode(bytes) else { return };
@@ -151,7 +152,8 @@
         self.push_role_effects(messages, out);
     }
 
-    /// It is time for the call of a role: it is made if the role is held here, at this moment.
+    /// Makes the periodic call of a role, provided that this scheduler holds the role now and no
+    /// call is in progress.
     pub(crate) fn call_role(&mut self, now: Nanos, role: usize, out: &mut Vec<Effect>) {
         let Some(roles) = &mut self.roles else { return };
         let Some(calls) = roles.calls.get_mut(role) else { return };
@@ -159,7 +161,7 @@
             roles.leases.term_to_act_under(now / MS, RoleIndex(role)).filter(|_| !calls.is_calling)
         {
             calls.is_calling = true;
-            calls.made += 1;
+            calls.calls_made += 1;
             let (addr, path) = (calls.task.addr, calls.task.path.clone());
             out.push(Effect::CallRole { role, term, addr, path, until: now + ROLE_CALL_TIMEOUT });
         }
@@ -183,7 +185,7 @@
         }
     }
 
-    /// The roles as operators are shown them; `None` where there are none.
+    /// The roles for operators; `None` if none are configured.
     pub fn roles_view(&self, now: Nanos) -> Option<Vec<RoleView>> {
         let roles = self.roles.as_ref()?;
         let views = roles.leases.roles().enumerate().map(|(number, (role, stats))| {
@@ -199,7 +201,7 @@
                     (None, None) => "vacant",
                 },
                 remaining_ms: granted.map_or(0, |grant| grant.remaining),
-                calls: roles.calls[number].made,
+                calls: roles.calls[number].calls_made,
                 stats,
             }
         });
--- a/crates/service/engine/src/snapshot.rs
+++ b/crates/service/engine/src/snapshot.rs
@@ -1,23 +1,23 @@
-//! Open requests as one process of the scheduler hands them over to its successor.
+//! Snapshots of open requests that a process of the scheduler hands over to its successor.
 //!
-//! They travel as JSON between processes of different versions: the names on the wire are fixed by
-//! `serde(rename)`.
+//! They are sent as JSON between processes of different versions, so the names on the wire must not
+//! change; `serde(rename)` keeps them.
 use serde::{Deserialize, Serialize};
 use spanlead_balancing_policy::Nanos;
 use std::sync::Arc;
 
-/// What another process must know of an open request to continue it.
+/// The state of an open request that another process needs to continue it.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct RequestSnapshot {
-    /// The request's id, as the client chose it.
+    /// The job's id, chosen by the client.
     pub id: Arc<str>,
-    /// When its client gives up.
+    /// The time at which the client gives up.
     #[serde(rename = "due")]
     pub deadline: Nanos,
-    /// The attempts so far. Empty for a durable request, whose attempts are in the log.
+    /// The attempts made so far. Empty for a durable request, whose attempts are in the log.
     #[serde(rename = "tries")]
     pub attempts: Vec<AttemptSnapshot>,
-    /// The log of durable jobs holds the request and its attempts.
+    /// Whether the request and its attempts are in the log of durable jobs.
     #[serde(default)]
     pub durable: bool,
 }
@@ -27,7 +27,7 @@
 pub struct AttemptSnapshot {
     pub(crate) worker: Arc<str>,
     pub(crate) sent: Nanos,
-    /// Whether it may have run, once it is over; `None` while it is pending.
+    /// Whether the job may have run at the worker; `None` while the attempt is pending.
     #[serde(rename = "ran")]
     pub(crate) may_have_run: Option<bool>,
 }
--- a/crates/service/engine/src/stats.rs
+++ b/crates/service/engine/src/stats.rs
@@ -1,23 +1,23 @@
-//! The figures and views that operators are shown. Field names are keys of `/ops` JSON and must not
-//! change.
+//! Statistics and views for operators. They are served as JSON under `/ops`, so the serialised
+//! names must not change.
 use serde::Serialize;
 use spanlead_worker_attributes::AttributeProvenance;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How a class's requests ended.
+/// Ended requests of a class, by result.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct RequestCounts {
-    /// Requests that were served.
+    /// Requests whose job succeeded.
     pub completed: u64,
-    /// Requests that were rejected: trying again is harmless.
+    /// Requests that were rejected without having run, so that a retry is harmless.
     pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
 }
 
 impl RequestCounts {
-    /// Adds the counts of another class of the same name.
+    /// Adds the counts of another class that has the same name.
     pub(crate) fn add(&mut self, other: Self) {
         self.completed += other.completed;
         self.rejected += other.rejected;
@@ -25,107 +25,108 @@
     }
 }
 
-/// The engine's state at one moment. All counts begin with the process.
+/// The engine's state at one moment. Counters start from 0 when the process starts.
 #[derive(Debug, Serialize)]
 pub struct EngineStats {
-    /// How requests ended, by class.
+    /// Ended requests, by class name.
     pub downstream_requests: BTreeMap<String, RequestCounts>,
-    /// Attempts that were written whole to workers.
+    /// Attempts whose request was written completely to a worker.
     pub upstream_requests: u64,
-    /// Requests that were accepted and have not ended.
+    /// Requests whose clients wait for an answer.
     pub pending: usize,
     /// Workers in the endpoint list.
     pub members: usize,
-    /// Workers in the endpoint list that get no jobs now.
+    /// Workers in the endpoint list that are draining or avoided by the balancing policy.
     pub members_unavailable: usize,
-    /// Configuration files that were used, at SIGHUP.
+    /// Successful reloads of the configuration file on SIGHUP.
     pub config_reloads: u64,
-    /// Configuration files that were refused, at SIGHUP.
+    /// Failed reloads of the configuration file on SIGHUP.
     pub config_reload_errors: u64,
-    /// Invalid input, by reason.
+    /// Number of invalid inputs, by reason.
     #[serde(rename = "bad_input", skip_serializing_if = "BTreeMap::is_empty")]
     pub invalid_input: BTreeMap<&'static str, u64>,
-    /// Durable jobs, where they are kept.
+    /// Statistics of durable jobs, while this process has their log open.
     #[serde(rename = "ledger", skip_serializing_if = "Option::is_none")]
     pub durable_jobs: Option<DurableJobStats>,
-    /// Worker attributes from inventories, where there are any.
+    /// Statistics of the inventories, if there are any.
     #[serde(rename = "facts", skip_serializing_if = "Option::is_none")]
     pub inventory: Option<InventoryStats>,
-    /// The membership, where it is switched on.
+    /// Statistics of the membership, if it is enabled.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub membership: Option<spanlead_membership::MembershipStats>,
 }
 
-/// Figures of the worker attributes that come from inventories.
+/// Statistics of the worker attributes that come from inventories.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct InventoryStats {
     /// Inventories in use.
     pub inventories: usize,
-    /// Hosts that they name.
+    /// Hosts named by inventories, counted once for each inventory that names them.
     pub hosts: usize,
-    /// Workers in the endpoint list that an inventory names too.
+    /// Workers in the endpoint list that an inventory also names.
     pub matched: usize,
-    /// Workers whose pod or zone has changed, and which count as in none until no repeat can go
-    /// wrong.
+    /// Workers whose pod or zone has changed. Each counts as alone in its pod or zone until no
+    /// deduplication window that began at the former place is still open.
     #[serde(rename = "apart")]
     pub isolated: usize,
-    /// Workers whose changes are still to be processed.
+    /// Changes of workers that are still queued for processing.
     pub pending: usize,
 }
 
-/// What is known of one worker.
+/// A worker and its attributes, for operators.
 #[derive(Clone, Debug, Serialize)]
 pub struct HostView {
     /// The worker's name.
     pub host: Arc<str>,
     /// `ready`, `draining` or `gone`.
     pub state: &'static str,
-    /// Its attributes and their sources.
+    /// The attributes and their sources.
     #[serde(rename = "facts")]
     pub attributes: Vec<AttributeProvenance>,
-    /// Attributes that have changed and count as its own alone until no repeat can go wrong.
+    /// `pod` and `zone`, as far as they have changed and the worker counts as alone in them (see
+    /// [`InventoryStats::isolated`]).
     #[serde(rename = "apart", skip_serializing_if = "Vec::is_empty")]
     pub isolated: Vec<&'static str>,
 }
 
-/// Figures of durable jobs. Counts begin with the process.
+/// Statistics of durable jobs. Counters start from 0 when the process starts.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct DurableJobStats {
     /// Jobs that have not ended.
     pub open: usize,
-    /// Ended jobs whose result is kept.
+    /// Ended jobs whose result is retained.
     #[serde(rename = "kept")]
     pub retained: usize,
-    /// Memory that open and kept jobs take, bytes.
+    /// Memory used by open and retained jobs, bytes.
     pub live_bytes: usize,
     /// Size of the log on disk, bytes.
     pub disk_bytes: u64,
-    /// Jobs recovered from the process before.
+    /// Jobs recovered from the log of the previous process.
     pub recovered: u64,
-    /// Repeated requests that wait for the answer to the first.
+    /// Repeated requests that joined the open request that they repeat.
     pub joined: u64,
-    /// Repeated requests that were given a kept answer.
+    /// Repeated requests that were answered with a retained result.
     pub replayed: u64,
-    /// Requests whose idempotency key had been used for another request.
+    /// Requests whose idempotency key was used before for a different request.
     pub mismatched: u64,
-    /// Leases that expired without a notice of their worker.
+    /// Leases that expired because their worker sent no notice.
     #[serde(rename = "leases_ended")]
     pub expired_leases: u64,
-    /// Notices that came after their lease was over.
+    /// Notices that arrived after the lease of their worker was over.
     pub fenced: u64,
-    /// Jobs rejected because the log is full, failed, or not open yet.
+    /// Jobs rejected because the log is full or has failed.
     #[serde(rename = "turned_away")]
     pub rejected: u64,
-    /// The log cannot be written to any more.
+    /// Whether the log is no longer writable.
     pub failed: bool,
     /// Group commits.
     pub commits: u64,
-    /// Records in them.
+    /// Records written by group commits.
     pub records: u64,
-    /// Median time of a group commit, microseconds.
+    /// Median duration of a group commit, microseconds.
     pub commit_p50_us: u64,
-    /// 99th percentile of the time of a group commit, microseconds.
+    /// 99th percentile of the duration of a group commit, microseconds.
     pub commit_p99_us: u64,
-    /// Longest group commit, microseconds.
+    /// Longest duration of a group commit, microseconds.
     pub commit_max_us: u64,
 }
--- a/crates/service/engine/src/timers.rs
+++ b/crates/service/engine/src/timers.rs
@@ -1,4 +1,4 @@
-//! Timers, ordered by when they are due.
+//! Timers, ordered by due time.
 use crate::input::AttemptId;
 use crate::request_table::AttemptStage;
 use crate::{Answer, Effect, Engine};
@@ -6,35 +6,36 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What is due.
+/// The event that a timer triggers.
 pub(crate) enum Timer {
-    /// A timer of the balancing policy.
+    /// A timer of the balancing policy, with the policy's token.
     Policy(u64),
-    /// The time that the policy gave an attempt is up.
+    /// The attempt has reached the timeout that the policy set.
     AttemptTimeout(AttemptId),
-    /// The worker should have said by now that it has the job.
+    /// The worker should have accepted the attempt by now.
     AcceptTimeout(AttemptId),
-    /// The client of a request gives up.
+    /// The request is past its deadline.
     RequestOverdue(RequestId),
-    /// A client that waits for the answer to another's request gives up.
+    /// A client that joined another client's request must be answered before its own deadline.
     JoinedOverdue(RequestId),
     /// A worker's lease may have expired.
     LeaseExpiry(AttemptId),
-    /// More of a large endpoint list may be processed.
+    /// The next slice of a large change of the endpoint list may be processed.
     ListSlice,
-    /// A worker's pod and zone may count again.
+    /// The isolation of a worker's pod or zone may be over.
     EndIsolation(Arc<str>),
-    /// The agent that lists are pushed to may be asked again.
+    /// The agent that receives the endpoint lists may be watched again.
     WatchAgent,
     /// A heartbeat is due.
     Heartbeat,
-    /// The leases on singleton roles are looked after.
+    /// The leases on singleton roles must be maintained.
     RoleLeases,
-    /// It is time for the call of this role.
+    /// The periodic call of a role is due.
     RoleCall(usize),
 }
 
-/// All timers. Those that are due at the same time fire in the order in which they were set.
+/// The queue of timers. Timers that are due at the same time fire in the order in which they were
+/// set.
 #[derive(Default)]
 pub(crate) struct TimerQueue {
     timers: BTreeMap<(Nanos, u64), Timer>,
@@ -48,12 +49,12 @@
         self.timers.insert((due, self.last_serial), timer);
     }
 
-    /// When the first one is due.
+    /// The due time of the earliest timer.
     pub(crate) fn next_due(&self) -> Option<Nanos> {
         self.timers.first_key_value().map(|((due, _), _)| *due)
     }
 
-    /// Takes the first one that is due.
+    /// Removes and returns the earliest timer if it is due.
     fn pop_due(&mut self, now: Nanos) -> Option<Timer> {
         let entry = self.timers.first_entry().filter(|entry| entry.key().0 <= now)?;
         Some(entry.remove())
@@ -61,7 +62,8 @@
 }
 
 impl Engine {
-    /// Fires all timers that are due, those included that are set meanwhile.
+    /// Fires all timers that are due, including those set by the timers fired before, and expires
+    /// durable jobs.
     pub(crate) fn run_timers(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         while let Some(timer) = self.timers.pop_due(now) {
             self.fire(now, timer, out);
@@ -90,8 +92,8 @@
         }
     }
 
-    /// Guards the one rule that nothing may break: a request that is still open past its due time
-    /// gets its answer.
+    /// Answers a request that is still unanswered past its deadline as failed, so that every
+    /// request gets an answer whatever else goes wrong.
     fn request_overdue(&mut self, now: Nanos, request_id: RequestId, out: &mut Vec<Effect>) {
         if self.requests.get(request_id).is_some_and(|request| !request.answered) {
             self.answer(now, request_id, Answer::Failed, out);
--- a/crates/service/engine/src/workers.rs
+++ b/crates/service/engine/src/workers.rs
@@ -1,15 +1,16 @@
-//! The workers: what the endpoint list says of them, what inventories add to it, and what the
-//! balancing policy was told.
+//! The workers: their entries in the endpoint list, the attributes that inventories add, and the
+//! attributes last reported to the balancing policy.
 //!
-//! The endpoint list is the one authority on who is there: state, start and address come from
-//! nowhere else, and a host that it has not named gets no jobs. Inventories
-//! ([`MergedInventory`]) only fill what the list leaves open, and the weight where that is set so.
+//! The endpoint list is the only authority on which workers exist: state, start time and address
+//! come from nowhere else, and a host that the list has not named gets no jobs. Inventories
+//! ([`MergedInventory`]) only supply attributes that the list does not state, and override the
+//! weight where an inventory is configured so.
 //!
-//! - `endpoint_list`: changes of the list, in slices if there are many;
-//! - `attributes`: what is known of one worker, from the list and from inventories;
+//! - `endpoint_list`: changes of the list, processed in slices if there are many;
+//! - `attributes`: the attributes of a worker, merged from the list and the inventories;
 //! - `isolation`: workers whose pod or zone has changed;
 //! - `inventory`: new versions of the inventories;
-//! - `views`: what operators are shown of workers.
+//! - `views`: workers, for operators.
 mod attributes;
 mod endpoint_list;
 mod inventory;
@@ -24,36 +25,37 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Numbers of pods below are the list's own; from here on they are those that inventories name by
-/// words.
+/// The first number assigned to a pod that inventories identify by a name. Lower numbers are pod
+/// numbers of the endpoint list.
 const FIRST_NAMED_POD: u32 = 1 << 30;
-/// Numbers of pods and zones from here on are those of single workers.
+/// The first number that stands for the pod or zone of a single worker: one that is unknown or
+/// isolated.
 const FIRST_OWN_NUMBER: u32 = 1 << 31;
-/// The number of a name that the settings do not have, and of a pod that another process would not
-/// know.
+/// The number of a zone or kind that the settings do not name, and of a pod whose number another
+/// process would not know.
 const UNKNOWN_NUMBER: u32 = u32::MAX;
 
 /// A worker.
 pub(crate) struct Worker {
-    /// As the endpoint list has it.
+    /// Its last entry in the endpoint list.
     pub(crate) host: WorkerEndpoint,
-    /// What the policy was told of it last.
+    /// The attributes last reported to the policy.
     pub(crate) reported: Option<ReportedWorker>,
-    /// The name by which inventories know it.
+    /// The normalized name, under which inventories list it.
     normalized_name: Option<Arc<str>>,
-    /// An inventory names it.
+    /// Whether an inventory names it.
     is_in_inventory: bool,
-    /// Its number where it must be told apart from all others.
+    /// Number of its pod and zone while it counts as alone in them.
     own_number: u32,
     pod: IsolatedAttribute,
     zone: IsolatedAttribute,
-    /// Since when the list says of it what it says.
+    /// When the attributes in its list entry last changed, or it was listed again.
     since: Nanos,
-    /// Since when the list does not name it.
+    /// When it was removed from the list; `None` while it is listed.
     removed_at: Option<Nanos>,
 }
 
-/// What the policy knows of a worker.
+/// The attributes of a worker as reported to the policy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ReportedWorker {
     state: WorkerState,
@@ -70,27 +72,27 @@
         Endpoint { worker, state, started_at: started, machine_kind: kind, zone, cell, weight }
     }
 
-    /// The pod as another process would know it.
+    /// The pod number if it means the same to another process, else [`UNKNOWN_NUMBER`].
     pub(crate) fn portable_cell(self) -> u32 {
         if self.cell < FIRST_NAMED_POD { self.cell } else { UNKNOWN_NUMBER }
     }
 }
 
-/// All workers that the endpoint list has named, and what is still to be processed of its changes.
+/// All workers that the endpoint list has named, and the queue of unprocessed changes.
 #[derive(Default)]
 pub(crate) struct WorkerTable {
     workers: FxHashMap<Arc<str>, Worker>,
-    /// Hosts of the list that were not processed yet.
+    /// Entries of the list that were not processed yet.
     incoming: VecDeque<WorkerEndpoint>,
-    /// Workers of which inventories may say something else now.
+    /// Workers whose attributes may have changed with the inventories.
     to_recheck: VecDeque<Arc<str>>,
-    /// The timer of the next slice is set.
+    /// Whether the timer of the next slice is set.
     is_slice_due: bool,
-    /// What inventories say; `None` as long as there are none.
+    /// The merged inventories; `None` if there are none.
     merged_inventory: Option<Arc<MergedInventory>>,
     named_pods: NamedPods,
-    /// How many own numbers were given.
-    own_numbers: u32,
+    /// Own numbers assigned so far, modulo the size of their range.
+    assigned_own_numbers: u32,
 }
 
 impl WorkerTable {
@@ -102,27 +104,28 @@
         self.workers.values()
     }
 
-    /// The workers that the list names now.
+    /// The workers currently in the list.
     fn listed(&self) -> impl Iterator<Item = &Worker> {
         self.iter().filter(|worker| worker.host.state != WorkerState::Removed)
     }
 
-    /// A number for a worker that must be told apart from all others.
+    /// Assigns the next own number (see [`Worker::own_number`]).
     fn next_own_number(&mut self) -> u32 {
-        let number = FIRST_OWN_NUMBER + self.own_numbers;
-        self.own_numbers = (self.own_numbers + 1) % (UNKNOWN_NUMBER - FIRST_OWN_NUMBER);
+        let number = FIRST_OWN_NUMBER + self.assigned_own_numbers;
+        self.assigned_own_numbers = (self.assigned_own_numbers + 1) % (UNKNOWN_NUMBER - FIRST_OWN_NUMBER);
         number
     }
 }
 
-/// The numbers of pods that inventories name by words.
+/// The numbers assigned to pods that inventories identify by a name.
 #[derive(Default)]
 struct NamedPods {
     numbers: FxHashMap<Arc<str>, u32>,
 }
 
 impl NamedPods {
-    /// The number of a pod that an inventory names. Small numbers stand for themselves.
+    /// The number of a pod that an inventory names. A name that is a number below
+    /// [`FIRST_NAMED_POD`] stands for that pod number of the endpoint list.
     fn number(&mut self, name: &Arc<str>) -> u32 {
         match name.parse::<u32>() {
             Ok(number) if number < FIRST_NAMED_POD => number,
@@ -134,7 +137,8 @@
     }
 }
 
-/// The name by which inventories know a host; one that is no name in DNS is known as it is.
+/// Normalizes a host name for lookups in inventories; a name that is not a valid DNS name is
+/// returned unchanged.
 fn normalized_name(name: &Arc<str>) -> Arc<str> {
     match normalize_host_name(name) {
         Ok(same) if same.len() == name.len() && *same == **name => name.clone(),
