--- a/crates/service/engine/examples/facts.rs
+++ b/crates/service/engine/examples/facts.rs
@@ -1,10 +1,12 @@
-//! How long a job waits while the facts of many workers change: `cargo run --release -p
-//! spanlead-engine --example facts`.
+//! Measures how long a job waits while the attributes of many workers change. Run with
+//! `cargo run --release -p spanlead-engine --example facts`.
 //!
-//! The reducer takes one input at a time, so the longest step is the longest that a job which has
-//! just come can wait for it. For each size: the longest step of all that follow a first whole
-//! list, the same list with every weight changed, a file that states pods and weights of all, and
-//! one that changes them all; and the whole time until the last slice.
+//! The engine processes one input at a time, so the duration of the longest step bounds how long a
+//! new job waits for the engine. For each number of workers, the example applies a first full
+//! endpoint list, the same list again, the list with all weights changed, an inventory that states
+//! the pods and weights of all workers, an inventory that changes all weights, and an empty list.
+//! For each of them it prints the duration of the longest step and the time until the last slice is
+//! processed.
 use spanlead_balancing_policy::{
     DeduplicationScope, EndpointUpdate, Idempotency, Nanos, RequestClass, RequestId, Settings, WorkerState,
 };
@@ -19,26 +21,26 @@
 
 const MS: Nanos = 1_000_000;
 
-struct World {
+struct Measurement {
     engine: Engine,
     now: Nanos,
     request_id: u64,
-    longest: Duration,
+    longest_step: Duration,
 }
 
-impl World {
+impl Measurement {
     fn step(&mut self, input: Input) {
         let mut effects = Vec::with_capacity(64);
-        let begun = Instant::now();
+        let started = Instant::now();
         self.engine.step(self.now, input, &mut effects);
-        self.longest = self.longest.max(begun.elapsed());
+        self.longest_step = self.longest_step.max(started.elapsed());
     }
 
-    /// Takes an input, then ticks with a job between each two, until nothing is left to take; the
-    /// longest step and all.
+    /// Processes an input, then ticks until all of its slices are processed, with a new job after
+    /// each tick. Returns the duration of the longest step and the total time.
     fn measure(&mut self, input: Input) -> (Duration, Duration) {
-        self.longest = Duration::ZERO;
-        let begun = Instant::now();
+        self.longest_step = Duration::ZERO;
+        let started = Instant::now();
         self.step(input);
         while self.engine.has_pending_list_changes() {
             self.now += MS;
@@ -59,20 +61,20 @@
             self.step(Input::RequestReceived { request_id, job, previous_attempts: None, durable: false });
             self.step(Input::ClientDisconnected { request_id });
         }
-        (self.longest, begun.elapsed())
+        (self.longest_step, started.elapsed())
     }
 }
 
-fn merged_inventory(names: &[Arc<str>], weight: f64) -> InventoryUpdate {
-    let row = |i: usize| HostRecord {
+fn inventory_update(names: &[Arc<str>], weight: f64) -> InventoryUpdate {
+    let record = |i: usize| HostRecord {
         pod: AttributeValue::Known(Arc::from(format!("{}", i / 2)), SourceLocation::default()),
         weight: AttributeValue::Known(weight, SourceLocation::default()),
         ..HostRecord::default()
     };
-    let rows = names.iter().enumerate().map(|(i, n)| (n.clone(), row(i))).collect();
+    let hosts = names.iter().enumerate().map(|(i, name)| (name.clone(), record(i))).collect();
     let files = vec!["hosts.csv".into()];
     let version =
-        Version { number: 1, digest: "d".into(), read_ms: 1, files, hosts: rows, diagnostics: Vec::new() };
+        Version { number: 1, digest: "d".into(), read_ms: 1, files, hosts, diagnostics: Vec::new() };
     let source = InventorySource { name: "clubs".into(), weight_first: true, version: version.into() };
     InventoryUpdate {
         merged_inventory: MergedInventory { sources: vec![source], defaults: DefaultAttributes::default() }
@@ -84,15 +86,17 @@
 
 fn main() {
     let ms = |d: Duration| d.as_secs_f64() * 1000.0;
-    println!("workers  what              longest step ms    in all ms");
+    println!("workers  change                 longest ms     total ms");
     for size in [1_000_usize, 5_000, 20_000] {
-        let keyed = Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 25_000 * MS };
-        let class = RequestClass { idempotency: keyed, ..RequestClass::new(300 * MS, 15_000 * MS) };
+        let idempotency = Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 25_000 * MS };
+        let class = RequestClass { idempotency, ..RequestClass::new(300 * MS, 15_000 * MS) };
         let settings = Settings { classes: vec![class], ..Settings::default() };
         let names = Names { classes: vec!["visit".into()], zones: vec!["kista".into()], ..Names::default() };
         let addr: SocketAddr = ([127, 0, 0, 1], 9).into();
-        let engine = Engine::new(settings, Arc::new(names), 1, 100_000, addr, false).expect("good settings");
-        let mut world = World { engine, now: 1_000_000 * MS, request_id: 0, longest: Duration::ZERO };
+        let engine =
+            Engine::new(settings, Arc::new(names), 1, 100_000, addr, false).expect("the settings are valid");
+        let mut measurement =
+            Measurement { engine, now: 1_000_000 * MS, request_id: 0, longest_step: Duration::ZERO };
         let names: Vec<Arc<str>> =
             (0..size).map(|i| Arc::from(format!("w{i:05}.kista.example.org"))).collect();
         let list = |weight: f64| -> Vec<WorkerEndpoint> {
@@ -108,17 +112,18 @@
             };
             names.iter().map(host).collect()
         };
-        let whole = |version, hosts| Input::EndpointList { scope: EndpointUpdate::Snapshot, version, hosts };
-        for (what, input) in [
-            ("first list", whole(1, list(1.0))),
-            ("the same again", whole(2, list(1.0))),
-            ("all weights change", whole(3, list(0.5))),
-            ("a first file", Input::InventoryUpdated(merged_inventory(&names, 2.0))),
-            ("all its facts change", Input::InventoryUpdated(merged_inventory(&names, 3.0))),
-            ("all gone", whole(4, Vec::new())),
+        let full_list =
+            |version, hosts| Input::EndpointList { scope: EndpointUpdate::Snapshot, version, hosts };
+        for (change, input) in [
+            ("first full list", full_list(1, list(1.0))),
+            ("same list again", full_list(2, list(1.0))),
+            ("all list weights", full_list(3, list(0.5))),
+            ("first inventory", Input::InventoryUpdated(inventory_update(&names, 2.0))),
+            ("all inventory weights", Input::InventoryUpdated(inventory_update(&names, 3.0))),
+            ("empty list", full_list(4, Vec::new())),
         ] {
-            let (longest, all) = world.measure(input);
-            println!("{size:7}  {what:22} {:10.2} {:12.1}", ms(longest), ms(all));
+            let (longest_step, total) = measurement.measure(input);
+            println!("{size:7}  {change:22} {:10.2} {:12.1}", ms(longest_step), ms(total));
         }
     }
 }
--- a/crates/service/engine/examples/recovery.rs
+++ b/crates/service/engine/examples/recovery.rs
@@ -1,7 +1,8 @@
-//! What a start costs: a log of so many records, a tenth as many open jobs among them, read back
-//! and taken into the reducer. `cargo run --release -p spanlead-engine --example recovery`
+//! Measures the cost of recovering durable jobs at a start. The example writes logs of up to
+//! 1 million records, with one open job per ten records, reads each log back and passes its jobs to
+//! the engine. Run with `cargo run --release -p spanlead-engine --example recovery`.
 use spanlead_balancing_policy::{
-    DeduplicationScope, Idempotency, Nanos, RequestClass, Settings, WorkerState,
+    DeduplicationScope, EndpointUpdate, Idempotency, Nanos, RequestClass, Settings, WorkerState,
 };
 use spanlead_deployment_settings::Names;
 use spanlead_durable_jobs::{
@@ -15,6 +16,7 @@
 use std::time::Instant;
 
 const SEC: Nanos = 1_000_000_000;
+const LOCKED: &str = "the log folder is locked by another process";
 const OPTIONS: LogOptions = LogOptions { max_segment_bytes: 16 << 20, sync_on_commit: false };
 
 fn location(i: u64) -> WorkerLocation {
@@ -27,13 +29,13 @@
     }
 }
 
-/// The records of one job, and whether it stays open.
-fn job(no: u64, open: bool) -> Vec<Record> {
-    let (job, token) = (JobNumber(no), FencingToken(no));
+/// The records of a job, which ends unless `open` is set.
+fn job_records(number: u64, open: bool) -> Vec<Record> {
+    let (job, token) = (JobNumber(number), FencingToken(number));
     let accepted = AcceptedJob {
         number: job,
-        id: format!("9b1f03aa5c7e2d41-{no}").into(),
-        key: Some(format!("5c0f6e1a2b3d4c59a8b7c6d5e4f30211-{no}").into()),
+        id: format!("9b1f03aa5c7e2d41-{number}").into(),
+        key: Some(format!("5c0f6e1a2b3d4c59a8b7c6d5e4f30211-{number}").into()),
         class: "guest-visit".into(),
         owner: "kraftverket".into(),
         fingerprint: [3; 16],
@@ -42,12 +44,17 @@
         deadline: 1015 * SEC,
         slots: 1.0,
         memory: 0.0,
-        subject: Some(no),
+        subject: Some(number),
         request_body: vec![b'x'; 250].into(),
         inherited_attempts: Vec::new(),
     };
-    let leased =
-        Record::Leased { job, token, location: location(no), sent_at: 1000 * SEC, expires_at: 1011 * SEC };
+    let leased = Record::Leased {
+        job,
+        token,
+        location: location(number),
+        sent_at: 1000 * SEC,
+        expires_at: 1011 * SEC,
+    };
     let mut records = vec![
         Record::Accepted(accepted),
         leased,
@@ -62,6 +69,7 @@
     records
 }
 
+/// A memory figure of this process from `/proc/self/status`, MB; 0 if it cannot be read.
 fn memory_mb(field: &str) -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with(field)).unwrap_or("");
@@ -69,14 +77,14 @@
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    println!("records   open jobs  disk MB  bytes/job  read ms  into the reducer ms  memory MB (most)");
+    println!(" records  open jobs  disk MB  bytes/job  read ms  engine recovery ms  peak memory MB");
     for n in [10_000u64, 100_000, 1_000_000] {
-        let folder = tempfile::tempdir()?;
+        let log_folder = tempfile::tempdir()?;
         let open = n / 10;
         let anchor = ClockAnchor { boot_id: "b".into(), uptime: 0, process_clock: 1000 * SEC };
         let (mut written, mut jobs) = (0, 0);
         {
-            let disk = DiskDirectory::lock(folder.path())?.ok_or("held")?;
+            let disk = DiskDirectory::lock(log_folder.path())?.ok_or(LOCKED)?;
             let (mut log, _) = WriteAheadLog::open(Box::new(disk), OPTIONS, |_, _| Ok(()))?;
             let session = Record::Session(Session {
                 anchor: anchor.clone(),
@@ -86,8 +94,8 @@
             let mut group: Vec<Vec<u8>> = vec![encode(&session)?];
             while written < n {
                 jobs += 1;
-                // Open and ended ones in turn, until there are enough open ones.
-                let records = job(jobs, jobs <= open);
+                // The first `open` jobs stay open, the others have ended.
+                let records = job_records(jobs, jobs <= open);
                 written += records.len() as u64;
                 for record in &records {
                     group.push(encode(record)?);
@@ -100,15 +108,15 @@
             log.append(&group)?;
             log.close()?;
         }
-        let begun = Instant::now();
-        let mut ledger = JobTable::new(JobTableLimits { retention: 120 * SEC, max_jobs: 10_000_000 });
-        let disk = DiskDirectory::lock(folder.path())?.ok_or("held")?;
+        let started = Instant::now();
+        let mut job_table = JobTable::new(JobTableLimits { retention: 120 * SEC, max_jobs: 10_000_000 });
+        let disk = DiskDirectory::lock(log_folder.path())?.ok_or(LOCKED)?;
         let (log, opened) = WriteAheadLog::open(Box::new(disk), OPTIONS, |lsn, bytes| {
             let record = decode(bytes).map_err(RecordRejected::new)?;
-            ledger.replay(lsn, &record).map_err(RecordRejected::new)
+            job_table.replay(lsn, &record).map_err(RecordRejected::new)
         })?;
-        ledger.skip_to(log.next_lsn());
-        let read = begun.elapsed();
+        job_table.skip_to(log.next_lsn());
+        let read_time = started.elapsed();
 
         let class = RequestClass {
             idempotency: Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: 25 * SEC },
@@ -138,38 +146,30 @@
             }
         };
         let hosts = (0..20).map(host).collect();
-        engine.step(
-            now,
-            Input::EndpointList {
-                scope: spanlead_balancing_policy::EndpointUpdate::Snapshot,
-                version: 1,
-                hosts,
-            },
-            &mut effects,
-        );
-        let begun = Instant::now();
-        let anchor = ClockAnchor { uptime: 2 * SEC, process_clock: now, ..anchor };
-        let (lease, clock_bound, disk, segment) = (10 * SEC, SEC / 4, 1 << 40, 16 << 20);
-        let durability = DurableSetup {
-            job_table: ledger,
-            clock_anchor: anchor,
+        let list = Input::EndpointList { scope: EndpointUpdate::Snapshot, version: 1, hosts };
+        engine.step(now, list, &mut effects);
+        let started = Instant::now();
+        let clock_anchor = ClockAnchor { uptime: 2 * SEC, process_clock: now, ..anchor };
+        let setup = DurableSetup {
+            job_table,
+            clock_anchor,
             keep_all_jobs: false,
-            lease_duration: lease,
-            clock_bound,
-            max_disk_bytes: disk,
-            segment_bytes: segment,
+            lease_duration: 10 * SEC,
+            clock_bound: SEC / 4,
+            max_disk_bytes: 1 << 40,
+            segment_bytes: 16 << 20,
         };
-        engine.step(now, Input::DurableJobsOpened(Box::new(durability)), &mut effects);
-        let taken = begun.elapsed();
+        engine.step(now, Input::DurableJobsOpened(Box::new(setup)), &mut effects);
+        let recovery_time = started.elapsed();
         assert_eq!(engine.open_durable_job_count() as u64, open);
         println!(
-            "{:>8}  {:>9}  {:>7}  {:>9}  {:>7}  {:>19}  {:>9}",
+            "{:>8}  {:>9}  {:>7}  {:>9}  {:>7}  {:>18}  {:>14}",
             opened.records,
             open,
             opened.bytes >> 20,
             opened.bytes / jobs,
-            read.as_millis(),
-            taken.as_millis(),
+            read_time.as_millis(),
+            recovery_time.as_millis(),
             memory_mb("VmHWM"),
         );
     }
