--- a/crates/service/engine/src/durable/leases.rs
+++ b/crates/service/engine/src/durable/leases.rs
@@ -29,18 +29,18 @@
         out: &mut Vec<Effect>,
     ) -> Option<LeaseGrant> {
         let jobs = self.durable.as_ref()?;
-        let (token, length) = (jobs.ledger.next_token(), jobs.lease);
+        let (token, length) = (jobs.job_table.next_token(), jobs.lease_duration);
         let entry = self.requests.attempt_mut(attempt)?;
         entry.token = Some(token);
         let (worker, addr) = (entry.worker.clone(), entry.addr);
         let reported = self.workers.get(&worker)?.reported?;
         let zone = self.classes.names.zones.get(reported.zone as usize).map_or("", String::as_str);
-        let location = WorkerLocation { worker, addr, zone: Arc::from(zone), cell: reported.lasting_cell() };
+        let location = WorkerLocation { worker, addr, zone: Arc::from(zone), cell: reported.portable_cell() };
         // The worker counts the lease from the arrival of the attempt, which precedes the arrival
         // of its acknowledgement here.
         let expires_at = now + ACCEPT_TIMEOUT + length;
         self.record(Record::Leased { job, token, location, sent_at: now, expires_at }, out);
-        Some(LeaseGrant { token: token.0, length })
+        Some(LeaseGrant { token: token.0, duration: length })
     }
 
     /// Returns the key of an attempt's lease; `None` if the job is not durable.
@@ -70,7 +70,7 @@
     pub(super) fn track_lease_expiry(&mut self, attempt: AttemptId) {
         let Some(LeaseKey { job, .. }) = self.lease_key(attempt) else { return };
         let Some(jobs) = &self.durable else { return };
-        let lease = jobs.ledger.job(job).and_then(|job| job.lease());
+        let lease = jobs.job_table.job(job).and_then(|job| job.lease());
         let Some(expires_at) = lease.map(|lease| lease.expires_at) else { return };
         let safe_expiry = expires_at + jobs.clock_bound;
         let Some(entry) = self.requests.attempt_mut(attempt) else { return };
@@ -96,14 +96,14 @@
         // A renewal that cannot be recorded must not be granted: the next process would consider
         // the lease expired while the worker still holds it.
         let jobs = self.durable.as_ref().filter(|jobs| !jobs.failed)?;
-        let length = jobs.lease;
-        let lease = jobs.ledger.job(job)?.lease()?;
+        let length = jobs.lease_duration;
+        let lease = jobs.job_table.job(job)?.lease()?;
         let must_extend = now + length > lease.expires_at + length / RENEWAL_RECORD_DIVISOR;
         if !lease.lease_aware || must_extend {
             self.record(Record::Renewed { job, token, expires_at: now + length }, out);
         }
         self.track_lease_expiry(attempt);
-        let expires_at = self.durable.as_ref()?.ledger.job(job)?.lease()?.expires_at;
+        let expires_at = self.durable.as_ref()?.job_table.job(job)?.lease()?.expires_at;
         // Neither beyond the recorded expiration nor for longer than one lease.
         Some(expires_at.saturating_sub(now).min(length))
     }
@@ -111,7 +111,7 @@
     /// Records that the worker has reported that the job runs.
     pub(crate) fn record_started(&mut self, attempt: AttemptId, out: &mut Vec<Effect>) {
         let Some(LeaseKey { job, token }) = self.lease_key(attempt) else { return };
-        let state = self.durable.as_ref().and_then(|jobs| jobs.ledger.job(job)).map(|job| &job.state);
+        let state = self.durable.as_ref().and_then(|jobs| jobs.job_table.job(job)).map(|job| &job.state);
         if matches!(state, Some(JobState::Leased(_))) {
             self.record(Record::Started { job, token }, out);
         }
@@ -127,7 +127,7 @@
         out: &mut Vec<Effect>,
     ) {
         let (Some(job), Some(token)) = (durable, token) else { return };
-        let lease = self.durable.as_ref().and_then(|jobs| jobs.ledger.job(job)?.lease());
+        let lease = self.durable.as_ref().and_then(|jobs| jobs.job_table.job(job)?.lease());
         if lease.is_some_and(|lease| lease.token == token) {
             self.record(Record::Released { job, token, may_have_run }, out);
         }
@@ -148,7 +148,7 @@
         if now < safe_expiry {
             return self.timers.set(safe_expiry, Timer::LeaseExpiry(attempt));
         }
-        jobs.counters.leases_ended += 1;
+        jobs.counters.expired_leases += 1;
         let addr = entry.addr;
         // A worker that is still reachable need not finish the job: its result is no longer
         // awaited.
@@ -167,7 +167,7 @@
         // finished the job.
         let has_succeeded =
             |job: &&spanlead_durable_jobs::Job| matches!(job.outcome(), Some(JobOutcome::Succeeded(_)));
-        let succeeded = jobs.ledger.job_by_id(job_id).filter(has_succeeded);
+        let succeeded = jobs.job_table.job_by_id(job_id).filter(has_succeeded);
         let last_attempt = succeeded.and_then(|job| job.past_attempts.last());
         if last_attempt.is_some_and(|attempt| attempt.token.0 == token) {
             return acknowledged;
--- a/crates/service/engine/src/durable/recovery.rs
+++ b/crates/service/engine/src/durable/recovery.rs
@@ -41,20 +41,23 @@
 impl Engine {
     /// Begins a session on the log and resumes all open jobs that were read from it.
     pub(crate) fn durable_jobs_opened(&mut self, now: Nanos, setup: DurableSetup, out: &mut Vec<Effect>) {
-        let DurableSetup { ledger, anchor, all, lease, clock_bound, disk, segment } = setup;
-        let session = ledger.session_record(anchor);
-        let settings = DurableSettings {
-            keeps_all: all,
-            lease,
+        let DurableSetup {
+            job_table,
+            clock_anchor,
+            keep_all_jobs,
+            lease_duration,
             clock_bound,
-            max_disk_bytes: disk,
-            segment_bytes: segment,
-        };
-        self.durable = Some(DurableJobs::new(ledger, settings));
+            max_disk_bytes,
+            segment_bytes,
+        } = setup;
+        let session = job_table.session_record(clock_anchor);
+        let settings =
+            DurableSettings { keep_all_jobs, lease_duration, clock_bound, max_disk_bytes, segment_bytes };
+        self.durable = Some(DurableJobs::new(job_table, settings));
         self.record(session, out);
         let Some(jobs) = &mut self.durable else { return };
-        jobs.ledger.expire(now);
-        for job in jobs.ledger.open_jobs() {
+        jobs.job_table.expire(now);
+        for job in jobs.job_table.open_jobs() {
             self.recover(now, job, out);
         }
     }
@@ -62,7 +65,7 @@
     /// Resumes an open job, or fails it if it cannot continue.
     fn recover(&mut self, now: Nanos, number: JobNumber, out: &mut Vec<Effect>) {
         let Some(jobs) = &mut self.durable else { return };
-        let Some(stored) = jobs.ledger.job(number).cloned() else { return };
+        let Some(stored) = jobs.job_table.job(number).cloned() else { return };
         jobs.counters.recovered += 1;
         let lease = stored.lease();
         let request_id = RequestId(RECOVERED_REQUEST_BIT | number.0);
@@ -101,7 +104,7 @@
             slots: accepted.slots,
             memory: accepted.memory,
             affinity_key: accepted.subject,
-            due: accepted.deadline,
+            deadline: accepted.deadline,
             durable_request: None,
         })
     }
@@ -124,7 +127,7 @@
     fn resume(&mut self, now: Nanos, resumed: ResumedRequest, out: &mut Vec<Effect>) {
         let ResumedRequest { request_id, job, durable, past, pending, client_waits } = resumed;
         self.register_workers(now, &past, out);
-        let (class, due) = (job.class, job.due);
+        let (class, due) = (job.class, job.deadline);
         let attempts = resumed_attempts(&past, pending);
         let new = NewRequest { request_id, job, attempts, durable, client_waits };
         let request = self.admit(now, new);
@@ -139,9 +142,9 @@
         }
         let attempts = prior_attempts(&past, pending, deferred_end);
         if attempts.is_empty() {
-            self.decide(now, Event::RequestArrived(request), out);
+            self.run_policy(now, Event::RequestArrived(request), out);
         } else {
-            self.decide(now, Event::RequestAdopted { request, attempts: &attempts }, out);
+            self.run_policy(now, Event::RequestAdopted { request, attempts: &attempts }, out);
         }
         if let Some(number) = deferred_end {
             let event = Event::AttemptEnded {
@@ -152,18 +155,24 @@
                 elapsed: 0,
                 report: None,
             };
-            self.decide(now, event, out);
+            self.run_policy(now, event, out);
         }
     }
 
     /// Sets the timers of an attempt that the previous process left pending.
-    fn set_pending_timers(&mut self, now: Nanos, due: Nanos, attempt: AttemptId, pending: PendingAttempt) {
-        self.timers.set(due, Timer::AttemptTimeout(attempt));
+    fn set_pending_timers(
+        &mut self,
+        now: Nanos,
+        deadline: Nanos,
+        attempt: AttemptId,
+        pending: PendingAttempt,
+    ) {
+        self.timers.set(deadline, Timer::AttemptTimeout(attempt));
         if pending.lease_aware {
             self.track_lease_expiry(attempt);
         }
         if !pending.accepted {
-            let notice_by = due.min(now + RECOVERY_NOTICE_TIMEOUT);
+            let notice_by = deadline.min(now + RECOVERY_NOTICE_TIMEOUT);
             self.timers.set(notice_by, Timer::AcceptTimeout(attempt));
         }
     }
--- a/crates/service/engine/src/durable/storage.rs
+++ b/crates/service/engine/src/durable/storage.rs
@@ -16,7 +16,7 @@
     /// might be written that would trigger this.
     pub(crate) fn expire_durable_jobs(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         let Some(jobs) = &mut self.durable else { return };
-        if jobs.ledger.expire(now) > 0 {
+        if jobs.job_table.expire(now) > 0 {
             let disk_bytes = jobs.counters.disk_bytes;
             self.records_durable(disk_bytes, out);
         }
@@ -29,17 +29,17 @@
         jobs.counters.disk_bytes = disk_bytes;
         // A few old jobs may keep many unneeded records from being removed; they are rewritten as
         // snapshots. `live_bytes` is an upper estimate, so the rewriting ends.
-        let live_bytes = jobs.ledger.stats().live_bytes as u64;
+        let live_bytes = jobs.job_table.stats().live_bytes as u64;
         if disk_bytes > MAX_DISK_OVERHEAD_FACTOR * (live_bytes + jobs.segment_bytes) {
-            for record in jobs.ledger.snapshot_records(MAX_SNAPSHOT_RECORDS) {
+            for record in jobs.job_table.snapshot_records(MAX_SNAPSHOT_RECORDS) {
                 self.record(record, out);
             }
         }
         let Some(jobs) = &mut self.durable else { return };
-        let oldest = jobs.ledger.oldest_needed_lsn();
+        let oldest = jobs.job_table.oldest_needed_lsn();
         if oldest >= jobs.truncated_to + TRUNCATE_INTERVAL_RECORDS {
             jobs.truncated_to = oldest;
-            out.push(Effect::TruncateLog { oldest });
+            out.push(Effect::TruncateLog { oldest_needed_lsn: oldest });
         }
     }
 
@@ -47,7 +47,7 @@
     pub(crate) fn storage_failed(&mut self, out: &mut Vec<Effect>) {
         let Some(jobs) = self.durable.as_mut().filter(|jobs| !jobs.failed) else { return };
         jobs.failed = true;
-        let open = jobs.ledger.stats().open;
+        let open = jobs.job_table.stats().open;
         out.push(Effect::Log(format!(
             "durable job log is not writable: new durable jobs are rejected and open ones get no new attempts; \
              restart the process after repairing the disk open={open}"
--- a/crates/service/engine/src/workers/attributes.rs
+++ b/crates/service/engine/src/workers/attributes.rs
@@ -1,6 +1,8 @@
 //! The attributes of one worker: those of the endpoint list take precedence, and inventories supply
 //! the missing ones.
-use super::{FIRST_NAMED_POD, NamedPods, ReportedWorker, UNKNOWN_NUMBER, Worker, WorkerTable, normal_name};
+use super::{
+    FIRST_NAMED_POD, NamedPods, ReportedWorker, UNKNOWN_NUMBER, Worker, WorkerTable, normalized_name,
+};
 use crate::Engine;
 use crate::timers::Timer;
 use spanlead_balancing_policy::Nanos;
@@ -54,7 +56,7 @@
         merged_inventory: &MergedInventory,
         named_pods: &mut NamedPods,
     ) -> WorkerAttributes {
-        let normal = &**self.normal_name.get_or_insert_with(|| normal_name(&self.host.name));
+        let normal = &**self.normalized_name.get_or_insert_with(|| normalized_name(&self.host.name));
         self.is_in_inventory = merged_inventory.names(normal);
         let number =
             |names: &[String], stated: Option<&Arc<str>>| stated.and_then(|name| index_of(names, name));
@@ -70,8 +72,12 @@
 
 /// Returns the weight of the list, or that of an inventory if the list has none or the inventory is
 /// configured to take precedence.
-fn merged_weight(listed: Option<f64>, normal_name: &str, merged_inventory: &MergedInventory) -> Option<f64> {
-    let stated = merged_inventory.weight(normal_name);
+fn merged_weight(
+    listed: Option<f64>,
+    normalized_name: &str,
+    merged_inventory: &MergedInventory,
+) -> Option<f64> {
+    let stated = merged_inventory.weight(normalized_name);
     let inventory_has_precedence =
         stated.as_ref().is_some_and(|fact| merged_inventory.sources[fact.source].weight_first);
     let stated = stated.and_then(|fact| fact.value.copied());
--- a/crates/service/engine/src/workers/endpoint_list.rs
+++ b/crates/service/engine/src/workers/endpoint_list.rs
@@ -71,7 +71,7 @@
         Worker {
             host,
             reported: None,
-            normal_name: None,
+            normalized_name: None,
             is_in_inventory: false,
             own_number,
             pod: IsolatedAttribute::default(),
@@ -131,7 +131,7 @@
         }
         let endpoints = changed.iter().map(|(name, reported)| reported.endpoint(name));
         let endpoints: Vec<Endpoint<'_>> = endpoints.collect();
-        self.decide(now, Event::EndpointsChanged { update: scope, endpoints: &endpoints }, out);
+        self.run_policy(now, Event::EndpointsChanged { update: scope, endpoints: &endpoints }, out);
     }
 
     /// Takes the next worker from the queues: updates of the list precede those of inventories.
@@ -153,7 +153,7 @@
         if let Some(reported) = self.update_reported(now, &name) {
             let endpoints = [reported.endpoint(&name)];
             let update = EndpointUpdate::Delta;
-            self.decide(now, Event::EndpointsChanged { update, endpoints: &endpoints }, out);
+            self.run_policy(now, Event::EndpointsChanged { update, endpoints: &endpoints }, out);
         }
     }
 
