--- a/crates/service/engine/tests/bounds.rs
+++ b/crates/service/engine/tests/bounds.rs
@@ -1,4 +1,5 @@
-//! The ledger's bounds: jobs that it may hold, and its size on disk, whatever lives long in it.
+//! The bounds of durable jobs: the number of jobs in the job table and the size of the log on disk,
+//! also with long-lived jobs.
 use spanlead_balancing_policy::{
     EndpointUpdate, Idempotency, Nanos, RequestClass, RequestId, Settings, WorkerState,
 };
@@ -13,32 +14,42 @@
 use std::sync::Arc;
 
 const SEC: Nanos = 1_000_000_000;
-const SEGMENT: u64 = 16 << 10;
+const MAX_SEGMENT_BYTES: u64 = 16 << 10;
+/// The request body of each job.
+const BODY_BYTES: usize = 300;
+/// A disk limit that no test reaches.
+const AMPLE_DISK_BYTES: u64 = 1 << 30;
+/// A limit on jobs that no test reaches.
+const AMPLE_JOBS: usize = 100_000;
 
-struct World {
+/// An engine with its log and one worker. Every record is durable as soon as it is appended.
+struct Scheduler {
     engine: Engine,
     log: WriteAheadLog,
     now: Nanos,
-    asks: u64,
-    most: u64,
+    /// How many requests were submitted; also the number of the last one.
+    submissions: u64,
+    /// The largest size of the log so far.
+    peak_log_bytes: u64,
 }
 
-impl World {
-    fn new(folder: &SimulatedDirectory, jobs: usize, disk: u64, now: Nanos) -> Self {
+impl Scheduler {
+    fn new(directory: &SimulatedDirectory, max_jobs: usize, max_disk_bytes: u64, now: Nanos) -> Self {
         let class = RequestClass { idempotency: Idempotency::AtMostOnce, ..RequestClass::new(SEC, 15 * SEC) };
         let settings = Settings { classes: vec![class], ..Settings::default() };
         let names = Names { classes: vec!["once".into()], zones: vec!["kista".into()], ..Names::default() };
         let addr: SocketAddr = ([127, 0, 0, 1], 9).into();
-        let engine = Engine::new(settings, Arc::new(names), 1, 1000, addr, true).expect("good settings");
-        let mut ledger = JobTable::new(JobTableLimits { retention: 60 * SEC, max_jobs: jobs });
-        let options = LogOptions { max_segment_bytes: SEGMENT, sync_on_commit: true };
-        let (log, _) = WriteAheadLog::open(Box::new(folder.clone()), options, |lsn, bytes| {
+        let engine =
+            Engine::new(settings, Arc::new(names), 1, 1000, addr, true).expect("the settings are valid");
+        let mut job_table = JobTable::new(JobTableLimits { retention: 60 * SEC, max_jobs });
+        let options = LogOptions { max_segment_bytes: MAX_SEGMENT_BYTES, sync_on_commit: true };
+        let (log, _) = WriteAheadLog::open(Box::new(directory.clone()), options, |lsn, bytes| {
             let record = decode(bytes).map_err(RecordRejected::new)?;
-            ledger.replay(lsn, &record).map_err(RecordRejected::new)
+            job_table.replay(lsn, &record).map_err(RecordRejected::new)
         })
-        .expect("good");
-        ledger.skip_to(log.next_lsn());
-        let mut world = World { engine, log, now, asks: 0, most: 0 };
+        .expect("the log can be opened");
+        job_table.skip_to(log.next_lsn());
+        let mut scheduler = Scheduler { engine, log, now, submissions: 0, peak_log_bytes: 0 };
         let name: Arc<str> = "s-a".into();
         let state = WorkerState::Ready;
         let host = WorkerEndpoint {
@@ -51,48 +62,63 @@
             cell: Some(0),
             weight: None,
         };
-        world.step(Input::EndpointList { scope: EndpointUpdate::Snapshot, version: 1, hosts: vec![host] });
+        scheduler.step(Input::EndpointList {
+            scope: EndpointUpdate::Snapshot,
+            version: 1,
+            hosts: vec![host],
+        });
         let anchor = ClockAnchor { boot_id: "b".into(), uptime: now, process_clock: now };
-        let (lease, clock_bound, segment) = (10 * SEC, SEC, SEGMENT);
-        let durability = DurableSetup { ledger, anchor, all: false, lease, clock_bound, disk, segment };
-        world.step(Input::DurableJobsOpened(Box::new(durability)));
-        world
+        let durability = DurableSetup {
+            ledger: job_table,
+            anchor,
+            all: false,
+            lease: 10 * SEC,
+            clock_bound: SEC,
+            disk: max_disk_bytes,
+            segment: MAX_SEGMENT_BYTES,
+        };
+        scheduler.step(Input::DurableJobsOpened(Box::new(durability)));
+        scheduler
     }
 
-    /// Takes an input; the answer that some client is given, if any.
+    /// Processes an input and performs its effects. Returns the last answer to a client, if any.
     fn step(&mut self, input: Input) -> Option<Answer> {
         let (mut effects, mut records, mut answer) = (Vec::new(), Vec::new(), None);
         self.engine.step(self.now, input, &mut effects);
-        let mut trim = None;
+        let mut oldest_needed = None;
         for effect in effects {
             let effect = match effect {
                 Effect::AfterDurable { effect, .. } => *effect,
                 other => other,
             };
             match effect {
-                Effect::AppendRecord(record) => records.push(encode(&record).expect("it has a form")),
-                Effect::TruncateLog { oldest } => trim = Some(oldest),
+                Effect::AppendRecord(record) => {
+                    records.push(encode(&record).expect("the record can be encoded"));
+                }
+                Effect::TruncateLog { oldest } => oldest_needed = Some(oldest),
                 Effect::Answer { answer: given, .. } => answer = Some(given),
                 _ => {}
             }
         }
-        let wrote = !records.is_empty();
-        self.log.append(&records).expect("a good disk");
-        let trimmed = trim.is_some_and(|oldest| self.log.trim(oldest).expect("a good disk"));
-        self.most = self.most.max(self.log.size_bytes());
-        if wrote || trimmed {
+        let has_appended = !records.is_empty();
+        self.log.append(&records).expect("the disk has no faults");
+        let has_trimmed =
+            oldest_needed.is_some_and(|oldest| self.log.trim(oldest).expect("the disk has no faults"));
+        self.peak_log_bytes = self.peak_log_bytes.max(self.log.size_bytes());
+        if has_appended || has_trimmed {
             self.step(Input::RecordsDurable { bytes: self.log.size_bytes() });
         }
         answer
     }
 
-    /// Brings a job; its answer if it has one at once.
-    fn ask(&mut self, key: &str, body: usize) -> Option<Answer> {
-        self.asks += 1;
-        let text = vec![b'x'; body].into();
-        let durable_request = DurableRequest { key: Some(key.into()), fingerprint: [1; 16], text };
+    /// Submits a job. Returns its answer if it is given at once.
+    fn submit(&mut self, key: &str) -> Option<Answer> {
+        self.submissions += 1;
+        let encoded_request = vec![b'x'; BODY_BYTES].into();
+        let durable_request =
+            DurableRequest { key: Some(key.into()), fingerprint: [1; 16], text: encoded_request };
         let job = Job {
-            id: format!("r{}", self.asks).into(),
+            id: format!("r{}", self.submissions).into(),
             class: 0,
             tenant: 0,
             slots: 1.0,
@@ -102,87 +128,94 @@
             durable_request: Some(durable_request),
         };
         self.step(Input::RequestReceived {
-            request_id: RequestId(self.asks),
+            request_id: RequestId(self.submissions),
             job,
             previous_attempts: None,
             durable: false,
         })
     }
 
-    /// The worker has done the last job.
-    fn done(&mut self) -> Option<Answer> {
-        let (job_id, worker, update) =
-            (format!("r{}", self.asks), "s-a".to_owned(), JobUpdate::Done("R".into()));
+    /// Reports the last submitted job as done by the worker. Returns the answer to its client.
+    fn complete_last_job(&mut self) -> Option<Answer> {
         self.step(Input::WorkerNotice(WorkerNotice {
-            notice: self.asks,
-            job_id,
-            worker,
+            notice: self.submissions,
+            job_id: format!("r{}", self.submissions),
+            worker: "s-a".to_owned(),
             fencing_token: None,
-            update,
+            update: JobUpdate::Done("R".into()),
             report: None,
         }))
     }
 }
 
-// Guards the disk: one job that stays open must not keep every segment behind it, and the log
-// forgets what has expired.
+// Guards the disk: a job that outlives many segments must not keep all of them, and the log drops
+// the records of expired jobs.
 #[test]
-fn the_log_stays_bounded_while_an_old_job_lives() {
-    let folder = SimulatedDirectory::new();
-    let mut world = World::new(&folder, 100_000, 1 << 30, 1000 * SEC);
-    // It is renewed for ever by whoever asks again; it just never ends.
-    world.ask("old", 300);
-    let mut early = 0;
+fn the_log_size_stays_bounded_while_a_job_outlives_many_segments() {
+    let directory = SimulatedDirectory::new();
+    let mut scheduler = Scheduler::new(&directory, AMPLE_JOBS, AMPLE_DISK_BYTES, 1000 * SEC);
+    // No worker finishes this job: it fails at its deadline, is retained, and once it has expired
+    // the next submission with its key opens it anew.
+    scheduler.submit("old");
+    let mut peak_after_30_000_jobs = 0;
     for i in 0..50_000u64 {
-        // 100 jobs a second, kept for 60 s: 6,000 of them live at a time.
-        world.now += SEC / 100;
+        // 100 jobs a second, retained for 60 s: 6,000 of them are live at a time.
+        scheduler.now += SEC / 100;
         if i % 1000 == 0 {
-            world.step(Input::Tick);
-            world.ask("old", 300);
+            scheduler.step(Input::Tick);
+            scheduler.submit("old");
         }
-        assert_eq!(world.ask(&format!("k{i}"), 300), None);
-        assert_eq!(world.done(), Some(Answer::Served("R".into())));
+        assert_eq!(scheduler.submit(&format!("k{i}")), None);
+        assert_eq!(scheduler.complete_last_job(), Some(Answer::Served("R".into())));
         if i == 29_999 {
-            early = world.most;
+            peak_after_30_000_jobs = scheduler.peak_log_bytes;
         }
     }
-    assert!(world.most <= early + 4 * SEGMENT, "{} bytes, {early} half way", world.most);
-    let live = 6_000 * (512 + 300);
-    assert!(world.most < 3 * live, "{} bytes for {live} that live", world.most);
-    // And all that must be known is: a kept answer, by another process.
-    let now = world.now;
-    drop(world);
-    let mut next = World::new(&folder, 100_000, 1 << 30, now);
-    next.asks = 1_000_000;
-    assert_eq!(next.ask("k49999", 300), Some(Answer::Served("R".into())));
-    assert_eq!(next.ask("k49000", 300), Some(Answer::Served("R".into())));
-    assert_eq!(next.ask("k100", 300), None, "it has expired");
+    let peak = scheduler.peak_log_bytes;
+    assert!(
+        peak <= peak_after_30_000_jobs + 4 * MAX_SEGMENT_BYTES,
+        "the log grew from {peak_after_30_000_jobs} bytes after 30,000 jobs to {peak} bytes"
+    );
+    let live_bytes = 6_000 * (512 + 300);
+    assert!(peak < 3 * live_bytes, "the log had {peak} bytes for {live_bytes} live bytes");
+    // Another process finds the retained answers in what is left of the log.
+    let now = scheduler.now;
+    drop(scheduler);
+    let mut successor = Scheduler::new(&directory, AMPLE_JOBS, AMPLE_DISK_BYTES, now);
+    successor.submissions = 1_000_000;
+    assert_eq!(successor.submit("k49999"), Some(Answer::Served("R".into())));
+    assert_eq!(successor.submit("k49000"), Some(Answer::Served("R".into())));
+    assert_eq!(successor.submit("k100"), None, "the retention of k100 has ended: it is a new job");
 }
 
-// Guards what is known: when the ledger is full, new jobs are refused at once with advice, and
-// nothing is forgotten before its time to make room.
+// Guards retained answers: at the limit on jobs or on disk space, new jobs are rejected at once with
+// a retry delay, and no finished job is dropped before its retention ends to make room.
 #[test]
-fn a_full_ledger_refuses_and_forgets_nothing() {
-    for (jobs, disk) in [(50, 1 << 30), (100_000, 32 << 10)] {
-        let folder = SimulatedDirectory::new();
-        let mut world = World::new(&folder, jobs, disk, 1000 * SEC);
-        let mut taken = 0;
-        let refused = loop {
-            match world.ask(&format!("k{taken}"), 300) {
-                None => assert_eq!(world.done(), Some(Answer::Served("R".into()))),
+fn full_durable_storage_rejects_new_jobs_and_keeps_retained_ones() {
+    for (max_jobs, max_disk_bytes) in [(50, AMPLE_DISK_BYTES), (AMPLE_JOBS, 32 << 10)] {
+        let directory = SimulatedDirectory::new();
+        let mut scheduler = Scheduler::new(&directory, max_jobs, max_disk_bytes, 1000 * SEC);
+        let mut accepted = 0;
+        let rejection = loop {
+            match scheduler.submit(&format!("k{accepted}")) {
+                None => assert_eq!(scheduler.complete_last_job(), Some(Answer::Served("R".into()))),
                 Some(answer) => break answer,
             }
-            taken += 1;
-            assert!(taken <= 1000, "it has no bound");
+            accepted += 1;
+            assert!(accepted <= 1000, "no limit took effect: {accepted} jobs were accepted");
         };
-        assert!(matches!(refused, Answer::Rejected { retry_after: Some(_) }), "{refused:?}");
-        assert!(world.most <= disk + SEGMENT, "{}", world.most);
-        for i in 0..taken {
-            assert_eq!(world.ask(&format!("k{i}"), 300), Some(Answer::Served("R".into())), "key {i}");
+        assert!(matches!(rejection, Answer::Rejected { retry_after: Some(_) }), "{rejection:?}");
+        let peak = scheduler.peak_log_bytes;
+        assert!(
+            peak <= max_disk_bytes + MAX_SEGMENT_BYTES,
+            "the log had {peak} bytes with a limit of {max_disk_bytes}"
+        );
+        for i in 0..accepted {
+            assert_eq!(scheduler.submit(&format!("k{i}")), Some(Answer::Served("R".into())), "key k{i}");
         }
-        // When they have expired there is room again, though nothing was written since.
-        world.now += 70 * SEC;
-        world.step(Input::Tick);
-        assert_eq!(world.ask("new", 300), None, "{jobs} {disk}");
+        // After their retention there is room again, though nothing was written meanwhile.
+        scheduler.now += 70 * SEC;
+        scheduler.step(Input::Tick);
+        assert_eq!(scheduler.submit("new"), None, "limits: {max_jobs} jobs, {max_disk_bytes} bytes on disk");
     }
 }
--- a/crates/service/engine/tests/crash.rs
+++ b/crates/service/engine/tests/crash.rs
@@ -1,15 +1,16 @@
-//! The reducer, its ledger and the real log, simulated whole: clients, workers, network, disk and
-//! clock are drawn from a seed, messages are lost, doubled and late, processes and the machine are
-//! stopped between any record, its sync and what follows, and the rules are checked at each step.
-//! In the manner of `FoundationDB`'s and `TigerBeetle`'s simulators: one thread, virtual time, the
-//! same
-//! seed the same story. `SEED=n` plays one story, `STORIES=n` so many.
+//! Deterministic simulation of the engine with its job table and the real write-ahead log.
+//!
+//! Clients, workers, network, disk and clocks are driven by a seeded random generator. Messages are
+//! lost, duplicated and delayed; the scheduler's process or its machine crashes between any record,
+//! its sync and the effects that follow; the invariants are checked after each event. As in the
+//! simulators of `FoundationDB` and `TigerBeetle`, there is one thread and virtual time, and the
+//! same seed gives the same run. `SEED=n` runs that seed alone, `STORIES=n` runs the seeds below n.
 use bytes::Bytes;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use spanlead_balancing_policy::{
-    DeduplicationScope, EndpointUpdate, Idempotency, Limits as May, Nanos, Outcome, RequestClass, RequestId,
-    Settings, WorkerState,
+    DeduplicationScope, EndpointUpdate, Idempotency, Limits as PolicyLimits, Nanos, Outcome, RequestClass,
+    RequestId, Settings, WorkerState,
 };
 use spanlead_deployment_settings::Names;
 use spanlead_durable_jobs::{ClockAnchor, JobTable, JobTableLimits, decode, encode};
@@ -26,25 +27,36 @@
 
 const MS: Nanos = 1_000_000;
 const SEC: Nanos = 1000 * MS;
-const BEGIN: Nanos = 1000 * SEC;
-/// How long the trouble lasts.
-const TROUBLE: Nanos = 20 * SEC;
-const LEASE: Nanos = 2 * SEC;
-const BOUND: Nanos = 200 * MS;
-const WINDOW: Nanos = 25 * SEC;
-const PATIENCE: Nanos = 15 * SEC;
+/// The virtual time at which a run starts.
+const START_TIME: Nanos = 1000 * SEC;
+/// The period, from the start of a run, in which faults are injected and clients submit again.
+const FAULT_PERIOD: Nanos = 20 * SEC;
+const LEASE_DURATION: Nanos = 2 * SEC;
+const CLOCK_BOUND: Nanos = 200 * MS;
+const DEDUPLICATION_WINDOW: Nanos = 25 * SEC;
+/// How long a client waits for a final answer, over all its submissions.
+const CLIENT_TIMEOUT: Nanos = 15 * SEC;
+const MAX_SEGMENT_BYTES: u64 = 700;
+const TICK_INTERVAL: Nanos = 20 * MS;
+/// The number of the deduplicated class in [`settings`].
+const DEDUPLICATED_CLASS: u32 = 1;
+/// The number of the at-most-once class in [`settings`].
+const AT_MOST_ONCE_CLASS: u32 = 2;
+/// How many lines of the trace a failed check prints.
+const TRACE_LINES_SHOWN: usize = 80;
 
 fn settings() -> Settings {
-    let class = |idempotency| RequestClass { idempotency, ..RequestClass::new(SEC, PATIENCE) };
-    let keyed = Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: WINDOW };
-    let limits = May {
+    let class = |idempotency| RequestClass { idempotency, ..RequestClass::new(SEC, CLIENT_TIMEOUT) };
+    let deduplicated =
+        Idempotency::Deduplicated { scope: DeduplicationScope::Cell, window: DEDUPLICATION_WINDOW };
+    let limits = PolicyLimits {
         max_attempts: 6,
         can_cancel: true,
         can_send_retry_after: true,
         max_retry_after: SEC,
         ..Settings::default().limits
     };
-    let classes = vec![class(Idempotency::Idempotent), class(keyed), class(Idempotency::AtMostOnce)];
+    let classes = vec![class(Idempotency::Idempotent), class(deduplicated), class(Idempotency::AtMostOnce)];
     Settings { classes, limits, tick: 2 * MS, ..Settings::default() }
 }
 
@@ -54,310 +66,336 @@
     Names { classes, zones: all(&["kista"]), kinds: all(&["std-2c"]), ..Names::default() }
 }
 
+/// A scheduled event. One with an `epoch` is dropped if that scheduler process has ended, and one
+/// with an `incarnation` if that worker process has.
 #[derive(Clone, Debug)]
-enum Happening {
-    Ask(usize),
-    GiveUp {
-        client: usize,
-        ask: u64,
-    },
-    Arrive {
+enum Event {
+    /// A client submits its request.
+    Submit(usize),
+    /// The client of this submission must have its answer by now.
+    ClientTimeout { client: usize, submission: u64 },
+    /// A dispatched attempt reaches its worker.
+    AttemptArrives {
         worker: usize,
         attempt: AttemptId,
-        id: Arc<str>,
-        key: usize,
+        job_id: Arc<str>,
+        client: usize,
         lease: Option<LeaseGrant>,
         epoch: u64,
     },
-    Handed {
-        attempt: AttemptId,
-        result: DispatchResult,
-        epoch: u64,
-    },
-    Finish {
-        worker: usize,
-        id: Arc<str>,
-        life: u64,
-    },
-    LeaseOver {
-        worker: usize,
-        id: Arc<str>,
-        life: u64,
-    },
-    Notice(Notice),
-    CallOff {
-        worker: usize,
-        id: Arc<str>,
-        attempt: AttemptId,
-        epoch: u64,
-    },
-    Abandoned {
-        attempt: AttemptId,
-        epoch: u64,
-    },
-    Sync {
-        epoch: u64,
-    },
-    Tick {
-        epoch: u64,
-    },
-    Kill {
-        machine: bool,
-    },
+    /// The scheduler learns how the dispatch of an attempt ended.
+    DispatchFinished { attempt: AttemptId, result: DispatchResult, epoch: u64 },
+    /// A worker finishes a job.
+    JobDone { worker: usize, job_id: Arc<str>, incarnation: u64 },
+    /// A job's lease may have expired by its worker's clock.
+    LeaseExpires { worker: usize, job_id: Arc<str>, incarnation: u64 },
+    /// A worker sends a notice to the scheduler.
+    SendNotice(Notice),
+    /// A cancellation reaches the worker.
+    CancelAttempt { worker: usize, job_id: Arc<str>, attempt: AttemptId, epoch: u64 },
+    /// The scheduler learns that the worker has cancelled the attempt.
+    AttemptCancelled { attempt: AttemptId, epoch: u64 },
+    /// The log's writer appends and syncs the records that wait for it.
+    Sync { epoch: u64 },
+    /// The scheduler's timers run.
+    Tick { epoch: u64 },
+    /// The scheduler's process crashes; with `power_loss` its machine does, too.
+    Crash { power_loss: bool },
+    /// The scheduler's process starts.
     Start,
-    Die(usize),
-    Live(usize),
+    /// A worker crashes.
+    WorkerCrash(usize),
+    /// A crashed worker starts again, without jobs.
+    WorkerRestart(usize),
 }
 
 #[derive(Clone, Debug)]
 struct Notice {
     worker: usize,
-    id: Arc<str>,
+    job_id: Arc<str>,
     token: Option<u64>,
-    what: &'static str,
-    life: u64,
-    sent: Nanos,
-    /// How often it is told again.
-    left: u32,
+    update: &'static str,
+    incarnation: u64,
+    sent_at: Nanos,
+    retries_left: u32,
 }
 
 /// A job at a worker.
-struct Held {
+struct WorkerJob {
     token: Option<u64>,
-    /// When it must stop, by its own clock.
-    until: Nanos,
-    /// The scheduler has been told that it was taken.
-    answered: bool,
+    /// When the worker must stop the job, with the drift of its clock included.
+    stop_at: Nanos,
+    /// The worker's reply to the dispatch was not lost.
+    replied: bool,
 }
 
 struct Worker {
-    up: bool,
-    life: u64,
-    aware: bool,
+    is_up: bool,
+    /// Counts the processes of the worker.
+    incarnation: u64,
+    is_lease_aware: bool,
     cell: u32,
-    jobs: BTreeMap<Arc<str>, Held>,
+    jobs: BTreeMap<Arc<str>, WorkerJob>,
 }
 
 struct Client {
     class: u32,
-    /// Its present request.
-    asking: Option<(u64, RequestId)>,
-    /// Until when it waits in all.
-    until: Nanos,
+    /// The open submission and its request.
+    open_submission: Option<(u64, RequestId)>,
+    /// The end of [`CLIENT_TIMEOUT`]; 0 before the first submission.
+    deadline: Nanos,
     answer: Option<Answer>,
 }
 
-struct Story {
+struct Simulation {
     seed: u64,
     rng: SmallRng,
     now: Nanos,
-    serial: u64,
+    /// The last number that was given to an event or a notice.
+    last_serial: u64,
+    /// The serial numbers of scheduled events by time.
     queue: BinaryHeap<Reverse<(Nanos, u64)>>,
-    happenings: HashMap<u64, Happening>,
-    folder: SimulatedDirectory,
-    /// The running process; `epoch` counts them.
+    events: HashMap<u64, Event>,
+    directory: SimulatedDirectory,
+    /// The running scheduler process.
     process: Option<(Engine, DurabilityBarrier, WriteAheadLog)>,
+    /// Counts the scheduler processes.
     epoch: u64,
-    /// Attempts whose worker's answer the process waits for, on a connection each.
-    offers: HashSet<AttemptId>,
-    /// Records that wait for the writer.
-    unwritten: Vec<Bytes>,
-    notes: HashMap<u64, Notice>,
+    /// Attempts that were dispatched and wait for the worker's reply on their connection.
+    pending_dispatches: HashSet<AttemptId>,
+    /// Records that wait for the next [`Event::Sync`].
+    unwritten_records: Vec<Bytes>,
+    /// Notices that wait for the scheduler's reply.
+    pending_notices: HashMap<u64, Notice>,
     workers: Vec<Worker>,
     clients: Vec<Client>,
-    /// The client behind each id.
-    keys: HashMap<Arc<str>, usize>,
-    /// Where and when each client's job began to run.
-    began: HashMap<usize, Vec<(usize, Nanos)>>,
-    /// Clients whose result was acknowledged to a worker that goes by its lease.
+    /// The client of each job that was dispatched.
+    client_of_job: HashMap<Arc<str>, usize>,
+    /// By client, the runs of its job: worker and start of each. A duplicate that the worker's cell
+    /// drops is no run.
+    runs: HashMap<usize, Vec<(usize, Nanos)>>,
+    /// Clients whose job's result was acknowledged to a lease-aware worker.
     acknowledged: HashSet<usize>,
-    disk_fails: bool,
-    asks: u64,
-    /// From when to when no process ran.
-    downs: Vec<(Nanos, Nanos)>,
-    told: Vec<String>,
+    disk_may_fail: bool,
+    /// How many requests were submitted.
+    submissions: u64,
+    /// From when to when no scheduler process ran.
+    outages: Vec<(Nanos, Nanos)>,
+    trace: Vec<String>,
 }
 
-impl Story {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let worker = |i| (i, rng.random_bool(0.7));
         let workers: Vec<(u32, bool)> = (0..3).map(worker).collect();
-        let worker = |(i, aware)| Worker { up: true, life: 0, aware, cell: i / 2, jobs: BTreeMap::new() };
+        let worker = |(i, is_lease_aware)| Worker {
+            is_up: true,
+            incarnation: 0,
+            is_lease_aware,
+            cell: i / 2,
+            jobs: BTreeMap::new(),
+        };
         let classes: Vec<u32> = (0..rng.random_range(1..12)).map(|_| rng.random_range(0..3)).collect();
-        let client = |class| Client { class, asking: None, until: 0, answer: None };
-        let disk_fails = rng.random_bool(0.15);
-        let mut story = Story {
+        let client = |class| Client { class, open_submission: None, deadline: 0, answer: None };
+        let disk_may_fail = rng.random_bool(0.15);
+        let mut simulation = Simulation {
             seed,
             rng,
-            now: BEGIN,
-            serial: 0,
+            now: START_TIME,
+            last_serial: 0,
             queue: BinaryHeap::new(),
-            happenings: HashMap::new(),
-            folder: SimulatedDirectory::new(),
+            events: HashMap::new(),
+            directory: SimulatedDirectory::new(),
             process: None,
             epoch: 0,
-            offers: HashSet::new(),
-            unwritten: Vec::new(),
-            notes: HashMap::new(),
+            pending_dispatches: HashSet::new(),
+            unwritten_records: Vec::new(),
+            pending_notices: HashMap::new(),
             workers: workers.into_iter().map(worker).collect(),
             clients: classes.into_iter().map(client).collect(),
-            keys: HashMap::new(),
-            began: HashMap::new(),
+            client_of_job: HashMap::new(),
+            runs: HashMap::new(),
             acknowledged: HashSet::new(),
-            disk_fails,
-            asks: 0,
-            downs: Vec::new(),
-            told: Vec::new(),
+            disk_may_fail,
+            submissions: 0,
+            outages: Vec::new(),
+            trace: Vec::new(),
         };
-        story.after(0, Happening::Start);
-        for client in 0..story.clients.len() {
-            let at = story.rng.random_range(MS..TROUBLE / 2);
-            story.after(at, Happening::Ask(client));
+        simulation.schedule(0, Event::Start);
+        for client in 0..simulation.clients.len() {
+            let delay = simulation.rng.random_range(MS..FAULT_PERIOD / 2);
+            simulation.schedule(delay, Event::Submit(client));
         }
-        for _ in 0..story.rng.random_range(0..6) {
-            let (at, machine) = (story.rng.random_range(MS..TROUBLE), story.rng.random_bool(0.4));
-            story.after(at, Happening::Kill { machine });
+        for _ in 0..simulation.rng.random_range(0..6) {
+            let delay = simulation.rng.random_range(MS..FAULT_PERIOD);
+            let power_loss = simulation.rng.random_bool(0.4);
+            simulation.schedule(delay, Event::Crash { power_loss });
         }
-        for _ in 0..story.rng.random_range(0..3) {
-            let (at, worker) = (story.rng.random_range(MS..TROUBLE), story.rng.random_range(0..3));
-            story.after(at, Happening::Die(worker));
+        for _ in 0..simulation.rng.random_range(0..3) {
+            let delay = simulation.rng.random_range(MS..FAULT_PERIOD);
+            let worker = simulation.rng.random_range(0..3);
+            simulation.schedule(delay, Event::WorkerCrash(worker));
         }
-        story
+        simulation
     }
 
-    fn after(&mut self, span: Nanos, what: Happening) {
-        self.serial += 1;
-        self.queue.push(Reverse((self.now + span, self.serial)));
-        self.happenings.insert(self.serial, what);
+    fn schedule(&mut self, delay: Nanos, event: Event) {
+        self.last_serial += 1;
+        self.queue.push(Reverse((self.now + delay, self.last_serial)));
+        self.events.insert(self.last_serial, event);
     }
 
-    /// How long a message takes: most are quick, a few are not.
-    fn delay(&mut self) -> Nanos {
-        let slow = self.rng.random_bool(0.05);
-        self.rng.random_range(if slow { MS..600 * MS } else { MS / 10..5 * MS })
+    /// Draws the delay of a message: 5 % are slow.
+    fn message_delay(&mut self) -> Nanos {
+        let is_slow = self.rng.random_bool(0.05);
+        self.rng.random_range(if is_slow { MS..600 * MS } else { MS / 10..5 * MS })
     }
 
-    fn play(mut self) {
-        let end = BEGIN + TROUBLE + 3 * PATIENCE;
+    fn run(mut self) {
+        let end = START_TIME + FAULT_PERIOD + 3 * CLIENT_TIMEOUT;
         while let Some(Reverse((at, serial))) = self.queue.pop().filter(|next| next.0.0 <= end) {
             self.now = at;
-            let Some(what) = self.happenings.remove(&serial) else { continue };
-            if !matches!(what, Happening::Tick { .. }) {
-                self.told.push(format!("{:>10.3} ms {what:?}", (at - BEGIN) as f64 / 1e6));
+            let Some(event) = self.events.remove(&serial) else { continue };
+            if !matches!(event, Event::Tick { .. }) {
+                self.trace.push(format!("{:>10.3} ms {event:?}", (at - START_TIME) as f64 / 1e6));
             }
-            self.happen(what);
-            self.check();
+            self.handle(event);
+            self.check_invariants();
         }
         for (i, client) in self.clients.iter().enumerate() {
-            // Nothing runs that could answer while a process is down, and its client must find the
-            // next one in time.
-            let down = |(from, to): &(Nanos, Nanos)| *from <= client.until && client.until <= to + SEC;
-            let excused = self.downs.iter().any(down);
-            self.must(client.answer.is_some() || excused, &format!("client {i} had no final answer"));
+            // While no process runs nothing can answer, and after a restart the client needs up to
+            // a second to submit again.
+            let covers_deadline =
+                |(from, to): &(Nanos, Nanos)| *from <= client.deadline && client.deadline <= to + SEC;
+            let is_excused = self.outages.iter().any(covers_deadline);
+            self.ensure(
+                client.answer.is_some() || is_excused,
+                &format!("client {i} got no final answer by the end of the run"),
+            );
         }
     }
 
-    fn must(&self, good: bool, what: &str) {
-        if !good {
-            let from = self.told.len().saturating_sub(80);
-            panic!("SEED={}: {what}\n{}", self.seed, self.told[from..].join("\n"));
+    /// Panics with the seed and the end of the trace if a condition does not hold.
+    fn ensure(&self, holds: bool, violation: &str) {
+        if !holds {
+            let from = self.trace.len().saturating_sub(TRACE_LINES_SHOWN);
+            panic!("SEED={}: {violation}\n{}", self.seed, self.trace[from..].join("\n"));
         }
     }
 
-    fn check(&self) {
-        for (client, runs) in &self.began {
+    /// Checks that no job ran more often, or elsewhere, than its class permits.
+    fn check_invariants(&self) {
+        for (client, runs) in &self.runs {
             match self.clients[*client].class {
-                1 => {
+                DEDUPLICATED_CLASS => {
                     let cells: HashSet<u32> = runs.iter().map(|(w, _)| self.workers[*w].cell).collect();
-                    self.must(
+                    self.ensure(
                         cells.len() == 1,
-                        &format!("the job of client {client} ran in two cells: {runs:?}"),
+                        &format!("the deduplicated job of client {client} ran in several cells: {runs:?}"),
+                    );
+                    let window_end = runs[0].1 + DEDUPLICATION_WINDOW;
+                    let is_within_window = runs.iter().all(|(_, at)| *at <= window_end + SEC);
+                    self.ensure(
+                        is_within_window,
+                        &format!(
+                            "the job of client {client} ran after its deduplication window had ended at \
+                             {window_end} ns: {runs:?}"
+                        ),
                     );
-                    let first = runs[0].1;
-                    let inside = runs.iter().all(|(_, at)| *at <= first + WINDOW + SEC);
-                    self.must(inside, &format!("the job of client {client} ran after its window: {runs:?}"));
                 }
-                2 => self.must(runs.len() == 1, &format!("the job of client {client} ran twice: {runs:?}")),
+                AT_MOST_ONCE_CLASS => self.ensure(
+                    runs.len() == 1,
+                    &format!("the at-most-once job of client {client} ran {} times: {runs:?}", runs.len()),
+                ),
                 _ => {}
             }
         }
     }
 
-    // ------------------------------------------------------------ the process
+    // ------------------------------------------------------------ the scheduler process
 
-    fn start(&mut self) {
+    fn start_process(&mut self) {
         if self.process.is_some() {
             return;
         }
-        self.folder.repair_disk();
-        let mut ledger = JobTable::new(JobTableLimits { retention: 60 * SEC, max_jobs: 1000 });
-        let options = LogOptions { max_segment_bytes: 700, sync_on_commit: true };
-        let opened = WriteAheadLog::open(Box::new(self.folder.clone()), options, |lsn, bytes| {
+        self.directory.repair_disk();
+        let mut job_table = JobTable::new(JobTableLimits { retention: 60 * SEC, max_jobs: 1000 });
+        let options = LogOptions { max_segment_bytes: MAX_SEGMENT_BYTES, sync_on_commit: true };
+        let opened = WriteAheadLog::open(Box::new(self.directory.clone()), options, |lsn, bytes| {
             let record = decode(bytes).map_err(RecordRejected::new)?;
-            ledger.replay(lsn, &record).map_err(RecordRejected::new)
+            job_table.replay(lsn, &record).map_err(RecordRejected::new)
         });
         let (log, _) = match opened {
             Ok(opened) => opened,
-            Err(error) => return self.must(false, &format!("the log can't be read: {error}")),
+            Err(error) => return self.ensure(false, &format!("the log could not be opened: {error}")),
         };
-        ledger.skip_to(log.next_lsn());
-        if self.disk_fails && self.rng.random_bool(0.3) {
-            self.folder.fail_sync_after(self.rng.random_range(0..40));
+        job_table.skip_to(log.next_lsn());
+        if self.disk_may_fail && self.rng.random_bool(0.3) {
+            self.directory.fail_sync_after(self.rng.random_range(0..40));
         }
         self.epoch += 1;
-        let engine = Engine::new(settings(), Arc::new(names()), self.seed ^ self.epoch, 100, addr(9), true);
+        let seed = self.seed ^ self.epoch;
+        let engine = Engine::new(settings(), Arc::new(names()), seed, 100, worker_addr(9), true);
         let mut barrier = DurabilityBarrier::default();
-        barrier.open(ledger.last_lsn());
-        self.process = Some((engine.expect("good settings"), barrier, log));
-        let host = |(i, w): (usize, &Worker)| WorkerEndpoint {
-            name: name(i),
-            addr: addr(i as u16),
+        barrier.open(job_table.last_lsn());
+        self.process = Some((engine.expect("the settings are valid"), barrier, log));
+        let host = |(i, worker): (usize, &Worker)| WorkerEndpoint {
+            name: worker_name(i),
+            addr: worker_addr(i as u16),
             state: WorkerState::Ready,
             started: None,
             kind: Some(0),
             zone: Some(0),
-            cell: Some(w.cell),
+            cell: Some(worker.cell),
             weight: None,
         };
         let hosts = self.workers.iter().enumerate().map(host).collect();
         self.step(Input::EndpointList { scope: EndpointUpdate::CachedSnapshot, version: 1, hosts });
         let anchor = ClockAnchor { boot_id: "b".into(), uptime: self.now, process_clock: self.now };
-        let (lease, clock_bound, disk, segment) = (LEASE, BOUND, 1 << 30, 700);
-        let durability = DurableSetup { ledger, anchor, all: false, lease, clock_bound, disk, segment };
+        let durability = DurableSetup {
+            ledger: job_table,
+            anchor,
+            all: false,
+            lease: LEASE_DURATION,
+            clock_bound: CLOCK_BOUND,
+            disk: 1 << 30,
+            segment: MAX_SEGMENT_BYTES,
+        };
         self.step(Input::DurableJobsOpened(Box::new(durability)));
-        self.after(20 * MS, Happening::Tick { epoch: self.epoch });
+        self.schedule(TICK_INTERVAL, Event::Tick { epoch: self.epoch });
     }
 
-    fn kill(&mut self, machine: bool) {
+    fn crash_process(&mut self, power_loss: bool) {
         let Some((_, _, mut log)) = self.process.take() else { return };
-        // What was given to the writer is written or not; nobody hears of it any more.
-        let unwritten = std::mem::take(&mut self.unwritten);
+        // Of the records that wait for the writer, none or some reach the log; no effect that waits
+        // for them is performed.
+        let unwritten = std::mem::take(&mut self.unwritten_records);
         if self.rng.random_bool(0.5) {
-            let some = self.rng.random_range(0..=unwritten.len());
-            let _ = log.append(&unwritten[..some]);
+            let written = self.rng.random_range(0..=unwritten.len());
+            let _ = log.append(&unwritten[..written]);
         }
         drop(log);
-        if machine {
-            self.folder.crash(self.rng.random());
+        if power_loss {
+            self.directory.crash(self.rng.random());
         }
-        self.notes.clear();
-        self.offers.clear();
-        // Connections break: jobs that a worker hasn't answered for are called off, or go on, as it
-        // happens.
+        self.pending_notices.clear();
+        self.pending_dispatches.clear();
+        // Connections break: a job whose worker has not replied to the dispatch is dropped or goes
+        // on, at random.
         for i in 0..self.workers.len() {
             let rng = &mut self.rng;
-            self.workers[i].jobs.retain(|_, job| job.answered || rng.random_bool(0.5));
+            self.workers[i].jobs.retain(|_, job| job.replied || rng.random_bool(0.5));
         }
         for client in 0..self.clients.len() {
-            if self.clients[client].asking.take().is_some() {
-                let back = self.rng.random_range(MS..400 * MS);
-                self.after(back, Happening::Ask(client));
+            if self.clients[client].open_submission.take().is_some() {
+                let delay = self.rng.random_range(MS..400 * MS);
+                self.schedule(delay, Event::Submit(client));
             }
         }
-        let down = self.rng.random_range(MS..1500 * MS);
-        self.downs.push((self.now, self.now + down));
-        self.after(down, Happening::Start);
+        let downtime = self.rng.random_range(MS..1500 * MS);
+        self.outages.push((self.now, self.now + downtime));
+        self.schedule(downtime, Event::Start);
     }
 
     fn step(&mut self, input: Input) {
@@ -367,15 +405,16 @@
         effects.into_iter().for_each(|effect| self.perform(effect));
     }
 
-    fn through(&mut self, passed: impl IntoIterator<Item = ReleasedEffect>) {
-        for passage in passed {
-            match passage {
+    /// Handles what the durability barrier has released.
+    fn handle_released(&mut self, released: impl IntoIterator<Item = ReleasedEffect>) {
+        for effect in released {
+            match effect {
                 ReleasedEffect::Perform(effect) => self.perform(effect),
                 ReleasedEffect::NeverSent(attempt) => {
                     let result = DispatchResult::Ended(Outcome::NotSent, None);
-                    self.after(0, Happening::Handed { attempt, result, epoch: self.epoch });
+                    self.schedule(0, Event::DispatchFinished { attempt, result, epoch: self.epoch });
                 }
-                ReleasedEffect::Unacknowledged(note) => drop(self.notes.remove(&note)),
+                ReleasedEffect::Unacknowledged(notice) => drop(self.pending_notices.remove(&notice)),
             }
         }
     }
@@ -385,356 +424,416 @@
         let Some((_, barrier, log)) = &mut self.process else { return };
         match effect {
             Effect::AppendRecord(record) => {
-                self.unwritten.push(encode(&record).expect("it has a form").into());
-                barrier.record_appended(log.next_lsn() + self.unwritten.len() as u64 - 1);
-                if self.unwritten.len() == 1 {
-                    // Now and then the disk stalls.
+                let bytes = encode(&record).expect("the record can be encoded");
+                self.unwritten_records.push(bytes.into());
+                barrier.record_appended(log.next_lsn() + self.unwritten_records.len() as u64 - 1);
+                if self.unwritten_records.len() == 1 {
+                    // 1 % of the syncs stall.
                     let stalls = self.rng.random_bool(0.01);
-                    let span = self.rng.random_range(if stalls { SEC..4 * SEC } else { MS / 10..20 * MS });
-                    self.after(span, Happening::Sync { epoch });
+                    let delay = self.rng.random_range(if stalls { SEC..4 * SEC } else { MS / 10..20 * MS });
+                    self.schedule(delay, Event::Sync { epoch });
                 }
             }
             Effect::AfterDurable { effect, until } => {
-                let passed = barrier.submit(*effect, until);
-                self.through(passed);
+                let released = barrier.submit(*effect, until);
+                self.handle_released(released);
             }
             Effect::Answer { request_id, answer, job } => {
-                let at = self.clients.iter().position(|c| c.asking.is_some_and(|(_, t)| t == request_id));
-                if let Some(at) = at {
-                    self.answered(at, answer);
+                if let Some(client) = self.client_of_request(request_id) {
+                    self.receive_answer(client, answer);
                     if let Some(job) = job {
                         self.step(Input::AnswerDelivered { job });
                     }
                 }
             }
-            Effect::SendAttempt { attempt, addr, lease, text, .. } => {
-                let key = match text {
-                    Some(text) => String::from_utf8_lossy(&text).parse().ok(),
-                    None => {
-                        self.clients.iter().position(|c| c.asking.is_some_and(|(_, t)| t == attempt.request))
-                    }
+            Effect::SendAttempt { attempt, addr, lease, text: encoded_request, .. } => {
+                let client = match encoded_request {
+                    Some(request) => String::from_utf8_lossy(&request).parse().ok(),
+                    None => self.client_of_request(attempt.request),
+                };
+                let Some(client) = client else {
+                    return self.ensure(
+                        false,
+                        &format!("{attempt:?} was sent without an encoded request or a waiting client"),
+                    );
                 };
-                let Some(key) = key else { return self.must(false, "a send without a request") };
-                let Some(id) = self.id_of(attempt.request) else {
-                    return self.must(false, "a send of no open request");
+                let Some(job_id) = self.job_id(attempt.request) else {
+                    return self
+                        .ensure(false, &format!("{attempt:?} was sent for a request that is not open"));
                 };
-                self.keys.insert(id.clone(), key);
-                self.offers.insert(attempt);
-                let (worker, delay) = (addr.port() as usize - 1, self.delay());
-                if self.rng.random_bool(0.97) {
-                    self.after(delay, Happening::Arrive { worker, attempt, id, key, lease, epoch });
-                } else {
-                    let result = DispatchResult::Ended(Outcome::ConnectFailed, None);
-                    self.after(delay, Happening::Handed { attempt, result, epoch });
-                }
+                self.dispatch(attempt, addr, job_id, client, lease);
             }
-            Effect::CancelAttempt { attempt, addr, job_id: id, .. } => match barrier.cancel(attempt) {
-                true => self.through([ReleasedEffect::NeverSent(attempt)]),
-                // The connection closes before the worker has answered on it.
-                false if self.offers.remove(&attempt) => {
-                    self.workers[addr.port() as usize - 1].jobs.remove(&id);
-                    self.after(0, Happening::Abandoned { attempt, epoch });
+            Effect::CancelAttempt { attempt, addr, job_id, .. } => match barrier.cancel(attempt) {
+                true => self.handle_released([ReleasedEffect::NeverSent(attempt)]),
+                // The dispatch is cancelled by closing its connection before the worker has replied.
+                false if self.pending_dispatches.remove(&attempt) => {
+                    self.workers[worker_index(addr)].jobs.remove(&job_id);
+                    self.schedule(0, Event::AttemptCancelled { attempt, epoch });
                 }
                 false => {
-                    let (delay, worker) = (self.delay(), addr.port() as usize - 1);
-                    self.after(delay, Happening::CallOff { worker, id, attempt, epoch });
+                    let (delay, worker) = (self.message_delay(), worker_index(addr));
+                    self.schedule(delay, Event::CancelAttempt { worker, job_id, attempt, epoch });
                 }
             },
-            Effect::Acknowledge { notice: note, reply } => {
-                if let Some(notice) = self.notes.remove(&note) {
-                    self.acknowledge(&notice, reply);
+            Effect::Acknowledge { notice: notice_id, reply } => {
+                if let Some(notice) = self.pending_notices.remove(&notice_id) {
+                    self.receive_notice_reply(&notice, reply);
                 }
             }
             _ => {}
         }
     }
 
-    fn acknowledge(&mut self, notice: &Notice, reply: NoticeReply) {
-        let failed = self.process.as_ref().is_some_and(|(engine, ..)| engine.has_storage_failed());
+    /// Sends an attempt to its worker; 3 % of the connections fail.
+    fn dispatch(
+        &mut self,
+        attempt: AttemptId,
+        addr: SocketAddr,
+        job_id: Arc<str>,
+        client: usize,
+        lease: Option<LeaseGrant>,
+    ) {
+        let epoch = self.epoch;
+        self.client_of_job.insert(job_id.clone(), client);
+        self.pending_dispatches.insert(attempt);
+        let (worker, delay) = (worker_index(addr), self.message_delay());
+        if self.rng.random_bool(0.97) {
+            self.schedule(delay, Event::AttemptArrives { worker, attempt, job_id, client, lease, epoch });
+        } else {
+            let result = DispatchResult::Ended(Outcome::ConnectFailed, None);
+            self.schedule(delay, Event::DispatchFinished { attempt, result, epoch });
+        }
+    }
+
+    fn receive_notice_reply(&mut self, notice: &Notice, reply: NoticeReply) {
+        let has_storage_failed =
+            self.process.as_ref().is_some_and(|(engine, ..)| engine.has_storage_failed());
         let worker = &mut self.workers[notice.worker];
-        if worker.life != notice.life {
+        if worker.incarnation != notice.incarnation {
             return;
         }
         match reply {
-            NoticeReply::Acknowledged { lease: Some(span) } => {
-                if let Some(job) = worker.jobs.get_mut(&notice.id) {
-                    job.until = job.until.max(notice.sent + span);
-                    let until = (job.until - BEGIN) as f64 / 1e6;
-                    self.told.push(format!("{} may go on until {until:.3} ms", notice.id));
+            NoticeReply::Acknowledged { lease: Some(duration) } => {
+                if let Some(job) = worker.jobs.get_mut(&notice.job_id) {
+                    job.stop_at = job.stop_at.max(notice.sent_at + duration);
+                    let stop_at_ms = (job.stop_at - START_TIME) as f64 / 1e6;
+                    self.trace.push(format!("lease on {} renewed until {stop_at_ms:.3} ms", notice.job_id));
                 }
             }
             NoticeReply::Acknowledged { lease: None } => {
-                if notice.what == "done" && notice.token.is_some() && !failed {
-                    self.acknowledged.extend(self.keys.get(&notice.id));
+                if notice.update == "done" && notice.token.is_some() && !has_storage_failed {
+                    self.acknowledged.extend(self.client_of_job.get(&notice.job_id));
                 }
             }
-            NoticeReply::Fenced => drop(worker.jobs.remove(&notice.id)),
+            NoticeReply::Fenced => drop(worker.jobs.remove(&notice.job_id)),
         }
     }
 
-    fn id_of(&self, request_id: RequestId) -> Option<Arc<str>> {
+    fn job_id(&self, request_id: RequestId) -> Option<Arc<str>> {
         self.process.as_ref()?.0.job_id(request_id)
     }
 
-    fn answered(&mut self, at: usize, answer: Answer) {
-        self.clients[at].asking = None;
-        let said = format!("client {at} was answered {answer:?}");
-        self.told.push(said.clone());
-        let own = match &answer {
-            Answer::Served(result) => *result == format!("result of {at}"),
+    fn client_of_request(&self, request_id: RequestId) -> Option<usize> {
+        let is_open = |client: &Client| client.open_submission.is_some_and(|(_, id)| id == request_id);
+        self.clients.iter().position(is_open)
+    }
+
+    fn receive_answer(&mut self, client: usize, answer: Answer) {
+        self.clients[client].open_submission = None;
+        let received = format!("client {client} received {answer:?}");
+        self.trace.push(received.clone());
+        let is_expected = match &answer {
+            Answer::Served(result) => *result == result_for(client),
             other => *other != Answer::KeyMismatch && *other != Answer::DuplicateId,
         };
-        self.must(own, &said);
-        if self.clients[at].class == 2 && self.acknowledged.contains(&at) && !self.disk_fails {
-            let kept = matches!(answer, Answer::Served(_) | Answer::Rejected { .. });
-            self.must(kept, &format!("{said} after its result was acknowledged"));
-        }
-        let again = matches!(answer, Answer::Rejected { .. }) && self.now + SEC < self.clients[at].until;
-        self.clients[at].answer = Some(answer);
-        if again {
-            self.after(300 * MS, Happening::Ask(at));
-        } else if self.now < BEGIN + TROUBLE && self.rng.random_bool(0.3) {
-            // It asks once more, as if it had not seen the answer.
-            let back = self.rng.random_range(MS..3 * SEC);
-            self.after(back, Happening::Ask(at));
+        self.ensure(
+            is_expected,
+            &format!("{received}; expected {:?}, a rejection or a failure", result_for(client)),
+        );
+        let is_at_most_once = self.clients[client].class == AT_MOST_ONCE_CLASS;
+        if is_at_most_once && self.acknowledged.contains(&client) && !self.disk_may_fail {
+            let is_result_retained = matches!(answer, Answer::Served(_) | Answer::Rejected { .. });
+            self.ensure(
+                is_result_retained,
+                &format!("{received} though the worker's result had been acknowledged"),
+            );
+        }
+        let is_rejected = matches!(answer, Answer::Rejected { .. });
+        let retries = is_rejected && self.now + SEC < self.clients[client].deadline;
+        self.clients[client].answer = Some(answer);
+        if retries {
+            self.schedule(300 * MS, Event::Submit(client));
+        } else if self.now < START_TIME + FAULT_PERIOD && self.rng.random_bool(0.3) {
+            // The client submits again, as if the answer had been lost.
+            let delay = self.rng.random_range(MS..3 * SEC);
+            self.schedule(delay, Event::Submit(client));
         }
     }
 
-    // ------------------------------------------------------------ what happens
+    // ------------------------------------------------------------ events
 
-    fn happen(&mut self, what: Happening) {
-        match what {
-            Happening::Start => self.start(),
-            Happening::Kill { machine } => self.kill(machine),
-            Happening::Tick { epoch } if epoch == self.epoch => {
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::Start => self.start_process(),
+            Event::Crash { power_loss } => self.crash_process(power_loss),
+            Event::Tick { epoch } if epoch == self.epoch => {
                 let Some((_, barrier, _)) = &mut self.process else { return };
-                let late = barrier.expire(self.now);
-                self.through(late);
+                let expired = barrier.expire(self.now);
+                self.handle_released(expired);
                 self.step(Input::Tick);
-                self.after(20 * MS, Happening::Tick { epoch });
+                self.schedule(TICK_INTERVAL, Event::Tick { epoch });
             }
-            Happening::Sync { epoch } if epoch == self.epoch => {
+            Event::Sync { epoch } if epoch == self.epoch => {
                 let Some((_, barrier, log)) = &mut self.process else { return };
-                let group = std::mem::take(&mut self.unwritten);
-                if log.append(&group).is_ok() {
+                let records = std::mem::take(&mut self.unwritten_records);
+                if log.append(&records).is_ok() {
                     let bytes = log.size_bytes();
-                    let passed = barrier.records_durable(log.next_lsn() - 1);
-                    self.through(passed);
+                    let released = barrier.records_durable(log.next_lsn() - 1);
+                    self.handle_released(released);
                     self.step(Input::RecordsDurable { bytes });
                 } else {
-                    let passed = barrier.fail();
+                    let released = barrier.fail();
                     self.step(Input::StorageFailed);
-                    self.through(passed);
+                    self.handle_released(released);
                 }
             }
-            Happening::Ask(client) => self.ask(client),
-            Happening::GiveUp { client, ask } => {
-                let open = self.clients[client].asking.is_some_and(|(a, _)| a == ask);
-                self.must(!open, &format!("client {client} had no answer in time"));
+            Event::Submit(client) => self.submit(client),
+            Event::ClientTimeout { client, submission } => {
+                let is_open =
+                    self.clients[client].open_submission.is_some_and(|(open, _)| open == submission);
+                self.ensure(
+                    !is_open,
+                    &format!("client {client} got no answer to submission {submission} by its deadline"),
+                );
             }
-            // Otherwise the connection broke with its process.
-            Happening::Arrive { worker, attempt, id, key, lease, epoch }
-                if epoch == self.epoch && self.offers.contains(&attempt) =>
+            // An attempt of an ended process, or one that was cancelled, is lost: its connection is
+            // closed.
+            Event::AttemptArrives { worker, attempt, job_id, client, lease, epoch }
+                if epoch == self.epoch && self.pending_dispatches.contains(&attempt) =>
             {
-                self.arrive(worker, attempt, id, key, lease);
+                self.receive_attempt(worker, attempt, job_id, client, lease);
             }
-            Happening::Handed { attempt, result, epoch } if epoch == self.epoch => {
-                self.offers.remove(&attempt);
+            Event::DispatchFinished { attempt, result, epoch } if epoch == self.epoch => {
+                self.pending_dispatches.remove(&attempt);
                 self.step(Input::DispatchFinished { attempt, result });
             }
-            Happening::Finish { worker, id, life } => {
-                let w = &mut self.workers[worker];
-                if let Some(job) = w.jobs.remove(&id).filter(|_| w.life == life) {
-                    let delay = self.delay();
-                    self.tell(delay, worker, id, job.token, "done", 10);
+            Event::JobDone { worker, job_id, incarnation } => {
+                let state = &mut self.workers[worker];
+                if let Some(job) = state.jobs.remove(&job_id).filter(|_| state.incarnation == incarnation) {
+                    let delay = self.message_delay();
+                    self.schedule_notice(delay, worker, job_id, job.token, "done", 10);
                 }
             }
-            Happening::LeaseOver { worker, id, life } => {
-                let w = &mut self.workers[worker];
-                let until = w.jobs.get(&id).filter(|_| w.life == life).map(|job| job.until);
-                match until {
-                    Some(until) if until <= self.now => drop(w.jobs.remove(&id)),
-                    Some(until) => self.after(until - self.now, Happening::LeaseOver { worker, id, life }),
+            Event::LeaseExpires { worker, job_id, incarnation } => {
+                let state = &mut self.workers[worker];
+                let job = state.jobs.get(&job_id).filter(|_| state.incarnation == incarnation);
+                match job.map(|job| job.stop_at) {
+                    Some(stop_at) if stop_at <= self.now => drop(state.jobs.remove(&job_id)),
+                    Some(stop_at) => {
+                        let delay = stop_at - self.now;
+                        self.schedule(delay, Event::LeaseExpires { worker, job_id, incarnation });
+                    }
                     None => {}
                 }
             }
-            Happening::Notice(notice) => self.notice(notice),
-            Happening::CallOff { worker, id, attempt, epoch } => {
-                let up = self.workers[worker].up;
-                if up {
-                    self.workers[worker].jobs.remove(&id);
+            Event::SendNotice(notice) => self.send_notice(notice),
+            Event::CancelAttempt { worker, job_id, attempt, epoch } => {
+                let is_up = self.workers[worker].is_up;
+                if is_up {
+                    self.workers[worker].jobs.remove(&job_id);
                 }
-                if up && self.rng.random_bool(0.9) {
-                    let delay = self.delay();
-                    self.after(delay, Happening::Abandoned { attempt, epoch });
+                if is_up && self.rng.random_bool(0.9) {
+                    let delay = self.message_delay();
+                    self.schedule(delay, Event::AttemptCancelled { attempt, epoch });
                 } else if epoch == self.epoch {
-                    self.after(200 * MS, Happening::CallOff { worker, id, attempt, epoch });
+                    self.schedule(200 * MS, Event::CancelAttempt { worker, job_id, attempt, epoch });
                 }
             }
-            Happening::Abandoned { attempt, epoch } if epoch == self.epoch => {
+            Event::AttemptCancelled { attempt, epoch } if epoch == self.epoch => {
                 self.step(Input::AttemptCancelled { attempt });
             }
-            Happening::Die(worker) => {
-                let w = &mut self.workers[worker];
-                (w.up, w.life) = (false, w.life + 1);
-                w.jobs.clear();
-                let down = self.rng.random_range(100 * MS..3 * SEC);
-                self.after(down, Happening::Live(worker));
+            Event::WorkerCrash(worker) => {
+                let state = &mut self.workers[worker];
+                (state.is_up, state.incarnation) = (false, state.incarnation + 1);
+                state.jobs.clear();
+                let downtime = self.rng.random_range(100 * MS..3 * SEC);
+                self.schedule(downtime, Event::WorkerRestart(worker));
             }
-            Happening::Live(worker) => self.workers[worker].up = true,
+            Event::WorkerRestart(worker) => self.workers[worker].is_up = true,
             _ => {}
         }
     }
 
-    fn ask(&mut self, client: usize) {
-        let this = &mut self.clients[client];
-        if this.until == 0 {
-            this.until = self.now + PATIENCE;
+    fn submit(&mut self, client: usize) {
+        let state = &mut self.clients[client];
+        if state.deadline == 0 {
+            state.deadline = self.now + CLIENT_TIMEOUT;
         }
-        let due = this.until;
-        if this.asking.is_some() || self.now + 50 * MS > due {
+        let deadline = state.deadline;
+        if state.open_submission.is_some() || self.now + 50 * MS > deadline {
             return;
         }
         if self.process.is_none() {
-            let back = self.rng.random_range(MS..100 * MS);
-            return self.after(back, Happening::Ask(client));
+            let delay = self.rng.random_range(MS..100 * MS);
+            return self.schedule(delay, Event::Submit(client));
         }
-        self.asks += 1;
-        let (ask, request_id) = (self.asks, RequestId(self.asks));
-        self.clients[client].asking = Some((ask, request_id));
+        self.submissions += 1;
+        let (submission, request_id) = (self.submissions, RequestId(self.submissions));
+        self.clients[client].open_submission = Some((submission, request_id));
         let key: Option<Arc<str>> = Some(format!("key-{client}").into());
-        let durable_request =
-            DurableRequest { key, fingerprint: [client as u8; 16], text: client.to_string().into() };
+        let encoded_request = client.to_string().into();
+        let durable_request = DurableRequest { key, fingerprint: [client as u8; 16], text: encoded_request };
         let job = Job {
-            id: format!("r{ask}").into(),
+            id: format!("r{submission}").into(),
             class: self.clients[client].class,
             tenant: 0,
             slots: 1.0,
             memory: 0.0,
             affinity_key: None,
-            due,
+            due: deadline,
             durable_request: Some(durable_request),
         };
-        self.after(due - self.now + 50 * MS, Happening::GiveUp { client, ask });
+        self.schedule(deadline - self.now + 50 * MS, Event::ClientTimeout { client, submission });
         self.step(Input::RequestReceived { request_id, job, previous_attempts: None, durable: false });
     }
 
-    fn arrive(
+    fn receive_attempt(
         &mut self,
         worker: usize,
         attempt: AttemptId,
-        id: Arc<str>,
+        job_id: Arc<str>,
         client: usize,
         lease: Option<LeaseGrant>,
     ) {
-        let (delay, epoch) = (self.delay(), self.epoch);
-        if !self.workers[worker].up {
+        let (delay, epoch) = (self.message_delay(), self.epoch);
+        if !self.workers[worker].is_up {
             let result = DispatchResult::Ended(Outcome::ConnectFailed, None);
-            return self.after(delay, Happening::Handed { attempt, result, epoch });
-        }
-        let elsewhere = self.workers.iter().position(|w| w.jobs.contains_key(&id));
-        self.must(elsewhere.is_none(), &format!("{id} went to worker {worker} while {elsewhere:?} had it"));
-        let aware = self.workers[worker].aware;
-        let lease = lease.filter(|_| aware);
-        self.must(!aware || lease.is_some(), "a durable job has a lease");
-        // Its clock may run slow, by less than the bound over a lease.
-        let drift = self.rng.random_range(0..BOUND / 2);
-        let until = lease.map_or(Nanos::MAX, |l| self.now + l.length + drift);
-        let (life, token) = (self.workers[worker].life, lease.map(|l| l.token));
-        // Now and then its answer is lost with the connection, and it goes on.
-        let answered = self.rng.random_bool(0.95);
-        self.workers[worker].jobs.insert(id.clone(), Held { token, until, answered });
-        let long = self.rng.random_bool(0.1);
-        let run = self.rng.random_range(if long { SEC..6 * SEC } else { 5 * MS..500 * MS });
-        // Its cell drops what it has begun before: a repeat there is no second run.
+            return self.schedule(delay, Event::DispatchFinished { attempt, result, epoch });
+        }
+        if let Some(holder) = self.workers.iter().position(|w| w.jobs.contains_key(&job_id)) {
+            self.ensure(
+                false,
+                &format!("{job_id} was sent to worker {worker} while worker {holder} still had it"),
+            );
+        }
+        let lease_aware = self.workers[worker].is_lease_aware;
+        let lease = lease.filter(|_| lease_aware);
+        self.ensure(
+            !lease_aware || lease.is_some(),
+            &format!("{job_id} was sent to lease-aware worker {worker} without a lease"),
+        );
+        // The worker's clock runs slow, by less than the bound over a lease.
+        let drift = self.rng.random_range(0..CLOCK_BOUND / 2);
+        let stop_at = lease.map_or(Nanos::MAX, |lease| self.now + lease.length + drift);
+        let (incarnation, token) = (self.workers[worker].incarnation, lease.map(|lease| lease.token));
+        // 5 % of the replies are lost with their connection, and the job goes on.
+        let replied = self.rng.random_bool(0.95);
+        self.workers[worker].jobs.insert(job_id.clone(), WorkerJob { token, stop_at, replied });
+        let is_long = self.rng.random_bool(0.1);
+        let run_time = self.rng.random_range(if is_long { SEC..6 * SEC } else { 5 * MS..500 * MS });
+        // A cell drops the duplicate of a job that began there within the window.
         let cell = self.workers[worker].cell;
-        let begun = self.began.entry(client).or_default();
-        let dropped = |(w, at): &(usize, Nanos)| self.workers[*w].cell == cell && self.now <= at + WINDOW;
-        if self.clients[client].class != 1 || !begun.iter().any(dropped) {
-            begun.push((worker, self.now));
+        let runs = self.runs.entry(client).or_default();
+        let deduplicates = |(w, started_at): &(usize, Nanos)| {
+            self.workers[*w].cell == cell && self.now <= started_at + DEDUPLICATION_WINDOW
+        };
+        if self.clients[client].class != DEDUPLICATED_CLASS || !runs.iter().any(deduplicates) {
+            runs.push((worker, self.now));
         }
-        self.after(run, Happening::Finish { worker, id: id.clone(), life });
+        self.schedule(run_time, Event::JobDone { worker, job_id: job_id.clone(), incarnation });
         if lease.is_some() {
-            self.after(LEASE, Happening::LeaseOver { worker, id: id.clone(), life });
+            let expiry = Event::LeaseExpires { worker, job_id: job_id.clone(), incarnation };
+            self.schedule(LEASE_DURATION, expiry);
         }
-        if answered {
-            self.after(
-                delay,
-                Happening::Handed { attempt, result: DispatchResult::Accepted { lease_aware: aware }, epoch },
-            );
+        if replied {
+            let result = DispatchResult::Accepted { lease_aware };
+            self.schedule(delay, Event::DispatchFinished { attempt, result, epoch });
         }
-        let told = self.delay();
-        self.tell(told, worker, id.clone(), token, "started", 10);
-        for i in 1..run / (500 * MS) {
-            self.tell(i * 500 * MS, worker, id.clone(), token, "running", 0);
+        let delay = self.message_delay();
+        self.schedule_notice(delay, worker, job_id.clone(), token, "started", 10);
+        for i in 1..run_time / (500 * MS) {
+            self.schedule_notice(i * 500 * MS, worker, job_id.clone(), token, "running", 0);
         }
     }
 
-    fn tell(
+    fn schedule_notice(
         &mut self,
         delay: Nanos,
         worker: usize,
-        id: Arc<str>,
+        job_id: Arc<str>,
         token: Option<u64>,
-        what: &'static str,
-        left: u32,
+        update: &'static str,
+        retries_left: u32,
     ) {
-        let (life, sent) = (self.workers[worker].life, 0);
-        self.after(delay, Happening::Notice(Notice { worker, id, token, what, life, sent, left }));
+        let (incarnation, sent_at) = (self.workers[worker].incarnation, 0);
+        let notice = Notice { worker, job_id, token, update, incarnation, sent_at, retries_left };
+        self.schedule(delay, Event::SendNotice(notice));
     }
 
-    fn notice(&mut self, notice: Notice) {
-        let notice = Notice { sent: self.now, ..notice };
+    fn send_notice(&mut self, notice: Notice) {
+        let notice = Notice { sent_at: self.now, ..notice };
         let worker = &self.workers[notice.worker];
-        if worker.life != notice.life || !worker.up {
+        if worker.incarnation != notice.incarnation || !worker.is_up {
             return;
         }
-        // Lost on the way, or nobody is there: it is told again. Now and then it is told again all
-        // the same.
-        let lost = self.process.is_none() || self.rng.random_bool(0.1);
-        if notice.left > 0 && (lost || self.rng.random_bool(0.2)) {
-            self.after(150 * MS, Happening::Notice(Notice { left: notice.left - 1, ..notice.clone() }));
+        // A notice is lost in 10 % of the cases and while no process runs; then it is sent again.
+        // 20 % of the others are sent again, too, as duplicates.
+        let is_lost = self.process.is_none() || self.rng.random_bool(0.1);
+        if notice.retries_left > 0 && (is_lost || self.rng.random_bool(0.2)) {
+            let retry = Notice { retries_left: notice.retries_left - 1, ..notice.clone() };
+            self.schedule(150 * MS, Event::SendNotice(retry));
         }
-        if lost {
+        if is_lost {
             return;
         }
-        self.serial += 1;
-        let (note, id, from, token) =
-            (self.serial, notice.id.to_string(), name(notice.worker).to_string(), notice.token);
-        let news = match notice.what {
+        self.last_serial += 1;
+        let notice_id = self.last_serial;
+        let update = match notice.update {
             "started" => JobUpdate::Started,
             "running" => JobUpdate::Running(0.5),
-            _ => JobUpdate::Done(format!("result of {}", self.keys[&notice.id])),
+            _ => JobUpdate::Done(result_for(self.client_of_job[&notice.job_id])),
         };
-        self.notes.insert(note, notice);
-        self.step(Input::WorkerNotice(WorkerNotice {
-            notice: note,
-            job_id: id,
-            worker: from,
-            fencing_token: token,
-            update: news,
+        let input = Input::WorkerNotice(WorkerNotice {
+            notice: notice_id,
+            job_id: notice.job_id.to_string(),
+            worker: worker_name(notice.worker).to_string(),
+            fencing_token: notice.token,
+            update,
             report: None,
-        }));
+        });
+        self.pending_notices.insert(notice_id, notice);
+        self.step(input);
     }
 }
 
-fn name(worker: usize) -> Arc<str> {
+/// The result of a client's job.
+fn result_for(client: usize) -> String {
+    format!("result of {client}")
+}
+
+fn worker_name(worker: usize) -> Arc<str> {
     format!("w{worker}").into()
 }
 
-fn addr(worker: u16) -> SocketAddr {
+/// A worker's address, with its index plus 1 as the port.
+fn worker_addr(worker: u16) -> SocketAddr {
     ([127, 0, 0, 1], worker + 1).into()
 }
 
-// Guards the whole of it: whatever is stopped, lost or late, no job that must not runs twice, no
-// two attempts are out, what was acknowledged is kept, and each client has its answer.
+fn worker_index(addr: SocketAddr) -> usize {
+    addr.port() as usize - 1
+}
+
+// Guards durable jobs against crashes, lost and late messages, and disk faults: no at-most-once job
+// runs twice, no job is at two workers at once, acknowledged results are kept, and each client gets
+// its answer.
 #[test]
-fn no_story_breaks_a_rule() {
+fn no_fault_schedule_breaks_an_invariant() {
     let number = |name: &str| std::env::var(name).ok().and_then(|v| v.parse::<u64>().ok());
     if let Some(seed) = number("SEED") {
-        return Story::new(seed).play();
+        return Simulation::new(seed).run();
     }
-    let stories = number("STORIES").unwrap_or(150);
-    println!("seeds 0 to {stories}");
-    (0..stories).for_each(|seed| Story::new(seed).play());
+    let seeds = number("STORIES").unwrap_or(150);
+    println!("running the seeds 0 to {}", seeds.saturating_sub(1));
+    (0..seeds).for_each(|seed| Simulation::new(seed).run());
 }
