--- a/crates/service/durable-jobs/tests/common/mod.rs
+++ b/crates/service/durable-jobs/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Builders that the tests of the job table share.
+//! Builders of records and job tables for the tests of this crate.
 use proptest::test_runner::{Config, RngSeed};
 use spanlead_durable_jobs::{
     AcceptedJob, ClockAnchor, FencingToken, IdempotencyKey, JobNumber, JobOutcome, JobTable, JobTableLimits,
@@ -9,13 +9,17 @@
 /// Nanoseconds in a second.
 pub const SECOND: Nanos = 1_000_000_000;
 pub const LIMITS: JobTableLimits = JobTableLimits { retention: 60 * SECOND, max_jobs: 1000 };
-/// The fingerprint of all jobs here.
+/// The request fingerprint of all jobs.
 pub const FINGERPRINT: [u8; 16] = [7; 16];
-/// When jobs are accepted, are leased and finish, and when their clients give up.
+/// When jobs are accepted.
 pub const ACCEPTED_AT: Nanos = 100 * SECOND;
+/// When attempts are sent under their lease.
 pub const LEASED_AT: Nanos = 101 * SECOND;
+/// When jobs finish.
 pub const FINISHED_AT: Nanos = 105 * SECOND;
+/// When leases expire.
 pub const LEASE_EXPIRES_AT: Nanos = 112 * SECOND;
+/// When clients give up.
 pub const DEADLINE: Nanos = 115 * SECOND;
 
 pub fn anchor(boot_id: &str, uptime: Nanos, process_clock: Nanos) -> ClockAnchor {
@@ -71,14 +75,15 @@
     IdempotencyKey { owner: "norrtrim".into(), class: "guest-visit".into(), key: text.into() }
 }
 
-/// A table to which these records were applied.
+/// A table after these records, each of which must fit.
 pub fn table_of(records: &[Record]) -> JobTable {
     let mut table = JobTable::new(LIMITS);
     records.iter().for_each(|record| table.apply(record).expect("the record fits"));
     table
 }
 
-/// Random cases from a seed that is printed and the same each time, unless `SEED` gives another.
+/// A configuration for that many random cases. The seed is 1, unless the environment variable
+/// `SEED` gives another, and is printed.
 pub fn seeded(cases: u32) -> Config {
     let seed = std::env::var("SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
     println!("SEED={seed}");
--- a/crates/service/durable-jobs/tests/golden.rs
+++ b/crates/service/durable-jobs/tests/golden.rs
@@ -1,7 +1,7 @@
-//! The ledger's records as bytes. Folders that processes of an earlier version wrote must be read,
-//! and must be readable
-//! by such a process, so each kind of record keeps its bytes.
-#[allow(dead_code, reason = "each crate uses a part of it")]
+//! The encoding of each kind of log record, compared with golden data. Logs that processes of an
+//! earlier version wrote must be readable by this version, and its logs by them, so the encoding of
+//! a record never changes.
+#[allow(dead_code, reason = "other crates use the rest of this module")]
 #[path = "../../wal/tests/golden/data.rs"]
 mod golden;
 
@@ -12,11 +12,11 @@
 use std::net::{IpAddr, Ipv6Addr, SocketAddr};
 use std::sync::Arc;
 
-const FILE: &str = "records.txt";
+const GOLDEN_FILE: &str = "records.txt";
 const JOB: JobNumber = JobNumber(300);
 const TOKEN: FencingToken = FencingToken(70_000);
 
-fn place(worker: &str) -> WorkerLocation {
+fn location(worker: &str) -> WorkerLocation {
     WorkerLocation {
         worker: worker.into(),
         addr: ([127, 0, 0, 1], 9_001).into(),
@@ -25,21 +25,22 @@
     }
 }
 
-fn distant_place() -> WorkerLocation {
+fn ipv6_location() -> WorkerLocation {
     let addr = SocketAddr::new(IpAddr::V6(Ipv6Addr::new(0xfd00, 1, 2, 3, 4, 5, 6, 7)), 443);
     WorkerLocation { worker: "s-é".into(), addr, zone: "".into(), cell: u32::MAX }
 }
 
-fn past(may_have_run: bool) -> PastAttempt {
+fn past_attempt(may_have_run: bool) -> PastAttempt {
     PastAttempt {
-        location: place("s-a"),
+        location: location("s-a"),
         sent_at: 1_767_225_601_000_000_000,
         may_have_run,
         token: FencingToken(69_999),
     }
 }
 
-fn bare(retry_safety: RetrySafety) -> AcceptedJob {
+/// A job without any optional part.
+fn minimal_job(retry_safety: RetrySafety) -> AcceptedJob {
     AcceptedJob {
         number: JobNumber(1),
         id: "id-1".into(),
@@ -58,14 +59,15 @@
     }
 }
 
-fn full() -> AcceptedJob {
+/// A job with every optional part, and with extreme numbers.
+fn full_job() -> AcceptedJob {
     AcceptedJob {
         number: JOB,
         id: "id-300".into(),
         key: Some("key-å".into()),
         class: "once".into(),
         owner: "norrtrim".into(),
-        fingerprint: std::array::from_fn(|at| at as u8 * 17),
+        fingerprint: std::array::from_fn(|index| index as u8 * 17),
         retry_safety: RetrySafety::Deduplicated(45_000_000_000),
         accepted_at: 1_767_225_600_000_000_000,
         deadline: 1_767_225_615_000_000_000,
@@ -73,46 +75,50 @@
         memory: -0.125,
         subject: Some(u64::MAX),
         request_body: "POST /once/x HTTP/1.1\r\n\r\npayload".into(),
-        inherited_attempts: vec![past(true), PastAttempt { location: distant_place(), ..past(false) }],
+        inherited_attempts: vec![
+            past_attempt(true),
+            PastAttempt { location: ipv6_location(), ..past_attempt(false) },
+        ],
     }
 }
 
 fn lease(acknowledged: bool, lease_aware: bool) -> Lease {
     let (sent_at, expires_at) = (1_767_225_602_000_000_000, 1_767_225_613_000_000_000);
-    Lease { token: TOKEN, location: distant_place(), sent_at, expires_at, acknowledged, lease_aware }
+    Lease { token: TOKEN, location: ipv6_location(), sent_at, expires_at, acknowledged, lease_aware }
 }
 
-fn carried(accepted: AcceptedJob, past_attempts: Vec<PastAttempt>, state: JobState) -> Record {
+fn snapshot(accepted: AcceptedJob, past_attempts: Vec<PastAttempt>, state: JobState) -> Record {
     Record::Snapshot(Box::new(Job { accepted, past_attempts, state }))
 }
 
-fn ended(outcome: JobOutcome) -> Record {
+fn finished(outcome: JobOutcome) -> Record {
     Record::Finished { job: JOB, finished_at: 1_767_225_604_000_000_000, outcome }
 }
 
+/// Records of every kind, with the names of their lines in the golden file.
 fn records() -> Vec<(&'static str, Record)> {
     let anchor = ClockAnchor {
         boot_id: Arc::from("b3b1f2e0"),
         uptime: 86_400_000_000_000,
         process_clock: 1_767_225_599_000_000_000,
     };
-    let at = 1_767_225_605_000_000_000;
+    let time = 1_767_225_605_000_000_000;
     vec![
         (
             "session",
             Record::Session(Session { anchor, next_job: JobNumber(301), next_token: FencingToken(70_001) }),
         ),
-        ("taken-harmless", Record::Accepted(bare(RetrySafety::Idempotent))),
-        ("taken-never", Record::Accepted(bare(RetrySafety::NonIdempotent))),
-        ("taken-dropped-full", Record::Accepted(full())),
+        ("taken-harmless", Record::Accepted(minimal_job(RetrySafety::Idempotent))),
+        ("taken-never", Record::Accepted(minimal_job(RetrySafety::NonIdempotent))),
+        ("taken-dropped-full", Record::Accepted(full_job())),
         (
             "leased",
             Record::Leased {
                 job: JOB,
                 token: TOKEN,
-                location: place("s-b"),
-                sent_at: at,
-                expires_at: at + 1_000,
+                location: location("s-b"),
+                sent_at: time,
+                expires_at: time + 1_000,
             },
         ),
         (
@@ -120,69 +126,80 @@
             Record::Leased {
                 job: JOB,
                 token: TOKEN,
-                location: distant_place(),
+                location: ipv6_location(),
                 sent_at: 0,
                 expires_at: u64::MAX,
             },
         ),
         ("held", Record::Acknowledged { job: JOB, token: TOKEN, lease_aware: false }),
         ("held-aware", Record::Acknowledged { job: JOB, token: TOKEN, lease_aware: true }),
-        ("renewed", Record::Renewed { job: JOB, token: TOKEN, expires_at: at }),
+        ("renewed", Record::Renewed { job: JOB, token: TOKEN, expires_at: time }),
         ("started", Record::Started { job: JOB, token: TOKEN }),
         ("released", Record::Released { job: JOB, token: TOKEN, may_have_run: false }),
         ("released-ran", Record::Released { job: JOB, token: TOKEN, may_have_run: true }),
-        ("ended-served", ended(JobOutcome::Succeeded("result R".into()))),
-        ("ended-refused", ended(JobOutcome::Rejected)),
-        ("ended-failed", ended(JobOutcome::Failed)),
-        ("ended-unusable", ended(JobOutcome::Unschedulable)),
+        ("ended-served", finished(JobOutcome::Succeeded("result R".into()))),
+        ("ended-refused", finished(JobOutcome::Rejected)),
+        ("ended-failed", finished(JobOutcome::Failed)),
+        ("ended-unusable", finished(JobOutcome::Unschedulable)),
         ("answered", Record::Delivered { job: JOB }),
-        ("carried-taken", carried(bare(RetrySafety::Idempotent), vec![], JobState::Accepted)),
-        ("carried-leased", carried(full(), vec![past(false)], JobState::Leased(lease(true, false)))),
-        ("carried-started", carried(full(), vec![past(true)], JobState::Running(lease(true, true)))),
+        ("carried-taken", snapshot(minimal_job(RetrySafety::Idempotent), vec![], JobState::Accepted)),
+        (
+            "carried-leased",
+            snapshot(full_job(), vec![past_attempt(false)], JobState::Leased(lease(true, false))),
+        ),
+        (
+            "carried-started",
+            snapshot(full_job(), vec![past_attempt(true)], JobState::Running(lease(true, true))),
+        ),
         (
             "carried-ended",
-            carried(
-                full(),
-                vec![past(true)],
-                JobState::Finished { finished_at: at, outcome: JobOutcome::Succeeded("R".into()) },
+            snapshot(
+                full_job(),
+                vec![past_attempt(true)],
+                JobState::Finished { finished_at: time, outcome: JobOutcome::Succeeded("R".into()) },
             ),
         ),
         (
             "carried-answered",
-            carried(full(), vec![], JobState::Delivered { finished_at: at, outcome: JobOutcome::Failed }),
+            snapshot(
+                full_job(),
+                vec![],
+                JobState::Delivered { finished_at: time, outcome: JobOutcome::Failed },
+            ),
         ),
     ]
 }
 
-// Guards the folders on disk: what this version writes is what the versions before wrote.
+// Guards logs on disk: this version writes each record as earlier versions did.
 #[test]
-fn each_kind_of_record_keeps_its_bytes() {
-    let found: Vec<_> =
-        records().iter().map(|(name, record)| (*name, encode(record).expect("it encodes"))).collect();
-    golden::assert_bytes(FILE, &found);
+fn each_record_kind_keeps_its_encoding() {
+    let encodings: Vec<_> =
+        records().iter().map(|(name, record)| (*name, encode(record).expect(name))).collect();
+    golden::assert_bytes(GOLDEN_FILE, &encodings);
 }
 
-// Guards recovery: the committed bytes are read as the same records, whole.
+// Guards recovery: the golden bytes are decoded completely and give the same records.
 #[test]
-fn committed_bytes_are_read_as_the_same_records() {
-    let committed = golden::bytes(FILE);
-    assert_eq!(committed.len(), records().len());
-    for ((name, bytes), (wanted_name, wanted)) in committed.iter().zip(records()) {
-        assert_eq!(name, wanted_name);
-        assert_eq!(decode(bytes).expect(name), wanted, "{name}");
+fn golden_bytes_are_decoded_as_the_same_records() {
+    let golden_records = golden::bytes(GOLDEN_FILE);
+    assert_eq!(golden_records.len(), records().len());
+    for ((name, bytes), (expected_name, expected)) in golden_records.iter().zip(records()) {
+        assert_eq!(name, expected_name);
+        assert_eq!(decode(bytes).expect(name), expected, "{name}");
     }
 }
 
-// Guards the places of the variants: the first byte of a record is its number, for good.
+// Guards the order of the variants of `Record`: the first byte of an encoded record is the index of
+// its variant, which must never change.
 #[test]
-fn each_kind_of_record_keeps_its_number() {
+fn each_record_kind_keeps_its_variant_index() {
     let mut kinds: Vec<(u8, &str)> =
-        records().iter().map(|(_, record)| (encode(record).expect("it encodes")[0], record.kind())).collect();
+        records().iter().map(|(name, record)| (encode(record).expect(name)[0], record.kind())).collect();
     kinds.dedup();
-    let wanted = [
+    let expected = [
         "session", "taken", "leased", "held", "renewed", "started", "released", "ended", "answered",
         "carried",
     ];
-    let numbered: Vec<(u8, &str)> = (0..).zip(wanted).collect();
-    assert_eq!(kinds, numbered);
+    let expected: Vec<(u8, &str)> = (0..).zip(expected).collect();
+    assert_eq!(kinds, expected);
 }
--- a/crates/service/durable-jobs/tests/job_table.rs
+++ b/crates/service/durable-jobs/tests/job_table.rs
@@ -1,5 +1,5 @@
-//! The job table: which records fit the state, what a client's retry finds, what is retained for
-//! how long, and that a replayed table equals the one that wrote the log.
+//! The job table: which records fit its state, what the lookup of a retry's key returns, how long
+//! finished jobs are retained, and that replaying the log restores the table.
 mod common;
 
 use common::{
@@ -12,22 +12,23 @@
     KeyLookup, Nanos, PastAttempt, Record, RejectReason, RetrySafety, Session, decode, encode,
 };
 
-// Guards the order of a job's life: a record that can't follow is rejected and changes nothing.
+// Guards the state machine of a job: a record that is not allowed in the present state is rejected
+// and changes nothing.
 #[test]
 fn a_record_that_does_not_fit_is_rejected_and_changes_nothing() {
     let (job, token) = (JobNumber(1), FencingToken(1));
-    let unsafe_job = |number, key| accepted(number, key, RetrySafety::NonIdempotent);
-    let in_flight = [unsafe_job(1, Some("k")), leased(1, 1, "s-a")];
-    let over = [&in_flight[..], &[finished(1, succeeded("r"))]].concat();
+    let non_idempotent = |number, key| accepted(number, key, RetrySafety::NonIdempotent);
+    let in_flight = [non_idempotent(1, Some("k")), leased(1, 1, "s-a")];
+    let finished_job = [&in_flight[..], &[finished(1, succeeded("r"))]].concat();
     let not_leased = &in_flight[..1];
-    // The key of a failed job may be used again, but not with the id of a job that is open.
-    let failed_and_open = [
+    // A new job may use the key of a failed one, but not the id of an open one.
+    let failed_and_open_jobs = [
         accepted(1, Some("k"), RetrySafety::Idempotent),
         leased(1, 1, "s-a"),
         finished(1, JobOutcome::Failed),
         accepted(2, None, RetrySafety::Idempotent),
     ];
-    let id_of_open = AcceptedJob {
+    let reuses_open_id = AcceptedJob {
         id: accepted_job(2, None, RetrySafety::Idempotent).id,
         ..accepted_job(3, Some("k"), RetrySafety::Idempotent)
     };
@@ -38,34 +39,34 @@
         (&in_flight, Record::Started { job, token: FencingToken(9) }, RejectReason::StaleToken),
         (not_leased, Record::Acknowledged { job, token, lease_aware: true }, RejectReason::NotLeased),
         (not_leased, Record::Delivered { job }, RejectReason::NotFinished),
-        (&in_flight, unsafe_job(1, None), RejectReason::JobNumberReused),
-        (&in_flight, unsafe_job(2, Some("k")), RejectReason::KeyOpen),
-        (&over, finished(1, succeeded("r")), RejectReason::AlreadyFinished),
-        (&over, leased(1, 2, "s-b"), RejectReason::AlreadyFinished),
-        (&over, Record::Renewed { job, token, expires_at: 0 }, RejectReason::AlreadyFinished),
-        (&over, unsafe_job(2, Some("k")), RejectReason::KeyFinished),
-        (&failed_and_open, Record::Accepted(id_of_open), RejectReason::IdOpen),
+        (&in_flight, non_idempotent(1, None), RejectReason::JobNumberReused),
+        (&in_flight, non_idempotent(2, Some("k")), RejectReason::KeyOpen),
+        (&finished_job, finished(1, succeeded("r")), RejectReason::AlreadyFinished),
+        (&finished_job, leased(1, 2, "s-b"), RejectReason::AlreadyFinished),
+        (&finished_job, Record::Renewed { job, token, expires_at: 0 }, RejectReason::AlreadyFinished),
+        (&finished_job, non_idempotent(2, Some("k")), RejectReason::KeyFinished),
+        (&failed_and_open_jobs, Record::Accepted(reuses_open_id), RejectReason::IdOpen),
     ];
     for (before, record, reason) in cases {
         let mut table = table_of(before);
         let state_before = (format!("{:?}", table.jobs()), table.last_lsn());
 
-        let error = table.apply(&record).expect_err("the record does not fit");
+        let error = table.apply(&record).expect_err("the record is not allowed");
 
         assert_eq!(error.reason, reason, "{record:?}");
-        assert_eq!((format!("{:?}", table.jobs()), table.last_lsn()), state_before);
+        assert_eq!((format!("{:?}", table.jobs()), table.last_lsn()), state_before, "{record:?}");
     }
 }
 
 #[test]
-fn a_rejection_names_the_kind_of_the_record_the_job_and_the_reason() {
+fn the_error_of_a_rejected_record_states_its_kind_its_job_and_the_reason() {
     let error = table_of(&[]).apply(&leased(1, 1, "s-a")).expect_err("the job is unknown");
 
     assert_eq!(error.to_string(), "a record `leased` of job 1 does not fit: there is no such job");
 }
 
 #[test]
-fn a_retry_of_an_open_job_finds_it_in_progress() {
+fn a_key_lookup_of_an_open_job_returns_in_progress() {
     let table = table_of(&[accepted(1, Some("k"), RetrySafety::NonIdempotent), leased(1, 1, "s-a")]);
     let key_of_another_owner = IdempotencyKey { owner: "kraftverket".into(), ..key("k") };
 
@@ -73,20 +74,26 @@
     assert_eq!(table.lookup(&key("k"), &FINGERPRINT), KeyLookup::InProgress(JobNumber(1)));
     assert_eq!(table.lookup(&key("k"), &[8; 16]), KeyLookup::RequestMismatch);
     assert_eq!(table.lookup(&key("other"), &FINGERPRINT), KeyLookup::New);
-    assert_eq!(table.lookup(&key_of_another_owner, &[8; 16]), KeyLookup::New, "a key is its owner's");
+    assert_eq!(
+        table.lookup(&key_of_another_owner, &[8; 16]),
+        KeyLookup::New,
+        "an equal key of another owner is another key"
+    );
 }
 
 #[test]
-fn a_retry_of_a_finished_job_finds_its_outcome() {
+fn a_key_lookup_of_a_succeeded_job_returns_its_outcome() {
     let table = finished_in_flight(RetrySafety::NonIdempotent, succeeded("r"));
 
     assert_eq!(table.lookup(&key("k"), &FINGERPRINT), KeyLookup::Finished(JobNumber(1), succeeded("r")));
     assert_eq!(table.lookup(&key("k"), &[8; 16]), KeyLookup::RequestMismatch);
 }
 
-// The attempt was in flight when the job failed: it may have run.
+// The attempt was in flight when the job failed, so it may have run: a non-idempotent job must not
+// run again, an idempotent one may run anywhere, and a deduplicated one where the duplicate is
+// dropped.
 #[test]
-fn a_retry_of_a_failed_job_depends_on_what_a_second_run_does() {
+fn a_failed_job_that_may_have_run_is_retryable_unless_it_is_non_idempotent() {
     let lookup =
         |retry_safety| finished_in_flight(retry_safety, JobOutcome::Failed).lookup(&key("k"), &FINGERPRINT);
 
@@ -102,24 +109,25 @@
 }
 
 #[test]
-fn the_key_of_a_job_that_was_rejected_before_it_ran_is_free_at_once() {
+fn the_key_of_a_job_that_was_rejected_before_it_ran_can_be_used_again_at_once() {
     let records = [accepted(1, Some("k"), RetrySafety::NonIdempotent), finished(1, JobOutcome::Rejected)];
 
     assert_eq!(table_of(&records).lookup(&key("k"), &FINGERPRINT), KeyLookup::New);
 }
 
-// Guards the key against a job that continues a failed one but forgets where that may have run.
+// Guards against a retry of a failed job that loses the attempts that may have run: the job could
+// then run a second time.
 #[test]
-fn a_job_that_continues_a_failed_one_must_inherit_its_attempts() {
+fn a_retry_of_a_failed_job_is_accepted_only_with_the_attempts_that_may_have_run() {
     let mut table = finished_in_flight(RetrySafety::Deduplicated(25 * SECOND), JobOutcome::Failed);
     let without_attempts = accepted_job(2, Some("k"), RetrySafety::Deduplicated(25 * SECOND));
 
-    let error = table.apply(&Record::Accepted(without_attempts.clone())).expect_err("it forgets an attempt");
+    let error = table.apply(&Record::Accepted(without_attempts.clone())).expect_err("an attempt is missing");
     let KeyLookup::Retryable(inherited_attempts) = table.lookup(&key("k"), &FINGERPRINT) else {
-        panic!("the key may be retried")
+        panic!("the failed job is not retryable")
     };
     let with_attempts = AcceptedJob { inherited_attempts, ..without_attempts };
-    table.apply(&Record::Accepted(with_attempts)).expect("it inherits the attempt");
+    table.apply(&Record::Accepted(with_attempts)).expect("the attempt is inherited");
 
     assert_eq!(error.reason, RejectReason::InheritedAttemptsMissing);
     assert_eq!(table.lookup(&key("k"), &FINGERPRINT), KeyLookup::InProgress(JobNumber(2)));
@@ -128,10 +136,10 @@
     assert_eq!(table.job(JobNumber(1)), None);
 }
 
-// The deadline is at 115 s, the job finished at 105 s with 60 s of retention, and its first attempt
-// was sent at 101 s.
+// The job's first attempt was sent at 101 s, it finished at 105 s with 60 s of retention, and its
+// deadline is at 115 s.
 #[test]
-fn a_finished_job_is_retained_for_deadline_retention_and_deduplication_window() {
+fn a_finished_job_is_retained_until_its_retention_and_deduplication_window_have_ended() {
     let expires_at = |retry_safety, outcome| {
         let mut table = finished_in_flight(retry_safety, outcome);
         let expires_at = table.next_expiration().expect("the job is retained");
@@ -154,20 +162,20 @@
         finished(1, JobOutcome::Failed),
     ]);
 
-    assert_eq!(table.stats(), JobTableStats::default(), "no client can retry it");
+    assert_eq!(table.stats(), JobTableStats::default(), "no client can retry a job without a key");
 }
 
-// Guards windows and deadlines against a wall clock that was set while no process ran: on a machine
-// that was not rebooted, the time that passed is what the machine's clock says.
+// Guards deadlines and leases against a step of the wall clock while no process ran: without a
+// reboot, the time between two sessions is the difference of the machine's uptime.
 #[test]
-fn a_wall_clock_that_was_set_moves_no_window() {
+fn a_step_of_the_wall_clock_without_a_reboot_moves_no_deadline_and_no_lease() {
     for step_seconds in [-3600_i64, 0, 3600] {
         let mut table = table_of(&[
             first_session(),
             accepted(1, Some("k"), RetrySafety::NonIdempotent),
             leased(1, 1, "s-a"),
         ]);
-        // 4 s later by the machine's clock, and any time by the wall clock.
+        // 4 s later by the uptime; by the wall clock 4 s, 1 h and 4 s, or 2 h and 4 s later.
         let process_clock = (104 + 3600 + step_seconds) as Nanos * SECOND;
 
         let session = table.session_record(anchor("b1", 54 * SECOND, process_clock));
@@ -180,7 +188,7 @@
 }
 
 #[test]
-fn after_a_reboot_the_wall_clock_is_believed() {
+fn after_a_reboot_the_time_between_sessions_is_taken_from_the_wall_clock() {
     let mut table = table_of(&[first_session(), accepted(1, Some("k"), RetrySafety::NonIdempotent)]);
 
     let session = table.session_record(anchor("b2", SECOND, 109 * SECOND));
@@ -190,7 +198,7 @@
 }
 
 #[test]
-fn job_numbers_and_tokens_outlive_the_records_that_gave_them() {
+fn job_numbers_and_tokens_are_not_reused_after_their_records_are_gone() {
     let mut table = table_of(&[
         accepted(41, None, RetrySafety::NonIdempotent),
         leased(41, 77, "s-a"),
@@ -208,7 +216,7 @@
 }
 
 #[test]
-fn a_record_is_read_as_it_was_written_and_nothing_else_is_read_as_one() {
+fn an_encoded_record_decodes_to_itself_and_other_lengths_are_rejected() {
     let mut job = accepted_job(1, Some("k"), RetrySafety::Deduplicated(5));
     let (location, token) = (location("s-z"), FencingToken(1));
     job.inherited_attempts.push(PastAttempt { location, sent_at: 1, may_have_run: true, token });
@@ -220,12 +228,12 @@
         let bytes = encode(record).expect("the record can be encoded");
 
         assert_eq!(decode(&bytes).as_ref(), Ok(record));
-        assert!(decode(&bytes[..bytes.len() - 1]).is_err(), "a byte is missing");
-        assert!(decode(&[&bytes[..], &[0]].concat()).is_err(), "a byte is left over");
+        assert!(decode(&bytes[..bytes.len() - 1]).is_err(), "decoded {record:?} without its last byte");
+        assert!(decode(&[&bytes[..], &[0]].concat()).is_err(), "decoded {record:?} with a byte after it");
     }
 }
 
-/// A table with job 1 of key `k`, which finished while its attempt was in flight.
+/// A table with job 1 of key `k`, which finished with its attempt in flight.
 fn finished_in_flight(retry_safety: RetrySafety, outcome: JobOutcome) -> JobTable {
     table_of(&[accepted(1, Some("k"), retry_safety), leased(1, 1, "s-a"), finished(1, outcome)])
 }
@@ -238,7 +246,8 @@
     })
 }
 
-/// Any record, fitting or not, from small sets so that records meet.
+/// Any record, allowed in the present state or not. Job numbers, tokens and keys are drawn from
+/// small ranges, so that records often concern the same job.
 fn any_record() -> impl Strategy<Value = Record> {
     let (job, token) = ((1_u64..6).prop_map(JobNumber), (1_u64..12).prop_map(FencingToken));
     let retry_safety = prop_oneof![
@@ -275,7 +284,7 @@
     ]
 }
 
-/// All that a table shows.
+/// The state of a table as far as its methods expose it.
 fn describe(table: &JobTable) -> String {
     let (jobs, stats) = (table.jobs(), table.stats());
     format!("{jobs:?} {stats:?} {:?} {:?}", table.next_expiration(), table.next_token())
@@ -287,10 +296,10 @@
 
 proptest! {
     #![proptest_config(seeded(1000))]
-    // Guards recovery: from any point on, snapshots and the records behind them add up to the same
-    // state as the whole log; the older part is needed no more.
+    // Guards recovery: from the oldest needed record on, the log with its snapshots gives the same
+    // state as the whole log.
     #[test]
-    fn a_replayed_table_equals_the_one_that_wrote_the_log(
+    fn replay_from_the_oldest_needed_record_restores_the_table(
         records in prop::collection::vec(any_record(), 0..60),
         snapshot_after in 0_usize..60,
         max_snapshots in 1_usize..6,
@@ -303,7 +312,7 @@
             }
             if i == snapshot_after {
                 for snapshot in table.snapshot_records(max_snapshots) {
-                    table.apply(&snapshot).expect("a snapshot fits");
+                    table.apply(&snapshot).expect("the snapshot fits");
                     log.push(snapshot);
                 }
             }
@@ -315,7 +324,7 @@
 
         let mut replayed = JobTable::new(LIMITS);
         for (lsn, record) in (oldest..).zip(needed) {
-            replayed.replay(lsn, record).expect("the record fitted before");
+            replayed.replay(lsn, record).expect("the record was applied before");
         }
 
         if !needed.is_empty() {
@@ -325,10 +334,10 @@
         prop_assert_eq!(describe(&table_of(&log)), describe(&table));
     }
 
-    // Guards the indexes: counts and lookups agree with the jobs whatever happens, and an open job
-    // is never forgotten.
+    // Guards the indexes: after any records, counts and key lookups agree with the jobs, and an
+    // open job never expires.
     #[test]
-    fn counts_and_indexes_agree_with_the_jobs(
+    fn counts_and_key_lookups_agree_with_the_jobs_after_any_records(
         records in prop::collection::vec(any_record(), 0..80),
         now_seconds in 0_u64..300,
     ) {
@@ -355,7 +364,7 @@
 }
 
 #[test]
-fn the_lease_in_flight_is_shown_with_its_worker_and_end() {
+fn a_leased_job_has_a_lease_with_its_worker_and_expiry() {
     let table = table_of(&[accepted(1, None, RetrySafety::Idempotent), leased(1, 1, "s-a")]);
 
     let job = table.job(JobNumber(1)).expect("the job is open");
--- a/crates/service/durable-jobs/tests/lease_protocol_model.rs
+++ b/crates/service/durable-jobs/tests/lease_protocol_model.rs
@@ -1,55 +1,59 @@
-//! A model of the lease protocol, searched completely for small sizes: one scheduler that writes a
-//! log, two workers, a client that submits twice, crashes with and without what was not synced,
-//! messages that are lost, doubled and late, and workers' clocks that run slow by up to the bound.
-//! Each rule of the protocol can be taken out; then the search must find the fault that the rule
-//! prevents.
+//! A model of the lease protocol, checked exhaustively for small sizes.
+//!
+//! One scheduler writes a log; two workers run one job; a client submits it twice. The scheduler
+//! crashes, and its unsynced records survive or are lost; messages are lost, duplicated and delayed;
+//! the workers' clocks run slow by up to the bound. Each rule of the protocol can be disabled; the
+//! check must then find the fault that the rule prevents.
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
 /// The duration of a lease, ticks.
-const LEASE: u8 = 1;
+const LEASE_TICKS: u8 = 1;
 /// The bound on the drift of clocks within a lease, ticks.
-const CLOCK_DRIFT_BOUND: u8 = 1;
-/// Ticks that are searched.
-const TICKS: u8 = 4;
-/// Crashes that are searched.
-const CRASHES: u8 = 1;
-/// Records that may be unsynced at a time.
+const CLOCK_DRIFT_TICKS: u8 = 1;
+/// The length of a run, ticks.
+const MAX_TICKS: u8 = 4;
+/// Crashes of the scheduler in a run.
+const MAX_CRASHES: u8 = 1;
+/// Unsynced records at a time.
 const MAX_UNSYNCED: usize = 4;
-/// Submissions of the client, and attempts of the job.
+/// Submissions of the client.
 const MAX_SUBMISSIONS: u8 = 2;
+/// Attempts of the job.
 const MAX_ATTEMPTS: u8 = 2;
 const WORKERS: [u8; 2] = [0, 1];
 
-const ONE_WORKER: &str = "one worker at a time";
-const NO_SECOND_RUN: &str = "a job that must not run twice does not";
-const ONE_ANSWER: &str = "one answer for all submissions";
-const ANSWER_DURABLE: &str = "what was answered is on disk";
-const LAST_LEASE: &str = "the result is the last lease's";
-const INVARIANTS: [&str; 5] = [ONE_WORKER, NO_SECOND_RUN, ONE_ANSWER, ANSWER_DURABLE, LAST_LEASE];
-const ANSWERED_AFTER_CRASH: &str = "answered after a crash";
-const SECOND_WORKER: &str = "a lease ends and the job continues on another worker";
-const REACHABLE: [&str; 2] = [ANSWERED_AFTER_CRASH, SECOND_WORKER];
-
+const ONE_LEASE_HOLDER: &str = "at most one worker has a valid lease";
+const AT_MOST_ONE_RUN: &str = "a non-idempotent job runs at most once";
+const SAME_ANSWER: &str = "all submissions get the same answer";
+const ANSWER_DURABLE: &str = "the result of an answer is durable";
+const RESULT_OF_LAST_LEASE: &str = "the durable result is that of the last lease";
+const INVARIANTS: [&str; 5] =
+    [ONE_LEASE_HOLDER, AT_MOST_ONE_RUN, SAME_ANSWER, ANSWER_DURABLE, RESULT_OF_LAST_LEASE];
+const ANSWERED_AFTER_CRASH: &str = "the client is answered after a crash";
+const SECOND_WORKER: &str = "a lease expires and the job continues on another worker";
+const EXPECTED_REACHABLE: [&str; 2] = [ANSWERED_AFTER_CRASH, SECOND_WORKER];
+
+/// A rule of the protocol that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Rule {
-    /// Nothing is sent before its record is durable.
+    /// A message is sent only when all records before it are durable.
     OutputCommit,
-    /// A lease ends at the scheduler later than at its worker, by the bound on clocks.
-    ClockDriftBound,
+    /// The scheduler lets a lease expire later than its worker does, by the bound on clock drift.
+    ClockDriftMargin,
     /// A renewal is logged before it is sent.
     RenewalLogged,
-    /// A result counts only under the present lease.
+    /// A result is accepted only under the present lease.
     Fencing,
-    /// A job that must not run twice is not sent again where it may have run.
+    /// A non-idempotent job that may have run is not leased again.
     NoSecondRun,
-    /// After a crash, an attempt that may be in flight is waited for.
-    Recovery,
-    /// An offer that the disk has delayed by a tick is not sent any more.
+    /// After a crash, the scheduler keeps the logged lease of an attempt that may be in flight.
+    LeaseRecovery,
+    /// An offer that has waited for a sync for a tick is not sent any more.
     OfferExpiry,
 }
 
-/// The job: one that must not run twice, or one whose second run both workers drop.
+/// The job's class: non-idempotent, or with duplicates that both workers drop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Class {
     NonIdempotent,
@@ -58,7 +62,7 @@
 
 struct LeaseProtocol {
     class: Class,
-    without: Option<Rule>,
+    disabled: Option<Rule>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -79,7 +83,7 @@
     Answer { token: u8 },
 }
 
-/// A lease as the scheduler has it.
+/// A lease as the scheduler knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Lease {
     worker: u8,
@@ -87,14 +91,15 @@
     expires_at: u8,
 }
 
-/// What the records add up to.
+/// The state of the job after a prefix of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Job {
     accepted: bool,
     lease: Option<Lease>,
     last_token: u8,
     may_have_run: bool,
-    finished_under: Option<u8>,
+    /// The token under which the accepted result was produced.
+    result_token: Option<u8>,
 }
 
 impl Job {
@@ -116,7 +121,7 @@
             }
             Record::Finished { token } => {
                 self.lease = None;
-                self.finished_under = Some(token);
+                self.result_token = Some(token);
             }
         }
     }
@@ -126,7 +131,7 @@
     }
 }
 
-/// A lease as its worker has it: until when, by its own slow clock.
+/// A lease as its worker knows it; `expires_at` includes the delay of the worker's slow clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct WorkerLease {
     token: u8,
@@ -138,20 +143,20 @@
     now: u8,
     crashes: u8,
     scheduler_is_up: bool,
-    /// The job as the running scheduler has it.
+    /// The job in the scheduler's memory.
     job: Job,
-    /// The job as the records on disk have it.
+    /// The job by the records on disk.
     durable_job: Job,
     unsynced: Vec<Record>,
-    /// Messages that may be sent when all records before them are durable.
+    /// Messages that are sent when all records before them are durable.
     waiting_for_sync: Vec<Message>,
     in_flight: BTreeSet<Message>,
     worker_leases: [Option<WorkerLease>; 2],
-    /// How often each worker has begun the job.
+    /// How often each worker has started the job.
     runs: [u8; 2],
     submissions: u8,
     client_waits: bool,
-    /// The tokens under which the results were made that the client received.
+    /// The result tokens of the answers that the client received.
     answers: BTreeSet<u8>,
 }
 
@@ -191,12 +196,11 @@
         self.client_waits = false;
         self.job = Job::default();
         self.waiting_for_sync.clear();
-        // Its connections break: what it was sending does not arrive, nor does the answer to its
-        // client.
+        // The scheduler's connections break: offers and answers in flight are lost.
         self.in_flight.retain(|message| !matches!(message, Message::Offer { .. } | Message::Answer { .. }));
     }
 
-    /// Whether a renewal for this worker is on its way.
+    /// Whether a renewal for this worker is in flight or waits for a sync.
     fn is_renewal_pending(&self, worker: u8) -> bool {
         let is_renewal =
             |message: &Message| matches!(message, Message::Renewal { worker: to, .. } if *to == worker);
@@ -209,7 +213,7 @@
     Submit,
     Lease(u8),
     Sync,
-    LeaseEnds,
+    ReleaseLease,
     Crash { unsynced_survives: bool },
     Restart,
     Deliver(Message),
@@ -219,8 +223,8 @@
 }
 
 impl LeaseProtocol {
-    fn has(&self, rule: Rule) -> bool {
-        self.without != Some(rule)
+    fn is_enabled(&self, rule: Rule) -> bool {
+        self.disabled != Some(rule)
     }
 
     fn log(&self, state: &mut State, record: Record) {
@@ -229,7 +233,7 @@
     }
 
     fn send(&self, state: &mut State, message: Message) {
-        if self.has(Rule::OutputCommit) && !state.unsynced.is_empty() {
+        if self.is_enabled(Rule::OutputCommit) && !state.unsynced.is_empty() {
             state.waiting_for_sync.push(message);
         } else {
             state.in_flight.insert(message);
@@ -239,19 +243,19 @@
     fn may_lease(&self, state: &State) -> bool {
         let job = &state.job;
         let may_run_again =
-            self.class == Class::Deduplicated || !job.may_have_run || !self.has(Rule::NoSecondRun);
-        let is_open = job.accepted && job.lease.is_none() && job.finished_under.is_none();
+            self.class == Class::Deduplicated || !job.may_have_run || !self.is_enabled(Rule::NoSecondRun);
+        let is_open = job.accepted && job.lease.is_none() && job.result_token.is_none();
         state.scheduler_is_up && is_open && may_run_again && job.last_token < MAX_ATTEMPTS
     }
 
-    fn may_end_lease(&self, state: &State) -> bool {
-        let bound = if self.has(Rule::ClockDriftBound) { CLOCK_DRIFT_BOUND } else { 0 };
-        state.scheduler_is_up && state.job.lease.is_some_and(|lease| state.now > lease.expires_at + bound)
+    fn may_release_lease(&self, state: &State) -> bool {
+        let margin = if self.is_enabled(Rule::ClockDriftMargin) { CLOCK_DRIFT_TICKS } else { 0 };
+        state.scheduler_is_up && state.job.lease.is_some_and(|lease| state.now > lease.expires_at + margin)
     }
 
     fn submit(&self, state: &mut State) {
         state.submissions += 1;
-        if let Some(token) = state.job.finished_under {
+        if let Some(token) = state.job.result_token {
             return self.send(state, Message::Answer { token });
         }
         state.client_waits = true;
@@ -262,9 +266,9 @@
 
     fn lease(&self, state: &mut State, worker: u8) {
         let token = state.job.last_token + 1;
-        // The offer is accepted within a tick of this record, or not at all; so the worker's own
-        // time begins by then.
-        let lease = Lease { worker, token, expires_at: state.now + 1 + LEASE };
+        // A worker accepts the offer within a tick of this record or never, so its lease begins by
+        // then.
+        let lease = Lease { worker, token, expires_at: state.now + 1 + LEASE_TICKS };
         self.log(state, Record::Leased { lease });
         self.send(state, Message::Offer { worker, token });
     }
@@ -272,16 +276,17 @@
     fn restart(&self, state: &mut State) {
         state.scheduler_is_up = true;
         state.job = state.durable_job;
-        if !self.has(Rule::Recovery) {
-            // As if an attempt that was in flight had never been.
+        if !self.is_enabled(Rule::LeaseRecovery) {
+            // Forgets an attempt that was in flight at the crash.
             state.job.lease = None;
         }
     }
 
     fn tick(&self, state: &mut State) {
-        // An offer that was not accepted within a tick is withdrawn by closing its connection.
+        // The scheduler withdraws an offer that was not accepted within a tick by closing its
+        // connection.
         state.in_flight.retain(|message| !matches!(message, Message::Offer { .. }));
-        if self.has(Rule::OfferExpiry) {
+        if self.is_enabled(Rule::OfferExpiry) {
             state.waiting_for_sync.retain(|message| !matches!(message, Message::Offer { .. }));
         }
         state.now += 1;
@@ -308,13 +313,14 @@
     }
 
     fn receive_heartbeat(&self, state: &mut State, worker: u8, token: u8, sent_at: u8) {
-        let is_current = state.job.is_leased_to(worker, token) && state.job.finished_under.is_none();
+        let is_current = state.job.is_leased_to(worker, token) && state.job.result_token.is_none();
         if !state.scheduler_is_up || !is_current {
             return;
         }
-        let record = Record::Renewed { token, expires_at: state.now + LEASE };
-        let renewal = Message::Renewal { worker, token, expires_at: sent_at + LEASE + CLOCK_DRIFT_BOUND };
-        if self.has(Rule::RenewalLogged) {
+        let record = Record::Renewed { token, expires_at: state.now + LEASE_TICKS };
+        let renewal =
+            Message::Renewal { worker, token, expires_at: sent_at + LEASE_TICKS + CLOCK_DRIFT_TICKS };
+        if self.is_enabled(Rule::RenewalLogged) {
             self.log(state, record);
             self.send(state, renewal);
         } else {
@@ -324,10 +330,10 @@
     }
 
     fn receive_result(&self, state: &mut State, worker: u8, token: u8) {
-        if !state.scheduler_is_up || state.job.finished_under.is_some() {
+        if !state.scheduler_is_up || state.job.result_token.is_some() {
             return;
         }
-        if !state.job.is_leased_to(worker, token) && self.has(Rule::Fencing) {
+        if !state.job.is_leased_to(worker, token) && self.is_enabled(Rule::Fencing) {
             return;
         }
         self.log(state, Record::Finished { token });
@@ -339,10 +345,10 @@
 
 fn receive_offer(state: &mut State, worker: u8, token: u8) {
     let worker = usize::from(worker);
-    // A worker that has had the job does not begin it again.
+    // A worker does not start the same job twice.
     if state.worker_leases[worker].is_none() && state.runs[worker] == 0 {
-        // Its clock may run slow by the bound at the most.
-        let expires_at = state.now + LEASE + CLOCK_DRIFT_BOUND;
+        // The worst case: the worker's clock runs slow by the whole bound.
+        let expires_at = state.now + LEASE_TICKS + CLOCK_DRIFT_TICKS;
         state.worker_leases[worker] = Some(WorkerLease { token, expires_at });
         state.runs[worker] += 1;
     }
@@ -366,10 +372,10 @@
         if state.scheduler_is_up && !state.unsynced.is_empty() {
             actions.push(Action::Sync);
         }
-        if self.may_end_lease(state) {
-            actions.push(Action::LeaseEnds);
+        if self.may_release_lease(state) {
+            actions.push(Action::ReleaseLease);
         }
-        if state.scheduler_is_up && state.crashes < CRASHES {
+        if state.scheduler_is_up && state.crashes < MAX_CRASHES {
             actions.push(Action::Crash { unsynced_survives: false });
             if !state.unsynced.is_empty() {
                 actions.push(Action::Crash { unsynced_survives: true });
@@ -378,7 +384,7 @@
         if !state.scheduler_is_up {
             actions.push(Action::Restart);
         }
-        // What is in flight stays there: it arrives at any time, again, or never.
+        // A message in flight arrives at any time or never, and a result also several times.
         actions.extend(state.in_flight.iter().map(|message| Action::Deliver(*message)));
         for worker in WORKERS.into_iter().filter(|worker| state.worker_leases[usize::from(*worker)].is_some())
         {
@@ -387,7 +393,7 @@
             }
             actions.push(Action::Finish(worker));
         }
-        if state.now < TICKS {
+        if state.now < MAX_TICKS {
             actions.push(Action::Tick);
         }
     }
@@ -398,19 +404,19 @@
             Action::Submit => self.submit(&mut state),
             Action::Lease(worker) => self.lease(&mut state, worker),
             Action::Sync => state.sync(),
-            Action::LeaseEnds => self.log(&mut state, Record::Released),
+            Action::ReleaseLease => self.log(&mut state, Record::Released),
             Action::Crash { unsynced_survives } => state.crash(unsynced_survives),
             Action::Restart => self.restart(&mut state),
             Action::Deliver(message) => {
-                // On a connection of their own all messages but results arrive once.
+                // All messages but results have a connection of their own, so they arrive once.
                 if !matches!(message, Message::Result { .. }) {
                     state.in_flight.remove(&message);
                 }
                 self.receive(&mut state, message);
             }
             Action::Heartbeat(worker) => {
-                // A late heartbeat gives the worker less time and the scheduler more: at once is
-                // the hardest.
+                // Delivered at once: a delayed heartbeat would make the worker's lease end earlier,
+                // and the scheduler's later, and so hide faults.
                 let token = state.worker_leases[usize::from(worker)]?.token;
                 let sent_at = state.now;
                 self.receive(&mut state, Message::Heartbeat { worker, token, sent_at });
@@ -430,19 +436,19 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(ONE_WORKER, |_, state: &State| {
+            Property::always(ONE_LEASE_HOLDER, |_, state: &State| {
                 state.worker_leases.iter().flatten().count() <= 1
             }),
-            Property::always(NO_SECOND_RUN, |protocol: &LeaseProtocol, state: &State| {
+            Property::always(AT_MOST_ONE_RUN, |protocol: &LeaseProtocol, state: &State| {
                 protocol.class == Class::Deduplicated || state.runs.iter().sum::<u8>() <= 1
             }),
-            Property::always(ONE_ANSWER, |_, state: &State| state.answers.len() <= 1),
+            Property::always(SAME_ANSWER, |_, state: &State| state.answers.len() <= 1),
             Property::always(ANSWER_DURABLE, |_, state: &State| {
-                state.answers.iter().all(|token| state.durable_job.finished_under == Some(*token))
+                state.answers.iter().all(|token| state.durable_job.result_token == Some(*token))
             }),
-            Property::always(LAST_LEASE, |_, state: &State| {
+            Property::always(RESULT_OF_LAST_LEASE, |_, state: &State| {
                 let job = &state.durable_job;
-                job.finished_under.is_none_or(|token| token == job.last_token)
+                job.result_token.is_none_or(|token| token == job.last_token)
             }),
             Property::sometimes(ANSWERED_AFTER_CRASH, |_, state: &State| {
                 state.crashes > 0 && !state.answers.is_empty()
@@ -454,52 +460,58 @@
     }
 }
 
-/// What a search found.
-struct SearchResult {
+/// The result of an exhaustive check.
+struct CheckResult {
     states: usize,
     broken_invariants: Vec<&'static str>,
 }
 
-fn search(class: Class, without: Option<Rule>) -> SearchResult {
-    let checker = LeaseProtocol { class, without }.checker().threads(1).spawn_bfs().join();
-    if without.is_none() {
-        for name in REACHABLE {
-            assert!(checker.discovery(name).is_some(), "{class:?}: never {name}: the model is too small");
+fn check(class: Class, disabled: Option<Rule>) -> CheckResult {
+    let checker = LeaseProtocol { class, disabled }.checker().threads(1).spawn_bfs().join();
+    if disabled.is_none() {
+        for name in EXPECTED_REACHABLE {
+            assert!(
+                checker.discovery(name).is_some(),
+                "{class:?}: no state of the model satisfies \"{name}\""
+            );
         }
     }
     let is_broken = |name: &&'static str| checker.discovery(name).is_some();
     let broken_invariants = INVARIANTS.into_iter().filter(is_broken).collect();
-    SearchResult { states: checker.unique_state_count(), broken_invariants }
+    CheckResult { states: checker.unique_state_count(), broken_invariants }
 }
 
-// Guards the protocol: within these sizes no order of events breaks an invariant.
+// Guards the protocol: within the sizes of the model no order of events breaks an invariant.
 #[test]
 fn no_order_of_events_breaks_an_invariant() {
     for class in [Class::NonIdempotent, Class::Deduplicated] {
-        let SearchResult { states, broken_invariants } = search(class, None);
+        let CheckResult { states, broken_invariants } = check(class, None);
 
         println!("{class:?}: {states} states");
         assert_eq!(broken_invariants, Vec::<&str>::new(), "{class:?}");
-        assert!(states > 1_000, "{class:?}: {states} states");
+        assert!(states > 1_000, "{class:?}: {states} states; expected more than 1,000");
     }
 }
 
-// Guards the model: with a rule taken out, the search finds the fault that the rule prevents.
+// Guards the model: with a rule disabled, the check finds the fault that the rule prevents.
 #[test]
-fn without_any_rule_an_invariant_breaks() {
+fn disabling_a_rule_breaks_the_invariant_that_it_protects() {
     let cases = [
-        (Rule::OutputCommit, Class::NonIdempotent, NO_SECOND_RUN),
-        (Rule::ClockDriftBound, Class::Deduplicated, ONE_WORKER),
-        (Rule::RenewalLogged, Class::Deduplicated, ONE_WORKER),
-        (Rule::Fencing, Class::Deduplicated, LAST_LEASE),
-        (Rule::NoSecondRun, Class::NonIdempotent, NO_SECOND_RUN),
-        (Rule::Recovery, Class::NonIdempotent, NO_SECOND_RUN),
-        (Rule::OfferExpiry, Class::Deduplicated, ONE_WORKER),
+        (Rule::OutputCommit, Class::NonIdempotent, AT_MOST_ONE_RUN),
+        (Rule::ClockDriftMargin, Class::Deduplicated, ONE_LEASE_HOLDER),
+        (Rule::RenewalLogged, Class::Deduplicated, ONE_LEASE_HOLDER),
+        (Rule::Fencing, Class::Deduplicated, RESULT_OF_LAST_LEASE),
+        (Rule::NoSecondRun, Class::NonIdempotent, AT_MOST_ONE_RUN),
+        (Rule::LeaseRecovery, Class::NonIdempotent, AT_MOST_ONE_RUN),
+        (Rule::OfferExpiry, Class::Deduplicated, ONE_LEASE_HOLDER),
     ];
     for (rule, class, invariant) in cases {
-        let SearchResult { states, broken_invariants } = search(class, Some(rule));
+        let CheckResult { states, broken_invariants } = check(class, Some(rule));
 
         println!("without {rule:?}: {states} states, {broken_invariants:?}");
-        assert!(broken_invariants.contains(&invariant), "{rule:?}: {broken_invariants:?} in {states} states");
+        assert!(
+            broken_invariants.contains(&invariant),
+            "without {rule:?}: expected \"{invariant}\" to break, found {broken_invariants:?} in {states} states"
+        );
     }
 }
--- a/crates/service/engine/tests/bounds.rs
+++ b/crates/service/engine/tests/bounds.rs
@@ -188,8 +188,8 @@
     assert_eq!(successor.submit("k100"), None, "the retention of k100 has ended: it is a new job");
 }
 
-// Guards retained answers: at the limit on jobs or on disk space, new jobs are rejected at once with
-// a retry delay, and no finished job is dropped before its retention ends to make room.
+// Guards retained answers: at the limit on jobs or on disk space, new jobs are rejected at once
+// with a retry delay, and no finished job is dropped before its retention ends to make room.
 #[test]
 fn full_durable_storage_rejects_new_jobs_and_keeps_retained_ones() {
     for (max_jobs, max_disk_bytes) in [(50, AMPLE_DISK_BYTES), (AMPLE_JOBS, 32 << 10)] {
--- a/crates/service/engine/tests/crash.rs
+++ b/crates/service/engine/tests/crash.rs
@@ -465,7 +465,7 @@
             }
             Effect::CancelAttempt { attempt, addr, job_id, .. } => match barrier.cancel(attempt) {
                 true => self.handle_released([ReleasedEffect::NeverSent(attempt)]),
-                // The dispatch is cancelled by closing its connection before the worker has replied.
+                // Cancels the dispatch by closing its connection, before the worker has replied.
                 false if self.pending_dispatches.remove(&attempt) => {
                     self.workers[worker_index(addr)].jobs.remove(&job_id);
                     self.schedule(0, Event::AttemptCancelled { attempt, epoch });
