--- a/crates/service/engine/tests/crash.rs
+++ b/crates/service/engine/tests/crash.rs
@@ -446,7 +446,7 @@
                     }
                 }
             }
-            Effect::SendAttempt { attempt, addr, lease, encoded_request: encoded_request, .. } => {
+            Effect::SendAttempt { attempt, addr, lease, encoded_request, .. } => {
                 let client = match encoded_request {
                     Some(request) => String::from_utf8_lossy(&request).parse().ok(),
                     None => self.client_of_request(attempt.request),
@@ -475,7 +475,7 @@
                     self.schedule(delay, Event::CancelAttempt { worker, job_id, attempt, epoch });
                 }
             },
-            Effect::Acknowledge { notice_id: notice_id, reply } => {
+            Effect::Acknowledge { notice_id, reply } => {
                 if let Some(notice) = self.pending_notices.remove(&notice_id) {
                     self.receive_notice_reply(&notice, reply);
                 }
@@ -795,7 +795,7 @@
             _ => JobUpdate::Done(result_for(self.client_of_job[&notice.job_id])),
         };
         let input = Input::WorkerNotice(WorkerNotice {
-            notice_id: notice_id,
+            notice_id,
             job_id: notice.job_id.to_string(),
             worker: worker_name(notice.worker).to_string(),
             fencing_token: notice.token,
