--- a/crates/service/balancing-policy/src/admission_limiter.rs
+++ b/crates/service/balancing-policy/src/admission_limiter.rs
@@ -13,7 +13,7 @@
 //! that cannot.
 
 /// The step of the admitted fraction for one capacity signal, on a logarithmic scale. The signals
-/// are compared with a target share, either of the probed workers that report a free slot or of the
+/// are compared with a target share, either of the workers that report a free slot or of the
 /// attempts that start within half of their latency target.
 const SIGNAL_GAIN: f64 = 0.03;
 
--- a/crates/service/balancing-policy/src/api/action.rs
+++ b/crates/service/balancing-policy/src/api/action.rs
@@ -13,17 +13,17 @@
         id: RequestId,
         /// The worker that gets the attempt.
         worker: WorkerId,
-        /// The attempt's time-out in nanoseconds; `None` means the time until the client gives up.
+        /// The attempt's timeout in nanoseconds; `None` means the time until the client gives up.
         timeout: Option<Nanos>,
     },
-    /// Answer the request finally with a rejection, after which the client may retry safely.
+    /// Give the request its final answer: a rejection, after which the client may retry safely.
     Reject {
         /// The request.
         id: RequestId,
-        /// The delay before the client should retry, in nanoseconds; `None` advises nothing.
+        /// The delay before the client should retry, in nanoseconds; `None` gives no advice.
         retry_after: Option<Nanos>,
     },
-    /// Answer the request finally with a failure.
+    /// Give the request its final answer: a failure.
     Fail {
         /// The request.
         id: RequestId,
--- a/crates/service/balancing-policy/src/api/endpoint.rs
+++ b/crates/service/balancing-policy/src/api/endpoint.rs
@@ -26,7 +26,8 @@
     pub worker: &'a str,
     /// The worker's state.
     pub state: WorkerState,
-    /// The time at which the worker last started; `None` if that was long ago.
+    /// The time at which the worker last started; `None` if that was so long ago that its slow
+    /// start is over.
     pub started_at: Option<Nanos>,
     /// The worker's machine kind, from 0.
     pub machine_kind: u32,
--- a/crates/service/balancing-policy/src/api/request.rs
+++ b/crates/service/balancing-policy/src/api/request.rs
@@ -14,7 +14,7 @@
     pub id: RequestId,
     /// The request's class, an index into [`Settings::classes`](crate::Settings::classes).
     pub class: u32,
-    /// The slots that the request occupies at a worker.
+    /// The slots that the request occupies at a worker. A slot is a unit of a worker's concurrency.
     pub slots: f64,
     /// The memory units that the request occupies at a worker.
     pub memory: f64,
--- a/crates/service/balancing-policy/src/api/settings.rs
+++ b/crates/service/balancing-policy/src/api/settings.rs
@@ -142,7 +142,7 @@
     pub probe: f64,
     /// The price of 256 bytes delivered to a peer.
     pub peer_message: f64,
-    /// The price of all value ending unserved after its latency target.
+    /// The price of failures after the latency target, when all value is lost to them.
     pub late_failure: f64,
 }
 
@@ -152,15 +152,15 @@
     /// The longest interval between two requests for the endpoint list by a dispatcher without a
     /// subscription, in nanoseconds; 0 if the list is pushed.
     pub endpoint_poll_interval: Nanos,
-    /// The longest time in which a started worker reaches its full capacity, in nanoseconds.
+    /// The longest time that a worker takes from its start to its full capacity, in nanoseconds.
     pub slow_start_duration: Nanos,
     /// The least fraction of its capacity that a worker has when it starts.
     pub slow_start_initial_fraction: f64,
     /// The time after the notification of a drain during which sends to the worker are still
     /// tolerated, in nanoseconds.
     pub drain_grace: Nanos,
-    /// The multiple of its present capacity beyond which work overloads a worker in slow start, if
-    /// the excess lasts for [`SafetyRules::overload_window`].
+    /// The multiple of its present capacity that overloads a worker in slow start, if work exceeds
+    /// it for [`SafetyRules::overload_window`].
     pub overload_multiple: f64,
     /// The time for which excess work must last to overload a worker in slow start, in nanoseconds.
     pub overload_window: Nanos,
@@ -179,7 +179,10 @@
     }
 }
 
-/// The settings of a dispatcher. A field at its default value counts as not configured.
+/// The settings of a dispatcher.
+///
+/// A field at its default value counts as not configured: optional operations are not permitted,
+/// and prices are 0.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// This dispatcher's instance number, from 0.
--- a/crates/service/balancing-policy/src/dispatcher/admission.rs
+++ b/crates/service/balancing-policy/src/dispatcher/admission.rs
@@ -9,7 +9,7 @@
 /// The retry delay in a rejection, unless clients follow only shorter delays.
 const RETRY_AFTER: Nanos = 300 * MILLISECOND;
 
-/// The lower bound of the fraction of its value that a late answer counts in admission, which
+/// The lower bound of the fraction of its value with which a late request counts in admission. It
 /// prevents the starvation of late requests.
 const MIN_LATE_VALUE_FRACTION: f64 = 0.01;
 
@@ -46,9 +46,11 @@
     }
 
     /// Returns the time for which a request may still wait for its start and be answered within its
-    /// latency target, at the class's typical running time, in nanoseconds. When a client retries,
-    /// the request arrives with what is left of the time that its first attempt had; the latency
-    /// target is counted from that first attempt.
+    /// latency target, at the class's typical running time, in nanoseconds.
+    ///
+    /// When a client retries, the new request arrives with the rest of the time that the original
+    /// request had. The latency target is counted from the arrival of the original request, so the
+    /// time used up since then is subtracted.
     pub(super) fn slack(&self, request: &Request) -> Nanos {
         let class = &self.settings.classes[request.class as usize];
         let statistics = &self.classes[request.class as usize];
@@ -70,9 +72,9 @@
         now >= job.arrived_at + longest_wait
     }
 
-    /// Returns whether all workers of the machine kind have reported their memory since they
-    /// started, and none ever reported as much free memory as the job needs. Such a job would never
-    /// find room, and each worker that rejects it would count as full for a while.
+    /// Returns whether every ready worker of the machine kind has reported its free memory since it
+    /// started, and none of these reports contained as much as the job needs. Such a job would
+    /// never find room, and each worker that rejects it would count as full for a while.
     pub(super) fn is_too_large(&self, job: &Job, machine_kind: Option<u32>) -> bool {
         let memory = job.request.memory;
         let mut ready = self
--- a/crates/service/balancing-policy/src/dispatcher/affinity.rs
+++ b/crates/service/balancing-policy/src/dispatcher/affinity.rs
@@ -8,10 +8,10 @@
 /// it.
 const CACHE_DURATION: Nanos = 20 * SECOND;
 
-/// The cost of a fetch until it is measured, in jobs.
+/// The cost of a fetch until it is measured; see [`AffinityTable::fetch_cost`].
 const DEFAULT_FETCH_COST: f64 = 2.0;
 
-/// The upper bound of the cost of a fetch, in jobs.
+/// The upper bound of the cost of a fetch; see [`AffinityTable::fetch_cost`].
 const MAX_FETCH_COST: f64 = 8.0;
 
 /// The number of entries beyond which expired ones are removed.
@@ -61,8 +61,9 @@
         *mean += (elapsed as f64 - *mean) * sample_weight;
     }
 
-    /// Returns the delay of fetching a key, in jobs. It is measured, so that keys that are cheap to
-    /// fetch are not bound to their workers.
+    /// Returns the delay of fetching a key, as a multiple of the response time with a cached key. A
+    /// fetch that costs 2 counts like two own slots in flight. The cost is measured, so that keys
+    /// that are cheap to fetch are not bound to their workers.
     pub(super) fn fetch_cost(&self) -> f64 {
         if self.mean_time_cached == 0.0 || self.mean_time_fetched == 0.0 {
             return DEFAULT_FETCH_COST;
--- a/crates/service/balancing-policy/src/dispatcher/attempts.rs
+++ b/crates/service/balancing-policy/src/dispatcher/attempts.rs
@@ -26,7 +26,7 @@
     pub(super) report: Option<LoadReport>,
 }
 
-/// The properties of an ended attempt and its request that statistics are updated with.
+/// The properties of an ended attempt and its request that the statistics need.
 struct EndedAttemptSummary {
     worker: WorkerIndex,
     class: usize,
--- a/crates/service/balancing-policy/src/dispatcher/candidates.rs
+++ b/crates/service/balancing-policy/src/dispatcher/candidates.rs
@@ -16,8 +16,9 @@
 /// The number of walkers on each graph: the `d` of NBRW-PoD.
 const WALKERS: usize = 6;
 
-/// The maximum number of extra steps of a walker on an ineligible worker before the walker is
-/// skipped.
+/// The maximum number of further workers that a walker examines if the one at its position is
+/// ineligible or already drawn; after that, the walker is skipped. The walk of a key takes at most
+/// this many steps for each candidate wanted.
 const MAX_EXTRA_STEPS: usize = 4;
 
 /// The number of candidates drawn from a key's walk in the first round; each later round draws one
@@ -25,8 +26,8 @@
 const KEY_CANDIDATES: usize = 2;
 
 /// The maximum number of recently used workers with an open connection that are candidates in
-/// addition to the walkers' positions. This is the memory that the paper names among the variants
-/// of its scheme.
+/// addition to the walkers' positions. This is the memory that the NBRW-PoD paper names among the
+/// variants of its scheme.
 const RECENTLY_USED_CANDIDATES: usize = 4;
 
 /// The search for a job's candidates.
@@ -110,16 +111,16 @@
         self.drawn
     }
 
-    /// Draws workers by affinity key. The walk starts at the key's home and its steps are
-    /// determined by the key, so all dispatchers send the key's requests to the same few workers.
-    /// Later rounds walk further.
+    /// Draws workers by affinity key. The start of the walk and its steps are determined by the
+    /// key, so all dispatchers send the key's requests to the same few workers. Later rounds walk
+    /// further.
     fn draw_by_key(&mut self, key: u64) {
-        // The seed follows those of the cycles, so that the home is independent of the workers'
-        // positions on them.
-        let home = cycle_position(&key.to_le_bytes(), CYCLE_COUNT);
-        let Some(start) = self.graph.first_at_or_after(home) else { return };
+        // The cycles are numbered from 0, so `CYCLE_COUNT` is the hash seed of none of them and the
+        // key's position is independent of the workers' positions.
+        let key_position = cycle_position(&key.to_le_bytes(), CYCLE_COUNT);
+        let Some(start) = self.graph.first_at_or_after(key_position) else { return };
         let mut walker = Walker::new(start);
-        let mut step_rng = Pcg64Mcg::seed_from_u64(home);
+        let mut step_rng = Pcg64Mcg::seed_from_u64(key_position);
         let wanted = KEY_CANDIDATES + self.job.rounds as usize;
         let enough = wanted.min(self.graph.len());
         for _ in 0..wanted * MAX_EXTRA_STEPS {
@@ -153,14 +154,14 @@
     /// dispatchers' shares after an idle time. Otherwise the share of an idle dispatcher would be
     /// raised without bound, and many simultaneous jobs would use all these shares.
     fn raise_slow_start_share(&mut self) {
-        let examined_for_job = (WALKERS + RECENTLY_USED_CANDIDATES) as f64 / Rate::SPAN_SECONDS;
+        let examined_for_job = (WALKERS + RECENTLY_USED_CANDIDATES) as f64 / Rate::TIME_CONSTANT_SECONDS;
         let examined_per_second = self.examined_rate.per_second(self.now).max(examined_for_job);
         let window_seconds = overload_window_seconds(self.settings);
         let worker_count = self.graph.len() as f64;
         self.slow_start.own_fraction /= 1.0 - (-examined_per_second * window_seconds / worker_count).exp();
     }
 
-    /// Draws recently used workers: a slot has just become free there and a connection is open.
+    /// Draws recently used workers, where a slot has just become free and a connection is open.
     fn draw_recently_used(&mut self) {
         for &worker in self.recently_used.iter().rev() {
             let connections = &self.workers[worker.as_usize()].connections;
--- a/crates/service/balancing-policy/src/dispatcher/discovery.rs
+++ b/crates/service/balancing-policy/src/dispatcher/discovery.rs
@@ -9,7 +9,7 @@
 ///
 /// A change of the endpoint list counts as notified 6 s after service discovery had it and could be
 /// reached, whatever failed before. This delay and [`MAX_BACKOFF`] are as long as that permits,
-/// since service discovery handles its calls one by one.
+/// to reduce the number of calls: service discovery handles them one by one.
 const MAX_FIRST_CALL_DELAY: Nanos = 15 * SECOND / 4;
 
 /// The maximum backoff after failed calls. A call that is in flight when service discovery becomes
@@ -67,7 +67,9 @@
 }
 
 impl Dispatcher {
-    /// Schedules the next call to service discovery after an update or a failure.
+    /// Schedules the next call to service discovery after a cached list or a failure, and records
+    /// the success of a call after any other update. Does nothing if the list is pushed without a
+    /// call.
     pub(super) fn schedule_discovery(&mut self, update: EndpointUpdate, actions: &mut Vec<Action>) {
         if !self.settings.must_request_endpoints {
             return;
--- a/crates/service/balancing-policy/src/dispatcher/endpoints.rs
+++ b/crates/service/balancing-policy/src/dispatcher/endpoints.rs
@@ -7,7 +7,7 @@
 impl Dispatcher {
     /// Applies an update of the endpoint list and schedules the next call to service discovery.
     ///
-    /// Workers that are missing from a complete list are removed.
+    /// Workers that are missing from a complete list are marked as removed.
     pub(super) fn change_endpoints(
         &mut self,
         now: Nanos,
--- a/crates/service/balancing-policy/src/dispatcher/mod.rs
+++ b/crates/service/balancing-policy/src/dispatcher/mod.rs
@@ -61,7 +61,8 @@
     jobs: JobTable,
     /// The statistics of each request class, by class index.
     classes: Vec<ClassStatistics>,
-    /// The top priority among the classes of the current settings, which new requests can have.
+    /// The top priority among the classes of the current settings. `settings.classes` also contains
+    /// the classes of earlier settings, which only open jobs still have.
     top_priority: i32,
     limiter: AdmissionLimiter,
     retry_budget: RetryBudget,
@@ -140,8 +141,8 @@
     }
 
     /// Returns the workers to which a walker can step from `worker`, one for each edge of the graph
-    /// of all machine kinds; empty if the endpoint list has never named `worker`. Operators and
-    /// tests use it to check that all dispatchers have the same graph.
+    /// of all machine kinds; empty if the endpoint list has never named `worker` or no worker is
+    /// ready. Operators and tests use it to check that all dispatchers have the same graph.
     pub fn neighbours(&self, worker: &str) -> Vec<WorkerId> {
         let Some(worker) = self.fleet.find(worker) else { return Vec::new() };
         let graph = self.fleet.main_graph();
@@ -150,8 +151,8 @@
         neighbours.map(|neighbour| self.fleet.worker(neighbour).id.clone()).collect()
     }
 
-    /// Returns whether a worker gets no new attempts at `now` because it counts as full or is
-    /// ejected.
+    /// Returns whether the search for candidates skips a worker at `now`, because it counts as full
+    /// or is ejected.
     pub fn is_avoided(&self, now: Nanos, worker: &str) -> bool {
         let worker = self.fleet.find(worker).map(|index| self.fleet.worker(index));
         !self.fleet.is_in_panic_mode() && worker.is_some_and(|worker| worker.health.is_avoided(now))
--- a/crates/service/balancing-policy/src/dispatcher/outlier_detection.rs
+++ b/crates/service/balancing-policy/src/dispatcher/outlier_detection.rs
@@ -15,7 +15,7 @@
 /// doubles with each failure.
 pub(super) const CONNECTION_EJECTION: Nanos = 2 * SECOND;
 
-/// The duration of the first ejection after an error or a time-out. It doubles with each failure.
+/// The duration of the first ejection after an error or a timeout. It doubles with each failure.
 pub(super) const ERROR_EJECTION: Nanos = 4 * SECOND;
 
 /// The duration of the ejection of a slow worker.
--- a/crates/service/balancing-policy/src/dispatcher/permit.rs
+++ b/crates/service/balancing-policy/src/dispatcher/permit.rs
@@ -43,7 +43,7 @@
         Idempotency::AtMostOnce => job.never_ran(),
         Idempotency::Deduplicated { scope, window } => {
             // The attempt must reach the worker before the window ends, even if establishing the
-            // connection takes the whole connect time-out.
+            // connection takes the whole connect timeout.
             let latest_send = now + settings.limits.connect_timeout;
             let is_deduplicated = |attempt: &Attempt| {
                 let first = &workers[attempt.worker.as_usize()];
--- a/crates/service/balancing-policy/src/dispatcher/probes.rs
+++ b/crates/service/balancing-policy/src/dispatcher/probes.rs
@@ -7,15 +7,20 @@
 use crate::state::{JobNumber, TimerPurpose, TimerToken, WorkerIndex};
 use spanlead_expander_walk::uniform_unit;
 
-/// The share of probed workers with a free slot at which the admitted fraction is stable.
+/// The share of workers with a free slot, among those whose reports are observed, at which the
+/// admitted fraction is stable.
 pub(super) const FREE_SLOT_TARGET: f64 = 0.15;
 
 /// The least number of reported free slots that counts as a free slot.
 const MIN_FREE_SLOTS: f64 = 0.5;
 
-/// The factors on the confidence for a served attempt and for a rejection, and its lower bound.
+/// The factor on the confidence for a served attempt.
 const CONFIDENCE_GAIN: f64 = 1.1;
+
+/// The factor on the confidence for a rejected attempt.
 const CONFIDENCE_LOSS: f64 = 0.8;
+
+/// The lower bound of the confidence.
 const MIN_CONFIDENCE: f64 = 0.1;
 
 /// The probability with which a job is bound to a worker whose probe reported a free slot. Other
@@ -31,8 +36,8 @@
 }
 
 impl ProbeConfidence {
-    /// Raises the confidence for a served attempt. Sent attempts do not count, because most sends
-    /// are rejected when the fleet is full, whatever its capacity.
+    /// Raises the confidence for a served attempt. The confidence does not depend on the number of
+    /// sends: when the fleet is full, most of them are rejected, whatever its capacity.
     pub(super) fn record_served(&mut self) {
         self.0 = (self.0 * CONFIDENCE_GAIN).min(1.0);
     }
--- a/crates/service/balancing-policy/src/dispatcher/rounds.rs
+++ b/crates/service/balancing-policy/src/dispatcher/rounds.rs
@@ -59,7 +59,7 @@
             is_streaming: false,
             attempts,
             candidates: Vec::new(),
-            round_started_at: now,
+            probes_sent_at: now,
             rounds: 0,
             binding_scheduled: false,
             request,
@@ -136,8 +136,8 @@
         self.bind_or_probe(now, number, drawn, actions);
     }
 
-    /// Decides at random whether load shedding rejects a job. Only a job without attempts in its
-    /// first round can be shed.
+    /// Decides at random whether load shedding rejects a job. Only a job in its first round that
+    /// has no attempts can be shed.
     fn is_shed(&mut self, number: JobNumber) -> bool {
         let Some(job) = self.jobs.get(number) else { return false };
         if job.rounds > 0 || !job.attempts.is_empty() {
@@ -198,7 +198,7 @@
     /// Ends a round. The wait for the next round grows with each round.
     fn end_round(&mut self, now: Nanos, number: JobNumber, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(number) else { return };
-        job.round_started_at = now;
+        job.probes_sent_at = now;
         let duration = FIRST_ROUND_WAIT << job.rounds.min(MAX_WAIT_DOUBLINGS);
         job.rounds += 1;
         self.schedule_next_round(now, number, duration, actions);
--- a/crates/service/balancing-policy/src/dispatcher/selection.rs
+++ b/crates/service/balancing-policy/src/dispatcher/selection.rs
@@ -5,27 +5,28 @@
 use crate::api::{Action, LoadReporting, MILLISECOND, Nanos};
 use crate::state::{Attempt, AttemptState, Job, JobNumber, Worker, WorkerIndex};
 
-/// The age up to which a load report received with a response makes a probe unnecessary.
+/// The age below which a load report makes a probe unnecessary, if responses carry load reports.
 const FRESH_REPORT_AGE: Nanos = 400 * MILLISECOND;
 
 /// The factor on the price of a send across zones, in the choice among workers with equally few own
 /// slots. With the price alone, a second free slot in a stale report outweighed the crossing.
 const CROSS_ZONE_FACTOR: f64 = 8.0;
 
-/// The cost of each free slot that is missing, as a fraction of a request's value.
+/// The cost of each free slot that a worker has less than [`MAX_COUNTED_FREE_SLOTS`], as a fraction
+/// of a request's value.
 const FREE_SLOT_COST: f64 = 0.1;
 
 /// Free slots beyond this number do not lower a worker's cost.
 const MAX_COUNTED_FREE_SLOTS: f64 = 2.0;
 
-/// The cost of a worker's slowness, as a fraction of a request's value.
+/// The cost of a slowness of 1, as a fraction of a request's value.
 const SLOWNESS_COST: f64 = 0.2;
 
 /// The number of samples at which half of a worker's slowness counts.
 const SLOWNESS_HALF_SAMPLES: f64 = 2.0;
 
-/// The cost of a worker of weight 1, as a fraction of a request's value. It is inversely
-/// proportional to the weight.
+/// The cost of a worker of weight 1, as a fraction of a request's value. It is divided by the
+/// worker's weight.
 const WEIGHT_COST: f64 = 0.1;
 
 /// The lower bound of a worker's weight in its cost.
@@ -51,7 +52,7 @@
     All,
     /// Candidates with a fresh report.
     FreshlyReported,
-    /// Candidates with a fresh report or a successful probe in this round.
+    /// Candidates with a fresh report or a successful probe since the job's probes were sent.
     FreshlyReportedOrProbed,
 }
 
@@ -85,8 +86,8 @@
 impl RoomTest {
     /// Returns whether a worker probably has room. That is decided by its load report, corrected
     /// for own sends that the report does not show yet. Without a report it is decided by this
-    /// dispatcher's own attempts: none may be queued before the job, which is known only if workers
-    /// report starts.
+    /// dispatcher's own attempts: none may be queued before the job (known only if workers report
+    /// starts), unless a connection was used within the last `ROOM_TICKS_WITHOUT_REPORTS` ticks.
     pub(super) fn passes(&self, worker: &Worker) -> bool {
         let unreported = || worker.own_load.unreported_slots(self.now, self.report_age);
         match (worker.reported.last.free_slots, worker.reported.last.queue_depth) {
@@ -159,23 +160,25 @@
             CandidateFilter::All => true,
             CandidateFilter::FreshlyReported => self.is_freshly_reported(worker, now),
             CandidateFilter::FreshlyReportedOrProbed => {
-                let is_probed = worker.probe.succeeded_at.is_some_and(|time| time >= job.round_started_at);
+                let is_probed = worker.probe.succeeded_at.is_some_and(|time| time >= job.probes_sent_at);
                 is_probed || self.is_freshly_reported(worker, now)
             }
         }
     }
 
-    /// Returns the delay of fetching the job's key, in jobs; 0 at the key's home and where the key
-    /// is cached.
+    /// Returns the cost of fetching the job's key at a candidate, in the unit of
+    /// [`AffinityTable::fetch_cost`](super::affinity::AffinityTable::fetch_cost). It is 0 at the
+    /// job's first candidate, normally the first eligible worker of the key's walk, and where the
+    /// key is cached.
     fn fetch_cost(&self, now: Nanos, job: &Job, candidate: WorkerIndex) -> f64 {
-        let is_home = job.candidates.first() == Some(&candidate);
+        let is_first = job.candidates.first() == Some(&candidate);
         let key = job.request.affinity_key;
-        let must_fetch = !is_home && key.is_some_and(|key| !self.affinity.is_cached(key, candidate, now));
+        let must_fetch = !is_first && key.is_some_and(|key| !self.affinity.is_cached(key, candidate, now));
         self.affinity.fetch_cost() * f64::from(u8::from(must_fetch))
     }
 
-    /// Returns whether a worker has a fresh report: one received with a response within
-    /// `FRESH_REPORT_AGE`.
+    /// Returns whether a worker has a fresh report: one received within `FRESH_REPORT_AGE`, with a
+    /// response or a probe. Without reports in responses, no report counts as fresh.
     pub(super) fn is_freshly_reported(&self, worker: &Worker, now: Nanos) -> bool {
         self.settings.load_reporting == LoadReporting::InResponses
             && worker.reported.received_at.is_some_and(|time| now < time + FRESH_REPORT_AGE)
--- a/crates/service/balancing-policy/src/dispatcher/slow_start.rs
+++ b/crates/service/balancing-policy/src/dispatcher/slow_start.rs
@@ -26,7 +26,8 @@
     /// The fraction of those slots that this dispatcher may use. It is based on equal fractions for
     /// all dispatchers, so that their sum is right however the traffic is divided among them.
     pub(super) own_fraction: f64,
-    /// The mean weight of the ready workers.
+    /// The sum of all ready workers' weights divided by the number of workers in the job's graph:
+    /// the mean weight of the ready workers, if the graph is that of all machine kinds.
     pub(super) mean_weight: f64,
 }
 
--- a/crates/service/balancing-policy/src/state/class_statistics.rs
+++ b/crates/service/balancing-policy/src/state/class_statistics.rs
@@ -32,8 +32,8 @@
     /// The number of samples recorded.
     pub(crate) samples: f64,
     /// The longest `time_left` with which a request of the class has arrived, in nanoseconds. It is
-    /// the time that clients give their first attempts, which may be less than the class's
-    /// deadline.
+    /// the time that clients give their original requests, as opposed to retries. It may be less
+    /// than the class's deadline.
     pub(crate) longest_time_left: Nanos,
 }
 
--- a/crates/service/balancing-policy/src/state/fleet.rs
+++ b/crates/service/balancing-policy/src/state/fleet.rs
@@ -221,8 +221,9 @@
         self.ejected_count = self.ready_workers().filter(|worker| worker.health.is_ejected(now)).count();
     }
 
-    /// Returns whether more than half of the ready workers are ejected. Ejection is then ignored,
-    /// since it no longer distinguishes failing workers from healthy ones.
+    /// Returns whether more than half of the ready workers are ejected, by the count at the last
+    /// ejection. Ejection is then ignored, since it no longer distinguishes failing workers from
+    /// healthy ones.
     pub(crate) fn is_in_panic_mode(&self) -> bool {
         self.ejected_count * 2 > self.main_graph().len()
     }
--- a/crates/service/balancing-policy/src/state/job.rs
+++ b/crates/service/balancing-policy/src/state/job.rs
@@ -19,14 +19,16 @@
     pub(crate) worker: WorkerIndex,
     pub(crate) sent_at: Nanos,
     pub(crate) state: AttemptState,
-    /// Whether it has left its worker's queue; always true if workers do not report starts.
+    /// Whether it has left its worker's queue; always true if workers do not report starts, and for
+    /// an attempt that another process sent.
     pub(crate) has_started: bool,
-    /// The time of the worker's first progress report.
+    /// The time of the worker's first progress report; for an attempt that another process sent,
+    /// the time at which this process took over the request.
     pub(crate) first_progress_at: Option<Nanos>,
     /// Whether the request has an affinity key that the worker has probably not cached, so that it
     /// must fetch the key's program or data.
     pub(crate) needs_fetch: bool,
-    /// Whether its class had the top priority.
+    /// Whether its class had the top priority when it was sent.
     pub(crate) is_top_priority: bool,
 }
 
@@ -37,7 +39,7 @@
     Pending,
     /// Sent to a worker.
     Sent,
-    /// Finally answered, or in no need of an answer any more.
+    /// Final answer given, or none needed because the client disconnected.
     Closed,
 }
 
@@ -55,8 +57,8 @@
     pub(crate) attempts: Vec<Attempt>,
     /// The candidates drawn since it became pending or was last retried.
     pub(crate) candidates: Vec<WorkerIndex>,
-    /// The time at which the probes of the current round were sent.
-    pub(crate) round_started_at: Nanos,
+    /// The time at which the last round sent its probes; in the first round, the time of arrival.
+    pub(crate) probes_sent_at: Nanos,
     /// The number of rounds since the request arrived or was last retried.
     pub(crate) rounds: u32,
     /// Whether a timer is running that binds it to a successfully probed worker.
--- a/crates/service/balancing-policy/src/state/worker.rs
+++ b/crates/service/balancing-policy/src/state/worker.rs
@@ -28,7 +28,7 @@
 pub(crate) struct OwnLoad {
     /// Slots occupied by attempts in flight.
     pub(crate) slots: f64,
-    /// The part of `slots` that a report of typical age shows, at the time `smoothed_at`.
+    /// The own slots that a report of typical age shows at the time `smoothed_at`.
     smoothed_slots: f64,
     smoothed_at: Nanos,
     /// Attempts that were sent and have not started yet.
@@ -112,8 +112,9 @@
     pub(crate) max_free_slots: f64,
     /// The most free memory reported since the worker started; `None` if it was not reported.
     pub(crate) max_free_memory: Option<f64>,
-    /// The time at which the report last changed, and the number of identical reports since then.
+    /// The time at which the report last changed.
     changed_at: Nanos,
+    /// The number of identical reports since `changed_at`.
     repeats: u32,
 }
 
@@ -163,8 +164,8 @@
     pub(crate) full_until: Nanos,
     /// The number of consecutive rejections.
     pub(crate) rejections: u32,
-    /// The logarithm of the worker's running times relative to the typical ones of their classes;
-    /// positive for a worker that is slower than the others.
+    /// The running mean of the logarithm of the worker's running times relative to the typical ones
+    /// of their classes; positive for a worker that is slower than the others.
     pub(crate) slowness: f64,
     /// The number of samples in `slowness`.
     pub(crate) slowness_samples: f64,
@@ -235,7 +236,9 @@
         self.state == WorkerState::Ready
     }
 
-    /// Handles a restart under the same id: clears what was learned about the previous process.
+    /// Handles a restart under the same id. Clears the ejection, the failures, the connections, the
+    /// maximum free slots and memory, and the budget, which do not hold for the new process. Keeps
+    /// the last report, the slowness and the state after rejections.
     pub(crate) fn restart(&mut self, started_at: Option<Nanos>) {
         self.started_at = started_at;
         self.health.reset();
