--- a/crates/service/balancing-policy/tests/admission.rs
+++ b/crates/service/balancing-policy/tests/admission.rs
@@ -22,12 +22,12 @@
     assert!(harness.trace.iter().any(|a| matches!(a, Action::Reject { retry_after: Some(t), .. } if *t > 0)));
 }
 
-/// Guards against later attempts of a client that are treated like new requests: pending for as
-/// long, they take the slots of requests that could still be in time. A later attempt comes with
-/// less time left than the others of its class. A class whose clients all give less time than its
-/// deadline does not consist of later attempts.
+/// Guards against retries by a client that are treated like original requests: pending for as long,
+/// they take the slots of requests that could still be in time. A retry arrives with less time left
+/// than the original requests of its class. A class whose clients all give less time than its
+/// deadline does not consist of retries.
 #[test]
-fn later_attempt_of_a_client_is_pending_for_less_time_than_a_first_one() {
+fn retry_by_a_client_is_pending_for_less_time_than_the_original_request() {
     let pending_times = |times_left: [Nanos; 2]| {
         let mut settings = probing_settings();
         (settings.classes[0].deadline, settings.classes[0].latency_target) = (2 * SEC, 400 * MS);
@@ -44,10 +44,10 @@
         });
         pending.collect::<Vec<_>>()
     };
-    let with_later_attempt = pending_times([2 * SEC, SEC]);
+    let with_retry = pending_times([2 * SEC, SEC]);
     assert!(
-        (400 * MS..SEC).contains(&with_later_attempt[0]) && with_later_attempt[1] <= 300 * MS,
-        "pending for {with_later_attempt:?} ns, expected 400 ms to 1 s, then at most 300 ms"
+        (400 * MS..SEC).contains(&with_retry[0]) && with_retry[1] <= 300 * MS,
+        "pending for {with_retry:?} ns, expected 400 ms to 1 s, then at most 300 ms"
     );
     let with_equal_times = pending_times([SEC, SEC]);
     assert!(
--- a/crates/service/balancing-policy/tests/admission_limiter.rs
+++ b/crates/service/balancing-policy/tests/admission_limiter.rs
@@ -3,7 +3,7 @@
 use spanlead_balancing_policy::admission_limiter::{AdmissionLimiter, GroupStatistics};
 
 /// The fraction of all requests that is admitted. It is the fraction of each group while the
-/// figures of the groups are unknown.
+/// statistics of the groups are unknown.
 fn admitted_of_all(limiter: &AdmissionLimiter) -> f64 {
     limiter.admitted_fraction(0, |_| GroupStatistics { value_rate: 0.0, run_time: 0.0 })
 }
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn groups_with_equal_or_unknown_figures_are_admitted_alike() {
+fn groups_with_equal_or_unknown_statistics_have_equal_admitted_fractions() {
     let (limiter, _) = limiter_after([0, 1, 1, 1, 1, 1], 0.4);
     let admitted = admitted_of_all(&limiter);
     assert!(admitted < 0.4 && admitted > 0.39, "admitted fraction {admitted}, expected 0.39 to 0.4");
--- a/crates/service/balancing-policy/tests/common/checker.rs
+++ b/crates/service/balancing-policy/tests/common/checker.rs
@@ -3,7 +3,7 @@
 //! - Rule 1: each request gets exactly one final answer, no later than its deadline.
 //! - Rule 2: a request that may have run is sent again, or rejected (which invites its client to
 //!   retry), only as far as the idempotency of its class permits.
-//! - Rule 3: requests are sent only to workers that the endpoint list has as ready.
+//! - Rule 3: requests are sent only to workers that are ready by the endpoint list.
 //!
 //! The checker also verifies the configured limits: attempts per request, hedging, cancellation,
 //! probes and peer messages.
--- a/crates/service/balancing-policy/tests/endpoints.rs
+++ b/crates/service/balancing-policy/tests/endpoints.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn unknown_and_duplicate_events_do_no_harm() {
+fn unknown_and_duplicate_events_violate_no_rule() {
     let mut harness = Harness::new(default_settings(Idempotency::Idempotent), 5);
     harness.handle(Event::ClientGone(RequestId(9)));
     harness.handle(Event::TimerFired(u64::MAX >> 1));
--- a/crates/service/balancing-policy/tests/many_dispatchers.rs
+++ b/crates/service/balancing-policy/tests/many_dispatchers.rs
@@ -33,8 +33,8 @@
 }
 
 /// Service discovery is unavailable for the first 20 s of dispatchers that started at the same
-/// moment. Guards against calls that come in step or too often, and against jobs that are not sent
-/// meanwhile.
+/// moment. Guards against calls that are synchronised or too frequent, and against jobs that are
+/// not sent meanwhile.
 #[test]
 fn calls_to_failing_discovery_are_spread_and_bounded_while_jobs_are_served() {
     let mut calls: BTreeMap<Nanos, u32> = BTreeMap::new();
@@ -64,7 +64,7 @@
             "{dispatcher_calls} calls in 20 s by dispatcher {seed}, expected 2 to 16"
         );
     }
-    // If the dispatchers called in step, all 100 calls would fall into one span of 100 ms.
+    // If the dispatchers called at the same time, all 100 calls would fall into one span of 100 ms.
     let most = calls.values().max().copied().unwrap_or(0);
     assert!(most <= 25, "{most} calls of {DISPATCHERS} dispatchers within 100 ms, expected at most 25");
 }
@@ -127,7 +127,7 @@
 
 /// All workers of a zone fail, so that every connection to them fails, and return in slow start
 /// under the same names. Every job gets its final answer, and the returned workers are used again
-/// at once but get no more from all dispatchers together than they can do.
+/// at once but get no more from all dispatchers together than they can serve.
 #[test]
 fn zone_that_returns_in_slow_start_is_used_again_and_not_overloaded() {
     const ZONE_SIZE: usize = 20;
@@ -181,8 +181,8 @@
         "{sent_after_return} of 2,000 jobs went to the zone after its return, expected more than 100"
     );
     // Of the 400 jobs in a window a warm worker gets 6.7. The overload multiple, 3, of what a
-    // worker can do at 0.3 of its capacity is 6 jobs, and 10 at the end of the window; the rest is
-    // chance.
+    // worker can serve at 0.3 of its capacity is 6 jobs, and 10 at the end of the window; the rest
+    // is chance.
     let most = windows.values().max().copied().unwrap_or(0);
     assert!(most <= 14, "{most} jobs to one returned worker in a window, expected at most 14");
 }
@@ -214,8 +214,8 @@
 /// What all dispatchers together send to a new worker is bounded by its capacity, however much
 /// traffic there is, and the worker is used, however little traffic each dispatcher sees. With
 /// shares in proportion to a dispatcher's own traffic neither holds: with one worker left, each
-/// dispatcher takes it for its whole fleet, and the work that waits at the other workers is in
-/// nobody's share.
+/// dispatcher counts all of its traffic as its share of that worker, and the work that waits at the
+/// other workers is in no dispatcher's share.
 #[test]
 fn shares_of_a_new_worker_add_up_to_its_capacity() {
     let settings = Settings { instance_count: DISPATCHERS as u32, ..large_fleet_settings() };
@@ -334,7 +334,7 @@
 }
 
 /// Guards against raised shares that are all used at once: a dispatcher that has been idle expects
-/// to look at a worker hardly ever, and its share of the budget is raised for that. When jobs
+/// to examine a worker very rarely, and its share of the budget is raised for that. When jobs
 /// arrive at all dispatchers at the same moment, each would use its raised share.
 #[test]
 fn rested_dispatchers_keep_to_the_budget_of_a_new_worker_together() {
@@ -385,8 +385,8 @@
 fn fleet_that_has_just_started_is_used_within_its_budget() {
     for reports_load in [true, false] {
         let (sent, most) = jobs_sent_to_a_fleet_that_has_just_started(reports_load);
-        // Each worker is granted one job in a window, ten in all. Chance may take the square root
-        // of ten from that, and may bring one worker up to five jobs.
+        // Each worker is granted one job in a window, ten in all. By chance, the total may be
+        // lower by the square root of ten, and one worker may get up to five jobs.
         assert!(sent >= 7, "reports load: {reports_load}; {sent} of 240 jobs sent, expected at least 7");
         assert!(
             most <= 1 + 2 + 2,
--- a/crates/service/balancing-policy/tests/outlier_detection.rs
+++ b/crates/service/balancing-policy/tests/outlier_detection.rs
@@ -84,7 +84,8 @@
         }
         harness.now += 10 * MS;
     }
-    // With an ejection of only 300 ms after each rejection, the worker would get 60 jobs in 20 s.
+    // If the worker counted as full for only 300 ms after each rejection, it would get 60 jobs in
+    // 20 s.
     assert!(
         sent >= 1_800 && to_bad_worker <= 12,
         "{to_bad_worker} of {sent} sends went to the worker that rejects everything, expected at most 12 of \
--- a/crates/service/balancing-policy/tests/settings.rs
+++ b/crates/service/balancing-policy/tests/settings.rs
@@ -12,15 +12,15 @@
     no_classes.classes.clear();
     let mut negative_price = valid.clone();
     negative_price.prices.wasted_work = -1.0;
-    let mut infinite_figure = valid.clone();
-    infinite_figure.rules.overload_multiple = f64::INFINITY;
+    let mut infinite_multiple = valid.clone();
+    infinite_multiple.rules.overload_multiple = f64::INFINITY;
     let mut unknown_machine_kind = valid.clone();
     unknown_machine_kind.classes[0].machine_kind = Some(9);
     let instance_out_of_range = Settings { instance: 4, ..valid };
     let cases = [
         (no_classes, "classes"),
         (negative_price, "prices"),
-        (infinite_figure, "rules"),
+        (infinite_multiple, "rules"),
         (unknown_machine_kind, "classes.kind"),
         (instance_out_of_range, "instances"),
     ];
--- a/crates/service/balancing-policy/tests/slow_start.rs
+++ b/crates/service/balancing-policy/tests/slow_start.rs
@@ -8,12 +8,13 @@
 };
 use std::collections::BTreeMap;
 
-/// Guards against eight times the work that a worker in slow start can do: when the fleet is
-/// overloaded and workers restart, these look idle to every dispatcher.
+/// Guards against dispatchers that together send a worker in slow start eight times the work that
+/// it can serve: when the fleet is overloaded and workers restart, these look idle to every
+/// dispatcher.
 #[test]
 fn dispatchers_together_do_not_overload_a_worker_in_slow_start() {
     // All dispatchers send 400 jobs in 2 s. The share of a warm worker is 20; one in slow start can
-    // do a third of that.
+    // serve a third of that.
     let (dispatchers, jobs_each, fleet) = (40u64, 10u64, 20u64);
     let warm_share = dispatchers * jobs_each / fleet;
     let jobs = jobs_sent_to_a_worker_in_slow_start(|_| None);
@@ -69,10 +70,11 @@
     jobs
 }
 
-/// Guards against idle workers in slow start when 36 of 60 workers are replaced among 100
-/// dispatchers with one request in 3 s each. A dispatcher's share of such a worker is granted for
-/// each window, but the dispatcher looks at the worker in only one window of ten; unless the share
-/// is raised for that, the 36 workers are idle while jobs wait 5 s at the other 24.
+/// Guards against workers in slow start that stay idle: 36 of 60 workers are replaced, and 100
+/// dispatchers receive one request in 3 s each. A dispatcher's share of a new worker is granted for
+/// each window, but the dispatcher examines the worker in only one window of ten. Unless the share
+/// is raised for that, the 36 workers are idle while jobs wait 5 s at the other 24. The dispatchers
+/// of this test receive two requests in 3 s each.
 #[test]
 fn workers_in_slow_start_get_their_share_from_dispatchers_with_little_traffic() {
     let (dispatchers, fleet, new_workers) = (100u64, 60usize, 36usize);
@@ -122,7 +124,7 @@
     // The new workers hold a fifth to a half of the capacity while they warm up. Warm workers with
     // an open connection are preferred, so the fraction of the jobs is lower: 0.13. It is 0.08 with
     // the share of an equally busy warm worker, and 0.02 with a share for each window that is not
-    // raised by how rarely a dispatcher looks at the worker.
+    // raised by how rarely a dispatcher examines the worker.
     let fraction = f64::from(to_new_workers) / f64::from(jobs);
     assert!((0.1..0.6).contains(&fraction), "{fraction:.2} of the jobs to new workers, expected 0.1 to 0.6");
     // 100 dispatchers send 200 jobs in 3 s, three to a warm worker. A new worker may get the
@@ -132,8 +134,9 @@
     assert!(most <= 9, "{most} jobs to one new worker within 3 s, expected at most 9");
 }
 
-/// Guards against five times the work that a worker in slow start can do: weights that fall with
-/// load make a new worker look large, and a job of four slots may be counted as one.
+/// Guards against dispatchers that together send a worker in slow start five times the work that it
+/// can serve: weights that fall with load make a new worker look large, and a job of four slots may
+/// be counted as one.
 #[test]
 fn slow_start_budget_counts_slots_and_at_most_the_mean_weight() {
     let mut slots = 0.0;
