--- a/crates/cluster/control-plane/src/store.rs
+++ b/crates/cluster/control-plane/src/store.rs
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     /// If it can't be read or written.
-    pub fn open_on(backend: impl StorageBackend) -> Result<Self, StoreError> {
+    pub fn open_with_backend(backend: impl StorageBackend) -> Result<Self, StoreError> {
         let mut builder = redb::Builder::new();
         Store::from_database(builder.set_cache_size(CACHE_BYTES).create_with_backend(backend))
     }
--- a/crates/cluster/control-plane/tests/store_power_loss.rs
+++ b/crates/cluster/control-plane/tests/store_power_loss.rs
@@ -126,7 +126,7 @@
 
 /// Writes batches until the disk fails. Returns the last one that was acknowledged.
 fn write_all(disk: &Disk) -> u64 {
-    let Ok(store) = Store::open_on(disk.clone()) else { return 0 };
+    let Ok(store) = Store::open_with_backend(disk.clone()) else { return 0 };
     let mut acknowledged = 0;
     for number in 1..=BATCHES {
         if store.write(&batch(number)).is_err() {
@@ -138,7 +138,7 @@
 }
 
 fn assert_recovers(disk: Disk, acknowledged: u64, operation: usize) {
-    let store = match Store::open_on(disk) {
+    let store = match Store::open_with_backend(disk) {
         Ok(store) => store,
         // Power was lost before the file was first complete: it holds nothing that could be lost.
         Err(StoreError::Corrupted(_)) if acknowledged == 0 => return,
