--- a/crates/cluster/control-plane/src/main.rs
+++ b/crates/cluster/control-plane/src/main.rs
@@ -1,11 +1,11 @@
-//! The control plane's program.
+//! The program `spanlead-control-plane`.
 use spanlead_cluster_runtime::program;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     program::run(
         "spanlead-control-plane",
-        "Keeps jobs and configuration, and orders the workers.",
+        "Schedules jobs on workers and manages the configuration.",
         spanlead_control_plane::run,
     )
 }
