--- a/crates/cluster/control-plane/benches/worker_calls.rs
+++ b/crates/cluster/control-plane/benches/worker_calls.rs
@@ -1,7 +1,9 @@
-//! What a call to a worker costs the control plane: processor time and time to the response.
+//! Benchmark of calls to workers: the processor time per call in the control plane and the time to
+//! the response.
 //!
-//! The workers are a process of their own, this program started once more, so that their processor
-//! time is not counted. `cargo bench -p spanlead-control-plane --bench worker_calls`.
+//! The workers run in a second process of this program, so that their processor time is not
+//! counted.
+//! Run with `cargo bench -p spanlead-control-plane --bench worker_calls`.
 use async_std::channel::{Receiver, Sender, unbounded};
 use async_std::io::{ReadExt, WriteExt};
 use async_std::net::{TcpListener, TcpStream};
@@ -15,19 +17,19 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// The argument with which this program serves workers.
+/// The argument that makes this program serve the workers.
 const SERVE_ARGUMENT: &str = "--serve-workers";
-/// Workers, each with an address of its own.
+/// The number of workers. Each has its own address.
 const WORKERS: usize = 300;
-/// Calls that are in flight at a time.
+/// The maximum number of calls in flight.
 const CONCURRENT_CALLS: usize = 100;
-/// Calls before the measurement, which establish the connections.
+/// The number of calls before the measurement, which establish the connections.
 const WARM_UP_CALLS: usize = 2_000;
-/// Calls that are measured.
+/// The number of measured calls.
 const MEASURED_CALLS: usize = 40_000;
 /// The time-out of a call, milliseconds.
 const CALL_TIMEOUT_MS: u64 = 5_000;
-/// The answer of a worker to any call.
+/// The response of a worker to any call.
 const RESPONSE: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 18\r\n\r\n{\"clockMs\":482113}";
 
@@ -35,26 +37,30 @@
     if std::env::args().any(|argument| argument == SERVE_ARGUMENT) {
         return task::block_on(serve_workers());
     }
-    let program = std::env::current_exe().expect("the program's path");
+    let program = std::env::current_exe().expect("the path of this program is known");
     let mut server = Command::new(program)
         .arg(SERVE_ARGUMENT)
         .stdout(Stdio::piped())
         .spawn()
         .expect("the workers' process starts");
-    let output = server.stdout.take().expect("its output is piped");
-    let addresses: Vec<Arc<str>> =
-        BufReader::new(output).lines().take(WORKERS).map(|line| line.expect("a line").into()).collect();
-    // As the program does: all tasks on the executor's threads, and this one waits.
+    let output = server.stdout.take().expect("the output of the workers' process is piped");
+    let addresses: Vec<Arc<str>> = BufReader::new(output)
+        .lines()
+        .take(WORKERS)
+        .map(|line| line.expect("an address is read").into())
+        .collect();
+    // As in the control plane, all tasks run on the executor's threads while this thread waits.
     let (ended, end) = channel();
     task::spawn(async move {
         measure(&addresses).await;
         let _ = ended.send(());
     });
     end.recv().expect("the measurement ends");
-    server.kill().expect("the workers' process ends");
-    server.wait().expect("the workers' process ended");
+    server.kill().expect("the workers' process can be killed");
+    server.wait().expect("the workers' process can be waited for");
 }
 
+/// Measures calls and prints the results.
 async fn measure(addresses: &[Arc<str>]) {
     let client = WorkerClient::new(WORKERS * 2);
     make_calls(&client, addresses, WARM_UP_CALLS).await;
@@ -69,7 +75,7 @@
     println!("latency_us p50 {} p99 {}", quantile(0.5), quantile(0.99));
 }
 
-/// Makes so many calls, always as many in flight as allowed, and returns how long each took.
+/// Makes `count` calls, up to [`CONCURRENT_CALLS`] at a time, and returns the latency of each.
 async fn make_calls(client: &WorkerClient, addresses: &[Arc<str>], count: usize) -> Vec<Duration> {
     let (done, results) = unbounded();
     let mut latencies = Vec::with_capacity(count);
@@ -92,7 +98,7 @@
     done: Sender<(Duration, WorkerResponse)>,
 ) {
     let worker = number % addresses.len();
-    let task = TaskId::parse("5c0e7a21d94b36f8.0.1.17").expect("a task's name");
+    let task = TaskId::parse("5c0e7a21d94b36f8.0.1.17").expect("the task ID is valid");
     let payload: Arc<str> = "a".repeat(300).into();
     let request = WorkerRequest::Start {
         task,
@@ -125,11 +131,11 @@
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// Serves all workers, and prints their addresses.
+/// Serves all workers and prints their addresses, one per line.
 async fn serve_workers() {
     for _ in 0..WORKERS {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        println!("{}", listener.local_addr().expect("bound"));
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
+        println!("{}", listener.local_addr().expect("the listener has an address"));
         task::spawn(accept(listener));
     }
     std::future::pending::<()>().await;
@@ -137,11 +143,11 @@
 
 async fn accept(listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
-        task::spawn(answer_all(stream));
+        task::spawn(respond_to_all(stream));
     }
 }
 
-async fn answer_all(mut stream: TcpStream) {
+async fn respond_to_all(mut stream: TcpStream) {
     let mut buffer = [0; 4_096];
     while matches!(stream.read(&mut buffer).await, Ok(count) if count > 0) {
         if stream.write_all(RESPONSE).await.is_err() {
--- a/crates/cluster/control-plane/src/worker_client/mod.rs
+++ b/crates/cluster/control-plane/src/worker_client/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to workers.
+//! The client for calls to workers.
 mod messages;
 
 use crate::connection_pool::{ConnectionCount, ConnectionPool};
@@ -11,56 +11,58 @@
 use spanlead_job_scheduler::{WorkerCall, WorkerRequest, WorkerResponse};
 use std::time::Duration;
 
-/// The header with the incarnation of the worker for which a request is meant.
+/// The header with the ID of the worker incarnation that a request is addressed to.
 const TARGET_HEADER: &str = "Spanlead-Target-Instance";
 
 const OK_STATUS: u16 = 200;
+/// The status of a request that reached another incarnation of the worker.
 const MISDIRECTED_STATUS: u16 = 421;
 const UNAVAILABLE_STATUS: u16 = 503;
 
-/// How far a call has come.
+/// The progress of a call.
 #[derive(Clone, Copy, Debug)]
 enum CallProgress {
-    /// It waits for the right to a connection.
+    /// The call waits for the right to a connection.
     WaitingForSlot,
-    /// A connection is being established.
+    /// The connection is being established.
     Connecting,
-    /// It may have reached the worker.
+    /// The request may have reached the worker.
     Sent,
 }
 
-/// Calls workers over kept connections, of which there is a bounded number. Clones share them.
+/// A client for calls to workers over a bounded pool of persistent connections. Clones share the
+/// pool.
 #[derive(Clone, Debug)]
 pub struct WorkerClient {
     pool: ConnectionPool,
 }
 
 impl WorkerClient {
-    /// A client with up to `max_connections` open at a time.
+    /// Creates a client with at most `max_connections` open connections.
     #[must_use]
     pub fn new(max_connections: usize) -> Self {
         WorkerClient { pool: ConnectionPool::new(max_connections) }
     }
 
-    /// Makes a call in a task of its own, and passes it on with what it came to.
+    /// Makes a call in a separate task, and passes the call and its result to `on_done`.
     pub fn spawn(&self, call: WorkerCall, on_done: impl FnOnce(WorkerCall, WorkerResponse) + Send + 'static) {
         let client = self.clone();
         task::spawn(async move {
             let call_timeout = Duration::from_millis(call.timeout_ms);
             let mut progress = CallProgress::WaitingForSlot;
             let response = timeout(call_timeout, client.call(&call, &mut progress)).await;
-            let response = response.unwrap_or_else(|_| unanswered(&call.request, progress));
+            let response = response.unwrap_or_else(|_| result_without_response(&call.request, progress));
             on_done(call, response);
         });
     }
 
     async fn call(&self, call: &WorkerCall, progress: &mut CallProgress) -> WorkerResponse {
-        let Some(request) = http_request(call) else { return not_sent() };
-        let Ok(bytes) = client::encode(request).await else { return not_sent() };
+        let Some(request) = http_request(call) else { return result_of_unsent_call() };
+        let Ok(bytes) = client::encode(request).await else { return result_of_unsent_call() };
         let slot = self.pool.acquire(&call.address).await;
         *progress = CallProgress::Connecting;
         let Some(mut stream) = slot.connect().await else {
-            return unanswered(&call.request, CallProgress::Connecting);
+            return result_without_response(&call.request, CallProgress::Connecting);
         };
         *progress = CallProgress::Sent;
         match client::call(&mut stream, &bytes).await {
@@ -82,28 +84,30 @@
         self.pool.close_idle();
     }
 
-    /// How many connections there are.
+    /// Returns the number of connections.
     #[must_use]
     pub fn connections(&self) -> ConnectionCount {
         self.pool.connections()
     }
 }
 
-/// What a call comes to that was not answered in time.
+/// Returns the result of a call that timed out or for which no connection could be established.
 ///
-/// A worker to which no connection can be established is unreachable, as it may have left. Only for a
-/// start it matters more that it was not sent: it can be placed elsewhere at once.
-fn unanswered(request: &WorkerRequest, progress: CallProgress) -> WorkerResponse {
+/// A worker to which no connection can be established is reported as not responding, since it may
+/// have left. Only a start is reported as not sent, so that its task can be placed elsewhere at
+/// once.
+fn result_without_response(request: &WorkerRequest, progress: CallProgress) -> WorkerResponse {
     match (progress, request) {
         (CallProgress::WaitingForSlot, _) | (CallProgress::Connecting, WorkerRequest::Start { .. }) => {
-            not_sent()
+            result_of_unsent_call()
         }
         (CallProgress::Connecting | CallProgress::Sent, _) => WorkerResponse::NoResponse,
     }
 }
 
-/// What a call comes to that was not sent: as one that the worker rejected, it can be made again.
-fn not_sent() -> WorkerResponse {
+/// Returns the result of a call that was not sent. Like a call that the worker rejected, it can be
+/// made again.
+fn result_of_unsent_call() -> WorkerResponse {
     WorkerResponse::Rejected { status: UNAVAILABLE_STATUS, reason: CompactString::default() }
 }
 
