--- a/crates/cluster/control-plane/src/client_api.rs
+++ b/crates/cluster/control-plane/src/client_api.rs
@@ -1,10 +1,10 @@
-//! The names of jobs and of their states, as clients know them.
+//! The text forms of job IDs and job states in the client and operator interfaces.
 use spanlead_job_scheduler::{JobId, JobOutcome, JobState};
 
-/// Hexadecimal digits of a job's ID.
+/// The number of hexadecimal digits of a job ID.
 const JOB_ID_DIGITS: usize = 16;
 
-/// Parses a job's ID; `None` if it is not 16 hexadecimal digits.
+/// Parses a job ID; returns `None` unless the text is 16 hexadecimal digits.
 pub(crate) fn parse_job_id(text: &str) -> Option<JobId> {
     if text.len() != JOB_ID_DIGITS {
         return None;
@@ -12,7 +12,7 @@
     u64::from_str_radix(text, 16).ok().map(JobId)
 }
 
-/// The name of a job's state.
+/// Returns the name of a job state.
 pub(crate) fn job_state_name(state: JobState) -> &'static str {
     match state {
         JobState::Queued => "queued",
--- a/crates/cluster/control-plane/src/configuration_state.rs
+++ b/crates/cluster/control-plane/src/configuration_state.rs
@@ -1,5 +1,5 @@
-//! The configuration in the control state: which one is in force, and which ones were ever
-//! accepted.
+//! The configuration part of the control state: the configuration in force and a digest of each
+//! configuration accepted so far.
 use quick_error::quick_error;
 use rkyv::{Archive, Deserialize, Serialize, rancor};
 use spanlead_cluster_config::{Configuration, ConfigurationError};
@@ -8,10 +8,12 @@
 
 /// The key of the configuration in force.
 const CURRENT_KEY: &[u8] = b"c";
-/// The first byte of the keys of the history: a version, big endian, with the digest of its text.
+/// The first byte of the keys of the history. The version follows in big-endian order; the value is
+/// the digest of the configuration's text.
 const HISTORY_PREFIX: u8 = b'h';
 
-/// The configuration as it is stored. `rkyv` keeps the order and the types of its fields.
+/// The stored form of the configuration in force. The order and the types of the fields determine
+/// the `rkyv` format and must not change.
 #[derive(Archive, Serialize, Deserialize, Clone, Debug, PartialEq)]
 struct CurrentRecord {
     version: u64,
@@ -19,54 +21,55 @@
 }
 
 quick_error! {
-    /// Why a configuration can't come into force, whatever version it builds on.
+    /// The reason why a configuration can't come into force, whatever base version the request
+    /// names.
     #[derive(Clone, Debug, PartialEq)]
-    pub enum RejectedConfiguration {
-        /// It is malformed or contradicts itself.
+    pub enum RejectionReason {
+        /// The configuration is malformed or inconsistent.
         Invalid(error: ConfigurationError) {
             from()
             display("{}", error)
         }
-        /// Its version is not higher than the current one.
+        /// The version is not higher than the current one.
         VersionNotHigher(current: u64) {
             display("version: not above {}", current)
         }
     }
 }
 
-/// The outcome of an operator's request to replace the configuration.
+/// The outcome of a request to replace the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplaceOutcome {
-    /// It is in force once these changes are committed.
+    /// The new configuration is in force once these changes are committed.
     Accepted(Vec<Change>),
-    /// Exactly this text was accepted before: the request is a retry.
+    /// The same text was accepted before: the request is a retry.
     AlreadyAccepted,
-    /// It builds on another version than the current one.
+    /// The base version of the request is not the current version.
     VersionConflict,
-    /// It can't come into force.
-    Rejected(RejectedConfiguration),
+    /// The configuration can't come into force.
+    Rejected(RejectionReason),
 }
 
 #[derive(Clone, Debug)]
 struct CurrentConfiguration {
     configuration: Configuration,
-    /// As the operator sent it.
+    /// The text as the operator sent it.
     text: String,
 }
 
-/// The configuration in force.
+/// The configuration in force, if any.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationState {
     current: Option<CurrentConfiguration>,
 }
 
-/// Whether the key of a record belongs to configurations.
+/// Returns whether a key belongs to a configuration record.
 #[must_use]
 pub fn owns_key(key: &[u8]) -> bool {
     key == CURRENT_KEY || key.first() == Some(&HISTORY_PREFIX)
 }
 
-/// The keys of configuration records that this version can't read.
+/// Returns the keys of the configuration records that this version of the program can't read.
 pub fn unreadable_keys(keyspace: &Keyspace) -> impl Iterator<Item = &[u8]> {
     let records = keyspace.iter().filter(|(key, _)| owns_key(key));
     records.filter(|(key, value)| !is_readable(key, value)).map(|(key, _)| key)
@@ -81,7 +84,8 @@
 }
 
 impl ConfigurationState {
-    /// The state that the key space holds. Its records must be readable, see [`unreadable_keys`].
+    /// Loads the state from the key space. All configuration records must be readable, see
+    /// [`unreadable_keys`].
     #[must_use]
     pub fn load(keyspace: &Keyspace) -> Self {
         let record = keyspace.get(CURRENT_KEY).and_then(decode);
@@ -92,28 +96,29 @@
         ConfigurationState { current }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn current(&self) -> Option<&Configuration> {
         self.current.as_ref().map(|current| &current.configuration)
     }
 
-    /// Its text, as the operator sent it.
+    /// Returns the text of the configuration in force, as the operator sent it.
     #[must_use]
     pub fn text(&self) -> Option<&str> {
         self.current.as_ref().map(|current| current.text.as_str())
     }
 
-    /// Its version; 0 for none.
+    /// Returns the version of the configuration in force; 0 if there is none.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.current().map_or(0, |configuration| configuration.version)
     }
 
-    /// Decides on a request to replace version `base_version`, and applies it if it is accepted.
+    /// Decides on a request to replace version `base_version` by the configuration `text`, and
+    /// applies it if it is accepted.
     ///
-    /// Whether it is a retry is decided before everything else: a configuration that was accepted
-    /// is never refused when it is sent again, even after a newer one.
+    /// Retries are recognised before the versions are checked, so that an accepted configuration is
+    /// never refused when it is sent again, even after a newer one was accepted.
     pub fn replace(&mut self, keyspace: &Keyspace, base_version: u64, text: &str) -> ReplaceOutcome {
         let configuration = match Configuration::parse(text) {
             Ok(configuration) => configuration,
@@ -129,7 +134,7 @@
             return ReplaceOutcome::VersionConflict;
         }
         if !configuration.is_newer_than(current) {
-            return ReplaceOutcome::Rejected(RejectedConfiguration::VersionNotHigher(current));
+            return ReplaceOutcome::Rejected(RejectionReason::VersionNotHigher(current));
         }
         let record = CurrentRecord { version, text: text.to_owned() };
         self.current = Some(CurrentConfiguration { configuration, text: text.to_owned() });
--- a/crates/cluster/control-plane/src/connection_pool.rs
+++ b/crates/cluster/control-plane/src/connection_pool.rs
@@ -1,8 +1,8 @@
-//! A bounded number of connections, kept by address while there is room.
+//! A pool of connections with a limit on the total number, which keeps idle connections for reuse.
 //!
-//! Each open connection, idle or carrying a call, holds one of the pool's permits. A call to an
-//! address with an idle connection uses that; otherwise it takes a free permit, or that of the
-//! connection that has been idle the longest, or waits for one.
+//! Each open connection, idle or in use, holds one of the pool's permits. A call reuses an idle
+//! connection to its address if there is one. Otherwise it takes a free permit, or evicts the
+//! connection that has been idle the longest and takes over its permit, or waits for a permit.
 use async_std::channel::{Receiver, Sender, bounded};
 use async_std::net::TcpStream;
 use spanlead_cluster_runtime::http::client;
@@ -12,58 +12,60 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How long a connection may take to be established.
+/// The time-out for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Idle connections that are kept to one address while there are few addresses.
+/// The maximum number of idle connections to one address. The limit is lower while there are idle
+/// connections to many addresses, see [`ConnectionSlot::keep`].
 const MAX_IDLE_PER_ADDRESS: usize = 8;
 
-/// The right to one open connection. Freed when dropped.
+/// The right to one open connection. It is returned to the pool when dropped.
 #[derive(Debug)]
 struct Permit {
-    free: Sender<()>,
+    released_permits: Sender<()>,
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        let _ = self.free.try_send(());
+        let _ = self.released_permits.try_send(());
     }
 }
 
 /// An idle connection.
 #[derive(Debug)]
 struct IdleConnection {
-    /// Numbers the moments at which connections became idle.
-    idle_since: u64,
+    /// The position in the order in which connections became idle.
+    idle_sequence: u64,
     stream: TcpStream,
     permit: Permit,
 }
 
-/// All idle connections. Each is in `by_address`, with its address in `by_age`, or in neither.
+/// All idle connections. Each one in `by_address` has an entry in `by_idle_sequence` and vice
+/// versa.
 #[derive(Debug, Default)]
 struct IdleConnections {
     by_address: HashMap<Arc<str>, Vec<IdleConnection>>,
-    /// Addresses by the moment, the connection that has been idle the longest first.
-    by_age: BTreeMap<u64, Arc<str>>,
-    last_moment: u64,
+    /// The addresses by idle sequence: the connection that has been idle the longest comes first.
+    by_idle_sequence: BTreeMap<u64, Arc<str>>,
+    last_idle_sequence: u64,
 }
 
 impl IdleConnections {
-    /// The connection to an address that became idle last.
+    /// Removes and returns the connection to an address that became idle last.
     fn take(&mut self, address: &str) -> Option<IdleConnection> {
         let connections = self.by_address.get_mut(address)?;
         let connection = connections.pop()?;
         if connections.is_empty() {
             self.by_address.remove(address);
         }
-        self.by_age.remove(&connection.idle_since);
+        self.by_idle_sequence.remove(&connection.idle_sequence);
         Some(connection)
     }
 
-    /// Closes the connection that has been idle the longest, and takes over its permit.
+    /// Closes the connection that has been idle the longest, and returns its permit.
     fn evict_oldest(&mut self) -> Option<Permit> {
-        let (oldest, address) = self.by_age.pop_first()?;
+        let (oldest, address) = self.by_idle_sequence.pop_first()?;
         let connections = self.by_address.get_mut(&address)?;
-        let index = connections.iter().position(|connection| connection.idle_since == oldest)?;
+        let index = connections.iter().position(|connection| connection.idle_sequence == oldest)?;
         let evicted = connections.remove(index);
         if connections.is_empty() {
             self.by_address.remove(&address);
@@ -71,93 +73,103 @@
         Some(evicted.permit)
     }
 
+    /// Adds an idle connection, or closes it if there are `max_per_address` to its address already.
     fn insert(&mut self, address: &Arc<str>, stream: TcpStream, permit: Permit, max_per_address: usize) {
         let connections = self.by_address.entry(address.clone()).or_default();
         if connections.len() >= max_per_address {
             return;
         }
-        self.last_moment += 1;
-        connections.push(IdleConnection { idle_since: self.last_moment, stream, permit });
-        self.by_age.insert(self.last_moment, address.clone());
+        self.last_idle_sequence += 1;
+        connections.push(IdleConnection { idle_sequence: self.last_idle_sequence, stream, permit });
+        self.by_idle_sequence.insert(self.last_idle_sequence, address.clone());
     }
 }
 
-/// Counts a call as waiting for a permit until it is dropped, also if its time-out ends it.
-struct WaitingCall(Arc<AtomicUsize>);
+/// Counts a call as waiting for a permit until this guard is dropped, which also happens when the
+/// call times out.
+struct WaitingCallGuard(Arc<AtomicUsize>);
 
-impl WaitingCall {
-    fn begin(waiting: &Arc<AtomicUsize>) -> Self {
-        waiting.fetch_add(1, Ordering::Relaxed);
-        WaitingCall(waiting.clone())
+impl WaitingCallGuard {
+    fn new(waiting_calls: &Arc<AtomicUsize>) -> Self {
+        waiting_calls.fetch_add(1, Ordering::Relaxed);
+        WaitingCallGuard(waiting_calls.clone())
     }
 }
 
-impl Drop for WaitingCall {
+impl Drop for WaitingCallGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// How many connections a pool has.
+/// The number of connections of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionCount {
-    /// Open or being established, idle ones included.
+    /// The number of connections that are open or being established, including idle ones.
     pub open: usize,
-    /// Open and idle.
+    /// The number of idle connections.
     pub idle: usize,
 }
 
-/// The pool. Clones share it.
+/// A connection pool. Clones share the connections and permits.
 #[derive(Clone, Debug)]
 pub struct ConnectionPool {
     idle: Arc<Mutex<IdleConnections>>,
-    permits: Receiver<()>,
-    free: Sender<()>,
+    /// Holds one item for each free permit.
+    free_permits: Receiver<()>,
+    released_permits: Sender<()>,
     waiting_calls: Arc<AtomicUsize>,
     max_connections: usize,
 }
 
-/// The right to a connection to an address: an idle one, or one that is to be established.
+/// The right to use one connection to an address: a reused idle connection or a new one.
 #[derive(Debug)]
 pub struct ConnectionSlot {
     pool: ConnectionPool,
     address: Arc<str>,
-    idle: Mutex<Option<TcpStream>>,
+    reused: Mutex<Option<TcpStream>>,
     permit: Permit,
 }
 
 impl ConnectionPool {
-    /// A pool of up to `max_connections`, at least one.
+    /// Creates a pool of at most `max_connections` connections; 0 is treated as 1.
     #[must_use]
     pub fn new(max_connections: usize) -> Self {
         let max_connections = max_connections.max(1);
-        let (free, permits) = bounded(max_connections);
+        let (released_permits, free_permits) = bounded(max_connections);
         for _ in 0..max_connections {
-            let _ = free.try_send(());
+            let _ = released_permits.try_send(());
+        }
+        ConnectionPool {
+            idle: Arc::default(),
+            free_permits,
+            released_permits,
+            waiting_calls: Arc::default(),
+            max_connections,
         }
-        ConnectionPool { idle: Arc::default(), permits, free, waiting_calls: Arc::default(), max_connections }
     }
 
-    /// A slot for a connection to this address, once there is one.
+    /// Waits for the right to use a connection to this address.
     pub async fn acquire(&self, address: &Arc<str>) -> ConnectionSlot {
         while let Some(IdleConnection { stream, permit, .. }) = self.take_idle(address) {
             if client::is_idle(&stream) {
-                return self.slot(address, Some(stream), permit);
+                return self.new_slot(address, Some(stream), permit);
             }
         }
-        if self.permits.try_recv().is_ok() {
-            return self.slot(address, None, self.permit());
+        if self.free_permits.try_recv().is_ok() {
+            return self.new_slot(address, None, self.new_permit());
         }
-        // From here on a connection that is given back frees its permit. Otherwise one could become
-        // idle unseen between the search for an idle one and the wait for a permit.
-        let _waiting = WaitingCall::begin(&self.waiting_calls);
+        // While a call is counted as waiting, `ConnectionSlot::keep` releases the permit instead of
+        // keeping the connection. Otherwise a connection could become idle between the eviction and
+        // the wait, and its permit would stay taken while this call waits.
+        let _guard = WaitingCallGuard::new(&self.waiting_calls);
         let evicted = self.lock().evict_oldest();
         if let Some(permit) = evicted {
-            return self.slot(address, None, permit);
+            return self.new_slot(address, None, permit);
         }
-        // The pool holds a sender itself, so this does not fail.
-        let _ = self.permits.recv().await;
-        self.slot(address, None, self.permit())
+        // This does not fail: the pool holds a sender, so the channel stays open.
+        let _ = self.free_permits.recv().await;
+        self.new_slot(address, None, self.new_permit())
     }
 
     /// Closes all idle connections.
@@ -165,18 +177,21 @@
         *self.lock() = IdleConnections::default();
     }
 
-    /// How many connections there are.
+    /// Returns the number of connections.
     #[must_use]
     pub fn connections(&self) -> ConnectionCount {
-        ConnectionCount { open: self.max_connections - self.permits.len(), idle: self.lock().by_age.len() }
+        ConnectionCount {
+            open: self.max_connections - self.free_permits.len(),
+            idle: self.lock().by_idle_sequence.len(),
+        }
     }
 
-    fn slot(&self, address: &Arc<str>, idle: Option<TcpStream>, permit: Permit) -> ConnectionSlot {
-        ConnectionSlot { pool: self.clone(), address: address.clone(), idle: Mutex::new(idle), permit }
+    fn new_slot(&self, address: &Arc<str>, reused: Option<TcpStream>, permit: Permit) -> ConnectionSlot {
+        ConnectionSlot { pool: self.clone(), address: address.clone(), reused: Mutex::new(reused), permit }
     }
 
-    fn permit(&self) -> Permit {
-        Permit { free: self.free.clone() }
+    fn new_permit(&self) -> Permit {
+        Permit { released_permits: self.released_permits.clone() }
     }
 
     fn take_idle(&self, address: &str) -> Option<IdleConnection> {
@@ -189,26 +204,27 @@
 }
 
 impl ConnectionSlot {
-    /// The connection; `None` if it can't be established.
+    /// Returns the reused connection or establishes one; `None` if it can't be established in time.
     pub async fn connect(&self) -> Option<TcpStream> {
-        let idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner).take();
-        if idle.is_some() {
-            return idle;
+        let reused = self.reused.lock().unwrap_or_else(PoisonError::into_inner).take();
+        if reused.is_some() {
+            return reused;
         }
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(&*self.address)).await.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
         Some(stream)
     }
 
-    /// Keeps the connection for the next call to this address, unless another call waits for its
-    /// permit.
+    /// Keeps the connection idle for the next call to this address. If other calls wait for a
+    /// permit, it is closed instead and its permit released.
     pub fn keep(self, stream: TcpStream) {
         if self.pool.waiting_calls.load(Ordering::Relaxed) > 0 {
             return;
         }
         let mut idle = self.pool.lock();
-        // With many addresses each keeps one connection, and those idle the longest are evicted.
-        let per_address = self.pool.max_connections / (idle.by_address.len() + 1);
-        idle.insert(&self.address, stream, self.permit, per_address.clamp(1, MAX_IDLE_PER_ADDRESS));
+        // With many addresses each keeps one idle connection; when permits run out, `acquire`
+        // evicts the connection that has been idle the longest.
+        let max_per_address = self.pool.max_connections / (idle.by_address.len() + 1);
+        idle.insert(&self.address, stream, self.permit, max_per_address.clamp(1, MAX_IDLE_PER_ADDRESS));
     }
 }
--- a/crates/cluster/control-plane/src/input.rs
+++ b/crates/cluster/control-plane/src/input.rs
@@ -1,4 +1,4 @@
-//! What the node is fed, and the replies to operators.
+//! The inputs of a node, and its replies to operators.
 use crate::worker_list::WorkerListError;
 use async_std::channel::Sender;
 use spanlead_cluster_runtime::frame::Frame;
@@ -11,48 +11,48 @@
     pub status: u16,
     /// The body.
     pub body: String,
-    /// The URL to go to instead, for a 307.
+    /// The URL to redirect to, for status 307.
     pub location: Option<String>,
 }
 
 impl OperatorReply {
-    /// A reply without a location.
+    /// Creates a reply without a redirect.
     #[must_use]
     pub fn new(status: u16, body: impl Into<String>) -> Self {
         OperatorReply { status, body: body.into(), location: None }
     }
 }
 
-/// What an operator asks of a node's state.
+/// An operator's query of a node's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatusQuery {
     /// The members of the control plane.
     Members,
-    /// The workers.
+    /// All workers.
     Workers,
-    /// How many jobs, tasks and events there are.
+    /// The numbers of jobs, pending units, active runs and events.
     Jobs,
     /// One job.
     Job(JobId),
-    /// The metrics of this process, whether it is primary or not.
+    /// The metrics of this process. They are available whether or not the node is primary.
     Metrics,
 }
 
-/// An operator's configuration.
+/// An operator's request to replace the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplaceRequest {
-    /// The version that it replaces.
+    /// The version that the new configuration replaces.
     pub base_version: u64,
-    /// Its text.
+    /// The text of the new configuration.
     pub text: String,
 }
 
-/// What the node is fed.
+/// An input of a node.
 #[derive(Debug)]
 pub enum Input {
-    /// A frame, and where replies to it go, if it was received on a connection that takes them.
+    /// A received frame, and the channel for replies if its connection accepts replies.
     Frame(Frame, Option<Sender<Frame>>),
-    /// All records up to that token are on disk.
+    /// All records up to the one with this write token are on disk.
     Written(u64),
     /// The connection to the peer at this address was lost.
     PeerDisconnected(String),
@@ -60,18 +60,19 @@
     WorkerResponse(WorkerCall, WorkerResponse),
     /// The result of reading the platform's list of workers.
     WorkerList(Result<Vec<ListedWorker>, WorkerListError>),
-    /// An operator replaces the configuration.
+    /// An operator's request to replace the configuration.
     ReplaceConfiguration(ReplaceRequest, Sender<OperatorReply>),
-    /// An operator reads the configuration.
+    /// An operator's request to read the configuration.
     ReadConfiguration(Sender<OperatorReply>),
-    /// An operator queries the node's state.
+    /// An operator's query of the node's state.
     QueryStatus(StatusQuery, Sender<OperatorReply>),
-    /// The process is to shut down.
+    /// The request to shut the process down.
     Terminate,
 }
 
 impl Input {
-    /// Whether it belongs to the replication. Those stay in order among themselves.
+    /// Returns whether this is an input of the replication protocol. All of these are urgent, so
+    /// that they stay in order among themselves.
     pub(crate) fn is_urgent(&self) -> bool {
         matches!(
             self,
--- a/crates/cluster/control-plane/src/lib.rs
+++ b/crates/cluster/control-plane/src/lib.rs
@@ -1,16 +1,18 @@
-//! The control plane: a replica of the control state that, while it is primary, keeps the jobs and
-//! the configuration and calls the workers.
+//! The control plane: a replica of the control state that, while it is primary, schedules the jobs,
+//! manages the configuration and calls the workers.
 //!
-//! One task owns the [`node::Node`] and feeds it one [`input::Input`] at a time, from
-//! [`mod@input_queue`]. Everything else runs beside it and hands it inputs:
+//! One task owns the [`node::Node`] and passes it one [`input::Input`] at a time from
+//! [`mod@input_queue`]. All other components run concurrently with it and send it inputs:
 //!
-//! - [`store`] and [`store_writer`]: the data folder, written by a thread of its own.
-//! - [`worker_client`] over [`connection_pool`]: calls to workers; [`worker_list`]: the platform's
-//!   list.
-//! - [`operator_api`]: the operators' interface, answered from [`status`] and [`metrics_text`].
+//! - [`store`] and [`store_writer`]: the data folder, written by a dedicated thread.
+//! - [`worker_client`], which uses [`connection_pool`]: calls to workers.
+//! - [`worker_list`]: reads the platform's list of workers.
+//! - [`operator_api`]: the operators' HTTP interface; [`status`] and [`metrics_text`] render the
+//!   responses.
 //!
-//! The control state itself: [`configuration_state`], the jobs of `spanlead-job-scheduler`, and
-//! [`unreadable_records`], which keep a node from being primary.
+//! The control state consists of the [`configuration_state`] and the jobs of
+//! `spanlead-job-scheduler`. [`unreadable_records`] finds the records that make a node ineligible
+//! as primary.
 #![warn(missing_docs, unreachable_pub)]
 #![warn(clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
 mod client_api;
@@ -49,14 +51,14 @@
 use worker_client::WorkerClient;
 
 quick_error! {
-    /// Why a control plane can't run.
+    /// An error that prevents a control plane from starting.
     #[derive(Debug)]
     pub enum ControlPlaneError {
-        /// A setting that it needs is missing.
+        /// A required setting, with this key, is missing.
         MissingSetting(key: &'static str) {
             display("settings: {}: missing", key)
         }
-        /// Its data folder can't be used.
+        /// The data folder can't be used.
         Store(error: StoreError) {
             from()
             display("data folder: {}", error)
@@ -64,19 +66,19 @@
     }
 }
 
-/// How often the node's time passes without an input.
+/// The interval between two ticks of the node, also the longest wait for an input.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// How long inputs are handled before what follows from them is flushed, milliseconds.
-const MAX_SLICE_MS: u64 = 20;
-/// Inputs that are handled between two readings of the clock.
+/// The time after which queued inputs are left for later and the node is flushed, milliseconds.
+const MAX_HANDLING_MS_PER_FLUSH: u64 = 20;
+/// The number of inputs handled between two readings of the clock.
 const INPUTS_PER_CLOCK_READING: usize = 8;
-/// Inputs that are handled at most before what follows from them is flushed.
+/// The maximum number of inputs handled between two flushes.
 const MAX_INPUTS_PER_FLUSH: usize = 256;
 
-/// Runs a control plane until a shutdown is requested and complete.
+/// Runs a control plane until a requested shutdown is complete.
 ///
 /// # Errors
-/// If it can't start.
+/// If a required setting is missing or the data folder can't be used.
 pub fn run(settings: &Settings) -> Result<(), ControlPlaneError> {
     let folder = settings.data_folder().ok_or(ControlPlaneError::MissingSetting("dataDir"))?;
     let operators = settings.listen.operators.clone();
@@ -85,30 +87,31 @@
     let recovered = store.recover()?;
     let clock = Clock::start();
     let (inputs, input_receiver) = input_queue();
-    let written = inputs.clone();
-    let store_writer = StoreWriter::start(store, folder, move |token| written.send(Input::Written(token)));
-    let (events, link_events) = unbounded();
+    let store_inputs = inputs.clone();
+    let store_writer =
+        StoreWriter::start(store, folder, move |token| store_inputs.send(Input::Written(token)));
+    let (link_event_sender, link_events) = unbounded();
     let services = NodeServices {
         clock,
-        links: PeerLinks::new(events),
+        peer_links: PeerLinks::new(link_event_sender),
         store_writer,
         worker_client: WorkerClient::new(settings.max_worker_connections()),
         inputs: inputs.clone(),
     };
     let node = Node::start(settings, recovered, services);
-    let terminating = inputs.clone();
-    signals::on_terminate(move || terminating.send(Input::Terminate));
+    let signal_inputs = inputs.clone();
+    signals::on_terminate(move || signal_inputs.send(Input::Terminate));
     spawn_servers(settings, operators, &inputs);
     task::spawn(forward_link_events(link_events, inputs));
-    program::run_to_end(drive(node, input_receiver, clock));
+    program::run_to_end(run_event_loop(node, input_receiver, clock));
     Ok(())
 }
 
-/// Starts to accept peers, operators and readers of the metrics.
+/// Starts the servers for peers, operators and the metrics.
 fn spawn_servers(settings: &Settings, operators: String, inputs: &InputSender) {
-    let received = inputs.clone();
+    let peer_inputs = inputs.clone();
     let handler = move |frame, replies: &Sender<Frame>| {
-        received.send(Input::Frame(frame, Some(replies.clone())));
+        peer_inputs.send(Input::Frame(frame, Some(replies.clone())));
     };
     task::spawn(peer_server::serve(settings.peer_address(), Arc::new(handler)));
     if let Some(endpoint) = settings.metrics_endpoint() {
@@ -118,6 +121,7 @@
     task::spawn(operator_api::serve(operators, inputs.clone()));
 }
 
+/// Forwards the events of the peer links to the node, except for new connections.
 async fn forward_link_events(events: Receiver<LinkEvent>, inputs: InputSender) {
     while let Ok(event) = events.recv().await {
         match event {
@@ -128,30 +132,31 @@
     }
 }
 
-/// Feeds the node until it has shut down: inputs in slices, each followed by a flush, and ticks.
-async fn drive(mut node: Node, inputs: InputReceiver, clock: Clock) {
+/// Runs the node's event loop until the node has shut down: handles queued inputs, ticks and
+/// flushes.
+async fn run_event_loop(mut node: Node, inputs: InputReceiver, clock: Clock) {
     let tick_interval_ms = TICK_INTERVAL.as_millis() as u64;
-    let mut ticked_at_ms = clock.monotonic_ms();
+    let mut last_tick_ms = clock.monotonic_ms();
     while !node.is_shut_down() {
         if let Ok(Some(input)) = timeout(TICK_INTERVAL, inputs.next()).await {
-            handle_slice(&mut node, input, &inputs, clock);
+            handle_queued_inputs(&mut node, input, &inputs, clock);
         }
         let now_ms = clock.monotonic_ms();
-        if now_ms >= ticked_at_ms + tick_interval_ms {
-            node.tick(now_ms - ticked_at_ms - tick_interval_ms);
-            ticked_at_ms = now_ms;
+        if now_ms >= last_tick_ms + tick_interval_ms {
+            node.tick(now_ms - last_tick_ms - tick_interval_ms);
+            last_tick_ms = now_ms;
         }
         node.flush();
     }
 }
 
-/// Handles inputs until none is queued or the slice is over, so that a backlog delays neither ticks
-/// nor flushes.
-fn handle_slice(node: &mut Node, first: Input, inputs: &InputReceiver, clock: Clock) {
-    let slice_ends_ms = clock.monotonic_ms() + MAX_SLICE_MS;
+/// Handles inputs until none is queued or the limit on time or number is reached, so that a backlog
+/// delays neither ticks nor flushes.
+fn handle_queued_inputs(node: &mut Node, first: Input, inputs: &InputReceiver, clock: Clock) {
+    let ends_at_ms = clock.monotonic_ms() + MAX_HANDLING_MS_PER_FLUSH;
     node.handle(first);
     for handled in 1..MAX_INPUTS_PER_FLUSH {
-        if handled.is_multiple_of(INPUTS_PER_CLOCK_READING) && clock.monotonic_ms() >= slice_ends_ms {
+        if handled.is_multiple_of(INPUTS_PER_CLOCK_READING) && clock.monotonic_ms() >= ends_at_ms {
             break;
         }
         let Some(input) = inputs.try_next() else { break };
--- a/crates/cluster/control-plane/src/metrics_text.rs
+++ b/crates/cluster/control-plane/src/metrics_text.rs
@@ -1,27 +1,28 @@
-//! The metrics of a control plane, one `name number` a line. Their names belong to the operators.
+//! The metrics of a control plane as text, one `name number` pair per line. Operators' tools depend
+//! on the names, which must not change.
 use crate::commit_latency::CommitLatency;
 use spanlead_cluster_runtime::traffic;
 use spanlead_job_scheduler::{LatencyHistogram, Scheduler};
 use std::fmt::Write;
 
-/// What the metrics of a primary are rendered from.
+/// The sources of a primary's metrics.
 #[derive(Clone, Copy, Debug)]
 pub struct PrimaryMetrics<'a> {
-    /// Its scheduler.
+    /// The scheduler of the primary.
     pub scheduler: &'a Scheduler,
-    /// The commits of its term.
-    pub commits: &'a CommitLatency,
+    /// The commit latency of the primary's term.
+    pub commit_latency: &'a CommitLatency,
 }
 
-/// The metrics of a process, with how long its disk takes for a record, and of its scheduler if it
-/// is primary.
+/// Renders the metrics of this process: its traffic, the write latency of its disk and, if it is
+/// primary, its batches and its scheduler.
 #[must_use]
-pub fn render(own_disk: &LatencyHistogram, primary: Option<PrimaryMetrics<'_>>) -> String {
+pub fn render(write_latency: &LatencyHistogram, primary: Option<PrimaryMetrics<'_>>) -> String {
     let mut text = traffic::metrics_text();
     let _ = writeln!(text, "spanlead_serves {}", u8::from(primary.is_some()));
-    write_latency(&mut text, "spanlead_own_disk_ms", own_disk);
-    let Some(PrimaryMetrics { scheduler, commits }) = primary else { return text };
-    let batches = commits.metrics();
+    write_histogram(&mut text, "spanlead_own_disk_ms", write_latency);
+    let Some(PrimaryMetrics { scheduler, commit_latency }) = primary else { return text };
+    let batches = commit_latency.metrics();
     let counts = scheduler.counts();
     let metrics = scheduler.metrics();
     let call_timeouts = metrics.call_timeouts.unwrap_or_default();
@@ -52,16 +53,17 @@
         ("spanlead_start_placement_ms", &stages.placement),
         ("spanlead_start_commit_ms", &stages.commit),
         ("spanlead_start_response_ms", &stages.response),
-        ("spanlead_batch_commit_ms", commits.histogram()),
+        ("spanlead_batch_commit_ms", commit_latency.histogram()),
     ];
     for (name, histogram) in latencies {
-        write_latency(&mut text, name, histogram);
+        write_histogram(&mut text, name, histogram);
     }
     text
 }
 
-/// How many times were measured, and the bounds of the bucket of their middle and of 99 of 100.
-fn write_latency(text: &mut String, name: &str, histogram: &LatencyHistogram) {
+/// Writes the number of samples, and the upper bounds of the buckets of the median and of the 99th
+/// percentile.
+fn write_histogram(text: &mut String, name: &str, histogram: &LatencyHistogram) {
     let _ = writeln!(text, "{name}_count {}", histogram.count());
     let _ = writeln!(text, "{name}_p50 {}", histogram.quantile_ms(0.5));
     let _ = writeln!(text, "{name}_p99 {}", histogram.quantile_ms(0.99));
--- a/crates/cluster/control-plane/src/node/client_requests.rs
+++ b/crates/cluster/control-plane/src/node/client_requests.rs
@@ -1,17 +1,19 @@
-//! Clients' requests, as data planes forward them.
+//! Client requests, which data planes forward to the primary.
 use super::Node;
 use super::pending_replies::PendingReply;
-use super::primary::PrimaryServices;
+use super::primary::PrimaryState;
 use crate::client_api::{job_state_name, parse_job_id};
 use async_std::channel::Sender;
 use spanlead_cluster_config::Route;
 use spanlead_cluster_runtime::frame::{ClientOperation, ClientRequest, ClientResponse, Frame};
 use spanlead_job_scheduler::{Admission, JobId, JobSpec, Now, QueueId, QueuePolicy};
 
+/// The priority of the jobs of a route that sets none.
 const DEFAULT_PRIORITY: u8 = 1;
+/// The number of failed runs after which a task fails, for the jobs of a route that sets none.
 const DEFAULT_MAX_ATTEMPTS: u32 = 3;
 
-/// The status and body of a response.
+/// The HTTP status and the body of a response.
 struct Response {
     status: u16,
     body: String,
@@ -32,11 +34,14 @@
 }
 
 impl Node {
+    /// Carries out a client request. The response is sent once the changes that it depends on are
+    /// committed; a node that is not primary or is shutting down responds at once that it did not
+    /// take the request.
     pub(super) fn handle_client_request(&mut self, request: ClientRequest, replies: Sender<Frame>) {
         let now = self.clock.now();
         let is_active = self.replica.active_term(now.monotonic_ms).is_some();
-        let accepts = is_active && !self.shutdown.is_requested();
-        let Some(primary) = self.primary.as_mut().filter(|_| accepts) else {
+        let accepts_requests = is_active && !self.shutdown.is_requested();
+        let Some(primary) = self.primary.as_mut().filter(|_| accepts_requests) else {
             let _ = replies.try_send(Frame::ClientResponse(ClientResponse::not_taken(request.request_id)));
             return;
         };
@@ -47,8 +52,8 @@
     }
 }
 
-impl PrimaryServices {
-    /// Carries out a request by the configuration in force.
+impl PrimaryState {
+    /// Carries out a request according to the configuration in force.
     fn respond(&mut self, now: Now, request: ClientRequest) -> Response {
         let ClientRequest { host, path, operation, .. } = request;
         let Some(configuration) = self.configuration.current() else {
@@ -57,12 +62,12 @@
         let Some(route) = configuration.route(&host, &path) else {
             return Response::new(404, "no such queue");
         };
-        let job_name = &path[route.path_prefix.len()..];
-        if job_name.is_empty() {
+        let job_id_text = &path[route.path_prefix.len()..];
+        if job_id_text.is_empty() {
             let queue = QueueId { host, path_prefix: route.path_prefix.clone() };
-            return self.respond_for_queue(&queue, &operation);
+            return self.respond_without_job(&queue, &operation);
         }
-        let Some(id) = parse_job_id(job_name) else { return Response::new(400, "not 16 hex digits") };
+        let Some(id) = parse_job_id(job_id_text) else { return Response::new(400, "not 16 hex digits") };
         match operation {
             ClientOperation::Submit(spec) => {
                 let policy = queue_policy(host, route);
@@ -73,7 +78,8 @@
         }
     }
 
-    fn respond_for_queue(&self, queue: &QueueId, operation: &ClientOperation) -> Response {
+    /// Responds to a request whose path names a queue but no job.
+    fn respond_without_job(&self, queue: &QueueId, operation: &ClientOperation) -> Response {
         if *operation == ClientOperation::Query {
             Response::new(200, format!("{{\"pending\":{}}}", self.scheduler.pending_jobs(queue)))
         } else {
--- a/crates/cluster/control-plane/src/node/data_planes.rs
+++ b/crates/cluster/control-plane/src/node/data_planes.rs
@@ -1,39 +1,40 @@
-//! What data planes are sent: who is primary, the configuration, and which of them exchange gossip.
+//! The updates sent to data planes: the directory with the primary, the configuration and the
+//! gossip peers.
 use super::Node;
 use async_std::channel::Sender;
 use spanlead_cluster_config::DataPlaneConfiguration;
 use spanlead_cluster_runtime::frame::{Directory, Frame};
 use spanlead_dissemination::{PEERS_PER_PROCESS, select_peers};
 
-/// A data plane that is connected here.
+/// A data plane that is connected to this node.
 #[derive(Debug)]
 struct Subscriber {
     peer_address: String,
     frames: Sender<Frame>,
 }
 
-/// The data planes that are connected here, and what they were sent last.
+/// The data planes that are connected to this node, and the updates that were sent to them last.
 #[derive(Debug, Default)]
 pub(super) struct DataPlanes {
     subscribers: Vec<Subscriber>,
-    /// Whether the subscribers must be sent their gossip peers again.
-    peers_changed: bool,
+    /// Whether the gossip peers must be selected and sent again.
+    gossip_peers_outdated: bool,
     directory: Directory,
     configuration_version: u64,
 }
 
 impl DataPlanes {
-    /// Adds a data plane, in place of an earlier connection of the same.
+    /// Adds a data plane. Its connection replaces an earlier one with the same peer address.
     fn subscribe(&mut self, peer_address: String, frames: Sender<Frame>) {
         self.subscribers.retain(|subscriber| subscriber.peer_address != peer_address);
         self.subscribers.push(Subscriber { peer_address, frames });
-        self.peers_changed = true;
+        self.gossip_peers_outdated = true;
     }
 
-    /// A new primary sends the gossip peers again, as the earlier one may have known other data
-    /// planes.
-    pub(super) fn renew_gossip_peers(&mut self) {
-        self.peers_changed = true;
+    /// Has the gossip peers sent again by a node that became primary, since the data planes
+    /// connected to the previous primary may have been others.
+    pub(super) fn resend_gossip_peers(&mut self) {
+        self.gossip_peers_outdated = true;
     }
 
     fn send_directory(&mut self, directory: Directory) {
@@ -49,15 +50,15 @@
     }
 
     fn send_to_all(&mut self, frame: &Frame) {
-        let before = self.subscribers.len();
+        let previous_count = self.subscribers.len();
         self.subscribers.retain(|subscriber| subscriber.frames.try_send(frame.clone()).is_ok());
-        self.peers_changed |= self.subscribers.len() != before;
+        self.gossip_peers_outdated |= self.subscribers.len() != previous_count;
     }
 
-    /// Sends each data plane its gossip peers, if a data plane has connected or disconnected.
-    fn send_changed_gossip_peers(&mut self) {
+    /// Sends each data plane its gossip peers if they are outdated or a data plane disconnected.
+    fn update_gossip_peers(&mut self) {
         let any_closed = self.subscribers.iter().any(|subscriber| subscriber.frames.is_closed());
-        if std::mem::take(&mut self.peers_changed) || any_closed {
+        if std::mem::take(&mut self.gossip_peers_outdated) || any_closed {
             self.send_gossip_peers();
         }
     }
@@ -76,11 +77,12 @@
 }
 
 impl Node {
-    /// Sends the data planes the directory and the configuration, when they have changed.
-    pub(super) fn announce(&mut self) {
+    /// Sends the data planes the directory, the gossip peers and the configuration, each if it has
+    /// changed.
+    pub(super) fn update_data_planes(&mut self) {
         self.data_planes.send_directory(self.directory());
         if self.primary.is_some() {
-            self.data_planes.send_changed_gossip_peers();
+            self.data_planes.update_gossip_peers();
         }
         let known_version = self.data_planes.configuration_version;
         if let Some(configuration) = self.configuration_newer_than(known_version) {
@@ -88,8 +90,14 @@
         }
     }
 
-    /// A data plane has connected. It is sent what it lacks.
-    pub(super) fn subscribe(&mut self, peer_address: String, known_version: u64, frames: Sender<Frame>) {
+    /// Adds a data plane that has connected. Sends it the directory, and the configuration if it is
+    /// newer than `known_version`.
+    pub(super) fn subscribe_data_plane(
+        &mut self,
+        peer_address: String,
+        known_version: u64,
+        frames: Sender<Frame>,
+    ) {
         let _ = frames.try_send(Frame::Directory(self.data_planes.directory.clone()));
         if let Some(configuration) = self.configuration_newer_than(known_version) {
             let _ = frames.try_send(Frame::Configuration(configuration));
@@ -97,7 +105,8 @@
         self.data_planes.subscribe(peer_address, frames);
     }
 
-    /// Who is primary, as far as this node can prove it; until then what it could prove last.
+    /// Returns the directory with the primary that this node can verify. If it can verify none,
+    /// returns the directory that was sent last.
     fn directory(&self) -> Directory {
         let primary = self.replica.verified_primary(self.clock.monotonic_ms());
         let (Some(view), Some(primary)) = (self.replica.view(), primary) else {
@@ -110,8 +119,9 @@
         }
     }
 
-    /// What data planes need of the configuration, if it is newer than `known_version` and
-    /// certainly in force: a primary's own, once it is committed and while the lease is valid.
+    /// Returns the part of the configuration that data planes use, if it is newer than
+    /// `known_version` and certainly in force: this node is primary, its lease is valid and the
+    /// configuration is committed.
     fn configuration_newer_than(&self, known_version: u64) -> Option<DataPlaneConfiguration> {
         let primary = self.primary.as_ref()?;
         let version = primary.configuration.version();
--- a/crates/cluster/control-plane/src/node/mod.rs
+++ b/crates/cluster/control-plane/src/node/mod.rs
@@ -1,5 +1,5 @@
 //! The node: the replica of one machine and, while it is primary, the scheduler and the
-//! configuration, and what passes between them and the outside.
+//! configuration. It connects them with peers, data planes, operators, workers and the disk.
 mod client_requests;
 mod data_planes;
 mod operator_requests;
@@ -11,12 +11,12 @@
 use crate::input::Input;
 use crate::input_queue::InputSender;
 use crate::store_writer::StoreWriter;
-use crate::unreadable_records::{log_unreadable, unreadable_keys};
+use crate::unreadable_records::{log_unreadable_keys, unreadable_keys};
 use crate::worker_client::WorkerClient;
 use crate::write_latency::WriteLatency;
 use async_std::channel::Sender;
 use data_planes::DataPlanes;
-use primary::{PrimaryServices, UnreadableKeys};
+use primary::{PrimaryState, UnreadableKeys};
 use shutdown::Shutdown;
 use spanlead_cluster_runtime::clock::Clock;
 use spanlead_cluster_runtime::frame::Frame;
@@ -29,49 +29,49 @@
 };
 use std::sync::Arc;
 
-/// How long a lease is valid, milliseconds.
+/// The duration of the primary's lease, milliseconds.
 const LEASE_MS: u64 = 500;
-/// How often a lease is renewed, milliseconds.
+/// The interval between heartbeats, which renew the primary's lease, milliseconds.
 const HEARTBEAT_INTERVAL_MS: u64 = 100;
 
-/// What a node uses to act on the outside.
+/// The services that a node uses.
 #[derive(Debug)]
 pub struct NodeServices {
-    /// The clocks.
+    /// The clocks of this process.
     pub clock: Clock,
-    /// Links to other members.
-    pub links: PeerLinks,
-    /// Writes records to disk.
+    /// The links to other members of the control plane.
+    pub peer_links: PeerLinks,
+    /// The writer of records to disk.
     pub store_writer: StoreWriter,
-    /// Calls workers.
+    /// The client for calls to workers.
     pub worker_client: WorkerClient,
-    /// Where responses and lists come back as inputs.
+    /// The queue that receives worker responses and worker lists as inputs of the node.
     pub inputs: InputSender,
 }
 
-/// One machine of the control plane.
+/// One node of the control plane.
 #[derive(Debug)]
 pub struct Node {
     clock: Clock,
-    links: PeerLinks,
+    peer_links: PeerLinks,
     store_writer: StoreWriter,
     worker_client: WorkerClient,
     inputs: InputSender,
     scheduler_config: SchedulerConfig,
     worker_list_address: Option<Arc<str>>,
     replica: Replica,
-    /// Present exactly from the replica's activation to its deactivation.
-    primary: Option<PrimaryServices>,
+    /// Present from the activation of the replica as primary to its deactivation.
+    primary: Option<PrimaryState>,
     data_planes: DataPlanes,
-    own_disk: WriteLatency,
+    write_latency: WriteLatency,
     shutdown: Shutdown,
 }
 
 impl Node {
-    /// Starts a node with what its data folder holds.
+    /// Starts a node with the state recovered from its data folder.
     #[must_use]
     pub fn start(settings: &Settings, recovered: RecoveredState, services: NodeServices) -> Self {
-        let NodeServices { clock, links, store_writer, worker_client, inputs } = services;
+        let NodeServices { clock, peer_links, store_writer, worker_client, inputs } = services;
         let config = ReplicaConfig {
             node_name: settings.node.clone(),
             peer_address: settings.peer_address(),
@@ -86,13 +86,13 @@
         let unreadable = unreadable_keys(&recovered.keyspace);
         let mut replica = Replica::start(config, recovered, clock.monotonic_ms());
         if !unreadable.is_empty() {
-            log_unreadable(&unreadable);
+            log_unreadable_keys(&unreadable);
             replica.mark_ineligible(clock.monotonic_ms());
         }
         log::info!("node started member={:?} position={:?}", replica.local_member().id, replica.position());
         Node {
             clock,
-            links,
+            peer_links,
             store_writer,
             worker_client,
             inputs,
@@ -101,23 +101,24 @@
             replica,
             primary: None,
             data_planes: DataPlanes::default(),
-            own_disk: WriteLatency::default(),
+            write_latency: WriteLatency::default(),
             shutdown: Shutdown::new(settings.grace_ms()),
         }
     }
 
-    /// Whether the process may end.
+    /// Returns whether the shutdown is complete and the process may end.
     #[must_use]
     pub fn is_shut_down(&self) -> bool {
         self.shutdown.is_complete(self.clock.monotonic_ms())
     }
 
-    /// Handles an input. What follows from it is written and sent by [`Node::flush`].
+    /// Handles an input. [`Node::flush`] then proposes the resulting changes and sends the
+    /// resulting replies and calls to workers.
     pub fn handle(&mut self, input: Input) {
         match input {
             Input::Frame(frame, replies) => self.handle_frame(frame, replies),
             Input::Written(token) => {
-                self.own_disk.record_written(token, self.clock.monotonic_ms());
+                self.write_latency.record_written(token, self.clock.monotonic_ms());
                 self.feed_replica(replication::Input::Written(token));
             }
             Input::PeerDisconnected(address) => {
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Does what is due, `late_ms` later than it should.
+    /// Performs the periodic work. `late_ms` is the delay of this tick, milliseconds.
     pub fn tick(&mut self, late_ms: u64) {
         self.feed_replica(replication::Input::Tick);
         let now = self.clock.now();
@@ -148,10 +149,11 @@
             self.replica.request_leave(now.monotonic_ms);
             self.apply_replica_outputs();
         }
-        self.announce();
+        self.update_data_planes();
     }
 
-    /// Writes what was decided, and sends what waits for nothing any more.
+    /// Places pending tasks, proposes the scheduler's changes, and sends the replies and calls to
+    /// workers that depend on no uncommitted change.
     pub fn flush(&mut self) {
         let now = self.clock.now();
         if let Some(primary) = &mut self.primary {
@@ -160,7 +162,8 @@
         self.propose_scheduler_changes();
         self.send_replies();
         self.call_workers();
-        // A call that is not sent may bring new records.
+        // While handling commits, the scheduler may drop a start instead of sending it. Ending that
+        // run changes records again.
         self.propose_scheduler_changes();
         self.call_workers();
     }
@@ -170,7 +173,7 @@
             (Frame::Replication(envelope), _) => self.feed_replica(replication::Input::Message(envelope)),
             (Frame::Hello { node, peer, version }, Some(replies)) => {
                 log::debug!("data plane connected node={node} peer={peer}");
-                self.subscribe(peer, version, replies);
+                self.subscribe_data_plane(peer, version, replies);
             }
             (Frame::ClientRequest(request), Some(replies)) => self.handle_client_request(request, replies),
             _ => {}
@@ -178,7 +181,8 @@
     }
 
     fn handle_worker_response(&mut self, call: &WorkerCall, response: WorkerResponse) {
-        // Responses to calls of an earlier term are of no use to this term's scheduler.
+        // Responses to calls of an earlier term are dropped: this term's scheduler did not make
+        // them.
         let primary = self.primary.as_mut().filter(|primary| primary.term.0 == call.fencing_token);
         if let Some(primary) = primary {
             let now = self.clock.now();
@@ -196,10 +200,10 @@
             match output {
                 Output::Send { to, envelope } => {
                     let class = envelope.message.traffic_class();
-                    self.links.send(&to, class, &Frame::Replication(envelope));
+                    self.peer_links.send(&to, class, &Frame::Replication(envelope));
                 }
                 Output::Write { token, record } => {
-                    self.own_disk.record_request(token, self.clock.monotonic_ms());
+                    self.write_latency.record_request(token, self.clock.monotonic_ms());
                     self.store_writer.write(token, record);
                 }
                 Output::Event(event) => self.handle_replica_event(event),
@@ -215,7 +219,7 @@
             ReplicaEvent::ViewChanged(view) => {
                 log::info!("view changed epoch={} members={}", view.epoch, member_names(&view));
             }
-            ReplicaEvent::LeaveAllowed => self.shutdown.set_replaced(),
+            ReplicaEvent::LeaveAllowed => self.shutdown.allow_leave(),
         }
     }
 
@@ -224,15 +228,15 @@
         let seed = self.clock.random_seed("scheduler");
         let scheduler = Scheduler::new(self.scheduler_config, term.0, seed, now);
         let keyspace = self.replica.keyspace();
-        match PrimaryServices::recover(term, scheduler, now, keyspace, self.replica.position()) {
+        match PrimaryState::recover(term, scheduler, now, keyspace, self.replica.position()) {
             Ok(primary) => {
                 log::info!("primary activated term={term} keys={}", keyspace.len());
                 self.primary = Some(primary);
-                self.data_planes.renew_gossip_peers();
-                self.announce();
+                self.data_planes.resend_gossip_peers();
+                self.update_data_planes();
             }
             Err(UnreadableKeys(keys)) => {
-                log_unreadable(&keys);
+                log_unreadable_keys(&keys);
                 self.replica.mark_ineligible(now.monotonic_ms);
             }
         }
@@ -243,23 +247,25 @@
         log::info!("primary deactivated term={}", primary.term);
         primary.replies.abandon();
         self.worker_client.close_idle();
-        self.announce();
+        self.update_data_planes();
     }
 
     fn handle_commit(&mut self, sequence: u64) {
         let now = self.clock.now();
         let Some(primary) = &mut self.primary else { return };
-        primary.commits.record_commit(sequence, now.monotonic_ms);
+        primary.commit_latency.record_commit(sequence, now.monotonic_ms);
         primary.scheduler.handle_committed(now, sequence);
-        primary.replies.commit(sequence);
+        primary.replies.handle_commit(sequence);
     }
 
+    /// Proposes the changes of the scheduler as a batch, and tells the scheduler the batch that its
+    /// deferred actions depend on.
     fn propose_scheduler_changes(&mut self) {
         let Some(primary) = &mut self.primary else { return };
         let changes = primary.scheduler.take_changes();
         if !changes.is_empty() {
-            let change = |record: RecordChange| Change { key: record.key, value: record.value };
-            self.propose(changes.into_iter().map(change).collect());
+            let to_change = |record: RecordChange| Change { key: record.key, value: record.value };
+            self.propose(changes.into_iter().map(to_change).collect());
         }
         if let Some(primary) = &mut self.primary {
             primary.scheduler.assign_batch(primary.proposed_sequence);
@@ -273,22 +279,25 @@
         let sequence = self.replica.propose(now_ms, changes);
         if let (Some(sequence), Some(primary)) = (sequence, &mut self.primary) {
             primary.proposed_sequence = sequence;
-            primary.commits.record_proposal(sequence, now_ms, bytes);
+            primary.commit_latency.record_proposal(sequence, now_ms, bytes);
         }
     }
 
+    /// Sends the replies that depend on no uncommitted batch, and holds back the others.
     fn send_replies(&mut self) {
         let committed = self.replica.committed_sequence();
         if let Some(primary) = &mut self.primary {
-            primary.replies.assign(primary.proposed_sequence, committed);
+            primary.replies.assign_batch(primary.proposed_sequence, committed);
         }
     }
 
+    /// Makes the calls that the scheduler has queued.
     fn call_workers(&mut self) {
         let committed = self.replica.committed_sequence();
         let is_active = self.replica.active_term(self.clock.monotonic_ms()).is_some();
         let Some(primary) = &mut self.primary else { return };
-        // Also calls of a pass that changed nothing which must be written.
+        // Also releases the actions of a pass that changed no record, and for which no commit will
+        // be reported.
         primary.scheduler.handle_committed(self.clock.now(), committed);
         for call in primary.scheduler.take_calls() {
             let inputs = self.inputs.clone();
@@ -296,20 +305,20 @@
             if is_active {
                 self.worker_client.spawn(call, on_done);
             } else {
-                // Not sent without a valid lease. Should the lease be renewed, the scheduler takes
-                // it for unanswered.
+                // Without a valid lease the call is not sent. If the lease is renewed, the
+                // scheduler treats the call as unanswered.
                 on_done(call, WorkerResponse::NoResponse);
             }
         }
     }
 }
 
-/// The members of a view for the log, the primary with a `*`.
+/// Returns the names of a view's members for the log. The primary is marked with `*`.
 fn member_names(view: &View) -> String {
     let name = |member: &Member| {
-        let primary = if member.id == view.primary { "*" } else { "" };
-        let lag = if view.in_sync.contains(&member.id) { "" } else { " (behind)" };
-        format!("{}{primary}{lag}", member.node_name)
+        let primary_mark = if member.id == view.primary { "*" } else { "" };
+        let sync_mark = if view.in_sync.contains(&member.id) { "" } else { " (not in sync)" };
+        format!("{}{primary_mark}{sync_mark}", member.node_name)
     };
     view.members.iter().map(name).collect::<Vec<_>>().join(", ")
 }
--- a/crates/cluster/control-plane/src/node/operator_requests.rs
+++ b/crates/cluster/control-plane/src/node/operator_requests.rs
@@ -1,7 +1,7 @@
-//! Operators' requests.
+//! Operator requests.
 use super::Node;
 use super::pending_replies::PendingReply;
-use super::primary::PrimaryServices;
+use super::primary::PrimaryState;
 use crate::configuration_state::ReplaceOutcome;
 use crate::input::{OperatorReply, ReplaceRequest, StatusQuery};
 use crate::metrics_text::{self, PrimaryMetrics};
@@ -9,6 +9,7 @@
 use async_std::channel::Sender;
 
 impl Node {
+    /// Replaces the configuration. The reply is sent once the change is committed.
     pub(super) fn replace_configuration(&mut self, request: &ReplaceRequest, replies: Sender<OperatorReply>) {
         if let Some(redirect) = self.redirect("/config/replace") {
             let _ = replies.try_send(redirect);
@@ -29,9 +30,10 @@
             ReplaceOutcome::VersionConflict => OperatorReply::new(412, format!("current: {version}")),
             ReplaceOutcome::Rejected(error) => OperatorReply::new(400, error.to_string()),
         };
-        self.reply_to_operator(replies, reply);
+        self.queue_operator_reply(replies, reply);
     }
 
+    /// Replies with the configuration in force, once it is committed.
     pub(super) fn read_configuration(&mut self, replies: Sender<OperatorReply>) {
         if let Some(redirect) = self.redirect("/config/get") {
             let _ = replies.try_send(redirect);
@@ -42,9 +44,10 @@
             Some(text) => OperatorReply::new(200, text),
             None => OperatorReply::new(404, "no configuration"),
         };
-        self.reply_to_operator(replies, reply);
+        self.queue_operator_reply(replies, reply);
     }
 
+    /// Replies to a status query at once: the reply may show changes that are not committed yet.
     pub(super) fn query_status(&self, query: &StatusQuery, replies: &Sender<OperatorReply>) {
         let _ = replies.try_send(self.status_reply(query));
     }
@@ -64,35 +67,38 @@
         }
     }
 
-    fn primary_status(&self, query: &StatusQuery, primary: &PrimaryServices) -> OperatorReply {
-        let found = match query {
+    fn primary_status(&self, query: &StatusQuery, primary: &PrimaryState) -> OperatorReply {
+        let status = match query {
             StatusQuery::Members => Some(status::members(&self.replica)),
             StatusQuery::Workers => Some(status::workers(&primary.scheduler, self.clock.monotonic_ms())),
             StatusQuery::Jobs => Some(status::jobs(&primary.scheduler)),
             StatusQuery::Job(id) => status::job(&primary.scheduler, *id),
             StatusQuery::Metrics => None,
         };
-        match found {
-            Some(value) => OperatorReply::new(200, value.to_string()),
+        match status {
+            Some(status) => OperatorReply::new(200, status.to_string()),
             None => OperatorReply::new(410, "no such job"),
         }
     }
 
     fn metrics(&self) -> String {
-        let primary = self.primary.as_ref();
-        let primary = primary
-            .map(|primary| PrimaryMetrics { scheduler: &primary.scheduler, commits: &primary.commits });
-        metrics_text::render(self.own_disk.histogram(), primary)
+        let primary = self.primary.as_ref().map(|primary| PrimaryMetrics {
+            scheduler: &primary.scheduler,
+            commit_latency: &primary.commit_latency,
+        });
+        metrics_text::render(self.write_latency.histogram(), primary)
     }
 
-    fn reply_to_operator(&mut self, replies: Sender<OperatorReply>, reply: OperatorReply) {
+    /// Queues a reply, which is sent once the changes that it depends on are committed.
+    fn queue_operator_reply(&mut self, replies: Sender<OperatorReply>, reply: OperatorReply) {
         if let Some(primary) = &mut self.primary {
             primary.replies.push(PendingReply::Operator(replies, reply));
         }
     }
 
-    /// The reply of a node that is not primary: the URL at the primary, if this node can prove that
-    /// less than a lease ago that machine was in contact with a majority.
+    /// Returns the reply of a node that is not primary, or `None` if it is primary: a redirect to
+    /// the primary, if this node can verify that the primary was in contact with a majority less
+    /// than a lease ago.
     fn redirect(&self, path: &str) -> Option<OperatorReply> {
         let now_ms = self.clock.monotonic_ms();
         if self.primary.is_some() && self.replica.active_term(now_ms).is_some() {
--- a/crates/cluster/control-plane/src/node/pending_replies.rs
+++ b/crates/cluster/control-plane/src/node/pending_replies.rs
@@ -1,10 +1,10 @@
-//! Replies that wait until what they rest on is committed.
+//! Replies that are held back until the changes that they depend on are committed.
 use crate::input::OperatorReply;
 use async_std::channel::Sender;
 use spanlead_cluster_runtime::frame::{ClientResponse, Frame};
 use std::collections::VecDeque;
 
-/// A reply that was decided, and where it goes.
+/// A reply that is not sent yet, and the channel to send it to.
 #[derive(Debug)]
 pub(super) enum PendingReply {
     Client(Sender<Frame>, ClientResponse),
@@ -23,8 +23,9 @@
         }
     }
 
-    /// The node is not primary any more. A client's request is sent to the next primary; an
-    /// operator gets no reply, as it is not known whether the change is committed.
+    /// Discards the reply of a node that is no longer primary. A client request is reported as
+    /// abandoned, so that the data plane sends it to the next primary. An operator gets no reply,
+    /// as it is not known whether the change is committed.
     fn abandon(self) {
         if let PendingReply::Client(replies, response) = self {
             let _ = replies.try_send(Frame::ClientResponse(ClientResponse::abandoned(response.request_id)));
@@ -32,50 +33,53 @@
     }
 }
 
-/// A reply that waits for the batch of a sequence.
+/// A reply that waits for the commit of a batch.
 #[derive(Debug)]
-struct WaitingReply {
+struct UncommittedReply {
+    /// The sequence number of the batch.
     sequence: u64,
     reply: PendingReply,
 }
 
-/// The replies of a primary. None is sent before everything that it may rest on is committed.
+/// The pending replies of a primary. None is sent before all changes that it may depend on are
+/// committed.
 #[derive(Debug, Default)]
 pub(super) struct PendingReplies {
-    /// Replies whose batch is not proposed yet.
-    decided: Vec<PendingReply>,
+    /// Replies that are not assigned to a batch yet.
+    unassigned: Vec<PendingReply>,
     /// Replies whose batch is not committed yet, in the order of the batches.
-    waiting: VecDeque<WaitingReply>,
+    uncommitted: VecDeque<UncommittedReply>,
 }
 
 impl PendingReplies {
-    /// Adds a reply. What arrives together shares a batch.
+    /// Adds a reply. All replies that are added between two calls of
+    /// [`PendingReplies::assign_batch`] share a batch.
     pub(super) fn push(&mut self, reply: PendingReply) {
-        self.decided.push(reply);
+        self.unassigned.push(reply);
     }
 
-    /// Everything that the decided replies rest on is in the batches up to `proposed`. Sends them
-    /// if those are committed.
-    pub(super) fn assign(&mut self, proposed: u64, committed: u64) {
-        for reply in self.decided.drain(..) {
+    /// Assigns the unassigned replies to the batch `proposed`: the changes that they depend on are
+    /// in it or in earlier ones. Sends them at once if the batches up to `committed` include it.
+    pub(super) fn assign_batch(&mut self, proposed: u64, committed: u64) {
+        for reply in self.unassigned.drain(..) {
             if committed >= proposed {
                 reply.send();
             } else {
-                self.waiting.push_back(WaitingReply { sequence: proposed, reply });
+                self.uncommitted.push_back(UncommittedReply { sequence: proposed, reply });
             }
         }
     }
 
-    /// Sends the replies that rest on batches up to `committed`.
-    pub(super) fn commit(&mut self, committed: u64) {
-        while let Some(waiting) = self.waiting.pop_front_if(|waiting| waiting.sequence <= committed) {
-            waiting.reply.send();
+    /// Sends the replies that wait for batches up to `committed`.
+    pub(super) fn handle_commit(&mut self, committed: u64) {
+        while let Some(pending) = self.uncommitted.pop_front_if(|pending| pending.sequence <= committed) {
+            pending.reply.send();
         }
     }
 
-    /// The node is not primary any more.
+    /// Discards all replies of a node that is no longer primary.
     pub(super) fn abandon(self) {
-        let waiting = self.waiting.into_iter().map(|waiting| waiting.reply);
-        waiting.chain(self.decided).for_each(PendingReply::abandon);
+        let uncommitted = self.uncommitted.into_iter().map(|pending| pending.reply);
+        uncommitted.chain(self.unassigned).for_each(PendingReply::abandon);
     }
 }
--- a/crates/cluster/control-plane/src/node/primary.rs
+++ b/crates/cluster/control-plane/src/node/primary.rs
@@ -1,4 +1,4 @@
-//! The state that a node has only as primary.
+//! The state that a node has only while it is primary.
 use super::pending_replies::PendingReplies;
 use super::worker_list_polling::WorkerListPolling;
 use crate::commit_latency::CommitLatency;
@@ -7,28 +7,29 @@
 use spanlead_job_scheduler::{Now, Scheduler};
 use spanlead_replication::{Keyspace, Position, Term};
 
-/// The state of a primary, from its activation until it is deactivated.
+/// The state of a primary, from its activation to its deactivation.
 ///
-/// It is derived from the key space at activation; from then on every change of it is proposed as a
-/// batch, and nothing leaves the node that rests on a batch which is not committed.
+/// It is recovered from the key space at activation. From then on, every change to it is proposed
+/// as a batch, and no call to a worker and no reply to a request is sent that depends on a batch
+/// which is not committed.
 #[derive(Debug)]
-pub(super) struct PrimaryServices {
-    /// The term, also the fencing token of calls to workers.
+pub(super) struct PrimaryState {
+    /// The term, which is also the fencing token of calls to workers.
     pub(super) term: Term,
     pub(super) scheduler: Scheduler,
     pub(super) configuration: ConfigurationState,
-    /// The sequence of the last batch that was proposed.
+    /// The sequence number of the last proposed batch.
     pub(super) proposed_sequence: u64,
-    pub(super) commits: CommitLatency,
+    pub(super) commit_latency: CommitLatency,
     pub(super) replies: PendingReplies,
-    pub(super) worker_list: WorkerListPolling,
+    pub(super) worker_list_polling: WorkerListPolling,
 }
 
-impl PrimaryServices {
-    /// Recovers the state from the key space.
+impl PrimaryState {
+    /// Recovers the state from the key space. `position` is that of the key space.
     ///
     /// # Errors
-    /// With the keys of the records that this version can't read.
+    /// If there are records that this version of the program can't read.
     pub(super) fn recover(
         term: Term,
         mut scheduler: Scheduler,
@@ -42,18 +43,18 @@
         if !unreadable.is_empty() {
             return Err(UnreadableKeys(unreadable));
         }
-        Ok(PrimaryServices {
+        Ok(PrimaryState {
             term,
             scheduler,
             configuration: ConfigurationState::load(keyspace),
             proposed_sequence: position.sequence,
-            commits: CommitLatency::default(),
+            commit_latency: CommitLatency::default(),
             replies: PendingReplies::default(),
-            worker_list: WorkerListPolling::default(),
+            worker_list_polling: WorkerListPolling::default(),
         })
     }
 }
 
-/// The keys of records that this version can't read.
+/// The error that records can't be read by this version of the program, with their keys.
 #[derive(Debug)]
 pub(super) struct UnreadableKeys(pub(super) Vec<Vec<u8>>);
--- a/crates/cluster/control-plane/src/node/shutdown.rs
+++ b/crates/cluster/control-plane/src/node/shutdown.rs
@@ -1,30 +1,31 @@
 //! The graceful shutdown of a node.
 
-/// How long a primary waits at its shutdown for what it began, milliseconds.
-const FINISH_MS: u64 = 400;
-/// How long a node that gave its role away stays to respond, milliseconds.
-const LINGER_MS: u64 = 500;
-/// The part of the grace period that is left unused while the node waits to be replaced,
+/// The time for which a primary that shuts down completes the requests it has accepted before it
+/// leaves, milliseconds.
+const PRIMARY_FINISH_MS: u64 = 400;
+/// The time after that for which the process still sends responses, milliseconds.
+const RESPONSE_MS: u64 = 500;
+/// The time before the end of the grace period at which the node stops waiting to be replaced,
 /// milliseconds.
 const GRACE_MARGIN_MS: u64 = 2_000;
 
-/// Decides when a node that shuts down leaves the view, and when its process ends.
+/// Decides when a node that shuts down leaves the view and when its process ends.
 ///
-/// The process ends once what the node began is answered and a spare has replaced it in the view,
-/// or when its grace period is nearly over.
+/// The process ends after the time for open requests, once the node may leave because a standby has
+/// replaced it in the view or there is none, or when its grace period is nearly over.
 #[derive(Debug)]
 pub(super) struct Shutdown {
     grace_ms: u64,
     requested_at_ms: Option<u64>,
-    is_replaced: bool,
+    leave_allowed: bool,
 }
 
 impl Shutdown {
     pub(super) fn new(grace_ms: u64) -> Self {
-        Shutdown { grace_ms, requested_at_ms: None, is_replaced: false }
+        Shutdown { grace_ms, requested_at_ms: None, leave_allowed: false }
     }
 
-    /// A shutdown is requested. A repeated request changes nothing.
+    /// Requests the shutdown. A repeated request has no effect.
     pub(super) fn request(&mut self, now_ms: u64) {
         self.requested_at_ms.get_or_insert(now_ms);
     }
@@ -33,22 +34,23 @@
         self.requested_at_ms.is_some()
     }
 
-    /// The other members do without this node from now on.
-    pub(super) fn set_replaced(&mut self) {
-        self.is_replaced = true;
+    /// Records that the view no longer needs this node.
+    pub(super) fn allow_leave(&mut self) {
+        self.leave_allowed = true;
     }
 
-    /// Whether the node is to leave the view: a primary first finishes what it began.
+    /// Returns whether the node must request to leave the view. A primary first completes the
+    /// requests it has accepted.
     pub(super) fn should_leave(&self, now_ms: u64, is_primary: bool) -> bool {
-        self.requested_at_ms.is_some_and(|requested| !is_primary || now_ms >= requested + FINISH_MS)
+        self.requested_at_ms.is_some_and(|requested| !is_primary || now_ms >= requested + PRIMARY_FINISH_MS)
     }
 
-    /// Whether the process may end.
+    /// Returns whether the process may end.
     pub(super) fn is_complete(&self, now_ms: u64) -> bool {
         self.requested_at_ms.is_some_and(|requested| {
-            let is_answered = now_ms >= requested + FINISH_MS + LINGER_MS;
-            let grace_over = now_ms >= requested + self.grace_ms.saturating_sub(GRACE_MARGIN_MS);
-            is_answered && (self.is_replaced || grace_over)
+            let is_response_time_over = now_ms >= requested + PRIMARY_FINISH_MS + RESPONSE_MS;
+            let is_grace_over = now_ms >= requested + self.grace_ms.saturating_sub(GRACE_MARGIN_MS);
+            is_response_time_over && (self.leave_allowed || is_grace_over)
         })
     }
 }
--- a/crates/cluster/control-plane/src/operator_api.rs
+++ b/crates/cluster/control-plane/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operators' interface over HTTP, see `docs/cluster.md`.
+//! The operators' HTTP interface, see `docs/cluster.md`.
 use crate::client_api::parse_job_id;
 use crate::input::{Input, OperatorReply, ReplaceRequest, StatusQuery};
 use crate::input_queue::InputSender;
@@ -10,22 +10,22 @@
 use std::time::Duration;
 use tide::{Request, Response, StatusCode};
 
-/// The header with the version that a configuration replaces.
+/// The header with the version that the new configuration replaces.
 const BASE_VERSION_HEADER: &str = "Spanlead-Base-Version";
-/// How long the node may take to reply; after that the operator's own time-out has passed.
+/// The time-out for the node's reply. After it the operator's own time-out has passed.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// The largest configuration, bytes.
+/// The maximum size of a request body, and so of a configuration, bytes.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// The largest head, bytes.
+/// The maximum size of a request head, bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// How long a request may take to arrive.
+/// The time within which a request must be received completely.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a connection may be idle.
+/// The time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Open connections of operators at most.
+/// The maximum number of open connections from operators.
 const MAX_CONNECTIONS: usize = 128;
 
-/// Serves operators at an address. Never returns.
+/// Serves the operators' interface at an address. Never returns.
 pub async fn serve(address: String, inputs: InputSender) {
     let mut app = tide::with_state(inputs);
     app.at("/config/replace").post(replace_configuration);
@@ -40,7 +40,7 @@
     server::serve(address, app, Arc::new(limits), MAX_CONNECTIONS).await;
 }
 
-/// The metrics of a control plane; empty if the node does not reply in time.
+/// Returns the metrics of the control plane; empty if the node does not reply in time.
 pub async fn metrics(inputs: InputSender) -> String {
     let (replies, reply) = bounded(1);
     inputs.send(Input::QueryStatus(StatusQuery::Metrics, replies));
@@ -58,18 +58,18 @@
         Some(Err(_)) => return Ok(plain_response(400, "Spanlead-Base-Version: no number")),
     };
     let Ok(text) = String::from_utf8(request.body_bytes().await?) else {
-        return Ok(plain_response(400, "no text"));
+        return Ok(plain_response(400, "body: not UTF-8"));
     };
     let replace = ReplaceRequest { base_version, text };
-    ask_node(request.state(), |replies| Input::ReplaceConfiguration(replace, replies)).await
+    request_reply(request.state(), |replies| Input::ReplaceConfiguration(replace, replies)).await
 }
 
 async fn read_configuration(request: Request<InputSender>) -> tide::Result {
-    ask_node(request.state(), Input::ReadConfiguration).await
+    request_reply(request.state(), Input::ReadConfiguration).await
 }
 
 async fn query_status(request: Request<InputSender>, query: StatusQuery) -> tide::Result {
-    ask_node(request.state(), |replies| Input::QueryStatus(query, replies)).await
+    request_reply(request.state(), |replies| Input::QueryStatus(query, replies)).await
 }
 
 async fn query_job(request: Request<InputSender>) -> tide::Result {
@@ -79,13 +79,20 @@
     }
 }
 
-async fn ask_node(inputs: &InputSender, input: impl FnOnce(Sender<OperatorReply>) -> Input) -> tide::Result {
+/// Sends the node an input with a channel for the reply, and waits for the reply.
+async fn request_reply(
+    inputs: &InputSender,
+    make_input: impl FnOnce(Sender<OperatorReply>) -> Input,
+) -> tide::Result {
     let (replies, reply) = bounded(1);
-    inputs.send(input(replies));
+    inputs.send(make_input(replies));
     match timeout(REPLY_TIMEOUT, reply.recv()).await {
         Ok(Ok(reply)) => Ok(response(reply)),
-        // Whether a request was carried out is not known.
-        _ => Ok(plain_response(504, "no answer in time")),
+        // It is not known whether the node carried the request out.
+        _ => Ok(plain_response(
+            504,
+            "no reply from the node in time; a requested change may have taken effect",
+        )),
     }
 }
 
--- a/crates/cluster/control-plane/src/status.rs
+++ b/crates/cluster/control-plane/src/status.rs
@@ -1,4 +1,5 @@
-//! What operators see of a primary's state, as JSON.
+//! The state of a primary as JSON, for operators. The names of the fields belong to the operators'
+//! interface.
 use crate::client_api::job_state_name;
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -17,15 +18,16 @@
     is_primary: bool,
     #[serde(rename = "in_sync")]
     is_in_sync: bool,
-    /// Whether it holds records that it can't read, and may not be primary.
+    /// Whether the member holds records that it can't read, and so must not become primary.
     #[serde(rename = "unfit")]
     is_ineligible: bool,
-    /// Batches that it does not yet have on disk; none if it is not connected.
+    /// The number of batches that the member does not yet have on disk; `None` if it is not
+    /// connected.
     #[serde(rename = "lag")]
     lag_batches: Option<u64>,
 }
 
-/// The members as the primary sees them.
+/// Returns the members of the control plane as the primary knows them.
 #[must_use]
 pub fn members(replica: &Replica) -> Value {
     let Some(view) = replica.view() else { return json!({ "members": [] }) };
@@ -46,14 +48,14 @@
     json!({ "epoch": view.epoch.0, "term": view.term.0, "sequence": last, "members": members })
 }
 
-/// The workers.
+/// Returns all workers.
 #[must_use]
 pub fn workers(scheduler: &Scheduler, now_ms: u64) -> Value {
-    let workers: Vec<Value> = scheduler.inspect_workers(now_ms).into_iter().map(worker).collect();
+    let workers: Vec<Value> = scheduler.inspect_workers(now_ms).into_iter().map(worker_json).collect();
     json!({ "workers": workers })
 }
 
-fn worker(worker: WorkerView) -> Value {
+fn worker_json(worker: WorkerView) -> Value {
     json!({
         "id": worker.id,
         "service": worker.service,
@@ -66,7 +68,7 @@
     })
 }
 
-/// How many jobs, tasks and events there are.
+/// Returns the numbers of jobs, pending units, active runs and events.
 #[must_use]
 pub fn jobs(scheduler: &Scheduler) -> Value {
     let counts = scheduler.counts();
@@ -78,11 +80,11 @@
     })
 }
 
-/// One job; `None` if there is none.
+/// Returns a job with its open tasks; `None` if the job is not known.
 #[must_use]
 pub fn job(scheduler: &Scheduler, id: JobId) -> Option<Value> {
     let job = scheduler.inspect_job(id)?;
-    let open_tasks: Vec<Value> = job.open_tasks.into_iter().map(open_task).collect();
+    let open_tasks: Vec<Value> = job.open_tasks.into_iter().map(task_json).collect();
     Some(json!({
         "state": job_state_name(job.state),
         "service": job.service,
@@ -92,8 +94,8 @@
     }))
 }
 
-fn open_task(task: TaskView) -> Value {
-    let runs: Vec<Value> = task.active_runs.into_iter().map(run).collect();
+fn task_json(task: TaskView) -> Value {
+    let runs: Vec<Value> = task.active_runs.into_iter().map(run_json).collect();
     json!({
         "task": task.task,
         "failedRuns": task.failed_runs,
@@ -102,7 +104,7 @@
     })
 }
 
-fn run(run: RunView) -> Value {
+fn run_json(run: RunView) -> Value {
     json!({
         "run": run.run,
         "worker": run.worker_id,
--- a/crates/cluster/control-plane/src/store.rs
+++ b/crates/cluster/control-plane/src/store.rs
@@ -1,5 +1,5 @@
-//! The data folder: a key-value file with the node's identity, its witness record and its replica
-//! of the key space.
+//! The data folder: a database file with the node's identity, its witness record and its replica of
+//! the key space.
 use quick_error::quick_error;
 use redb::{
     Database, DatabaseError, Durability, ReadableDatabase, ReadableTable, StorageBackend, StorageError,
@@ -11,28 +11,32 @@
 use std::path::Path;
 
 quick_error! {
-    /// Why the data folder can't be used.
+    /// An error in the use of the data folder.
     #[derive(Debug)]
     pub enum StoreError {
-        /// The key-value file can't be read or written.
+        /// The database file can't be read or written.
         Database(error: redb::Error) {
             display("{}", error)
         }
-        /// The folder can't be created, or the file not renamed.
+        /// The folder can't be created or a corrupted file can't be renamed.
         Folder(error: std::io::Error) {
-            display("{}", error)
+            display("the folder can't be created or the corrupted file can't be renamed: {}", error)
         }
-        /// The file is no key-value file, or damaged: its content is lost.
+        /// The file is not a database file or is damaged: its content is lost.
         Corrupted(reason: String) {
-            display("{}", reason)
+            display("database file is corrupted: {}", reason)
         }
-        /// A record that this version can't read or write.
-        Record(name: &'static str) {
-            display("{}: not of this version", name)
+        /// The record under this key can't be decoded or encoded.
+        Record(key: &'static str) {
+            display("record {} can't be decoded or encoded by this version of the program", key)
         }
-        /// The folder was written by a newer version.
+        /// The folder has this format, which only a newer version of the program supports.
         NewerFormat(format: u32) {
-            display("the folder is of form {}, newer than this program: start the version that wrote it", format)
+            display(
+                "the folder has format {}, this program supports formats up to {}: start the version that wrote it",
+                format,
+                FORMAT_VERSION
+            )
         }
     }
 }
@@ -43,10 +47,12 @@
     }
 }
 
+/// The replica of the key space.
 const ENTRIES: TableDefinition<'_, &[u8], &[u8]> = TableDefinition::new("entries");
+/// The node's own records, and the state of its replica.
 const NODE: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("node");
 
-// Keys of the table `NODE`. They are stored: their values must stay.
+// Keys of the table `NODE`. They are stored and must not change.
 const IDENTITY: &str = "identity";
 const WITNESS: &str = "witness";
 const POSITION: &str = "position";
@@ -54,37 +60,41 @@
 const REPAIR_INCOMPLETE: &str = "incomplete";
 const FORMAT: &str = "format";
 
-/// The format of the folder's records. A folder without a number is of format 1.
+/// The format of the records that this version writes. A folder without a format number has format
+/// 1.
 const FORMAT_VERSION: u32 = 1;
-/// The key-value file in the folder.
+/// The name of the database file in the folder.
 const FILE_NAME: &str = "control.redb";
-/// The name of a file that can't be read, after it was moved out of the way.
+/// The name that a corrupted database file is renamed to.
 const CORRUPTED_FILE_NAME: &str = "control.redb.unreadable";
-/// Memory for pages of the file, bytes.
+/// The size of the page cache, bytes.
 const CACHE_BYTES: usize = 4 * 1024 * 1024;
 
-/// The open key-value file. Each write is a transaction that is on disk when it returns.
+/// The open database file. Each write is a transaction that is on disk when the write returns.
 #[derive(Debug)]
 pub struct Store {
     database: Database,
 }
 
 impl Store {
-    /// Opens the folder's file, or creates it.
+    /// Opens the database file in the folder, or creates it.
     ///
-    /// One that can't be read is renamed and replaced by an empty one: power went before it was
-    /// first complete, or it is damaged. To the other members this machine has then lost its disk,
-    /// which they tolerate.
+    /// A corrupted file, be it damaged or incomplete because power was lost while it was created,
+    /// is renamed and replaced by an empty one. To the other members that is the loss of this
+    /// machine's disk, which they tolerate.
     ///
     /// # Errors
-    /// If it can't be read or written.
+    /// If the folder or the file can't be read or written.
     pub fn open(folder: &Path) -> Result<Self, StoreError> {
         std::fs::create_dir_all(folder).map_err(StoreError::Folder)?;
         let file = folder.join(FILE_NAME);
         let open = || Store::from_database(redb::Builder::new().set_cache_size(CACHE_BYTES).create(&file));
         match open() {
             Err(StoreError::Corrupted(reason)) => {
-                log::error!("store can't be read, set aside file={} reason={reason}", file.display());
+                log::error!(
+                    "store corrupted, renaming it and creating an empty one file={} renamed_to={CORRUPTED_FILE_NAME} reason={reason}",
+                    file.display()
+                );
                 std::fs::rename(&file, folder.join(CORRUPTED_FILE_NAME)).map_err(StoreError::Folder)?;
                 open()
             }
@@ -92,10 +102,10 @@
         }
     }
 
-    /// Opens a store on any storage, such as one that fails at a given operation.
+    /// Opens a store on a storage backend, such as one that fails at a given operation.
     ///
     /// # Errors
-    /// If it can't be read or written.
+    /// If the backend can't be read or written, or its content is corrupted.
     pub fn open_with_backend(backend: impl StorageBackend) -> Result<Self, StoreError> {
         let mut builder = redb::Builder::new();
         Store::from_database(builder.set_cache_size(CACHE_BYTES).create_with_backend(backend))
@@ -116,10 +126,10 @@
         Ok(Store { database })
     }
 
-    /// Sets the format of the folder, as a version does that changes its records.
+    /// Sets the format number of the folder, as a version that changes the format does.
     ///
     /// # Errors
-    /// If it can't be written.
+    /// If the number can't be written.
     pub fn set_format(&self, format: u32) -> Result<(), StoreError> {
         let transaction = self.database.begin_write()?;
         transaction.open_table(NODE)?.insert(FORMAT, format.to_le_bytes().as_slice())?;
@@ -127,10 +137,10 @@
         Ok(())
     }
 
-    /// Reads everything that is stored.
+    /// Reads the complete stored state.
     ///
     /// # Errors
-    /// If it can't be read, or is of a newer version.
+    /// If the state can't be read or its format is newer than this version supports.
     pub fn recover(&self) -> Result<RecoveredState, StoreError> {
         let transaction = self.database.begin_read()?;
         let node = transaction.open_table(NODE)?;
@@ -157,10 +167,10 @@
         Ok(recovered)
     }
 
-    /// Writes records to disk, all or none.
+    /// Writes records to disk in one transaction: all or none.
     ///
     /// # Errors
-    /// If they can't be written. What the file holds is not known then.
+    /// If the records can't be written. The content of the file is then unknown.
     pub fn write(&self, records: &[Record]) -> Result<(), StoreError> {
         let mut transaction = self.database.begin_write()?;
         transaction
--- a/crates/cluster/control-plane/src/worker_list.rs
+++ b/crates/cluster/control-plane/src/worker_list.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of workers.
+//! A client for the platform's list of workers.
 use async_std::net::TcpStream;
 use compact_str::CompactString;
 use http_types::{Method, Request, Url, url};
@@ -9,53 +9,54 @@
 use spanlead_job_scheduler::{ListedWorker, ListedWorkerState};
 use std::time::Duration;
 
-/// How long the call for a page may take.
+/// The time-out for fetching a page, including the connection.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pages of a list at most.
+/// The maximum number of pages of a list.
 const MAX_PAGES: usize = 1_000;
-/// The state of an instance that accepts tasks; any other drains.
+/// The state of an instance that accepts tasks. Any other state is treated as draining.
 const READY_STATE: &str = "ready";
 const OK_STATUS: u16 = 200;
 
 quick_error! {
-    /// Why the list can't be read.
+    /// An error in reading the list.
     #[derive(Debug)]
     pub enum WorkerListError {
-        /// No connection, or it failed.
+        /// The connection can't be established or failed.
         Io(error: std::io::Error) {
             from()
-            display("{}", error)
+            display("connection: {}", error)
         }
-        /// No response in time.
+        /// A page was not received in time.
         TimedOut {
-            display("no answer in time")
+            display("no response within {} ms", PAGE_TIMEOUT.as_millis())
         }
-        /// Another status than 200.
+        /// The status of a response is not 200.
         Status(status: u16) {
-            display("status {}", status)
+            display("expected status {}, received {}", OK_STATUS, status)
         }
-        /// The address is none.
+        /// The address is invalid.
         Address(error: url::ParseError) {
             from()
-            display("no list: {}", error)
+            display("invalid address: {}", error)
         }
-        /// The call has no complete response.
+        /// No complete response was received.
         Call(error: CallError) {
             from()
-            display("no list: {}", error)
+            display("no complete response: {}", error)
         }
-        /// The response is no page of a list.
+        /// The body of a response is not a page of the list.
         Malformed(error: serde_json::Error) {
             from()
-            display("no list: {}", error)
+            display("response body is not a page of the list: {}", error)
         }
-        /// The list does not end.
+        /// The list has more pages than are read.
         TooManyPages {
-            display("no list: too many pages")
+            display("list has more than {} pages", MAX_PAGES)
         }
     }
 }
 
+/// A page of the list.
 #[derive(Deserialize)]
 struct Page {
     instances: Vec<Instance>,
@@ -66,11 +67,13 @@
 #[derive(Deserialize, Default)]
 #[serde(default, rename_all = "camelCase")]
 struct Capacity {
+    /// Thousandths of a core.
     cpu: u64,
     mem_mb: u64,
     gpus: u64,
 }
 
+/// A worker incarnation on the list.
 #[derive(Deserialize)]
 struct Instance {
     id: CompactString,
@@ -85,10 +88,11 @@
     labels: Vec<CompactString>,
 }
 
-/// Reads the complete list from an address, all pages over one connection where it is kept.
+/// Reads the complete list from an address. The pages share one connection as long as the server
+/// keeps it open.
 ///
 /// # Errors
-/// If any page can't be read: with a part of the list, workers would seem to have left.
+/// If any page can't be read: in an incomplete list, workers would seem to have left.
 pub async fn fetch(address: &str) -> Result<Vec<ListedWorker>, WorkerListError> {
     let mut connection = None;
     let mut workers = Vec::new();
