--- a/crates/cluster/job-scheduler/src/lib.rs
+++ b/crates/cluster/job-scheduler/src/lib.rs
@@ -62,7 +62,7 @@
 pub use ids::{JobId, QueueId, TaskId};
 pub use jobs::JobState;
 pub use latency::{LatencyHistogram, StartLatencies};
-pub use metrics::{SchedulerCounts, SchedulerMetrics, StartBound, TimeoutRange};
+pub use metrics::{SchedulerCounts, SchedulerMetrics, StartLimit, TimeoutRange};
 pub use protocol::{
     FinishedTask, ListedWorker, ListedWorkerState, RunningTask, WorkerCall, WorkerReport, WorkerRequest,
     WorkerResponse,
--- a/crates/cluster/job-scheduler/src/metrics.rs
+++ b/crates/cluster/job-scheduler/src/metrics.rs
@@ -25,7 +25,7 @@
 
 /// The limit that prevents a scheduler from starting more tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StartBound {
+pub enum StartLimit {
     /// The number of starts that wait for their commit or response is at its limit.
     InFlight,
     /// The throttle, which reduces starts when ticks are late, allows no more before the next tick.
@@ -59,5 +59,5 @@
     /// starts.
     pub held_back_checks: u64,
     /// The limit that the last such check found.
-    pub held_back_by: Option<StartBound>,
+    pub held_back_by: Option<StartLimit>,
 }
--- a/crates/cluster/job-scheduler/src/pending.rs
+++ b/crates/cluster/job-scheduler/src/pending.rs
@@ -24,7 +24,7 @@
 }
 
 /// The longest delay of a full pass that is due, milliseconds: the tick interval.
-const MAX_RETRY_INTERVAL_MS: u64 = 20;
+const MAX_FULL_PASS_DELAY_MS: u64 = 20;
 
 /// The units that a pass over the queue tries to place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -133,7 +133,7 @@
         let interrupted_at = self.interrupted_at.take();
         if self.needs_full_pass && now_ms >= self.full_pass_not_before_ms {
             self.needs_full_pass = false;
-            self.full_pass_not_before_ms = now_ms + (misses as u64).min(MAX_RETRY_INTERVAL_MS);
+            self.full_pass_not_before_ms = now_ms + (misses as u64).min(MAX_FULL_PASS_DELAY_MS);
             return Some(PlacementPass::Full);
         }
         match interrupted_at {
--- a/crates/cluster/job-scheduler/src/scheduler/mod.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/mod.rs
@@ -188,7 +188,7 @@
             self.report_held_back_starts(now.monotonic_ms);
             self.move_lagging_runs(now);
             self.fail_infeasible_jobs(now);
-            self.forget_closed_jobs(now);
+            self.remove_expired_jobs(now);
         }
     }
 }
--- a/crates/cluster/job-scheduler/src/scheduler/occurrences.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/occurrences.rs
@@ -63,7 +63,7 @@
 
     /// Removes closed jobs whose retention is over. A job that still has active runs is kept for
     /// another retention time.
-    pub(super) fn forget_closed_jobs(&mut self, now: Now) {
+    pub(super) fn remove_expired_jobs(&mut self, now: Now) {
         let retention_ms = self.config.closed_job_retention_ms + RETENTION_MARGIN_MS;
         while let Some(job) = self.jobs.pop_expired(now.unix_ms, retention_ms) {
             match self.jobs.get(job).map(Job::has_active_runs) {
--- a/crates/cluster/job-scheduler/src/scheduler/placing.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/placing.rs
@@ -5,7 +5,7 @@
 use crate::config::Now;
 use crate::events::Event;
 use crate::ids::{RunId, TaskId, WorkerIndex};
-use crate::metrics::StartBound;
+use crate::metrics::StartLimit;
 use crate::pending::{PendingKey, PendingUnit, PlacementPass};
 use crate::placement::{Placement, PlacementMisses, PlacementRequest};
 use crate::spec::Stage;
@@ -135,11 +135,11 @@
     }
 
     /// The bound that allows no further start at present, if any.
-    fn start_bound(&self) -> Option<StartBound> {
+    fn reached_start_limit(&self) -> Option<StartLimit> {
         match (self.remaining_in_flight_starts(), self.throttle.remaining(), self.calls.remaining()) {
-            (0, _, _) => Some(StartBound::InFlight),
-            (_, 0, _) => Some(StartBound::Throttle),
-            (_, _, 0) => Some(StartBound::Calls),
+            (0, _, _) => Some(StartLimit::InFlight),
+            (_, 0, _) => Some(StartLimit::Throttle),
+            (_, _, 0) => Some(StartLimit::Calls),
             _ => None,
         }
     }
@@ -149,11 +149,11 @@
     pub(super) fn report_held_back_starts(&mut self, now_ms: u64) {
         let Some(first) = self.pending.held_back() else { return };
         let waited_ms = now_ms.saturating_sub(first.since_ms);
-        let Some(bound) = self.start_bound().filter(|_| waited_ms >= HELD_BACK_MS) else { return };
+        let Some(limit) = self.reached_start_limit().filter(|_| waited_ms >= HELD_BACK_MS) else { return };
         self.metrics.held_back_checks += 1;
-        self.metrics.held_back_by = Some(bound);
+        self.metrics.held_back_by = Some(limit);
         log::info!(
-            "starts held back bound={bound:?} waited_ms={waited_ms} pending={} in_flight={} in_doubt={}",
+            "starts held back bound={limit:?} waited_ms={waited_ms} pending={} in_flight={} in_doubt={}",
             self.pending.len(),
             self.commits.deferred_starts() + self.calls.starts_in_flight(),
             self.calls.starts_in_doubt(),
--- a/crates/cluster/job-scheduler/src/scheduler/progress.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/progress.rs
@@ -13,7 +13,7 @@
 /// in whole percents.
 const STALL_TIMEOUT_SHARE: f64 = 0.1;
 /// The duration for which the worker of a lagging run is ejected, milliseconds.
-const STALL_EJECTION_MS: u64 = 3_000;
+const LAGGING_EJECTION_MS: u64 = 3_000;
 /// The factor by which the remaining time of a run must exceed the whole run time on another worker
 /// before the run is moved.
 const MIN_SLOW_FACTOR: f64 = 1.3;
@@ -71,7 +71,7 @@
     fn move_run(&mut self, now_ms: u64, lagging: LaggingRun) {
         let LaggingRun { run: id, worker, is_stalled } = lagging;
         log::debug!("run lagging {id} worker={} stalled={is_stalled}", self.workers[worker].id());
-        self.workers[worker].health.eject_for(now_ms, STALL_EJECTION_MS);
+        self.workers[worker].health.eject_for(now_ms, LAGGING_EJECTION_MS);
         if let Some(task) = self.jobs.task_mut(id.task) {
             task.avoid_worker(worker);
             if let Some(run) = task.run_mut(id.run) {
--- a/crates/cluster/job-scheduler/src/scheduler/reports.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/reports.rs
@@ -61,7 +61,7 @@
         self.update_running(&received);
         self.end_missing_runs(&received, &running);
         self.stop_orphans(&received);
-        self.acknowledge_ends(now, index);
+        self.defer_acknowledgement(now, index);
     }
 
     /// Resolves timed-out starts by the report: a listed run was started, and any other run is
@@ -159,7 +159,7 @@
     }
 
     /// Defers the acknowledgement of the ends received so far until their records are durable.
-    fn acknowledge_ends(&mut self, now: Now, worker: WorkerIndex) {
+    fn defer_acknowledgement(&mut self, now: Now, worker: WorkerIndex) {
         if self.workers[worker].lease.has_unacknowledged_ends() {
             self.change_renewal(worker, |lease| lease.await_commit(now.monotonic_ms, COMMIT_TIMEOUT_MS));
             let up_to = self.workers[worker].lease.received_end();
--- a/crates/cluster/job-scheduler/tests/golden.rs
+++ b/crates/cluster/job-scheduler/tests/golden.rs
@@ -351,15 +351,15 @@
 /// The recovered closing time counts: the job is forgotten when its retention and the margin are
 /// over, and not before.
 #[test]
-fn recovered_closed_job_is_forgotten_when_its_retention_is_over() {
+fn recovered_closed_job_is_removed_when_its_retention_is_over() {
     let entries =
         [(golden("plain_job_key"), golden("plain_job")), (golden("closed_key"), golden("closed_succeeded"))];
     let mut scheduler = recovered_scheduler(&entries);
     scheduler.take_changes();
-    let forgotten_at = 5 + RETENTION_MS + RETENTION_MARGIN_MS;
-    scheduler.tick(now(forgotten_at - 1));
+    let removed_at_ms = 5 + RETENTION_MS + RETENTION_MARGIN_MS;
+    scheduler.tick(now(removed_at_ms - 1));
     assert!(scheduler.take_changes().is_empty());
-    scheduler.tick(now(forgotten_at + 250));
+    scheduler.tick(now(removed_at_ms + 250));
     let removed: Vec<_> =
         scheduler.take_changes().into_iter().map(|change| (change.key, change.value.is_none())).collect();
     assert_eq!(removed, [(golden("plain_job_key"), true), (golden("closed_key"), true)]);
--- a/crates/cluster/job-scheduler/tests/large_cluster.rs
+++ b/crates/cluster/job-scheduler/tests/large_cluster.rs
@@ -127,17 +127,17 @@
 }
 
 #[test]
-fn latency_of_short_jobs_recovers_within_2_s_after_an_outage_of_the_primary_with_350_workers() {
+fn latency_of_short_jobs_recovers_within_2_s_after_an_outage_of_the_scheduler_with_350_workers() {
     assert_latency_recovers_within_2_s(350);
 }
 
 #[test]
-fn latency_of_short_jobs_recovers_within_2_s_after_an_outage_of_the_primary_with_1100_workers() {
+fn latency_of_short_jobs_recovers_within_2_s_after_an_outage_of_the_scheduler_with_1100_workers() {
     assert_latency_recovers_within_2_s(1_100);
 }
 
 #[test]
-fn latency_of_short_jobs_recovers_within_2_s_after_an_outage_of_the_primary_with_1700_workers() {
+fn latency_of_short_jobs_recovers_within_2_s_after_an_outage_of_the_scheduler_with_1700_workers() {
     assert_latency_recovers_within_2_s(1_700);
 }
 
--- a/crates/cluster/job-scheduler/tests/lifecycle.rs
+++ b/crates/cluster/job-scheduler/tests/lifecycle.rs
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn closed_job_is_forgotten_with_its_records_after_its_retention() {
+fn closed_job_is_removed_with_its_records_after_its_retention() {
     let mut manual = ManualScheduler::new(1);
     manual.submit(1, ONE_TASK);
     let start = single_start(&manual.commit());
--- a/crates/cluster/job-scheduler/tests/overload.rs
+++ b/crates/cluster/job-scheduler/tests/overload.rs
@@ -1,7 +1,7 @@
 //! Overload: the limits on calls, starts and placement attempts.
 mod common;
 use common::{CONFIG, ManualScheduler, ONE_TASK, started_run, starts};
-use spanlead_job_scheduler::{SchedulerConfig, StartBound, WorkerCall, WorkerResponse};
+use spanlead_job_scheduler::{SchedulerConfig, StartLimit, WorkerCall, WorkerResponse};
 use std::collections::BTreeSet;
 
 /// A job of `count` tasks with the demand of [`ONE_TASK`].
@@ -108,7 +108,7 @@
     }
 
     let metrics = manual.scheduler.metrics();
-    assert_eq!(metrics.held_back_by, Some(StartBound::InFlight));
+    assert_eq!(metrics.held_back_by, Some(StartLimit::InFlight));
     assert!(metrics.held_back_checks > 0);
 }
 
