--- a/crates/cluster/job-scheduler/src/calls/outstanding.rs
+++ b/crates/cluster/job-scheduler/src/calls/outstanding.rs
@@ -57,7 +57,7 @@
         });
     }
 
-    /// Removes a call whose result was returned from the calls in flight.
+    /// Handles the result of a call, which is no longer in flight.
     pub(crate) fn complete(&mut self, request: &WorkerRequest) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let WorkerRequest::Start { task, run, .. } = request else { return };
@@ -94,12 +94,12 @@
         self.starts_in_doubt.len()
     }
 
-    /// The maximum number of calls in flight.
+    /// The limit on calls in flight; see [`crate::SchedulerConfig::max_concurrent_calls`].
     pub(crate) fn max_concurrent(&self) -> usize {
         self.max_concurrent
     }
 
-    /// The number of calls that may be queued before `max_concurrent` is reached.
+    /// The number of calls that may be queued before the limit on calls in flight is reached.
     pub(crate) fn remaining(&self) -> usize {
         self.max_concurrent.saturating_sub(self.in_flight)
     }
--- a/crates/cluster/job-scheduler/src/calls/timeouts.rs
+++ b/crates/cluster/job-scheduler/src/calls/timeouts.rs
@@ -11,7 +11,8 @@
 
 /// The shortest time-out, milliseconds: usual pauses of a process or a link are shorter.
 const MIN_TIMEOUT_MS: u64 = 60;
-/// The longest time-out, also used for a zone with fewer than [`MIN_SAMPLES`], milliseconds.
+/// The longest time-out, milliseconds; also that of a zone with fewer than [`MIN_SAMPLES`] round
+/// trips.
 pub(crate) const MAX_TIMEOUT_MS: u64 = 300;
 /// The number of round trips from which on a zone's time-out is computed from them.
 const MIN_SAMPLES: u32 = 20;
--- a/crates/cluster/job-scheduler/src/config.rs
+++ b/crates/cluster/job-scheduler/src/config.rs
@@ -14,9 +14,11 @@
     pub checkpoint_restore_ms: u64,
     /// How long a closed job is retained and can be queried, milliseconds.
     pub closed_job_retention_ms: u64,
-    /// The factor by which a task runs longer away from its data or its gang.
+    /// The factor by which the running time of a task grows on another rack than that of its data
+    /// or its gang.
     pub remote_data_slowdown: f64,
-    /// The largest number of calls to workers that may be in flight at once.
+    /// The limit on calls to workers in flight. No task is placed while it is reached, and lease
+    /// renewals are sent only up to shares of it. Other calls, such as stops, may exceed it.
     pub max_concurrent_calls: usize,
 }
 
--- a/crates/cluster/job-scheduler/src/events.rs
+++ b/crates/cluster/job-scheduler/src/events.rs
@@ -1,5 +1,5 @@
-//! The events from which the state of jobs, tasks and worker loads is derived, and a log of the
-//! most recent ones.
+//! The events from which the state of jobs, tasks and worker allocations is derived, and a log of
+//! the most recent ones.
 use crate::ids::{JobId, RunId, WorkerIndex};
 use crate::record::{JobOutcome, JobRecord};
 use compact_str::CompactString;
--- a/crates/cluster/job-scheduler/src/jobs/run.rs
+++ b/crates/cluster/job-scheduler/src/jobs/run.rs
@@ -24,6 +24,8 @@
 /// A report of the worker is evidence about the run only if it was requested after the run's last
 /// known event. Requests carry ascending serial numbers, and the run keeps the serial number after
 /// which reports are evidence.
+///
+/// Times are monotonic milliseconds.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     number: u32,
@@ -35,6 +37,7 @@
     /// The serial number at which the start timed out. A report with a higher one shows whether it
     /// was carried out.
     timed_out_at_serial: Option<u64>,
+    /// When the start was sent; before that, when the run was assigned or restored.
     sent_at_ms: u64,
     started_at_ms: u64,
     /// The highest progress reported, 0 to 100.
@@ -122,7 +125,8 @@
         self.sent_at_ms = now_ms;
     }
 
-    /// The time since the start was sent, milliseconds.
+    /// The time since the start was sent, or since the run was assigned if it has not been sent
+    /// yet, milliseconds.
     pub(crate) fn time_since_sent_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.sent_at_ms)
     }
@@ -202,8 +206,10 @@
 
     // Progress.
 
-    /// Whether the worker has reported the run without progress for about the time-out. Time
-    /// without reports does not count: a silent worker is handled elsewhere.
+    /// Whether the run has made no progress for longer than `stall_timeout_ms`, and the worker
+    /// still reported it more than half of that time after the last progress. A run of which
+    /// nothing was reported since does not count as stalled: call time-outs and the expiry of
+    /// leases apply to a worker that does not respond.
     pub(crate) fn is_stalled(&self, now_ms: u64, stall_timeout_ms: u64) -> bool {
         now_ms > self.progressed_at_ms + stall_timeout_ms
             && self.reported_at_ms > self.progressed_at_ms + stall_timeout_ms / 2
@@ -216,8 +222,8 @@
 
     /// The total running time extrapolated from the progress, milliseconds. It is returned once for
     /// each run, and only when the progress is at least `min_percent`. Runs that may have resumed
-    /// from a checkpoint, or whose start was not observed, give no sample, since they have run for
-    /// longer than is known here.
+    /// from a checkpoint, or whose start was not observed, give no sample, since their progress
+    /// took longer than the time that is known here.
     pub(crate) fn take_runtime_sample(&mut self, now_ms: u64, done: bool, min_percent: f64) -> Option<f64> {
         let progress = if done { 100.0 } else { self.progress_percent };
         let start_was_observed =
--- a/crates/cluster/job-scheduler/src/jobs/task.rs
+++ b/crates/cluster/job-scheduler/src/jobs/task.rs
@@ -13,7 +13,7 @@
     done: bool,
     checkpoint: CompactString,
     active_runs: Vec<Run>,
-    /// Workers on which it failed or made no progress, and which placement avoids.
+    /// Workers on which it failed or lagged, and which placement avoids.
     avoided_workers: Vec<WorkerIndex>,
 }
 
--- a/crates/cluster/job-scheduler/src/latency.rs
+++ b/crates/cluster/job-scheduler/src/latency.rs
@@ -47,10 +47,11 @@
     }
 }
 
-/// The latencies of the stages of a start, each measured from the end of the stage before.
+/// The latencies of the steps of a start, each measured from the end of the step before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartLatencies {
-    /// From the time at which the task became ready to the choice of a worker.
+    /// From the time at which a task or gang was queued to the choice of its workers; one value for
+    /// a gang.
     pub placement: LatencyHistogram,
     /// From the choice of a worker until the record of the run is committed and the start is sent.
     pub commit: LatencyHistogram,
--- a/crates/cluster/job-scheduler/src/lib.rs
+++ b/crates/cluster/job-scheduler/src/lib.rs
@@ -6,7 +6,8 @@
 //! The embedder also replicates the [`RecordChange`]s that the scheduler emits, and performs its
 //! [`WorkerCall`]s, which are released once the records that they depend on are committed. The
 //! records hold the entire durable state of jobs, so another machine can take over from them
-//! ([`Scheduler::recover`]); which tasks currently run where, it learns from the workers.
+//! ([`Scheduler::recover`]). It learns from the workers which of the recorded runs are still
+//! active.
 //!
 //! Invariants:
 //! - **Starts** are recorded before they are sent. A start without a response counts as running
--- a/crates/cluster/job-scheduler/src/metrics.rs
+++ b/crates/cluster/job-scheduler/src/metrics.rs
@@ -10,7 +10,7 @@
     pub pending_units: usize,
     /// Runs whose end is not known.
     pub active_runs: usize,
-    /// Events in this term.
+    /// Events recorded in this term.
     pub events: u64,
 }
 
@@ -53,7 +53,7 @@
     pub call_timeouts: Option<TimeoutRange>,
     /// Attempts to place a task or gang.
     pub placement_attempts: u64,
-    /// Latencies of the stages of starts.
+    /// Latencies of the steps of starts.
     pub start_latencies: StartLatencies,
     /// Checks that found the first task or gang in the queue held back for too long by a limit on
     /// starts.
--- a/crates/cluster/job-scheduler/src/pending.rs
+++ b/crates/cluster/job-scheduler/src/pending.rs
@@ -23,7 +23,7 @@
     pub(crate) since_ms: u64,
 }
 
-/// The longest delay of a full pass that is due, milliseconds: the tick interval.
+/// The longest time by which a full pass delays the next one, milliseconds: the tick interval.
 const MAX_FULL_PASS_DELAY_MS: u64 = 20;
 
 /// The units that a pass over the queue tries to place.
@@ -41,9 +41,9 @@
 /// The queue of waiting units, with the state that determines which of them the next pass tries.
 ///
 /// A unit is tried after it is added. A unit that does not fit is tried again in the next full
-/// pass. A full pass is due when a change may allow such a unit to be placed, but not before a
-/// delay that grows with the number of units that did not fit since the last full pass began: a
-/// pass over many such units costs as much as many starts.
+/// pass, which is due when a change may allow such a unit to be placed. Each full pass delays the
+/// next one by 1 ms for each unit that did not fit since the full pass before it, up to
+/// [`MAX_FULL_PASS_DELAY_MS`]: a pass over many such units costs as much as many starts.
 #[derive(Debug, Default)]
 pub(crate) struct PendingQueue {
     /// All waiting units, each with the monotonic time since which it has been waiting,
@@ -51,7 +51,8 @@
     units: BTreeMap<PendingKey, u64>,
     /// Units that have not been tried since they were added; a subset of `units`.
     untried: BTreeSet<PendingKey>,
-    /// The key at which the next full pass resumes among the units behind many that do not fit.
+    /// The key from which on the next full pass tries further units after it has stopped because
+    /// too many units did not fit.
     resume_at: Option<PendingKey>,
     /// Whether a change since the last full pass began may allow a unit to be placed.
     needs_full_pass: bool,
@@ -61,8 +62,8 @@
     interrupted_at: Option<PendingKey>,
     /// The unit at which a limit on starts ended the last pass.
     held_back: Option<PendingUnit>,
-    /// Whether the next tick makes a full pass due, since a unit may be placed after enough time
-    /// alone or the last full pass left units untried.
+    /// Whether the next tick makes a full pass due, since a unit may be placed merely because time
+    /// has passed or the last full pass left units untried.
     needs_pass_at_tick: bool,
 }
 
@@ -109,8 +110,8 @@
         self.needs_pass_at_tick = true;
     }
 
-    /// Makes a full pass due at the next tick if a unit that did not fit waits only for time to
-    /// pass.
+    /// Makes a full pass due at the next tick if a unit that did not fit may be placed merely
+    /// because time has passed.
     pub(crate) fn retry_at_next_tick_if(&mut self, waits_for_time: bool) {
         self.needs_pass_at_tick |= waits_for_time;
     }
@@ -159,8 +160,9 @@
         self.untried.remove(key);
     }
 
-    /// Ends the pass at this unit because of a limit on starts. Placement continues as soon as the
-    /// limit allows more starts: a full pass at the key `continue_at`.
+    /// Ends the pass at this unit because of a limit on starts. `continue_at` is the key at which
+    /// an interrupted full pass continues as soon as the limit allows more starts; `None` if no
+    /// full pass was interrupted.
     pub(crate) fn hold_back(&mut self, unit: PendingUnit, continue_at: Option<PendingKey>) {
         self.held_back = Some(unit);
         self.interrupted_at = continue_at;
@@ -171,8 +173,8 @@
         self.held_back.filter(|unit| self.units.contains_key(&unit.key))
     }
 
-    /// Removes and returns the key at which the last full pass stopped among the units behind many
-    /// that do not fit.
+    /// Removes and returns the key from which on a full pass tries further units after too many did
+    /// not fit.
     pub(crate) fn take_resume_point(&mut self) -> Option<PendingKey> {
         self.resume_at.take()
     }
--- a/crates/cluster/job-scheduler/src/placement/placer.rs
+++ b/crates/cluster/job-scheduler/src/placement/placer.rs
@@ -26,8 +26,8 @@
     On(T),
     /// No eligible worker has capacity.
     NoCapacity,
-    /// No worker on the preferred rack has capacity, and waiting for one costs less than running
-    /// elsewhere.
+    /// No worker on the rack of the task's data has capacity, or no rack has capacity for all of a
+    /// gang, and waiting for that costs less than running elsewhere.
     WaitForRack,
 }
 
--- a/crates/cluster/job-scheduler/src/protocol.rs
+++ b/crates/cluster/job-scheduler/src/protocol.rs
@@ -15,7 +15,7 @@
     pub address: Arc<str>,
     /// The request.
     pub request: WorkerRequest,
-    /// The time-out of the call, milliseconds from now.
+    /// The time-out of the call from when the embedder takes it, milliseconds.
     pub timeout_ms: u64,
     /// The fencing token, which is the term of the scheduler. A worker that has seen a higher token
     /// rejects the call.
--- a/crates/cluster/job-scheduler/src/renewal.rs
+++ b/crates/cluster/job-scheduler/src/renewal.rs
@@ -24,18 +24,19 @@
 /// The longest pause between a response and the next renewal of an idle worker, milliseconds.
 const MAX_IDLE_PAUSE_MS: u64 = 20_000;
 /// The largest number of renewals of busy workers per second that have no run end to report. The
-/// response delay grows with the number of workers to stay below it.
+/// response delay grows with the number of workers to stay below it, up to [`MAX_WAIT_MS`].
 const MAX_BUSY_RENEWALS_PER_S: u64 = 500;
 /// The same limit while many renewals get no response. A worker with many runs responds early in
 /// any case because a run ends, so the higher limit adds few renewals.
 const MAX_LOSSY_RENEWALS_PER_S: u64 = 2_000;
-/// The largest number of renewals of idle workers per second.
+/// The largest number of renewals of idle workers per second. The pause between the renewals of one
+/// worker grows with the number of workers to stay below it, up to [`MAX_IDLE_PAUSE_MS`].
 const MAX_IDLE_RENEWALS_PER_S: u64 = 120;
-/// The share of the largest number of calls in flight up to which renewals of busy workers are
-/// sent. The rest is left for starts and stops.
+/// The share of [`crate::SchedulerConfig::max_concurrent_calls`] in flight up to which renewals of
+/// busy workers are sent. The rest is left for starts and stops.
 const BUSY_CALL_SHARE: f64 = 0.75;
-/// The same share for unresponsive workers. The leases of runs that they may have expire if these
-/// renewals are delayed for long.
+/// The same share for unresponsive workers. If these renewals are delayed for long, the leases of
+/// the workers' runs expire.
 const UNRESPONSIVE_CALL_SHARE: f64 = 0.5;
 /// The same share for idle workers, whose renewals can be delayed.
 const IDLE_CALL_SHARE: f64 = 0.1;
@@ -48,7 +49,7 @@
 /// The interval between two updates of the pace, each of which iterates over all workers,
 /// milliseconds.
 const PACE_INTERVAL_MS: u64 = 100;
-/// The due time of a worker to which a renewal is in flight, milliseconds.
+/// The due time of a worker to which a renewal is in flight or that can't be called, milliseconds.
 const NEVER_MS: u64 = u64::MAX;
 
 /// The class of a worker, which determines the rate and the priority of its renewals.
@@ -103,7 +104,7 @@
         RenewalPace { busy_wait_ms, idle_wait_ms: 0, idle_pause_ms: idle_interval_ms.min(MAX_IDLE_PAUSE_MS) }
     }
 
-    /// The time by which a worker may delay its response to a renewal, milliseconds.
+    /// The longest time by which a worker may delay its response to a renewal, milliseconds.
     pub(crate) fn wait_ms(self, class: RenewalClass) -> u64 {
         match class {
             RenewalClass::Unresponsive => 0,
@@ -144,10 +145,12 @@
 ///
 /// `due_at_ms` copies the due time of each worker's lease, so that a check reads a few bytes per
 /// worker instead of the worker itself. Invariant: all changes to the renewal of a lease go through
-/// `Scheduler::change_renewal`, which keeps the copy equal.
+/// `Scheduler::change_renewal`, which keeps the copy equal. Only the copy of a worker that can't be
+/// called is set to [`NEVER_MS`] apart from that.
 #[derive(Debug, Default)]
 pub(crate) struct RenewalSchedule {
-    /// By worker index, monotonic milliseconds; [`NEVER_MS`] while a renewal is in flight.
+    /// By worker index, monotonic milliseconds; [`NEVER_MS`] while a renewal is in flight or the
+    /// worker can't be called.
     due_at_ms: Vec<u64>,
     /// The serial number of the last request, or acknowledgement of a start or stop.
     serial: u64,
@@ -182,7 +185,7 @@
     }
 
     /// Sets the time at which a worker's renewal is due, monotonic milliseconds; `None` while a
-    /// renewal is in flight.
+    /// renewal is in flight or the worker can't be called.
     pub(crate) fn set_due(&mut self, worker: WorkerIndex, due_at_ms: Option<u64>) {
         let index = worker.0 as usize;
         if index >= self.due_at_ms.len() {
--- a/crates/cluster/job-scheduler/src/scheduler/feasibility.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/feasibility.rs
@@ -1,4 +1,5 @@
-//! Infeasible jobs, which can never finish because the workers of their service can't fit a stage.
+//! Infeasible jobs, which can never finish because a stage does not fit the workers of their
+//! service.
 use super::Scheduler;
 use crate::config::Now;
 use crate::ids::TaskId;
@@ -7,14 +8,15 @@
 use crate::resources::Resources;
 use crate::spec::Stage;
 
-/// The time that a job must be infeasible before it fails, milliseconds.
+/// The time since a job was first found infeasible after which it fails if it still is,
+/// milliseconds.
 const MAX_INFEASIBLE_MS: u64 = 1_500;
 /// The age of the term from which on feasibility is checked, milliseconds: worker lists may be
 /// incomplete at first.
 const MIN_TERM_AGE_MS: u64 = 3_000;
 
 impl Scheduler {
-    /// Fails jobs with a stage that the workers known in this term could not fit even if they were
+    /// Fails jobs with a stage that would not fit the workers known in this term even if these were
     /// empty.
     pub(super) fn fail_infeasible_jobs(&mut self, now: Now) {
         if !self.has_worker_list || now.monotonic_ms < self.term_started_at_ms + MIN_TERM_AGE_MS {
--- a/crates/cluster/job-scheduler/src/scheduler/hedging.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/hedging.rs
@@ -1,7 +1,7 @@
 //! Hedged runs: a second run of a task whose runs are all in doubt, on another worker.
 //!
-//! A task of a `speculative` stage may start again before the state of its first run is known. The
-//! run that ends first counts, and the other is stopped.
+//! A task of a `speculative` stage may start again while its first run is in doubt. The run that
+//! succeeds first counts, and the other is stopped.
 use super::Scheduler;
 use crate::ids::{RunId, TaskId, WorkerIndex};
 use crate::jobs::Run;
--- a/crates/cluster/job-scheduler/src/scheduler/inspect.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/inspect.rs
@@ -9,7 +9,7 @@
 pub struct JobView {
     /// The job's state.
     pub state: JobState,
-    /// When it was accepted, milliseconds since 1970.
+    /// When it was accepted, milliseconds since the Unix epoch.
     pub accepted_at_ms: u64,
     /// The service whose workers run the job.
     pub service: String,
@@ -63,7 +63,8 @@
     pub id: String,
     /// The worker's service.
     pub service: String,
-    /// `ready` if the worker accepts tasks, otherwise the reason why not.
+    /// `ready`, or the reason why the worker is given no tasks. A ready worker is given none either
+    /// after a call without a response, until it responds again.
     pub status: &'static str,
     /// Processor, thousandths of a core.
     pub cpu_millicores: Usage,
@@ -139,8 +140,8 @@
 }
 
 /// The status of a worker in the wording of the operators' interface: "not heard yet" for one that
-/// has not responded in this term, "out of reach" for an unreachable, "left alone" for an ejected
-/// one.
+/// has not responded in this term, "out of reach" for an unreachable one, "left alone" for an
+/// ejected one.
 fn worker_status(worker: &Worker, now_ms: u64) -> &'static str {
     match worker.listing() {
         ListingState::Unlisted => "unlisted",
--- a/crates/cluster/job-scheduler/src/scheduler/mod.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/mod.rs
@@ -137,7 +137,7 @@
         self.jobs.contains(job)
     }
 
-    /// The number of open jobs in a queue without any task that is known to have begun.
+    /// The number of a queue's open jobs of which no task is known to have begun.
     #[must_use]
     pub fn pending_jobs(&self, queue: &QueueId) -> u64 {
         self.jobs.pending_count(queue)
--- a/crates/cluster/job-scheduler/src/scheduler/placing.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/placing.rs
@@ -17,7 +17,8 @@
 /// The number of timed-out starts without a call result that do not count towards
 /// [`MAX_STARTS_IN_FLIGHT`]: workers that do not respond must not hold back starts on others.
 const MAX_STARTS_IN_DOUBT: usize = 160;
-/// The waiting time from which on the first unit in line counts as held back, milliseconds.
+/// The waiting time from which on a unit at which a limit on starts ended a pass counts as held
+/// back, milliseconds.
 const HELD_BACK_MS: u64 = 500;
 /// The number of units without capacity above which a pass skips to the resume point.
 const MAX_MISSES: usize = 200;
@@ -121,7 +122,7 @@
         None
     }
 
-    /// The number of further starts that the bounds allow at present: on starts waiting for a
+    /// The number of further starts that the limits allow at present: on starts waiting for a
     /// commit or a response, on starts between two ticks, and on calls in flight.
     fn available_starts(&self) -> usize {
         self.remaining_in_flight_starts().min(self.throttle.remaining()).min(self.calls.remaining())
@@ -134,7 +135,7 @@
         MAX_STARTS_IN_FLIGHT.saturating_sub(in_flight)
     }
 
-    /// The bound that allows no further start at present, if any.
+    /// The limit that allows no further start at present, if any.
     fn reached_start_limit(&self) -> Option<StartLimit> {
         match (self.remaining_in_flight_starts(), self.throttle.remaining(), self.calls.remaining()) {
             (0, _, _) => Some(StartLimit::InFlight),
@@ -144,8 +145,8 @@
         }
     }
 
-    /// Reports in the log and the metrics if a unit has waited for at least [`HELD_BACK_MS`]
-    /// because of a bound on starts rather than a lack of capacity.
+    /// Reports in the log and the metrics if a unit that has waited for at least [`HELD_BACK_MS`]
+    /// is held back by a limit on starts rather than a lack of capacity.
     pub(super) fn report_held_back_starts(&mut self, now_ms: u64) {
         let Some(first) = self.pending.held_back() else { return };
         let waited_ms = now_ms.saturating_sub(first.since_ms);
--- a/crates/cluster/job-scheduler/src/scheduler/progress.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/progress.rs
@@ -9,17 +9,17 @@
 
 /// The time without reported progress after which a run counts as stalled, milliseconds.
 const STALL_TIMEOUT_MS: u64 = 900;
-/// The share of the estimated run time that is added to [`STALL_TIMEOUT_MS`]: progress is reported
-/// in whole percents.
+/// The share of the estimated running time that is added to [`STALL_TIMEOUT_MS`]: progress is
+/// reported in whole percents.
 const STALL_TIMEOUT_SHARE: f64 = 0.1;
 /// The duration for which the worker of a lagging run is ejected, milliseconds.
 const LAGGING_EJECTION_MS: u64 = 3_000;
-/// The factor by which the remaining time of a run must exceed the whole run time on another worker
-/// before the run is moved.
+/// The factor by which the remaining time of a run must exceed the whole running time on another
+/// worker before the run is moved.
 const MIN_SLOW_FACTOR: f64 = 1.3;
 /// The additional cost of moving a run, milliseconds.
 const MOVE_COST_MS: f64 = 400.0;
-/// The run time from which on a run may be moved because its worker is slow, milliseconds.
+/// The running time from which on a run may be moved because its worker is slow, milliseconds.
 const MIN_RUNTIME_BEFORE_MOVE_MS: u64 = 400;
 /// The progress from which on a run is a sample of its worker's speed, percent.
 const MIN_SAMPLE_PERCENT: f64 = 20.0;
--- a/crates/cluster/job-scheduler/src/scheduler/renewals.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/renewals.rs
@@ -12,13 +12,13 @@
 /// calls that the worker answers at once applies if it is longer.
 const LOSSY_RENEWAL_TIMEOUT_MS: u64 = 80;
 /// The duration of the lease on all runs of a worker, milliseconds. The runs on an unreachable
-/// worker are known to be over after that time.
+/// worker are known to be over after that time and a margin for clock drift.
 const LEASE_MS: u64 = 4_000;
 /// The interval between two renewals of a worker that is unreachable or rejects them, milliseconds.
 const RENEWAL_RETRY_MS: u64 = 400;
 
 impl Scheduler {
-    /// Sends the due renewals, as far as the bounds on calls in flight allow.
+    /// Sends the due renewals, as far as the limits on calls in flight allow.
     pub(super) fn send_due_renewals(&mut self, now_ms: u64) {
         if !self.renewals.begin_check(now_ms, self.workers.len()) {
             return;
--- a/crates/cluster/job-scheduler/src/scheduler/starts.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/starts.rs
@@ -101,7 +101,8 @@
         true
     }
 
-    /// Handles the response to a start. A rejected run ends, and its worker may be ejected.
+    /// Handles the response to a start. The run of a rejected start ends, and its worker may be
+    /// ejected.
     pub(super) fn handle_start_response(
         &mut self,
         now: Now,
--- a/crates/cluster/job-scheduler/src/spec.rs
+++ b/crates/cluster/job-scheduler/src/spec.rs
@@ -91,8 +91,10 @@
 impl JobSpec {
     /// Parses and validates the body of a submission.
     ///
-    /// # Errors [`SpecError`] with the field that is invalid, or with the reason why the body
-    /// cannot be parsed.
+    /// # Errors
+    ///
+    /// [`SpecError`] with the field that is invalid, or with the reason why the body cannot be
+    /// parsed.
     pub fn from_json(body: &[u8]) -> Result<Self, SpecError> {
         let mut job: JobSpec =
             serde_json::from_slice(body).map_err(|error| SpecError::InvalidJson(error.to_string()))?;
--- a/crates/cluster/job-scheduler/src/workers/health.rs
+++ b/crates/cluster/job-scheduler/src/workers/health.rs
@@ -59,7 +59,7 @@
 /// The range to which a sample is clamped.
 const SAMPLE_RANGE: (f64, f64) = (-1.0, 3.0);
 
-/// The slowdown of a worker: the ratio of its run times to the expected ones.
+/// The slowdown of a worker: the ratio of its running times to the expected ones.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WorkerSpeed {
     /// The smoothed natural logarithm of the slowdown.
@@ -67,7 +67,7 @@
 }
 
 impl WorkerSpeed {
-    /// Adds a sample: the natural logarithm of a task's run time divided by the expected one.
+    /// Adds a sample: the natural logarithm of a task's running time divided by the expected one.
     pub(crate) fn add_sample(&mut self, deviation: f64) {
         let (min, max) = SAMPLE_RANGE;
         self.log_slowdown = moving_average(self.log_slowdown, deviation.clamp(min, max), SLOWDOWN_WEIGHT);
@@ -82,7 +82,7 @@
         self.log_slowdown > MIN_SLOW_LOG_SLOWDOWN
     }
 
-    /// The ratio of run times on this worker to the expected ones, at least 1.
+    /// The ratio of running times on this worker to the expected ones, at least 1.
     pub(crate) fn slowdown(&self) -> f64 {
         self.log_slowdown.exp().max(1.0)
     }
--- a/crates/cluster/job-scheduler/src/workers/worker.rs
+++ b/crates/cluster/job-scheduler/src/workers/worker.rs
@@ -39,7 +39,7 @@
     cycle_positions: CyclePositions,
     listing: ListingState,
     /// Whether calls of earlier terms have no effect on the worker any more: it has responded to a
-    /// lease renewal of this term, and so has seen its fencing token, or it is gone.
+    /// lease renewal of this term, and so has seen this term's fencing token, or it is gone.
     has_seen_term: bool,
     is_reachable: bool,
     /// The number of consecutive calls without a response.
--- a/crates/cluster/job-scheduler/tests/golden.rs
+++ b/crates/cluster/job-scheduler/tests/golden.rs
@@ -348,7 +348,7 @@
     assert_eq!(to_hex(&closed), to_hex(&golden("closed_cancelled")));
 }
 
-/// The recovered closing time counts: the job is forgotten when its retention and the margin are
+/// The recovered closing time counts: the job is removed when its retention and the margin are
 /// over, and not before.
 #[test]
 fn recovered_closed_job_is_removed_when_its_retention_is_over() {
--- a/crates/cluster/job-scheduler/tests/large_cluster.rs
+++ b/crates/cluster/job-scheduler/tests/large_cluster.rs
@@ -1,5 +1,5 @@
-//! The latency of short jobs in simulated clusters of 350 to 1,700 workers, after a loss of the
-//! primary and while calls are lost. A commit takes 12 ms, a call 3 to 6 ms.
+//! The latency of short jobs in simulated clusters of 350 to 1,700 workers, after an outage of the
+//! scheduler and while calls are lost. A commit takes 12 ms, a call 3 to 6 ms.
 mod common;
 use common::SimulatedCluster;
 use spanlead_job_scheduler::{JobId, JobOutcome, JobSpec, JobState, Stage};
@@ -109,8 +109,9 @@
     }
 }
 
-/// The primary and its successors are lost for 500 ms. From 2 s after a majority is available
-/// again, the 95th percentile of job latency must be at most 1.5 times that before the loss.
+/// No scheduler runs for 500 ms, as after the loss of the primary and its successors. From 2 s
+/// after the next scheduler has started (a majority is available again), the 95th percentile of job
+/// latency must be at most 1.5 times that before the outage.
 fn assert_latency_recovers_within_2_s(workers: usize) {
     const OUTAGE_MS: u64 = 500;
     let mut loaded = LoadedCluster::new(workers);
--- a/crates/cluster/job-scheduler/tests/simulation.rs
+++ b/crates/cluster/job-scheduler/tests/simulation.rs
@@ -101,11 +101,14 @@
     if state == Some(JobState::Closed(JobOutcome::Succeeded)) {
         assert!(
             cluster.checker.is_job_done(job),
-            "seed {seed}: MIXED: {job} is shown as succeeded and is not"
+            "seed {seed}: job {job} is shown as succeeded, but not all its tasks are done"
         );
     }
     if state == Some(JobState::Closed(JobOutcome::Cancelled)) {
-        assert!(cluster.cancelled.contains(&job), "seed {seed}: LOST: {job} was never cancelled");
+        assert!(
+            cluster.cancelled.contains(&job),
+            "seed {seed}: job {job} is shown as cancelled, but was never cancelled"
+        );
     }
 }
 
