--- a/crates/cluster/job-scheduler/src/metrics.rs
+++ b/crates/cluster/job-scheduler/src/metrics.rs
@@ -10,7 +10,7 @@
     pub pending_units: usize,
     /// Runs whose end is not known.
     pub active_runs: usize,
-    /// Events in this term.
+    /// Events recorded in this term.
     pub events: u64,
 }
 
@@ -25,7 +25,7 @@
 
 /// The limit that prevents a scheduler from starting more tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StartBound {
+pub enum StartLimit {
     /// The number of starts that wait for their commit or response is at its limit.
     InFlight,
     /// The throttle, which reduces starts when ticks are late, allows no more before the next tick.
@@ -53,11 +53,11 @@
     pub call_timeouts: Option<TimeoutRange>,
     /// Attempts to place a task or gang.
     pub placement_attempts: u64,
-    /// Latencies of the stages of starts.
+    /// Latencies of the steps of starts.
     pub start_latencies: StartLatencies,
     /// Checks that found the first task or gang in the queue held back for too long by a limit on
     /// starts.
     pub held_back_checks: u64,
     /// The limit that the last such check found.
-    pub held_back_by: Option<StartBound>,
+    pub held_back_by: Option<StartLimit>,
 }
--- a/crates/cluster/job-scheduler/src/scheduler/placing.rs
+++ b/crates/cluster/job-scheduler/src/scheduler/placing.rs
@@ -5,7 +5,7 @@
 use crate::config::Now;
 use crate::events::Event;
 use crate::ids::{RunId, TaskId, WorkerIndex};
-use crate::metrics::StartBound;
+use crate::metrics::StartLimit;
 use crate::pending::{PendingKey, PendingUnit, PlacementPass};
 use crate::placement::{Placement, PlacementMisses, PlacementRequest};
 use crate::spec::Stage;
@@ -17,7 +17,8 @@
 /// The number of timed-out starts without a call result that do not count towards
 /// [`MAX_STARTS_IN_FLIGHT`]: workers that do not respond must not hold back starts on others.
 const MAX_STARTS_IN_DOUBT: usize = 160;
-/// The waiting time from which on the first unit in line counts as held back, milliseconds.
+/// The waiting time from which on a unit at which a limit on starts ended a pass counts as held
+/// back, milliseconds.
 const HELD_BACK_MS: u64 = 500;
 /// The number of units without capacity above which a pass skips to the resume point.
 const MAX_MISSES: usize = 200;
@@ -121,7 +122,7 @@
         None
     }
 
-    /// The number of further starts that the bounds allow at present: on starts waiting for a
+    /// The number of further starts that the limits allow at present: on starts waiting for a
     /// commit or a response, on starts between two ticks, and on calls in flight.
     fn available_starts(&self) -> usize {
         self.remaining_in_flight_starts().min(self.throttle.remaining()).min(self.calls.remaining())
@@ -134,26 +135,26 @@
         MAX_STARTS_IN_FLIGHT.saturating_sub(in_flight)
     }
 
-    /// The bound that allows no further start at present, if any.
-    fn start_bound(&self) -> Option<StartBound> {
+    /// The limit that allows no further start at present, if any.
+    fn reached_start_limit(&self) -> Option<StartLimit> {
         match (self.remaining_in_flight_starts(), self.throttle.remaining(), self.calls.remaining()) {
-            (0, _, _) => Some(StartBound::InFlight),
-            (_, 0, _) => Some(StartBound::Throttle),
-            (_, _, 0) => Some(StartBound::Calls),
+            (0, _, _) => Some(StartLimit::InFlight),
+            (_, 0, _) => Some(StartLimit::Throttle),
+            (_, _, 0) => Some(StartLimit::Calls),
             _ => None,
         }
     }
 
-    /// Reports in the log and the metrics if a unit has waited for at least [`HELD_BACK_MS`]
-    /// because of a bound on starts rather than a lack of capacity.
+    /// Reports in the log and the metrics if a unit that has waited for at least [`HELD_BACK_MS`]
+    /// is held back by a limit on starts rather than a lack of capacity.
     pub(super) fn report_held_back_starts(&mut self, now_ms: u64) {
         let Some(first) = self.pending.held_back() else { return };
         let waited_ms = now_ms.saturating_sub(first.since_ms);
-        let Some(bound) = self.start_bound().filter(|_| waited_ms >= HELD_BACK_MS) else { return };
+        let Some(limit) = self.reached_start_limit().filter(|_| waited_ms >= HELD_BACK_MS) else { return };
         self.metrics.held_back_checks += 1;
-        self.metrics.held_back_by = Some(bound);
+        self.metrics.held_back_by = Some(limit);
         log::info!(
-            "starts held back bound={bound:?} waited_ms={waited_ms} pending={} in_flight={} in_doubt={}",
+            "starts held back bound={limit:?} waited_ms={waited_ms} pending={} in_flight={} in_doubt={}",
             self.pending.len(),
             self.commits.deferred_starts() + self.calls.starts_in_flight(),
             self.calls.starts_in_doubt(),
