--- a/crates/service/durable-jobs/tests/golden.rs
+++ b/crates/service/durable-jobs/tests/golden.rs
@@ -165,7 +165,7 @@
 // Guards recovery: the committed bytes are read as the same records, whole.
 #[test]
 fn committed_bytes_are_read_as_the_same_records() {
-    let committed = golden::bytes(FILE);
+    let committed = golden::read_bytes(FILE);
     assert_eq!(committed.len(), records().len());
     for ((name, bytes), (wanted_name, wanted)) in committed.iter().zip(records()) {
         assert_eq!(name, wanted_name);
--- a/crates/service/engine/tests/crash.rs
+++ b/crates/service/engine/tests/crash.rs
@@ -290,7 +290,7 @@
         if self.process.is_some() {
             return;
         }
-        self.folder.repair_disk();
+        self.folder.clear_faults();
         let mut ledger = JobTable::new(JobTableLimits { retention: 60 * SEC, max_jobs: 1000 });
         let options = LogOptions { max_segment_bytes: 700, sync_on_commit: true };
         let opened = WriteAheadLog::open(Box::new(self.folder.clone()), options, |lsn, bytes| {
--- a/crates/service/inventory/tests/golden.rs
+++ b/crates/service/inventory/tests/golden.rs
@@ -122,7 +122,7 @@
 fn committed_versions_are_read_as_the_same() {
     let folder = tempfile::tempdir().expect("a writable folder");
     let archive = Archive::new(folder.path(), NAME, 10);
-    let committed = golden::bytes(FILE);
+    let committed = golden::read_bytes(FILE);
     assert_eq!(committed.len(), versions().len());
     for ((name, bytes), (wanted_name, wanted)) in committed.iter().zip(versions()) {
         assert_eq!(name, wanted_name);
@@ -145,7 +145,7 @@
 // over and said.
 #[test]
 fn a_committed_folder_is_read_whole() {
-    if golden::writes() {
+    if golden::should_write() {
         let folder = golden::path(FOLDER);
         let _ = fs::remove_dir_all(&folder);
         let archive = Archive::new(&folder, NAME, 3);
--- a/crates/service/membership/tests/golden.rs
+++ b/crates/service/membership/tests/golden.rs
@@ -58,7 +58,7 @@
 
 #[test]
 fn committed_datagrams_are_read_as_the_same_frames() {
-    let committed = golden::bytes(FILE);
+    let committed = golden::read_bytes(FILE);
     assert_eq!(committed.len(), frames().len());
     for ((name, bytes), (wanted_name, wanted)) in committed.iter().zip(frames()) {
         assert_eq!(name, wanted_name);
--- a/crates/service/net/tests/golden.rs
+++ b/crates/service/net/tests/golden.rs
@@ -45,7 +45,7 @@
 }
 
 fn committed(name: &str) -> Vec<u8> {
-    let mut all = golden::bytes(FRAMES).into_iter();
+    let mut all = golden::read_bytes(FRAMES).into_iter();
     all.find(|(n, _)| n == name).unwrap_or_else(|| panic!("no golden line {name}")).1
 }
 
@@ -288,7 +288,7 @@
 
 #[test]
 fn committed_requests_are_restored() {
-    let committed = golden::bytes("requests.txt");
+    let committed = golden::read_bytes("requests.txt");
     for (name, request) in requests() {
         let (_, kept) = committed.iter().find(|(n, _)| *n == format!("{name}-kept")).expect("a line");
         let restored = wire::restore_request(&Bytes::from(kept.clone())).expect("it is a request");
--- a/crates/service/singleton-roles/tests/golden.rs
+++ b/crates/service/singleton-roles/tests/golden.rs
@@ -48,7 +48,7 @@
 
 #[test]
 fn committed_messages_are_read_as_the_same_items() {
-    let committed = golden::bytes(FILE);
+    let committed = golden::read_bytes(FILE);
     assert_eq!(committed.len(), messages().len());
     for ((name, bytes), (wanted_name, wanted)) in committed.iter().zip(messages()) {
         assert_eq!(name, wanted_name);
--- a/crates/service/spanlead/tests/golden.rs
+++ b/crates/service/spanlead/tests/golden.rs
@@ -208,7 +208,7 @@
 // Guards folders of the version before: each record, and all that is shown of what they add up to.
 #[test]
 fn a_committed_ledger_is_shown_whole() {
-    if golden::writes() {
+    if golden::should_write() {
         write_ledger(&golden::path(LEDGER));
     }
     let (dir, ledger) = ledger_copy();
--- a/crates/service/wal/src/error.rs
+++ b/crates/service/wal/src/error.rs
@@ -59,7 +59,7 @@
     WrongFileName,
     /// The length of a record exceeds its frame.
     #[error("a record's length")]
-    RecordLength,
+    RecordExceedsFrame,
     /// A frame can't be read.
     #[error(transparent)]
     Frame(#[from] FrameError),
--- a/crates/service/wal/src/reader.rs
+++ b/crates/service/wal/src/reader.rs
@@ -161,7 +161,7 @@
     ) -> Result<(), OpenError> {
         let offset = parsed.valid_bytes;
         for (record, lsn) in frame.records().zip(parsed.next_lsn..) {
-            let record = record.ok_or_else(|| self.corrupt(offset, CorruptionReason::RecordLength))?;
+            let record = record.ok_or_else(|| self.corrupt(offset, CorruptionReason::RecordExceedsFrame))?;
             on_record(lsn, record).map_err(|rejected| self.corrupt(offset, rejected.into()))?;
         }
         parsed.valid_bytes += frame.size_bytes();
--- a/crates/service/wal/src/simulated.rs
+++ b/crates/service/wal/src/simulated.rs
@@ -31,7 +31,7 @@
     syncs_until_failure: Option<u64>,
     /// Bytes that can still be written; `None`: any number.
     free_bytes: Option<u64>,
-    syncs: u64,
+    sync_count: u64,
     /// Crashes so far: what was opened before the last one can't be written to.
     epoch: u64,
 }
@@ -68,21 +68,21 @@
     }
 
     /// Ends the faults of the disk. What a failed sync left behind is still only in memory.
-    pub fn repair_disk(&self) {
+    pub fn clear_faults(&self) {
         let mut state = self.state();
         state.syncs_until_failure = None;
         state.free_bytes = None;
     }
 
     /// Lets `bytes` more bytes be written; then the disk is full.
-    pub fn fill_after(&self, bytes: u64) {
+    pub fn set_free_bytes(&self, bytes: u64) {
         self.state().free_bytes = Some(bytes);
     }
 
     /// How often a file was synced.
     #[must_use]
-    pub fn syncs(&self) -> u64 {
-        self.state().syncs
+    pub fn sync_count(&self) -> u64 {
+        self.state().sync_count
     }
 
     /// The machine stops and starts again: what was not synced is there, gone, or torn anywhere, as
@@ -174,7 +174,7 @@
 
     fn sync(&mut self) -> io::Result<()> {
         let mut state = self.state()?;
-        state.syncs += 1;
+        state.sync_count += 1;
         match state.syncs_until_failure {
             // As the kernel does: the pages count as clean from here, though they never reached the
             // disk.
--- a/crates/service/wal/tests/golden.rs
+++ b/crates/service/wal/tests/golden.rs
@@ -78,7 +78,7 @@
 
 fn committed_folder() -> tempfile::TempDir {
     let folder = tempfile::tempdir().expect("a writable folder");
-    for (name, bytes) in golden::bytes(FILE) {
+    for (name, bytes) in golden::read_bytes(FILE) {
         fs::write(folder.path().join(name), bytes).expect("a writable folder");
     }
     folder
--- a/crates/service/wal/tests/golden/data.rs
+++ b/crates/service/wal/tests/golden/data.rs
@@ -10,7 +10,7 @@
 }
 
 /// Whether this run writes golden data in place of comparing.
-pub fn writes() -> bool {
+pub fn should_write() -> bool {
     std::env::var_os("GOLDEN_WRITE").is_some_and(|value| value == "1")
 }
 
@@ -21,7 +21,7 @@
 
 /// Compares a whole text.
 pub fn assert_text(name: &str, found: &str) {
-    if writes() {
+    if should_write() {
         fs::create_dir_all(path(name).parent().expect("a folder")).expect("a writable folder");
         fs::write(path(name), found).expect("a writable folder");
     }
@@ -37,7 +37,7 @@
 }
 
 /// The committed bytes by name, in their order.
-pub fn bytes(name: &str) -> Vec<(String, Vec<u8>)> {
+pub fn read_bytes(name: &str) -> Vec<(String, Vec<u8>)> {
     let line = |line: &str| {
         let (name, hex) = line.split_once('\t').expect("name<TAB>hex");
         (name.to_owned(), unhex(hex))
--- a/crates/service/wal/tests/write_ahead_log.rs
+++ b/crates/service/wal/tests/write_ahead_log.rs
@@ -184,13 +184,13 @@
     for free_bytes in 0..200 {
         let directory = SimulatedDirectory::new();
         let mut log = open(&directory).log;
-        directory.fill_after(free_bytes);
+        directory.set_free_bytes(free_bytes);
         let mut appended = 0;
         while log.append(&[record(appended + 1)]).is_ok() {
             appended += 1;
         }
 
-        directory.fill_after(1 << 20);
+        directory.set_free_bytes(1 << 20);
         log.append(&[record(77)]).expect_err("it is not retried");
 
         assert_eq!(open(&directory).records.len() as u64, appended, "{free_bytes} bytes");
