--- a/crates/service/wal/src/directory.rs
+++ b/crates/service/wal/src/directory.rs
@@ -1,80 +1,81 @@
-//! The directory that a log lives in, as far as the log needs one.
+//! The file system operations that a log needs: a directory and files that are appended to.
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The file whose lock says that a process writes the log.
+/// The file that a process holds locked while it writes the log.
 const LOCK_FILE_NAME: &str = "lock";
 
-/// A file that is written only at its end.
+/// A file that is only appended to.
 pub trait AppendFile: Send {
     /// Appends all of `bytes`.
     ///
     /// # Errors
-    /// What the system reports; a part may have been written.
+    /// The I/O error of the system. Part of `bytes` may have been written.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Returns when all that was appended is on disk.
+    /// Blocks until all appended bytes are on disk.
     ///
     /// # Errors
-    /// What the system reports; then it is not known whether what was appended since the last
-    /// success is on disk.
+    /// The I/O error of the system. The bytes appended since the last successful sync may then be
+    /// on disk or not.
     fn sync(&mut self) -> io::Result<()>;
 }
 
 /// A directory of plain files.
 pub trait Directory: Send {
-    /// The names of its files.
+    /// Returns the names of the files in the directory.
     ///
     /// # Errors
-    /// What the system reports.
+    /// The I/O error of the system.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// The whole content of a file.
+    /// Returns the whole content of a file.
     ///
     /// # Errors
-    /// What the system reports.
+    /// The I/O error of the system.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Creates a file, which must not exist.
+    /// Creates a file.
     ///
     /// # Errors
-    /// What the system reports.
+    /// The I/O error of the system, also if the file exists.
     fn create(&self, name: &str) -> io::Result<Box<dyn AppendFile>>;
 
-    /// Gives a file another name, in place of any that has it.
+    /// Renames a file, replacing any file called `to`.
     ///
     /// # Errors
-    /// What the system reports.
+    /// The I/O error of the system.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// What the system reports.
+    /// The I/O error of the system.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Returns when the names of the directory's files are on disk.
+    /// Blocks until the created, renamed and removed names of the directory's files are on disk.
     ///
     /// # Errors
-    /// What the system reports.
+    /// The I/O error of the system.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// A directory on a real disk.
+/// A directory of the file system.
 #[derive(Debug)]
 pub struct DiskDirectory {
     path: PathBuf,
-    /// The system releases the lock when the descriptor is closed, however the process ends.
+    /// The locked file; `None` if the directory was opened read-only. The system releases the lock
+    /// when the descriptor is closed, however the process ends.
     _lock: Option<File>,
 }
 
 impl DiskDirectory {
-    /// Locks a directory for writing, and creates it if it does not exist. `None` if another
-    /// process has the lock. The lock lasts as long as the returned value.
+    /// Locks a directory for writing, and creates it if it does not exist. Returns `None` if
+    /// another process holds the lock. The lock is held until the returned value is dropped.
     ///
     /// # Errors
-    /// What the system reports.
+    /// The I/O error of the system.
     pub fn lock(path: &Path) -> io::Result<Option<Self>> {
         std::fs::create_dir_all(path)?;
         let mut options = OpenOptions::new();
@@ -89,7 +90,7 @@
     /// Opens a directory without locking it, to read a log that no process writes.
     ///
     /// # Errors
-    /// If the directory can't be read.
+    /// The I/O error of the system if the directory can't be read.
     pub fn open_read_only(path: &Path) -> io::Result<Self> {
         std::fs::read_dir(path)?;
         Ok(DiskDirectory { path: path.to_owned(), _lock: None })
@@ -98,7 +99,7 @@
 
 impl Directory for DiskDirectory {
     fn list(&self) -> io::Result<Vec<String>> {
-        // Names that are not UTF-8 are not ours.
+        // The log creates only names in UTF-8; others belong to other programs.
         let names = std::fs::read_dir(&self.path)?.map(|entry| Ok(entry?.file_name().into_string().ok()));
         names.filter_map(Result::transpose).collect()
     }
--- a/crates/service/wal/src/error.rs
+++ b/crates/service/wal/src/error.rs
@@ -1,17 +1,17 @@
-//! Errors of this crate.
+//! Error types of this crate.
 use crate::format::{FORMAT_VERSION, Lsn};
 use std::fmt;
 use std::io;
 
-/// A log can't be used.
+/// The error of a log that can't be read or prepared for writing.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// The system refused.
+    /// An I/O operation failed.
     #[error("{file_name}: {source}")]
     Io {
         /// The file, or `.` for the directory.
         file_name: String,
-        /// What the system reported.
+        /// The I/O error of the system.
         source: io::Error,
     },
     /// The content of a file is not what was written.
@@ -19,9 +19,10 @@
     Corrupt {
         /// The file.
         file_name: String,
-        /// Where the damage begins, or the frame that holds it, bytes from the file's start.
+        /// The start of the damage or of the frame that contains it, in bytes from the file's
+        /// start.
         offset: u64,
-        /// What is wrong there.
+        /// The kind of damage.
         reason: CorruptionReason,
     },
     /// The file was written in another version of the format.
@@ -29,20 +30,20 @@
     UnsupportedVersion {
         /// The file.
         file_name: String,
-        /// The version that its header names.
+        /// The version in its header.
         version: u32,
     },
 }
 
-/// What is wrong with the content of a segment.
+/// The kind of damage in a segment.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CorruptionReason {
     /// Records are missing between two segments.
-    #[error("it begins with record {first_lsn}, and {expected_lsn} should come")]
+    #[error("the segment begins with record {first_lsn}; expected record {expected_lsn}")]
     MissingRecords {
-        /// The first record of the segment.
+        /// The LSN of the segment's first record, from its file name.
         first_lsn: Lsn,
-        /// The record that should follow the segment before.
+        /// The LSN that follows the last record of the segment before.
         expected_lsn: Lsn,
     },
     /// The file is shorter than a header.
@@ -54,13 +55,13 @@
     /// The header's checksum does not match.
     #[error("the head's checksum does not match")]
     HeaderChecksum,
-    /// The header's first LSN is not that of the file's name.
+    /// The first LSN in the header differs from the one in the file's name.
     #[error("its name is not that of its first record")]
     WrongFileName,
     /// The length of a record exceeds its frame.
-    #[error("a record's length")]
+    #[error("a record's length exceeds its frame")]
     RecordExceedsFrame,
-    /// A frame can't be read.
+    /// A frame is incomplete or damaged.
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// The caller rejected a record.
@@ -68,16 +69,17 @@
     Record(#[from] RecordRejected),
 }
 
-/// Bytes are not the frame that should come.
+/// The error of bytes that do not begin with the expected frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// Fewer bytes than a frame's header.
+    /// There are fewer bytes than a frame's header has.
     #[error("a frame's head is cut short")]
     HeaderCutShort,
-    /// The header has an impossible length, or the LSN of another frame.
-    #[error("a frame's head is not what should come")]
+    /// The payload length in the header exceeds the maximum, or the first LSN is not the expected
+    /// one.
+    #[error("a frame's header has an impossible length or an unexpected first record")]
     UnexpectedHeader,
-    /// Fewer bytes than the header says.
+    /// There are fewer bytes than the length in the header.
     #[error("a frame is cut short")]
     PayloadCutShort,
     /// The checksum does not match.
@@ -85,7 +87,7 @@
     Checksum,
 }
 
-/// A record was read whole, and the caller can't use it.
+/// The caller's reason for rejecting a record that was read undamaged.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct RecordRejected {
@@ -93,19 +95,19 @@
 }
 
 impl RecordRejected {
-    /// A rejection for this reason, which becomes part of [`OpenError::Corrupt`].
+    /// Creates a rejection for this reason, which becomes part of [`OpenError::Corrupt`].
     pub fn new(reason: impl fmt::Display) -> Self {
         RecordRejected { reason: reason.to_string() }
     }
 }
 
-/// Records could not be appended. The log takes no more records then.
+/// The error of a failed append. The log accepts no more records after it.
 #[derive(Debug, thiserror::Error)]
 pub enum AppendError {
     /// An earlier append failed, so it is not known what is on disk.
-    #[error("the log has failed before")]
+    #[error("an earlier write to the log failed; it accepts no more records")]
     FailedBefore,
-    /// The system refused.
+    /// An I/O operation failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
--- a/crates/service/wal/src/log.rs
+++ b/crates/service/wal/src/log.rs
@@ -1,36 +1,38 @@
-//! Writing at the end of a log.
+//! Opening a log and appending to it.
 use crate::directory::{AppendFile, Directory};
 use crate::error::{AppendError, OpenError, RecordRejected};
 use crate::format::Lsn;
 use crate::frame::{encode_closing_frame, encode_frame};
 use crate::reader::{LogContents, LogReader, RecoveryReport};
-use crate::segment::{SegmentInfo, encode_header, file_name};
+use crate::segment::{SegmentInfo, encode_header, segment_file_name};
 use rand::Rng;
 use std::io;
 
 /// The LSN of the first record of a log.
 const FIRST_LSN: Lsn = 1;
-/// The extension of a file that is being written and will replace a segment.
+/// The extension of the temporary file that replaces a segment once it is complete.
 const TEMPORARY_EXTENSION: &str = ".tmp";
 
-/// How a log is written.
+/// Settings for writing a log.
 #[derive(Clone, Copy, Debug)]
 pub struct LogOptions {
-    /// A segment that has grown to this many bytes is closed and the next begun.
+    /// The size, in bytes, at which a segment is closed and the next one created. The frame that
+    /// reaches it is written whole, so a segment may be larger.
     pub max_segment_bytes: u64,
-    /// Whether an append waits until the disk has the records.
+    /// Whether an append syncs, so that its records are durable when it returns.
     pub sync_on_commit: bool,
 }
 
-/// A log that is written to. At most one may exist for a directory.
+/// A log that is open for appending. At most one may exist for each directory.
 pub struct WriteAheadLog {
     directory: Box<dyn Directory>,
     options: LogOptions,
-    /// The segments that are not written to any more, oldest first.
+    /// The segments that are no longer appended to, oldest first.
     sealed: Vec<SealedSegment>,
     active: Option<ActiveSegment>,
     next_lsn: Lsn,
-    /// An append has failed: what is on disk behind the last success is not known.
+    /// Whether an append has failed. What was written after the last successful append may then be
+    /// on disk or not.
     failed: bool,
 }
 
@@ -48,8 +50,8 @@
 }
 
 impl WriteAheadLog {
-    /// Reads the log of a directory, hands all records in order to `on_record`, and makes the log
-    /// ready to be written.
+    /// Reads the log of a directory, passes all records in order to `on_record`, removes a torn
+    /// write, and prepares the log for appending.
     ///
     /// # Errors
     /// If the log can't be read, is corrupt or can't be written to, or if `on_record` rejects a
@@ -76,8 +78,8 @@
         Ok((log, contents.report))
     }
 
-    /// Removes what was torn, and writes the last segment again: after a failed sync, what was read
-    /// of it, its closing frame included, may be in the system's memory only.
+    /// Removes a torn write and rewrites the last segment. After a failed sync, the content that
+    /// was read from it, its closing frame included, may exist only in the page cache.
     fn repair_tail(&self, contents: &LogContents) -> Result<(), OpenError> {
         self.remove_temporary_files()?;
         if let Some(last) = contents.segments.last() {
@@ -92,7 +94,7 @@
         self.directory.sync().map_err(io_error("."))
     }
 
-    /// Removes the files that a crash left behind while a segment was written again.
+    /// Removes the temporary files of rewrites that a crash interrupted.
     fn remove_temporary_files(&self) -> Result<(), OpenError> {
         let names = self.directory.list().map_err(io_error("."))?;
         for name in names.iter().filter(|name| name.ends_with(TEMPORARY_EXTENSION)) {
@@ -101,8 +103,8 @@
         Ok(())
     }
 
-    /// Writes the readable part of a segment to a new file, and puts that in the segment's place
-    /// once it is on disk.
+    /// Writes the readable part of a segment to a temporary file, syncs it, and renames it to the
+    /// segment's file name.
     fn rewrite_segment(&self, segment: &SegmentInfo) -> io::Result<()> {
         let bytes = self.directory.read(&segment.file_name)?;
         let temporary = format!("{}{TEMPORARY_EXTENSION}", segment.file_name);
@@ -112,24 +114,25 @@
         self.directory.rename(&temporary, &segment.file_name)
     }
 
-    /// The LSN of the next record.
+    /// Returns the LSN of the next record.
     #[must_use]
     pub fn next_lsn(&self) -> Lsn {
         self.next_lsn
     }
 
-    /// The log's size on disk, bytes.
+    /// Returns the size of the log on disk, bytes.
     #[must_use]
     pub fn size_bytes(&self) -> u64 {
         let sealed: u64 = self.sealed.iter().map(|segment| segment.size_bytes).sum();
         sealed + self.active.as_ref().map_or(0, |segment| segment.size_bytes)
     }
 
-    /// Appends records as one frame. When it returns they are durable, if the options ask for that.
+    /// Appends records as one frame. With [`LogOptions::sync_on_commit`], they are durable when
+    /// this returns.
     ///
     /// # Errors
-    /// What the system reports, and [`AppendError::FailedBefore`] from then on: see the crate's
-    /// page.
+    /// The I/O error of the system, and [`AppendError::FailedBefore`] from every later call: see
+    /// the crate documentation for the reason.
     pub fn append<R: AsRef<[u8]>>(&mut self, records: &[R]) -> Result<(), AppendError> {
         if self.failed {
             return Err(AppendError::FailedBefore);
@@ -151,7 +154,9 @@
         if self.active.is_none() {
             self.active = Some(self.create_segment()?);
         }
-        let Some(segment) = &mut self.active else { return Err(io::Error::other("no segment")) };
+        let Some(segment) = &mut self.active else {
+            return Err(io::Error::other("there is no active segment to append to"));
+        };
         let frame = encode_frame(segment.salt, self.next_lsn, records);
         segment.file.append(&frame)?;
         if self.options.sync_on_commit {
@@ -163,8 +168,9 @@
     }
 
     fn create_segment(&mut self) -> io::Result<ActiveSegment> {
-        let file_name = file_name(self.next_lsn);
-        // A segment that its process began and put no record in has the name of the new one.
+        let file_name = segment_file_name(self.next_lsn);
+        // An earlier process created this segment and wrote no record to it, so the new segment has
+        // the same name.
         if self.sealed.last().is_some_and(|segment| segment.first_lsn == self.next_lsn) {
             self.sealed.pop();
             self.directory.remove(&file_name)?;
@@ -180,7 +186,8 @@
         Ok(ActiveSegment { file, first_lsn: self.next_lsn, salt, size_bytes: header.len() as u64 })
     }
 
-    /// Closes the active segment: from then on damage at its end can be told from a torn write.
+    /// Closes the active segment with a closing frame, by which a reader tells damage in the last
+    /// records from a torn write.
     fn close_segment(&mut self) -> io::Result<()> {
         let Some(mut segment) = self.active.take() else { return Ok(()) };
         let closing_frame = encode_closing_frame(segment.salt, self.next_lsn);
@@ -191,12 +198,11 @@
         Ok(())
     }
 
-    /// Removes the segments whose records all precede `oldest_needed`; returns whether there were
-    /// any.
+    /// Removes the segments whose records all precede `oldest_needed`. Returns whether any was
+    /// removed.
     ///
     /// # Errors
-    /// What the system reports. A segment that could not be removed is tried again by the next
-    /// call.
+    /// The I/O error of the system. The next call retries a segment that could not be removed.
     pub fn trim(&mut self, oldest_needed: Lsn) -> io::Result<bool> {
         let mut removed = false;
         while let Some(oldest) = self.sealed.first() {
@@ -207,8 +213,8 @@
             if next_first_lsn.is_none_or(|first_lsn| first_lsn > oldest_needed) {
                 break;
             }
-            // Oldest first, so that whatever a crash leaves is a log without a gap.
-            self.directory.remove(&file_name(oldest.first_lsn))?;
+            // Oldest first, so that a crash in between leaves a log without a gap.
+            self.directory.remove(&segment_file_name(oldest.first_lsn))?;
             self.directory.sync()?;
             self.sealed.remove(0);
             removed = true;
@@ -219,7 +225,7 @@
     /// Closes the log.
     ///
     /// # Errors
-    /// What the system reports, or [`AppendError::FailedBefore`].
+    /// The I/O error of the system, or [`AppendError::FailedBefore`].
     pub fn close(mut self) -> Result<(), AppendError> {
         if self.failed {
             return Err(AppendError::FailedBefore);
@@ -228,7 +234,7 @@
     }
 }
 
-/// Turns the system's report into an error that names the file.
+/// Returns a function that converts an I/O error into an error with the file's name.
 fn io_error(file_name: &str) -> impl FnOnce(io::Error) -> OpenError + use<> {
     let file_name = file_name.to_owned();
     move |source| OpenError::Io { file_name, source }
--- a/crates/service/wal/src/reader.rs
+++ b/crates/service/wal/src/reader.rs
@@ -1,38 +1,38 @@
-//! Reading a log: its records in order, its segments, and what a crash tore off at its end.
+//! Reading a log: its records in order, its segments, and a torn write at its end.
 use crate::directory::Directory;
 use crate::error::{CorruptionReason, OpenError, RecordRejected};
 use crate::format::Lsn;
 use crate::frame::{Frame, contains_later_frame};
-use crate::segment::{HEADER_BYTES, SegmentInfo, decode_header, first_lsn_of, has_complete_header};
+use crate::segment::{SEGMENT_HEADER_BYTES, SegmentInfo, decode_header, has_valid_header, parse_file_name};
 
-/// What reading a log found.
+/// The summary of reading a log.
 #[derive(Debug, Default)]
 pub struct RecoveryReport {
-    /// Records that were read.
+    /// The number of records that were read.
     pub records: u64,
-    /// Bytes that were read.
+    /// The number of bytes that were read, without a torn write.
     pub bytes: u64,
-    /// The write at the end of the log that a crash cut short.
+    /// The write at the end of the log that a crash interrupted, if any.
     pub torn_write: Option<TornWrite>,
 }
 
-/// A write at the end of the log that was cut short. Nothing in it was reported as durable.
+/// An incomplete write at the end of the log. None of its records was reported as durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TornWrite {
     /// The file.
     pub file_name: String,
-    /// Where the torn write begins, bytes from the file's start.
+    /// The start of the torn write, in bytes from the file's start.
     pub offset: u64,
     /// Its size, bytes.
     pub bytes: u64,
 }
 
-/// The segments of a log, and what reading them found.
+/// The segments of a log, and the summary of reading them.
 #[derive(Debug, Default)]
 pub struct LogContents {
     /// The segments, oldest first.
     pub segments: Vec<SegmentInfo>,
-    /// What was read, and what was torn off.
+    /// How much was read, and the torn write.
     pub report: RecoveryReport,
 }
 
@@ -41,35 +41,35 @@
     directory: &'a dyn Directory,
 }
 
-/// A segment of the directory, not read yet.
+/// A segment file of the directory, before it is read.
 struct SegmentFile {
     first_lsn: Lsn,
     name: String,
-    /// Only the end of the last segment may be torn.
+    /// Whether this is the last segment, the only one whose end may be torn.
     is_last: bool,
 }
 
-/// What reading one segment found.
+/// The result of reading one segment.
 struct ParsedSegment {
-    /// Where the last readable frame ends, bytes from the file's start.
+    /// The end of the last readable frame, in bytes from the file's start.
     valid_bytes: usize,
-    /// The LSN of the record that would follow.
+    /// The LSN after the last record.
     next_lsn: Lsn,
-    /// Whether the last frame closes the segment.
+    /// Whether the last frame is a closing frame.
     closed: bool,
 }
 
 impl<'a> LogReader<'a> {
-    /// A reader of this directory.
+    /// Creates a reader of this directory.
     pub fn new(directory: &'a dyn Directory) -> Self {
         LogReader { directory }
     }
 
-    /// Reads all records in order and hands each with its LSN to `on_record`.
+    /// Reads all records in order and passes each with its LSN to `on_record`.
     ///
     /// # Errors
-    /// If a file can't be read, is damaged elsewhere than at the log's end, or if `on_record`
-    /// rejects a record.
+    /// If a file can't be read or is damaged other than by a torn write at the end of the log, if
+    /// it has an unsupported version, or if `on_record` rejects a record.
     pub fn read(
         &self,
         mut on_record: impl FnMut(Lsn, &[u8]) -> Result<(), RecordRejected>,
@@ -79,9 +79,9 @@
         for file in self.segment_files()? {
             let bytes = self.directory.read(&file.name).map_err(|source| file.io_error(source))?;
             file.check_follows(expected_lsn)?;
-            // A crash interrupted the creation of the file. The header is synced before anything
-            // follows it, so there never was a record in it.
-            if file.is_last && bytes.len() <= HEADER_BYTES && !has_complete_header(&bytes) {
+            // A crash interrupted the creation of the file. The header is synced before the first
+            // frame is written, so the file never contained a record.
+            if file.is_last && bytes.len() <= SEGMENT_HEADER_BYTES && !has_valid_header(&bytes) {
                 contents.report.torn_write = Some(file.torn_write(0, bytes.len()));
                 break;
             }
@@ -97,12 +97,12 @@
         Ok(contents)
     }
 
-    /// The directory's segments, oldest first.
+    /// Lists the segment files of the directory, oldest first.
     fn segment_files(&self) -> Result<Vec<SegmentFile>, OpenError> {
         let listed = self.directory.list();
         let names = listed.map_err(|source| OpenError::Io { file_name: ".".into(), source })?;
         let as_file =
-            |name: String| Some(SegmentFile { first_lsn: first_lsn_of(&name)?, name, is_last: false });
+            |name: String| Some(SegmentFile { first_lsn: parse_file_name(&name)?, name, is_last: false });
         let mut files: Vec<SegmentFile> = names.into_iter().filter_map(as_file).collect();
         files.sort_by(|a, b| (a.first_lsn, &a.name).cmp(&(b.first_lsn, &b.name)));
         if let Some(last) = files.last_mut() {
@@ -113,7 +113,8 @@
 }
 
 impl SegmentFile {
-    /// Whether the segment begins with the record that should come, if one was read before.
+    /// Checks that the segment begins with the record `expected_lsn`. `None` for the first segment,
+    /// which may begin with any record.
     fn check_follows(&self, expected_lsn: Option<Lsn>) -> Result<(), OpenError> {
         match expected_lsn {
             Some(expected_lsn) if expected_lsn != self.first_lsn => {
@@ -124,26 +125,28 @@
         }
     }
 
-    /// Reads all frames of the segment.
+    /// Reads the frames of the segment up to its end or a torn write, and passes their records to
+    /// `on_record`.
     fn parse(
         &self,
         bytes: &[u8],
         on_record: &mut impl FnMut(Lsn, &[u8]) -> Result<(), RecordRejected>,
     ) -> Result<ParsedSegment, OpenError> {
         let salt = decode_header(&self.name, self.first_lsn, bytes)?.salt;
-        let mut parsed = ParsedSegment { valid_bytes: HEADER_BYTES, next_lsn: self.first_lsn, closed: false };
+        let mut parsed =
+            ParsedSegment { valid_bytes: SEGMENT_HEADER_BYTES, next_lsn: self.first_lsn, closed: false };
         while parsed.valid_bytes < bytes.len() {
             let offset = parsed.valid_bytes;
             match Frame::decode(&bytes[offset..], salt, parsed.next_lsn) {
                 Ok(frame) => self.read_frame(frame, &mut parsed, on_record)?,
-                // Frames are synced one by one: with a readable one behind it, this one was
-                // complete once.
+                // Each frame is synced before the next is written: since a readable frame follows,
+                // this one was once complete.
                 Err(error)
                     if !self.is_last || contains_later_frame(&bytes[offset + 1..], salt, parsed.next_lsn) =>
                 {
                     return Err(self.corrupt(offset, error.into()));
                 }
-                // A torn write.
+                // Nothing readable follows in the last segment: a torn write.
                 Err(_) => {
                     parsed.closed = false;
                     break;
@@ -153,6 +156,8 @@
         Ok(parsed)
     }
 
+    /// Passes the records of the frame at `parsed.valid_bytes` to `on_record`, and advances
+    /// `parsed` past the frame.
     fn read_frame(
         &self,
         frame: Frame<'_>,
--- a/crates/service/wal/src/simulated.rs
+++ b/crates/service/wal/src/simulated.rs
@@ -1,6 +1,5 @@
-//! A directory in memory that does to a log what disks and machines do: it fails a sync, runs out
-//! of space, and at a crash loses or tears whatever was not synced. Everything random comes from a
-//! seed.
+//! A directory in memory with injected faults: syncs fail, the disk is full, and a crash loses or
+//! tears unsynced data. All random choices derive from a seed.
 use crate::directory::{AppendFile, Directory};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -8,16 +7,16 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// How likely a crash finds the directory's names on disk that were not synced.
+/// The probability that unsynced changes of file names survive a crash.
 const NAMES_SURVIVE_PROBABILITY: f64 = 0.5;
-/// How likely the length of a file is on disk after a crash and its last bytes are not.
+/// The probability that after a crash the length of a file is on disk and its last bytes are not.
 const ZEROED_TAIL_PROBABILITY: f64 = 0.3;
 
-/// A directory in memory. Clones are the same directory.
+/// A directory in memory. All clones refer to the same directory.
 #[derive(Clone, Default)]
 pub struct SimulatedDirectory(Arc<Mutex<DirectoryState>>);
 
-/// The number of a file, which stays when the file is renamed.
+/// The identity of a file, which renaming does not change.
 type FileNumber = u64;
 
 #[derive(Default)]
@@ -27,19 +26,19 @@
     /// The names as they are on disk.
     durable_names: BTreeMap<String, FileNumber>,
     last_file_number: FileNumber,
-    /// Syncs that still succeed; `None`: all.
+    /// The number of syncs that still succeed, after which all fail. `None` if none fails.
     syncs_until_failure: Option<u64>,
-    /// Bytes that can still be written; `None`: any number.
+    /// The free space, bytes. `None` if it is unlimited.
     free_bytes: Option<u64>,
     sync_count: u64,
-    /// Crashes so far: what was opened before the last one can't be written to.
+    /// The number of crashes so far. Files that were opened in an earlier epoch reject writes.
     epoch: u64,
 }
 
 #[derive(Clone, Default)]
 struct FileState {
     content: Vec<u8>,
-    /// How much of the content is on disk, bytes.
+    /// The length of the prefix of the content that is on disk, bytes.
     durable_bytes: usize,
 }
 
@@ -51,7 +50,7 @@
 }
 
 impl SimulatedDirectory {
-    /// An empty directory.
+    /// Creates an empty directory without faults.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -61,32 +60,34 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets `successes` more syncs succeed; the next one fails, and what it should have written is
-    /// lost at the next crash.
+    /// Makes all file syncs after the next `successes` fail. The data of a failed sync stays
+    /// readable and is not durable at the next crash.
     pub fn fail_sync_after(&self, successes: u64) {
         self.state().syncs_until_failure = Some(successes);
     }
 
-    /// Ends the faults of the disk. What a failed sync left behind is still only in memory.
+    /// Ends the failures of syncs and the limit on free space. The data of a failed sync stays only
+    /// in memory.
     pub fn clear_faults(&self) {
         let mut state = self.state();
         state.syncs_until_failure = None;
         state.free_bytes = None;
     }
 
-    /// Lets `bytes` more bytes be written; then the disk is full.
+    /// Limits the free space of the disk to `bytes`. A write beyond it is cut off and fails.
     pub fn set_free_bytes(&self, bytes: u64) {
         self.state().free_bytes = Some(bytes);
     }
 
-    /// How often a file was synced.
+    /// Returns how often files were synced, failures included.
     #[must_use]
     pub fn sync_count(&self) -> u64 {
         self.state().sync_count
     }
 
-    /// The machine stops and starts again: what was not synced is there, gone, or torn anywhere, as
-    /// the seed says, and nothing that is still open can be written to.
+    /// Simulates a crash and restart of the machine. As drawn from the seed, unsynced data is kept,
+    /// lost or torn at any byte. Files that are still open reject writes, and the injected faults
+    /// end.
     pub fn crash(&self, seed: u64) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut state = self.state();
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Flips the bits of `mask` in one byte of a file.
+    /// Flips the bits of `mask` in the byte at `offset` of a file.
     pub fn corrupt(&self, name: &str, offset: usize, mask: u8) {
         let mut state = self.state();
         if let Some(byte) = state.file_mut(name).and_then(|file| file.content.get_mut(offset)) {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// A copy that shares nothing with this directory, without its faults.
+    /// Returns an independent copy of the directory's files, without its faults.
     #[must_use]
     pub fn deep_copy(&self) -> Self {
         let state = self.state();
@@ -124,7 +125,7 @@
         SimulatedDirectory(Arc::new(Mutex::new(copy)))
     }
 
-    /// Opens a file as it is after the last crash.
+    /// Opens a file for appending until the next crash.
     fn open(&self, file: FileNumber) -> Box<dyn AppendFile> {
         let epoch = self.state().epoch;
         Box::new(SimulatedFile { directory: self.clone(), file, epoch })
@@ -139,12 +140,12 @@
 }
 
 impl FileState {
-    /// Keeps a random part of what was not synced.
+    /// Drops a random part of the unsynced bytes, or zeroes it.
     fn crash(&mut self, rng: &mut SmallRng) {
         let unsynced = self.content.len() - self.durable_bytes;
         let kept = if unsynced == 0 { 0 } else { rng.random_range(0..=unsynced) };
         self.content.truncate(self.durable_bytes + kept);
-        // The file's length may be on disk and its bytes not.
+        // File systems may write a file's length before its bytes, which then read as zeros.
         if kept > 0 && rng.random_bool(ZEROED_TAIL_PROBABILITY) {
             let zeroed_from = self.durable_bytes + rng.random_range(0..kept);
             self.content[zeroed_from..].fill(0);
@@ -154,10 +155,17 @@
 }
 
 impl SimulatedFile {
-    /// The directory's state, unless the machine has crashed since the file was opened.
+    /// Returns the directory's state.
+    ///
+    /// # Errors
+    /// If the simulated machine has crashed since the file was opened.
     fn state(&self) -> io::Result<MutexGuard<'_, DirectoryState>> {
         let state = self.directory.state();
-        if state.epoch == self.epoch { Ok(state) } else { Err(io::Error::other("the machine has crashed")) }
+        if state.epoch == self.epoch {
+            Ok(state)
+        } else {
+            Err(io::Error::other("the simulated machine has crashed since the file was opened"))
+        }
     }
 }
 
@@ -176,9 +184,9 @@
         let mut state = self.state()?;
         state.sync_count += 1;
         match state.syncs_until_failure {
-            // As the kernel does: the pages count as clean from here, though they never reached the
-            // disk.
-            Some(0) => return Err(io::Error::other("the disk has failed")),
+            // As in the kernel, the pages count as clean after a failed sync, though they never
+            // reached the disk.
+            Some(0) => return Err(io::Error::other("simulated sync failure")),
             Some(left) => state.syncs_until_failure = Some(left - 1),
             None => {}
         }
--- a/crates/service/wal/src/writer.rs
+++ b/crates/service/wal/src/writer.rs
@@ -1,5 +1,5 @@
-//! The thread that writes the log. It takes the records that have gathered while it was busy, so
-//! that one sync serves many records (group commit).
+//! The thread that writes the log. It commits all records that were queued while it was busy with
+//! one sync (group commit).
 use crate::format::Lsn;
 use crate::log::WriteAheadLog;
 use bytes::Bytes;
@@ -10,42 +10,43 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// The most bytes that one group commit takes, so that its first record does not wait for the last.
+/// The size, in bytes, at which a group commit takes no more queued commands, so that its first
+/// record does not wait for too many later ones.
 const MAX_GROUP_BYTES: usize = 4 << 20;
-/// The longest commit latency that is told apart; a longer one counts as this.
+/// The highest commit latency that is recorded; higher ones are recorded as this.
 const MAX_RECORDED_LATENCY: Duration = Duration::from_secs(60);
 /// Significant decimal digits of the recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
-/// The name of the thread, as the system shows it.
+/// The name of the thread in the operating system.
 const THREAD_NAME: &str = "ledger";
 
-/// What the writer reports, from its own thread.
+/// The progress that the writer reports, on its own thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommitProgress {
     /// All records up to `last_lsn` are durable.
     Durable {
-        /// The last durable record.
+        /// The LSN of the last durable record.
         last_lsn: Lsn,
-        /// The log's size on disk, bytes.
+        /// The size of the log on disk, bytes.
         log_bytes: u64,
     },
-    /// The log has failed, and takes no more records for the life of this process. Records behind
-    /// the last that was reported durable may be on disk or not.
+    /// A write or sync failed, and the log accepts no more records in this process. Records behind
+    /// the last one that was reported as durable may be on disk or not.
     Failed,
 }
 
 /// Counts and latencies of the commits so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CommitStats {
-    /// Group commits.
+    /// The number of group commits.
     pub commits: u64,
-    /// Records in them.
+    /// The number of records in these commits.
     pub records: u64,
-    /// The median latency of a commit.
+    /// The median commit latency.
     pub latency_p50: Duration,
-    /// The latency that 99 in 100 commits did not exceed.
+    /// The 99th percentile of the commit latency.
     pub latency_p99: Duration,
-    /// The longest latency of a commit.
+    /// The highest commit latency.
     pub latency_max: Duration,
 }
 
@@ -54,11 +55,11 @@
     Trim { oldest_needed: Lsn },
 }
 
-/// A handle of the thread that writes a log. Dropping it writes what was appended, and closes the
-/// log.
+/// A handle to the thread that writes a log. Dropping it blocks until the appended records are
+/// written and the log is closed.
 pub struct LogWriter {
     commands: Option<Sender<WriterCommand>>,
-    /// Records that were appended and not flushed yet.
+    /// The records that were appended and are not flushed yet.
     buffer: Vec<Bytes>,
     thread: Option<JoinHandle<()>>,
     next_lsn: Lsn,
@@ -68,16 +69,17 @@
 struct StatsRecorder {
     commits: u64,
     records: u64,
-    /// Commit latencies in microseconds. `None` if the histogram could not be made.
+    /// The commit latencies in microseconds. `None` if the histogram could not be created.
     latencies: Option<Histogram<u64>>,
 }
 
 impl LogWriter {
     /// Starts the thread, which reports its progress to `on_progress`. A commit begins
-    /// `group_delay` after its first record, so that more records share its sync.
+    /// `group_delay` after the thread receives its first records, so that more records share its
+    /// sync.
     ///
     /// # Errors
-    /// If the system gives no thread.
+    /// The I/O error of the system if the thread can't be started.
     pub fn spawn(
         log: WriteAheadLog,
         group_delay: Duration,
@@ -89,19 +91,19 @@
         let thread_stats = stats.clone();
         let thread = std::thread::Builder::new()
             .name(THREAD_NAME.into())
-            .spawn(move || run(log, group_delay, &receiver, on_progress, &thread_stats))?;
+            .spawn(move || run_writer(log, group_delay, &receiver, on_progress, &thread_stats))?;
         Ok(LogWriter { commands: Some(commands), buffer: Vec::new(), thread: Some(thread), next_lsn, stats })
     }
 
-    /// Takes a record; returns its LSN. It is written with the next [`LogWriter::flush`], and
-    /// durable once that was reported.
+    /// Buffers a record and returns its LSN. The next [`LogWriter::flush`] sends it to the thread;
+    /// it is durable once [`CommitProgress::Durable`] reports this LSN or a later one.
     pub fn append(&mut self, record: Bytes) -> Lsn {
         self.buffer.push(record);
         self.next_lsn += 1;
         self.next_lsn - 1
     }
 
-    /// Hands the appended records to the thread.
+    /// Sends the buffered records to the thread.
     pub fn flush(&mut self) {
         if !self.buffer.is_empty() {
             let records = std::mem::take(&mut self.buffer);
@@ -109,17 +111,17 @@
         }
     }
 
-    /// Lets the thread remove the segments whose records all precede `oldest_needed`.
+    /// Makes the thread remove the segments whose records all precede `oldest_needed`.
     pub fn trim(&self, oldest_needed: Lsn) {
         self.send(WriterCommand::Trim { oldest_needed });
     }
 
     fn send(&self, command: WriterCommand) {
-        // The thread ends early only after a failure, which it has reported.
+        // Sending fails only if the thread ended after a failure, which it has reported.
         let _ = self.commands.as_ref().map(|commands| commands.send(command));
     }
 
-    /// Counts and latencies of the commits so far.
+    /// Returns counts and latencies of the commits so far.
     #[must_use]
     pub fn stats(&self) -> CommitStats {
         self.stats.lock().unwrap_or_else(PoisonError::into_inner).summary()
@@ -170,36 +172,35 @@
     }
 }
 
-/// The records of one commit, and the trim that was asked for meanwhile.
+/// The records of one commit, and the last trim that was requested among them.
 #[derive(Default)]
-struct Group {
+struct CommitGroup {
     records: Vec<Bytes>,
     trim_before: Option<Lsn>,
 }
 
-impl Group {
-    /// Takes this command and those that wait behind it, until the group has enough bytes.
-    fn gather(first: WriterCommand, receiver: &Receiver<WriterCommand>) -> Self {
-        let mut group = Group::default();
-        let mut gathered_bytes = 0;
+impl CommitGroup {
+    /// Collects `first` and the queued commands, until the records reach [`MAX_GROUP_BYTES`].
+    fn collect(first: WriterCommand, receiver: &Receiver<WriterCommand>) -> Self {
+        let mut group = CommitGroup::default();
+        let mut collected_bytes = 0;
         let mut next = Some(first);
         while let Some(command) = next {
             match command {
                 WriterCommand::Append(records) => {
-                    gathered_bytes += records.iter().map(Bytes::len).sum::<usize>();
+                    collected_bytes += records.iter().map(Bytes::len).sum::<usize>();
                     group.records.extend(records);
                 }
                 WriterCommand::Trim { oldest_needed } => group.trim_before = Some(oldest_needed),
             }
-            next = if gathered_bytes < MAX_GROUP_BYTES { receiver.try_recv().ok() } else { None };
+            next = if collected_bytes < MAX_GROUP_BYTES { receiver.try_recv().ok() } else { None };
         }
         group
     }
 }
 
-/// The thread's work: one group commit after the other, until the handle is dropped or the log
-/// fails.
-fn run(
+/// Runs the thread: performs group commits until the handle is dropped or the log fails.
+fn run_writer(
     mut log: WriteAheadLog,
     group_delay: Duration,
     receiver: &Receiver<WriterCommand>,
@@ -210,7 +211,7 @@
         if !group_delay.is_zero() && matches!(first, WriterCommand::Append(_)) {
             std::thread::sleep(group_delay);
         }
-        let group = Group::gather(first, receiver);
+        let group = CommitGroup::collect(first, receiver);
         if !group.records.is_empty() {
             let started = Instant::now();
             if log.append(&group.records).is_err() {
@@ -219,8 +220,8 @@
             let mut stats = stats.lock().unwrap_or_else(PoisonError::into_inner);
             stats.record_commit(group.records.len(), started.elapsed());
         }
-        // A segment that can't be removed now is tried again with the next trim; a full disk shows
-        // at an append.
+        // The next trim retries a segment that can't be removed now. If the disk is full, the next
+        // append reports it.
         let trimmed = group.trim_before.is_some_and(|oldest_needed| log.trim(oldest_needed).unwrap_or(false));
         if !group.records.is_empty() || trimmed {
             let last_lsn = log.next_lsn() - 1;
--- a/crates/service/wal/tests/write_ahead_log.rs
+++ b/crates/service/wal/tests/write_ahead_log.rs
@@ -1,9 +1,8 @@
-//! The log on a disk that fails: what was reported durable is read back, and what can't be trusted
-//! is reported.
+//! The log on a disk with faults: all durable records are read back, and damage is reported.
 mod common;
 
 use bytes::Bytes;
-use common::{OpenedLog, SMALL_SEGMENTS, append_frames, next_records, open, record, seeded, try_open};
+use common::{OpenedLog, SMALL_SEGMENTS, append_frames, next_records, open, record, seeded_config, try_open};
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, proptest};
 use spanlead_wal::simulated::SimulatedDirectory;
 use spanlead_wal::{
@@ -15,7 +14,7 @@
 use std::time::Duration;
 
 #[test]
-fn appended_records_are_read_back_over_many_segments_and_processes() {
+fn appended_records_are_read_back_after_reopening_many_segments() {
     let directory = SimulatedDirectory::new();
     for round in 0..4 {
         let written = append_frames(&directory, &[1, 2, 3, 4, 5, 6]);
@@ -24,19 +23,19 @@
         let OpenedLog { log, records, report } = open(&directory);
 
         assert_eq!((records, report.torn_write), (written, None));
-        log.close().expect("the disk is good");
+        log.close().expect("the disk has no fault");
     }
-    assert!(directory.list().expect("names").len() > 4, "there are several segments");
+    assert!(directory.list().expect("the directory is readable").len() > 4, "expected several segments");
 }
 
 #[test]
-fn trim_removes_unneeded_segments_and_lsns_go_on() {
+fn trim_removes_unneeded_segments_and_lsns_continue() {
     let directory = SimulatedDirectory::new();
     let written = append_frames(&directory, &[5; 20]);
     let OpenedLog { mut log, .. } = open(&directory);
     let size_before = log.size_bytes();
 
-    log.trim(60).expect("the disk is good");
+    log.trim(60).expect("the disk has no fault");
     assert!(log.size_bytes() < size_before);
     log.append(&[record(101)]).expect("the disk has space");
     drop(log);
@@ -53,77 +52,83 @@
     assert_eq!(records[..records.len() - 1], written[lsns[0] as usize - 1..]);
 }
 
-// Guards the one thing that may be cut off: whatever length the last write has, the frames before
-// it are read back and the log goes on.
+// Guards the removal of a torn write: wherever the file is cut off, all complete frames before that
+// point are read back and the log accepts more records.
 #[test]
-fn a_torn_tail_is_cut_off_at_any_byte() {
+fn a_write_torn_at_any_byte_is_removed_on_open() {
     let directory = SimulatedDirectory::new();
     let written = append_frames(&directory, &[2, 3]);
-    let name = &directory.list().expect("names")[0];
-    let segment = directory.read(name).expect("the segment");
+    let name = &directory.list().expect("the directory is readable")[0];
+    let segment = directory.read(name).expect("the segment exists");
     let mut records_read = BTreeSet::new();
     for length in 0..segment.len() {
         let torn = SimulatedDirectory::new();
-        torn.create(name).expect("a new file").append(&segment[..length]).expect("the disk has space");
+        torn.create(name).expect("the file is new").append(&segment[..length]).expect("the disk has space");
 
         let OpenedLog { mut log, records, report } = open(&torn);
 
-        assert_eq!(records, written[..records.len()], "at {length}");
-        // A file that ends with a frame has lost nothing that it can know of.
-        assert!(report.torn_write.is_some() || [0, 2].contains(&records.len()), "at {length}");
+        assert_eq!(records, written[..records.len()], "cut off at byte {length}");
+        // A file that ends at a frame boundary shows no sign of a lost write.
+        assert!(report.torn_write.is_some() || [0, 2].contains(&records.len()), "cut off at byte {length}");
         records_read.insert(records.len());
         log.append(&[record(9)]).expect("the disk has space");
-        assert_eq!(open(&torn).records.len(), records.len() + 1, "at {length}");
+        assert_eq!(open(&torn).records.len(), records.len() + 1, "cut off at byte {length}");
     }
     assert_eq!(records_read.into_iter().collect::<Vec<_>>(), [0, 2]);
 }
 
-// Guards against silent damage: each byte of each file, changed in several ways, either stops the
-// start with the file and an offset no later than the byte, or lies in the last frame and costs no
-// more than that frame.
+// Guards against undetected damage: each byte of each file is changed in several ways. Opening the
+// log then either fails with the file and an offset that is not behind the byte, or, if the byte is
+// in the last frame, loses no other frame.
 #[test]
-fn a_corrupt_byte_anywhere_is_found() {
+fn a_corrupt_byte_at_any_offset_is_detected() {
     let directory = SimulatedDirectory::new();
     let written = append_frames(&directory, &[3, 1, 4, 1, 5, 2, 6]);
-    let names = directory.list().expect("names");
-    let mut found = 0;
+    let names = directory.list().expect("the directory is readable");
+    let mut detected = 0;
     for name in &names {
         let is_last_file = Some(name) == names.last();
-        for offset in 0..directory.read(name).expect("the segment").len() {
+        for offset in 0..directory.read(name).expect("the segment exists").len() {
             for mask in [1, 0x80, 0xff] {
                 let corrupt = directory.deep_copy();
                 corrupt.corrupt(name, offset, mask);
                 match try_open(&corrupt) {
                     Err(OpenError::Corrupt { file_name, offset: reported, .. }) => {
                         assert_eq!(&file_name, name);
-                        assert!(reported <= offset as u64, "{reported} for {offset}");
-                        found += 1;
+                        assert!(
+                            reported <= offset as u64,
+                            "reported offset {reported}, corrupt byte at {offset}"
+                        );
+                        detected += 1;
                     }
                     Err(OpenError::UnsupportedVersion { file_name, .. }) => assert_eq!(&file_name, name),
                     Err(other) => panic!("{other}"),
                     Ok(OpenedLog { records, report, .. }) => {
-                        assert!(is_last_file, "only in the last file");
+                        assert!(is_last_file, "opened {name} with byte {offset} corrupt, expected an error");
                         assert_eq!(records, written[..records.len()]);
                         let lost = written.len() - records.len();
-                        assert!(report.torn_write.is_some() && lost <= 6, "only the last frame");
+                        assert!(
+                            report.torn_write.is_some() && lost <= 6,
+                            "lost {lost} records, expected a torn write of at most the 6 of the last frame"
+                        );
                     }
                 }
             }
         }
     }
-    assert!(found > 1000, "{found}");
+    assert!(detected > 1000, "{detected} corrupt bytes detected, expected more than 1000");
 }
 
-// Guards what is said of a log that was closed: there damage in the last frame can't pass for a
-// torn write.
+// Guards against taking damage in the last records of a closed log for a torn write: the closing
+// frame behind them shows that they were complete.
 #[test]
-fn in_a_closed_log_a_corrupt_last_frame_is_found_too() {
+fn corrupt_last_records_of_a_closed_log_are_an_error() {
     let directory = SimulatedDirectory::new();
     let mut log = open(&directory).log;
     log.append(&[record(1), record(2)]).expect("the disk has space");
-    log.close().expect("the disk is good");
-    let name = &directory.list().expect("names")[0];
-    let length = directory.read(name).expect("the segment").len();
+    log.close().expect("the disk has no fault");
+    let name = &directory.list().expect("the directory is readable")[0];
+    let length = directory.read(name).expect("the segment exists").len();
 
     directory.corrupt(name, length - 40, 1);
 
@@ -131,19 +136,22 @@
 }
 
 #[test]
-fn a_missing_segment_stops_the_start() {
+fn opening_a_log_with_a_missing_segment_fails() {
     let directory = SimulatedDirectory::new();
     append_frames(&directory, &[5; 30]);
-    let names = directory.list().expect("names");
+    let names = directory.list().expect("the directory is readable");
 
-    directory.remove(&names[1]).expect("the segment");
+    directory.remove(&names[1]).expect("the segment exists");
     let error = try_open(&directory).err().expect("records are missing").to_string();
 
-    assert!(error.contains(&names[2]) && error.contains("should come"), "{error}");
+    let first_lsn = |name: &str| name.trim_end_matches(".log").parse::<u64>().expect("an LSN");
+    let (found, expected) = (first_lsn(&names[2]), first_lsn(&names[1]));
+    let reason = format!("the segment begins with record {found}; expected record {expected}");
+    assert!(error.contains(&names[2]) && error.ends_with(&reason), "{error}");
 }
 
 #[test]
-fn a_record_that_the_caller_rejects_stops_the_start_with_its_reason() {
+fn opening_fails_with_the_reason_of_a_rejected_record() {
     let directory = SimulatedDirectory::new();
     append_frames(&directory, &[1]);
 
@@ -155,13 +163,13 @@
     assert!(error.ends_with("record 1 is not known"), "{error}");
 }
 
-// Guards against a sync that is retried after it failed and then "succeeds": nothing is appended
-// any more, and what the next process may read back of it is written again before it is relied on.
+// Guards against retrying a failed sync, which may report success although the data was lost: the
+// log accepts no more records, and the next process rewrites the last segment that it reads.
 #[test]
-fn a_failed_sync_is_final_and_the_next_process_makes_its_tail_durable() {
+fn a_failed_sync_is_final_and_reopening_makes_the_tail_durable() {
     let directory = SimulatedDirectory::new();
     let mut log = open(&directory).log;
-    log.append(&[record(1)]).expect("the disk is good");
+    log.append(&[record(1)]).expect("the disk has no fault");
     directory.fail_sync_after(0);
     log.append(&[record(2)]).expect_err("the sync fails");
     directory.fail_sync_after(99);
@@ -169,7 +177,7 @@
     assert!(matches!(error, AppendError::FailedBefore), "{error}");
     drop(log);
 
-    // The process ends, the machine goes on: record 2 is read from the system's memory.
+    // Only the process restarted, not the machine: record 2 is read from the page cache.
     let records = open(&directory).records;
 
     for seed in 0..50 {
@@ -180,7 +188,7 @@
 }
 
 #[test]
-fn a_full_disk_ends_the_log_and_the_next_process_reads_the_complete_frames() {
+fn a_full_disk_fails_the_log_and_reopening_reads_the_complete_frames() {
     for free_bytes in 0..200 {
         let directory = SimulatedDirectory::new();
         let mut log = open(&directory).log;
@@ -191,17 +199,16 @@
         }
 
         directory.set_free_bytes(1 << 20);
-        log.append(&[record(77)]).expect_err("it is not retried");
+        log.append(&[record(77)]).expect_err("the log has failed");
 
-        assert_eq!(open(&directory).records.len() as u64, appended, "{free_bytes} bytes");
+        assert_eq!(open(&directory).records.len() as u64, appended, "with {free_bytes} free bytes");
     }
 }
 
 proptest! {
-    #![proptest_config(seeded(2000))]
-    // Guards durability: whatever frames are written and wherever the machine stops, again and
-    // again, all records that an append returned for are read back, in order, and nothing that was
-    // never written.
+    #![proptest_config(seeded_config(2000))]
+    // Guards durability: over repeated crashes at any point, with any frames, all records of
+    // successful appends are read back in order, and no record that was never appended.
     #[test]
     fn durable_records_survive_every_crash(
         rounds in prop::collection::vec(
@@ -215,7 +222,7 @@
             let OpenedLog { mut log, records, .. } = open(&directory);
             prop_assert!(records.len() >= durable.len());
             prop_assert_eq!(&records[..durable.len()], &durable[..]);
-            // What was not reported durable may be there, as it was written.
+            // Records that were not reported as durable may be present, but only unchanged.
             for (i, extra) in records.iter().enumerate().skip(durable.len()) {
                 prop_assert_eq!(extra, &record(i as u64 + 1));
             }
@@ -233,28 +240,29 @@
         }
     }
 
-    // Guards the reader against files that no log ever wrote.
+    // Guards against panics of the reader on files that no log wrote.
     #[test]
-    fn any_bytes_are_read_or_rejected(
+    fn opening_a_segment_of_arbitrary_bytes_does_not_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..400),
         name in "[0-9]{1,20}\\.log",
     ) {
         let directory = SimulatedDirectory::new();
-        directory.create(&name).expect("a new file").append(&bytes).expect("the disk has space");
+        directory.create(&name).expect("the file is new").append(&bytes).expect("the disk has space");
         let _ = try_open(&directory);
     }
 }
 
-// Guards group commit: records that gather while a sync runs go with the next one, in order, and
-// all are reported.
+// Guards group commit: the records that are queued during a sync share the next one, in order, and
+// all are reported as durable.
 #[test]
-fn one_sync_serves_many_records() {
+fn records_queued_during_a_sync_share_the_next_one() {
     let directory = SimulatedDirectory::new();
     let log = open(&directory).log;
-    let (to, progress) = channel();
-    let mut writer =
-        LogWriter::spawn(log, Duration::ZERO, move |report| to.send(report).expect("a receiver"))
-            .expect("a thread");
+    let (sender, progress) = channel();
+    let mut writer = LogWriter::spawn(log, Duration::ZERO, move |report| {
+        sender.send(report).expect("the receiver exists");
+    })
+    .expect("the thread starts");
 
     for number in 1..=10_000 {
         assert_eq!(writer.append(Bytes::from(record(number))), number);
@@ -272,14 +280,15 @@
 }
 
 #[test]
-fn a_failure_is_reported_once_and_ends_the_writer() {
+fn a_failed_sync_is_reported_once_and_stops_the_writer() {
     let directory = SimulatedDirectory::new();
     let log = open(&directory).log;
     directory.fail_sync_after(0);
-    let (to, progress) = channel();
-    let mut writer =
-        LogWriter::spawn(log, Duration::ZERO, move |report| to.send(report).expect("a receiver"))
-            .expect("a thread");
+    let (sender, progress) = channel();
+    let mut writer = LogWriter::spawn(log, Duration::ZERO, move |report| {
+        sender.send(report).expect("the receiver exists");
+    })
+    .expect("the thread starts");
 
     for number in 0..100 {
         writer.append(Bytes::from(record(number)));
@@ -290,15 +299,18 @@
 }
 
 #[test]
-fn a_directory_is_locked_by_one_process_at_a_time() {
-    let directory = tempfile::tempdir().expect("a directory");
-    let first = DiskDirectory::lock(directory.path()).expect("writable").expect("free");
-    assert!(DiskDirectory::lock(directory.path()).expect("writable").is_none());
-    let (mut log, _) = WriteAheadLog::open(Box::new(first), SMALL_SEGMENTS, |_, _| Ok(())).expect("empty");
+fn a_directory_is_locked_once_until_the_lock_is_dropped() {
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    let first =
+        DiskDirectory::lock(directory.path()).expect("a writable directory").expect("the lock is free");
+    assert!(DiskDirectory::lock(directory.path()).expect("a writable directory").is_none());
+    let (mut log, _) =
+        WriteAheadLog::open(Box::new(first), SMALL_SEGMENTS, |_, _| Ok(())).expect("the directory is empty");
     log.append(&[record(1)]).expect("the disk has space");
     drop(log);
 
-    let second = DiskDirectory::lock(directory.path()).expect("writable").expect("free again");
+    let second =
+        DiskDirectory::lock(directory.path()).expect("a writable directory").expect("the lock is free again");
     let mut records = Vec::new();
     WriteAheadLog::open(Box::new(second), SMALL_SEGMENTS, |_, bytes| {
         records.push(bytes.to_vec());
