--- a/crates/shared/expander-walk/src/walker.rs
+++ b/crates/shared/expander-walk/src/walker.rs
@@ -1,24 +1,24 @@
-//! One random walk.
+//! The state of one random walk.
 
 use crate::vertex::VertexIndex;
 
-/// One random walk: where it is and where it came from.
+/// The state of one random walk: its position and the position before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Walker {
-    /// The server that it is on.
+    /// The server at which the walk is.
     pub current: VertexIndex,
-    /// The server that it just left; `None` at its start.
+    /// The server of the step before; `None` before the first step.
     pub previous: Option<VertexIndex>,
 }
 
 impl Walker {
-    /// A walk that starts at a server.
+    /// Creates a walk that starts at a server.
     #[must_use]
     pub fn new(start: VertexIndex) -> Self {
         Walker { current: start, previous: None }
     }
 
-    /// The walk after a step to a server.
+    /// Returns the walk after a step to the server `next`.
     #[must_use]
     pub fn moved_to(self, next: VertexIndex) -> Self {
         Walker { current: next, previous: Some(self.current) }
--- a/crates/shared/expander-walk/tests/walks.rs
+++ b/crates/shared/expander-walk/tests/walks.rs
@@ -1,4 +1,4 @@
-//! Walks on small graphs. What the graph of a fleet must be, the tests of the balancing policy show.
+//! Tests of walks on small graphs. The tests of the balancing policy cover graphs of a whole fleet.
 
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -18,18 +18,18 @@
     (0..count).map(|number| Server(cycle_positions(format!("server-{number}").as_bytes()))).collect()
 }
 
-fn all(servers: &[Server]) -> Vec<VertexIndex> {
+fn all_indices(servers: &[Server]) -> Vec<VertexIndex> {
     (0..servers.len() as u32).map(VertexIndex).collect()
 }
 
 fn graph_of(servers: &[Server]) -> Expander {
     let mut graph = Expander::default();
-    graph.update(servers, &all(servers), |_| true);
+    graph.update(servers, &all_indices(servers), |_| true);
     graph
 }
 
 #[test]
-fn walk_never_steps_back_along_its_edge() {
+fn walk_never_returns_to_the_server_it_came_from() {
     let servers = servers(30);
     let graph = graph_of(&servers);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn walk_steps_back_only_in_a_graph_of_two() {
+fn walk_returns_in_a_graph_of_two_servers() {
     let servers = servers(2);
     let graph = graph_of(&servers);
     let mut rng = Pcg64Mcg::seed_from_u64(1);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn update_adds_and_removes_in_one_pass() {
+fn update_adds_and_removes_servers_in_one_call() {
     let servers = servers(10);
     let mut graph = graph_of(&servers);
     graph.update(&servers, &[VertexIndex(3), VertexIndex(4)], |server| server.0 == servers[4].0);
@@ -61,9 +61,9 @@
     assert!(!graph.contains(&servers, VertexIndex(3)) && graph.contains(&servers, VertexIndex(4)));
 }
 
-/// A walker on a server that has left steps to a former neighbour of it.
+/// Guards against losing walkers: a walker at a server that has left moves to a former neighbour.
 #[test]
-fn walker_goes_on_from_a_server_that_has_left() {
+fn walker_continues_from_a_server_that_has_left() {
     let servers = servers(10);
     let mut graph = graph_of(&servers);
     let neighbours: Vec<VertexIndex> =
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn order_of_the_first_cycle_wraps_around() {
+fn lookups_in_the_first_cycle_wrap_around() {
     let servers = servers(5);
     let graph = graph_of(&servers);
     let order: Vec<VertexIndex> = graph.iter_from(3).collect();
