--- a/crates/service/durable-jobs/tests/golden.rs
+++ b/crates/service/durable-jobs/tests/golden.rs
@@ -181,7 +181,7 @@
 // Guards recovery: the golden bytes are decoded completely and give the same records.
 #[test]
 fn golden_bytes_are_decoded_as_the_same_records() {
-    let golden_records = golden::bytes(GOLDEN_FILE);
+    let golden_records = golden::read_bytes(GOLDEN_FILE);
     assert_eq!(golden_records.len(), records().len());
     for ((name, bytes), (expected_name, expected)) in golden_records.iter().zip(records()) {
         assert_eq!(name, expected_name);
--- a/crates/service/engine/tests/crash.rs
+++ b/crates/service/engine/tests/crash.rs
@@ -319,7 +319,7 @@
         if self.process.is_some() {
             return;
         }
-        self.directory.repair_disk();
+        self.directory.clear_faults();
         let mut job_table = JobTable::new(JobTableLimits { retention: 60 * SEC, max_jobs: 1000 });
         let options = LogOptions { max_segment_bytes: MAX_SEGMENT_BYTES, sync_on_commit: true };
         let opened = WriteAheadLog::open(Box::new(self.directory.clone()), options, |lsn, bytes| {
