--- a/crates/cluster/data-plane/src/client_api.rs
+++ b/crates/cluster/data-plane/src/client_api.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface for clients, and for the platform's readiness checks.
+//! The HTTP API for clients, and the endpoint for the platform's readiness checks.
 use crate::control_plane_client::{ControlPlaneClient, RequestOutcome};
 use spanlead_cluster_config::DataPlaneConfiguration;
 use spanlead_cluster_runtime::clock::Clock;
@@ -12,36 +12,39 @@
 use tide::http::Method;
 use tide::{Request, Response, StatusCode};
 
-/// The header with how long a client waits for a response, milliseconds.
+/// Request header: the time that the client waits for a response, milliseconds.
 const DEADLINE_HEADER: &str = "Spanlead-Request-Deadline";
-/// The part of that time that is reserved for the way back, milliseconds.
+/// The part of the client's waiting time that is reserved for the response's way back,
+/// milliseconds.
 const RESPONSE_RESERVE_MS: u64 = 150;
-/// How long a client waits that does not say, milliseconds.
+/// The waiting time of a client that sends no [`DEADLINE_HEADER`], milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 3_000;
-/// When a client whose request was refused may retry, seconds.
+/// The `Retry-After` header of responses with the status 429 or 503, seconds.
 const RETRY_AFTER_S: &str = "1";
-/// Open connections of the platform at most.
+/// The most connections for readiness checks that are open at a time.
 const MAX_READINESS_CONNECTIONS: usize = 32;
 
-// The limits where the configuration gives none.
+// The limits that apply where the configuration sets none.
 const DEFAULT_MAX_BODY_BYTES: usize = 256 * 1024;
 const DEFAULT_MAX_HEAD_BYTES: usize = 16 * 1024;
 const DEFAULT_HEAD_TIMEOUT_MS: u64 = 3_000;
 const DEFAULT_IDLE_TIMEOUT_MS: u64 = 15_000;
 
-/// What the handlers share.
+/// The state that the request handlers share.
 #[derive(Clone, Debug)]
 pub struct ClientApi {
     control_plane: ControlPlaneClient,
     is_shutting_down: Arc<AtomicBool>,
     clock: Clock,
+    /// Requests that were received and not answered yet.
     open_requests: Arc<AtomicU64>,
+    /// When the last request arrived, on the monotonic clock.
     last_request_ms: Arc<AtomicU64>,
 }
 
 impl ClientApi {
-    /// The interface of a process that starts. It is not ready any more once `is_shutting_down` is
-    /// set.
+    /// Creates the state of a process that starts. The process reports that it is not ready once
+    /// `is_shutting_down` is set.
     #[must_use]
     pub fn new(control_plane: ControlPlaneClient, is_shutting_down: Arc<AtomicBool>, clock: Clock) -> Self {
         ClientApi {
@@ -53,7 +56,7 @@
         }
     }
 
-    /// Whether no request is open and none has arrived for `idle_ms` milliseconds.
+    /// Whether no request is open and none has arrived within the last `idle_ms` milliseconds.
     #[must_use]
     pub fn is_idle(&self, idle_ms: u64) -> bool {
         let last_ms = self.last_request_ms.load(Ordering::Relaxed);
@@ -66,7 +69,7 @@
     }
 }
 
-/// Serves clients at an address, up to `max_connections` at a time. Never returns.
+/// Serves clients at an address, over up to `max_connections` connections at a time. Never returns.
 pub async fn serve(address: String, api: ClientApi, max_connections: usize) {
     let control_plane = api.control_plane.clone();
     let limits = move || connection_limits(control_plane.configuration().as_deref());
@@ -87,24 +90,37 @@
     server::serve(address, app, Arc::new(limits), MAX_READINESS_CONNECTIONS).await;
 }
 
-/// The limits on clients by the configuration in force.
+/// Returns the limits on client connections under a configuration, the defaults where it sets none.
 fn connection_limits(configuration: Option<&DataPlaneConfiguration>) -> ConnectionLimits {
-    let given = configuration.map(|configuration| &configuration.limits);
+    let configured = configuration.map(|configuration| &configuration.limits);
     let bytes = |value: Option<u64>, default: usize| {
         value.and_then(|value| usize::try_from(value).ok()).unwrap_or(default)
     };
-    let time = |value: Option<u64>, default_ms: u64| Duration::from_millis(value.unwrap_or(default_ms));
+    let milliseconds =
+        |value: Option<u64>, default_ms: u64| Duration::from_millis(value.unwrap_or(default_ms));
     ConnectionLimits {
         message: MessageLimits {
-            max_head_bytes: bytes(given.and_then(|given| given.max_header_bytes), DEFAULT_MAX_HEAD_BYTES),
-            max_body_bytes: bytes(given.and_then(|given| given.max_body_bytes), DEFAULT_MAX_BODY_BYTES),
+            max_head_bytes: bytes(
+                configured.and_then(|limits| limits.max_header_bytes),
+                DEFAULT_MAX_HEAD_BYTES,
+            ),
+            max_body_bytes: bytes(
+                configured.and_then(|limits| limits.max_body_bytes),
+                DEFAULT_MAX_BODY_BYTES,
+            ),
         },
-        request_timeout: time(given.and_then(|given| given.header_timeout_ms), DEFAULT_HEAD_TIMEOUT_MS),
-        idle_timeout: time(given.and_then(|given| given.idle_timeout_ms), DEFAULT_IDLE_TIMEOUT_MS),
+        request_timeout: milliseconds(
+            configured.and_then(|limits| limits.header_timeout_ms),
+            DEFAULT_HEAD_TIMEOUT_MS,
+        ),
+        idle_timeout: milliseconds(
+            configured.and_then(|limits| limits.idle_timeout_ms),
+            DEFAULT_IDLE_TIMEOUT_MS,
+        ),
     }
 }
 
-/// Handles a request, counted as open meanwhile.
+/// Handles a request, which counts as open until it is answered.
 async fn handle_counted(request: Request<ClientApi>) -> tide::Result {
     let api = request.state().clone();
     api.open_requests.fetch_add(1, Ordering::Relaxed);
@@ -118,8 +134,10 @@
     Ok(response)
 }
 
+/// Translates an HTTP request into an operation, forwards it to the primary and returns the
+/// response.
 async fn handle(mut request: Request<ClientApi>, api: &ClientApi) -> tide::Result {
-    let deadline_ms = api.clock.monotonic_ms() + remaining_ms(&request);
+    let deadline_ms = api.clock.monotonic_ms() + processing_budget_ms(&request);
     let host = request.host().unwrap_or_default();
     let host = host.split(':').next().unwrap_or_default().to_owned();
     let path = request.url().path().to_owned();
@@ -157,11 +175,11 @@
     }
 }
 
-/// How long the request may take here, milliseconds.
-fn remaining_ms(request: &Request<ClientApi>) -> u64 {
+/// Returns the time that this process may spend on a request, milliseconds.
+fn processing_budget_ms(request: &Request<ClientApi>) -> u64 {
     let header = request.header(DEADLINE_HEADER);
-    let given = header.and_then(|value| value.as_str().trim().parse::<u64>().ok());
-    given.unwrap_or(DEFAULT_DEADLINE_MS).saturating_sub(RESPONSE_RESERVE_MS)
+    let client_wait_ms = header.and_then(|value| value.as_str().trim().parse::<u64>().ok());
+    client_wait_ms.unwrap_or(DEFAULT_DEADLINE_MS).saturating_sub(RESPONSE_RESERVE_MS)
 }
 
 fn plain_response(status: u16, body: &str) -> Response {
--- a/crates/cluster/data-plane/src/control_plane_client.rs
+++ b/crates/cluster/data-plane/src/control_plane_client.rs
@@ -1,5 +1,5 @@
-//! The control plane as a data plane sees it: who is primary, the configuration, and requests on
-//! their way.
+//! The data plane's client of the control plane: tracks the primary, receives the configuration and
+//! forwards requests.
 use crate::outcome_counts::{OutcomeCounts, UnknownCause};
 use crate::pending_requests::{PendingRequests, RegisteredRequest};
 use async_std::channel::{Receiver, Sender, unbounded};
@@ -17,25 +17,26 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How often connections to all known nodes of the control plane are checked.
+/// Interval between checks that every known control plane node is connected.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(500);
-/// How long the primary may take for a response before the request is sent again.
+/// Time that the primary has to respond to an attempt before the request is sent again.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// How often the connection is pinged while a response is awaited.
+/// Interval between pings on the connection while a response is pending.
 const PING_INTERVAL: Duration = Duration::from_millis(150);
-/// Wait before it is checked again whether there is a primary.
+/// Delay before the next check for a connected primary, and before the next attempt.
 const PRIMARY_POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// How long the control plane may be without a primary before requests are refused at once,
+/// Time without a connected primary after which requests fail at once instead of waiting for one,
 /// milliseconds.
 const NO_PRIMARY_TIMEOUT_MS: u64 = 2_500;
-/// How long this process stays ready without a primary, milliseconds.
+/// Time without a connected primary after which this process reports that it is not ready,
+/// milliseconds.
 const READY_WITHOUT_PRIMARY_MS: u64 = 1_500;
 
-/// Statuses from which a client concludes that its job never runs. After an unanswered attempt that
-/// is not known.
+/// HTTP statuses that tell a client that its job was not accepted and will never run. After an
+/// unanswered attempt they don't prove it: that attempt may have been accepted.
 const REJECTED_STATUSES: [u16; 3] = [404, 429, 503];
 
-/// What a request came to.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestOutcome {
     /// The primary responded.
@@ -45,59 +46,67 @@
         /// The body.
         body: String,
     },
-    /// It was not answered, and has no effect: it changes nothing, or no node took it.
+    /// There was no response and the request had no effect: it is a query, or no node executed it.
     NoEffect,
-    /// It may have been carried out, or not.
+    /// It is unknown whether the request was executed.
     Unknown,
 }
 
-/// What the attempts of a request came to so far.
+/// Whether the attempts of a request may have had an effect so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Attempts {
-    /// None was sent, or those sent were not taken.
-    NoneTaken,
-    /// At least one was sent and not answered: it may have been carried out.
-    Unanswered,
+enum AttemptEffect {
+    /// No attempt had an effect: none was sent, none was executed, or the request is a query.
+    None,
+    /// At least one attempt may have been executed: it was sent and not answered, or the node
+    /// stopped being primary before the commit.
+    Possible,
 }
 
-impl Attempts {
-    /// After another attempt with this response. Only an operation that changes something may have
-    /// been carried out with an effect.
-    fn after(self, operation: &ClientOperation, response: Option<&ClientResponse>) -> Self {
+impl AttemptEffect {
+    /// Returns the effect after one more attempt, which got this response.
+    fn after_attempt(self, operation: &ClientOperation, response: Option<&ClientResponse>) -> Self {
         let is_not_taken = response.is_some_and(ClientResponse::is_not_taken);
-        if is_not_taken || matches!(operation, ClientOperation::Query) { self } else { Attempts::Unanswered }
+        if is_not_taken || matches!(operation, ClientOperation::Query) {
+            self
+        } else {
+            AttemptEffect::Possible
+        }
     }
 }
 
+/// The state that all clones of a client share.
 #[derive(Debug)]
 struct State {
     directory: Directory,
-    /// The peer addresses of nodes that are connected.
+    /// The peer addresses of the connected control plane nodes.
     connected: BTreeSet<String>,
     configuration: Option<Arc<DataPlaneConfiguration>>,
     disseminator: Disseminator,
     requests: PendingRequests,
-    /// When the primary was last seen connected.
+    /// When the primary was last found connected, on the monotonic clock.
     primary_seen_at_ms: u64,
 }
 
 impl State {
-    /// The primary's peer address, if it is connected.
+    /// Returns the primary's peer address if it is connected.
     fn connected_primary(&self) -> Option<&str> {
         let primary = self.directory.primary.as_str();
         (!primary.is_empty() && self.connected.contains(primary)).then_some(primary)
     }
 
+    /// Replaces the directory by one of a higher epoch; others are ignored. Cancels the requests
+    /// that were sent to another node than the new primary.
     fn handle_directory(&mut self, directory: Directory) {
         if directory.epoch > self.directory.epoch {
             log::debug!("directory changed epoch={} primary={}", directory.epoch, directory.primary);
-            self.requests.cancel_elsewhere(&directory.primary);
+            self.requests.cancel_not_sent_to(&directory.primary);
             self.directory = directory;
         }
     }
 }
 
-/// The connections to the control plane. Clones share them.
+/// A client of the control plane, which also disseminates the configuration among data planes.
+/// Clones share its connections and state.
 #[derive(Clone, Debug)]
 pub struct ControlPlaneClient {
     state: Arc<Mutex<State>>,
@@ -110,7 +119,8 @@
 }
 
 impl ControlPlaneClient {
-    /// Starts to connect to the control plane and to other data planes.
+    /// Starts a client: spawns the tasks that connect to the control plane and to other data
+    /// planes, and that serve the latter at this process's peer address.
     #[must_use]
     pub fn start(settings: &Settings, clock: Clock) -> Self {
         let (events, link_events) = unbounded();
@@ -142,19 +152,21 @@
         client
     }
 
-    /// The part of the configuration in force that has arrived here.
+    /// The data planes' part of the newest configuration that this process has received; `None`
+    /// until one has arrived.
     #[must_use]
     pub fn configuration(&self) -> Option<Arc<DataPlaneConfiguration>> {
         self.lock().configuration.clone()
     }
 
-    /// How many requests had an outcome that is not known.
+    /// The counts of requests whose outcome is unknown.
     #[must_use]
     pub fn outcome_counts(&self) -> Arc<OutcomeCounts> {
         self.outcome_counts.clone()
     }
 
-    /// Whether requests can be served.
+    /// Whether requests can be served: there is a configuration, and the primary is connected or
+    /// was no longer ago than `READY_WITHOUT_PRIMARY_MS`.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let state = self.lock();
@@ -162,8 +174,8 @@
         state.configuration.is_some() && self.clock.monotonic_ms() < ready_until_ms
     }
 
-    /// Sends a request to the primary, again if it is not answered, until `deadline_ms` on the
-    /// monotonic clock.
+    /// Sends a request to the primary, and sends it again while there is no response, until
+    /// `deadline_ms` on the monotonic clock.
     pub async fn request(
         &self,
         host: &str,
@@ -171,14 +183,14 @@
         operation: &ClientOperation,
         deadline_ms: u64,
     ) -> RequestOutcome {
-        let mut attempts = Attempts::NoneTaken;
+        let mut effect = AttemptEffect::None;
         loop {
             let now_ms = self.clock.monotonic_ms();
             if now_ms >= deadline_ms {
-                return self.outcome_without_response(attempts);
+                return self.outcome_without_response(effect);
             }
-            let Some(primary) = self.primary() else {
-                if attempts == Attempts::NoneTaken && self.has_no_primary(now_ms) {
+            let Some(primary) = self.observe_primary() else {
+                if effect == AttemptEffect::None && self.has_primary_timed_out(now_ms) {
                     return RequestOutcome::NoEffect;
                 }
                 task::sleep(PRIMARY_POLL_INTERVAL).await;
@@ -186,41 +198,44 @@
             };
             let remaining = Duration::from_millis(deadline_ms - now_ms);
             let request = self.send_request(&primary, host, path, operation.clone());
-            let response = self.wait(&primary, &request, remaining.min(RESPONSE_TIMEOUT)).await;
+            let response = self.wait_for_response(&primary, &request, remaining.min(RESPONSE_TIMEOUT)).await;
             self.lock().requests.remove(request.id);
             match response {
                 Some(response) if response.status != ClientResponse::NOT_PRIMARY => {
-                    return self.outcome(response, operation, attempts);
+                    return self.outcome(response, operation, effect);
                 }
                 response => {
-                    attempts = attempts.after(operation, response.as_ref());
+                    effect = effect.after_attempt(operation, response.as_ref());
                     task::sleep(PRIMARY_POLL_INTERVAL).await;
                 }
             }
         }
     }
 
-    /// The outcome of a request that the primary answered.
+    /// Returns the outcome of a request to which the primary responded, after attempts with this
+    /// effect, and counts it if it is unknown.
     fn outcome(
         &self,
         response: ClientResponse,
         operation: &ClientOperation,
-        attempts: Attempts,
+        effect: AttemptEffect,
     ) -> RequestOutcome {
         let is_rejected_job =
             matches!(operation, ClientOperation::Submit(_)) && REJECTED_STATUSES.contains(&response.status);
-        if attempts == Attempts::Unanswered && is_rejected_job {
-            // An earlier attempt may have been accepted by a primary that was then replaced.
+        if effect == AttemptEffect::Possible && is_rejected_job {
+            // A primary that was then replaced may have accepted an earlier attempt.
             self.outcome_counts.record(UnknownCause::RefusedAfterUnanswered);
             return RequestOutcome::Unknown;
         }
         RequestOutcome::Responded { status: response.status, body: response.body }
     }
 
-    fn outcome_without_response(&self, attempts: Attempts) -> RequestOutcome {
-        match attempts {
-            Attempts::NoneTaken => RequestOutcome::NoEffect,
-            Attempts::Unanswered => {
+    /// Returns the outcome of a request without a response by its deadline, and counts it if it is
+    /// unknown.
+    fn outcome_without_response(&self, effect: AttemptEffect) -> RequestOutcome {
+        match effect {
+            AttemptEffect::None => RequestOutcome::NoEffect,
+            AttemptEffect::Possible => {
                 self.outcome_counts.record(UnknownCause::NoResponse);
                 RequestOutcome::Unknown
             }
@@ -231,19 +246,20 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The primary's peer address, if it is connected.
-    fn primary(&self) -> Option<String> {
+    /// Returns the primary's peer address if it is connected, and records the time at which it was.
+    fn observe_primary(&self) -> Option<String> {
         let mut state = self.lock();
         let primary = state.connected_primary()?.to_owned();
         state.primary_seen_at_ms = self.clock.monotonic_ms();
         Some(primary)
     }
 
-    /// Whether there has been no primary for so long that a request need not wait for one.
-    fn has_no_primary(&self, now_ms: u64) -> bool {
+    /// Whether the last contact with a primary is too long ago for a request to wait for one.
+    fn has_primary_timed_out(&self, now_ms: u64) -> bool {
         now_ms >= self.lock().primary_seen_at_ms + NO_PRIMARY_TIMEOUT_MS
     }
 
+    /// Sends an attempt to the primary under a new request ID.
     fn send_request(
         &self,
         primary: &str,
@@ -262,9 +278,11 @@
         registered
     }
 
-    /// Waits for a response. A machine that has restarted knows nothing of the connection, which
-    /// shows only when something is written: so pings are sent meanwhile.
-    async fn wait(
+    /// Waits for a response; `None` if there is none in time or the request was cancelled.
+    ///
+    /// Pings are sent while it waits: a machine that restarted has lost the connection's state, and
+    /// resets the connection only when it receives something on it.
+    async fn wait_for_response(
         &self,
         primary: &str,
         request: &RegisteredRequest,
@@ -287,12 +305,13 @@
             LinkEvent::Disconnected(address) => {
                 let mut state = self.lock();
                 state.connected.remove(&address);
-                state.requests.cancel_at(&address);
+                state.requests.cancel_sent_to(&address);
             }
             LinkEvent::Received(_, frame) => self.handle_frame(frame),
         }
     }
 
+    /// Subscribes to the directory and the configuration at a node that has been connected.
     fn handle_connected(&self, address: String) {
         let version = {
             let mut state = self.lock();
@@ -319,18 +338,21 @@
         }
     }
 
-    /// Handles a message of another data plane. An item that can't be decoded is not taken: its
-    /// version would keep a valid one out.
+    /// Handles a message from another data plane. An invalid item is dropped: the disseminator
+    /// would keep it and ignore a valid item whose version is not higher.
     fn handle_gossip(&self, from: &str, message: Message) {
         if let Message::Deliver { item } = &message
             && !is_valid(item)
         {
-            return log::warn!("configuration can't be decoded version={} from={from}", item.version);
+            return log::warn!(
+                "configuration from gossip dropped: undecodable or of another version version={} from={from}",
+                item.version
+            );
         }
         self.with_disseminator(|disseminator, now_ms| disseminator.handle(from, message, now_ms));
     }
 
-    /// Changes the state of the dissemination, and carries out what follows.
+    /// Applies `change` to the disseminator at the present time and executes the resulting outputs.
     fn with_disseminator(&self, change: impl FnOnce(&mut Disseminator, u64)) {
         let now_ms = self.clock.monotonic_ms();
         let outputs = {
@@ -352,6 +374,7 @@
         }
     }
 
+    /// Puts the configuration of an item in force. One that can't be decoded is logged and ignored.
     fn use_configuration(&self, item: &Item) {
         match DataPlaneConfiguration::decode(&item.content) {
             Ok(configuration) => {
@@ -359,14 +382,14 @@
                 self.lock().configuration = Some(Arc::new(configuration));
             }
             Err(error) => {
-                log::warn!("configuration can't be decoded version={} error={error}", item.version);
+                log::warn!("configuration can't be decoded, ignored version={} error={error}", item.version);
             }
         }
     }
 
-    /// The peer addresses to connect to: all members, and the seeds while no member is known or
-    /// connected.
-    fn known_addresses(&self) -> BTreeSet<String> {
+    /// Returns the peer addresses to connect to: those of all members, and the seeds while no
+    /// member is known or no node is connected.
+    fn addresses_to_connect(&self) -> BTreeSet<String> {
         let state = self.lock();
         let members = &state.directory.members;
         let needs_seeds = members.is_empty() || state.connected.is_empty();
@@ -375,26 +398,28 @@
     }
 }
 
-/// Whether an item is a configuration of the version that it claims.
+/// Whether an item can be decoded to a configuration whose version is the item's.
 fn is_valid(item: &Item) -> bool {
     DataPlaneConfiguration::decode(&item.content)
         .is_ok_and(|configuration| configuration.version == item.version)
 }
 
-/// Keeps a connection to every known node.
+/// Connects to every known control plane node that is not connected, and drives the disseminator.
+/// Never returns.
 async fn keep_connected(client: ControlPlaneClient) {
     loop {
-        for address in client.known_addresses() {
+        for address in client.addresses_to_connect() {
             if !client.lock().connected.contains(&address) {
                 client.links.send(&address, TrafficClass::Control, &Frame::Ping);
             }
         }
-        client.primary();
+        client.observe_primary();
         client.with_disseminator(Disseminator::tick);
         task::sleep(CONNECT_INTERVAL).await;
     }
 }
 
+/// Handles the events of the links until their channel is closed.
 async fn handle_link_events(client: ControlPlaneClient, events: Receiver<LinkEvent>) {
     while let Ok(event) = events.recv().await {
         client.handle_link_event(event);
--- a/crates/cluster/data-plane/src/lib.rs
+++ b/crates/cluster/data-plane/src/lib.rs
@@ -1,9 +1,12 @@
-//! The data plane: takes clients' requests and forwards each to the primary of the control plane.
+//! The data plane: accepts client requests and forwards each to the primary of the control plane.
 //!
-//! - [`client_api`]: the HTTP interface for clients and for readiness checks.
-//! - [`control_plane_client`]: who is primary, the configuration, and requests on their way.
+//! - [`client_api`]: the HTTP API for clients and the endpoint for readiness checks.
+//! - [`control_plane_client`]: tracks the primary, receives the configuration and forwards
+//!   requests.
+//! - [`outcome_counts`]: metrics of requests whose outcome is unknown.
 //!
-//! It keeps nothing that was acknowledged: whatever it loses, clients send again.
+//! It stores no state: a request that a data plane loses was not acknowledged, and its client sends
+//! it again.
 #![warn(missing_docs, unreachable_pub)]
 #![warn(clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
 pub mod client_api;
@@ -23,32 +26,33 @@
 use std::time::{Duration, Instant};
 
 quick_error! {
-    /// Why a data plane can't run.
+    /// Error with which a data plane fails to start.
     #[derive(Debug)]
     pub enum DataPlaneError {
-        /// A setting that it needs is missing.
+        /// A required setting is missing.
         MissingSetting(key: &'static str) {
             display("settings: {}: missing", key)
         }
     }
 }
 
-/// How long a process that is told to shut down accepts requests at the least: until the platform
+/// The least time for which a process that shuts down still accepts requests: until the platform
 /// has seen that it is not ready any more.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(2_500);
-/// The part of the grace period that is left unused.
+/// The part at the end of the platform's grace period that the drain leaves unused.
 const GRACE_MARGIN: Duration = Duration::from_millis(1_000);
-/// How long no request may have arrived before the process ends, milliseconds.
+/// Time without a new request after which a draining process ends, milliseconds.
 const IDLE_BEFORE_EXIT_MS: u64 = 500;
-/// How often it is checked whether the process may end.
+/// Interval between checks whether a shutdown was requested, and whether the drain is complete.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// File descriptors that are reserved for files, the control plane and other data planes.
+/// File descriptors that are reserved for files and for connections to the control plane and to
+/// other data planes.
 const RESERVED_DESCRIPTORS: usize = 512;
 
-/// Runs a data plane until a shutdown is requested and complete.
+/// Runs a data plane until a shutdown was requested and its drain is complete.
 ///
 /// # Errors
-/// If it can't start.
+/// If a required setting is missing.
 pub fn run(settings: &Settings) -> Result<(), DataPlaneError> {
     let clients = settings.listen.clients.clone();
     let clients = clients.ok_or(DataPlaneError::MissingSetting("listenAddrs.front"))?;
@@ -80,11 +84,13 @@
     Ok(())
 }
 
+/// Returns the number of client connections that the limit on file descriptors allows.
 fn max_client_connections(settings: &Settings) -> usize {
     settings.max_descriptors().saturating_sub(RESERVED_DESCRIPTORS).max(RESERVED_DESCRIPTORS)
 }
 
-/// Waits until clients are served elsewhere and all requests are answered, within the grace period.
+/// Waits until the platform has routed clients to other processes and all requests are answered,
+/// but not beyond the grace period.
 async fn drain(api: &ClientApi, grace: Duration) {
     task::sleep(MIN_DRAIN_TIME.min(grace.saturating_sub(GRACE_MARGIN))).await;
     let until = Instant::now() + grace.saturating_sub(MIN_DRAIN_TIME + GRACE_MARGIN);
--- a/crates/cluster/data-plane/src/main.rs
+++ b/crates/cluster/data-plane/src/main.rs
@@ -5,7 +5,7 @@
 fn main() -> ExitCode {
     program::run(
         "spanlead-data-plane",
-        "Takes clients' requests and hands them to the control plane.",
+        "Accepts client requests and forwards them to the primary of the control plane.",
         spanlead_data_plane::run,
     )
 }
--- a/crates/cluster/data-plane/src/outcome_counts.rs
+++ b/crates/cluster/data-plane/src/outcome_counts.rs
@@ -1,17 +1,18 @@
-//! Requests whose outcome is not known, by cause, for the metrics: their clients are told 504.
+//! Metrics: counts of requests whose outcome is unknown, by cause. Their clients get the status
+//! 504.
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Why the outcome of a request is not known.
+/// Why the outcome of a request is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownCause {
-    /// No attempt that was sent was answered before the deadline.
+    /// No attempt was answered before the deadline, and at least one may have been executed.
     NoResponse,
-    /// It was refused after an attempt that was not answered and may have been accepted.
+    /// The job was rejected after an unanswered attempt, which may have been accepted.
     RefusedAfterUnanswered,
 }
 
-/// The counts since the process started.
+/// Counts of requests with an unknown outcome since the process started, by cause.
 #[derive(Debug, Default)]
 pub struct OutcomeCounts {
     no_response: AtomicU64,
@@ -19,18 +20,18 @@
 }
 
 impl OutcomeCounts {
-    /// Counts a request.
+    /// Counts a request whose outcome is unknown for this cause.
     pub fn record(&self, cause: UnknownCause) {
         self.counter(cause).fetch_add(1, Ordering::Relaxed);
     }
 
-    /// How many were counted.
+    /// The number of requests counted for this cause.
     #[must_use]
     pub fn count(&self, cause: UnknownCause) -> u64 {
         self.counter(cause).load(Ordering::Relaxed)
     }
 
-    /// The counts as metrics, one `name{cause="..."} number` a line.
+    /// Formats the counts as metrics, one `name{cause="..."} value` per line.
     #[must_use]
     pub fn metrics_text(&self) -> String {
         let mut text = String::new();
--- a/crates/cluster/data-plane/src/pending_requests.rs
+++ b/crates/cluster/data-plane/src/pending_requests.rs
@@ -1,25 +1,25 @@
-//! Requests that were sent to the control plane and not answered yet.
+//! Requests that were sent to the control plane and are not answered yet.
 use async_std::channel::{Receiver, Sender, bounded};
 use spanlead_cluster_runtime::frame::ClientResponse;
 use std::collections::HashMap;
 
-/// A request that was sent.
+/// A request that awaits its response.
 #[derive(Debug)]
 struct PendingRequest {
-    /// The peer address of the node that has it.
+    /// The peer address of the node to which it was sent.
     node: String,
     response: Sender<ClientResponse>,
 }
 
-/// A request that is to be sent under a new ID.
+/// The ID under which a request is to be sent, and the channel of its response.
 #[derive(Debug)]
 pub(crate) struct RegisteredRequest {
     pub(crate) id: u64,
-    /// Receives the response; is closed once it can't be received any more.
+    /// Receives the response. The channel is closed when the request is cancelled.
     pub(crate) response: Receiver<ClientResponse>,
 }
 
-/// The requests by their ID, which is never used again.
+/// The pending requests by ID. An ID is never used again.
 #[derive(Debug, Default)]
 pub(crate) struct PendingRequests {
     by_id: HashMap<u64, PendingRequest>,
@@ -27,7 +27,7 @@
 }
 
 impl PendingRequests {
-    /// Adds a request to a node.
+    /// Adds a request to the node of this peer address, under a new ID.
     pub(crate) fn register(&mut self, node: &str) -> RegisteredRequest {
         let (sender, response) = bounded(1);
         self.last_id += 1;
@@ -36,24 +36,27 @@
         RegisteredRequest { id, response }
     }
 
+    /// Removes a request. A later response to it is dropped.
     pub(crate) fn remove(&mut self, id: u64) {
         self.by_id.remove(&id);
     }
 
-    /// Passes a response on to whoever waits for it.
+    /// Delivers a response to the waiting request. It is dropped if the request is not pending.
     pub(crate) fn complete(&mut self, response: ClientResponse) {
         if let Some(request) = self.by_id.remove(&response.request_id) {
             let _ = request.response.try_send(response);
         }
     }
 
-    /// The connection to a node was lost: its responses will not be received on it any more.
-    pub(crate) fn cancel_at(&mut self, node: &str) {
+    /// Cancels the requests to a node whose connection was lost: no responses can arrive on it any
+    /// more.
+    pub(crate) fn cancel_sent_to(&mut self, node: &str) {
         self.by_id.retain(|_, request| request.node != node);
     }
 
-    /// Another node is primary: only its responses are still of use.
-    pub(crate) fn cancel_elsewhere(&mut self, primary: &str) {
+    /// Cancels the requests to all nodes other than the new primary: responses of the others
+    /// are of no use any more.
+    pub(crate) fn cancel_not_sent_to(&mut self, primary: &str) {
         self.by_id.retain(|_, request| request.node == primary);
     }
 }
--- a/crates/cluster/data-plane/tests/client_requests.rs
+++ b/crates/cluster/data-plane/tests/client_requests.rs
@@ -1,4 +1,5 @@
-//! What a data plane responds to clients when the primary does not answer, refuses, or is replaced.
+//! The outcome that a data plane reports to a client when the primary does not respond, rejects the
+//! request or is replaced.
 use async_std::channel::Sender;
 use async_std::task;
 use spanlead_cluster_runtime::clock::Clock;
@@ -13,40 +14,43 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// What the primary responds to a request.
+/// A response of the scripted primary to a request.
 #[derive(Clone, Copy)]
-enum Scripted {
-    /// With a status of HTTP.
+enum ScriptedResponse {
+    /// A response with this HTTP status.
     Status(u16),
-    /// That it is not primary and took nothing.
+    /// The node is not primary and did not execute the request.
     NotTaken,
-    /// That it is not primary any more.
+    /// The node stopped being primary before the request was committed.
     Abandoned,
-    Nothing,
+    NoResponse,
 }
 
-impl Scripted {
+impl ScriptedResponse {
     fn response(self, request_id: u64) -> Option<ClientResponse> {
         match self {
-            Scripted::Status(status) => Some(ClientResponse { request_id, status, body: String::new() }),
-            Scripted::NotTaken => Some(ClientResponse::not_taken(request_id)),
-            Scripted::Abandoned => Some(ClientResponse::abandoned(request_id)),
-            Scripted::Nothing => None,
+            ScriptedResponse::Status(status) => {
+                Some(ClientResponse { request_id, status, body: String::new() })
+            }
+            ScriptedResponse::NotTaken => Some(ClientResponse::not_taken(request_id)),
+            ScriptedResponse::Abandoned => Some(ClientResponse::abandoned(request_id)),
+            ScriptedResponse::NoResponse => None,
         }
     }
 }
 
-/// The response to a request, by how many were received before.
-type Script = fn(usize) -> Scripted;
+/// Returns the response to a request, given the number of requests received before it.
+type Script = fn(usize) -> ScriptedResponse;
 
-/// Serves as the primary at a loopback address. Returns the count of the requests received.
+/// Serves as the primary at a loopback address. Returns a counter of the requests received.
 fn serve_primary(ip: &str, port: u16, script: Script) -> Arc<AtomicUsize> {
     let address = format!("{ip}:{port}");
     let requests = Arc::new(AtomicUsize::new(0));
-    let (received, own) = (requests.clone(), address.clone());
+    let (received, own_address) = (requests.clone(), address.clone());
     let handler = move |frame: Frame, replies: &Sender<Frame>| match frame {
         Frame::Hello { .. } => {
-            let directory = Directory { epoch: 1, primary: own.clone(), members: vec![own.clone()] };
+            let directory =
+                Directory { epoch: 1, primary: own_address.clone(), members: vec![own_address.clone()] };
             let _ = replies.try_send(Frame::Directory(directory));
         }
         Frame::ClientRequest(request) => {
@@ -61,122 +65,138 @@
     requests
 }
 
-/// How long a request may take, milliseconds.
-const DEADLINE_MS: u64 = 5_000;
+/// The time until a request's deadline, milliseconds.
+const REQUEST_TIMEOUT_MS: u64 = 5_000;
 
-/// What submitting a job came to.
+/// The outcome of a request, and the attempts that it took.
 #[derive(Debug, PartialEq)]
-struct Submission {
+struct RequestResult {
     outcome: RequestOutcome,
-    /// Attempts that the primary received.
+    /// The number of attempts that the primary received.
     attempts: usize,
 }
 
-/// The causes that the metrics count for the unknown outcomes of the scripts here.
-fn assert_counted(counts: &OutcomeCounts, outcome: &RequestOutcome, attempts: usize) {
+/// Asserts that an unknown outcome is counted once, under the cause that applies to the scripts
+/// here, and that no other outcome is counted.
+fn assert_unknown_outcomes_counted(counts: &OutcomeCounts, outcome: &RequestOutcome, attempts: usize) {
     let is_unknown = *outcome == RequestOutcome::Unknown;
-    // Scripts answer the second attempt, or none.
-    let (refused, unanswered) =
+    // Scripts with an unknown outcome respond to the second attempt or to none.
+    let (rejected, unanswered) =
         if attempts == 2 { (u64::from(is_unknown), 0) } else { (0, u64::from(is_unknown)) };
-    assert_eq!(counts.count(UnknownCause::RefusedAfterUnanswered), refused);
+    assert_eq!(counts.count(UnknownCause::RefusedAfterUnanswered), rejected);
     assert_eq!(counts.count(UnknownCause::NoResponse), unanswered);
 }
 
-/// Submits a job, at loopback addresses that end with this octet.
-async fn submit(octet: u8, script: Script) -> Submission {
-    let spec = JobSpec::from_json(br#"{"spec":"x","stages":[{"count":1,"cpu":1}]}"#).expect("good");
+/// Submits a job through a data plane to a scripted primary. Both use loopback addresses that end
+/// with this octet.
+async fn submit(octet: u8, script: Script) -> RequestResult {
+    let spec = JobSpec::from_json(br#"{"spec":"x","stages":[{"count":1,"cpu":1}]}"#).expect("a valid job");
     send(octet, script, ClientOperation::Submit(spec)).await
 }
 
-/// Sends a request that must be answered within 5 s, in the same way.
-async fn send(octet: u8, script: Script, operation: ClientOperation) -> Submission {
-    let (own, other) = (format!("127.0.9.{octet}"), format!("127.0.8.{octet}"));
-    let port = TcpListener::bind(format!("{own}:0")).expect("a port").local_addr().expect("bound").port();
-    let requests = serve_primary(&other, port, script);
+/// Sends a request as [`submit`] does, with a deadline in [`REQUEST_TIMEOUT_MS`].
+async fn send(octet: u8, script: Script, operation: ClientOperation) -> RequestResult {
+    let (data_plane_ip, primary_ip) = (format!("127.0.9.{octet}"), format!("127.0.8.{octet}"));
+    let port = TcpListener::bind(format!("{data_plane_ip}:0"))
+        .expect("a free port")
+        .local_addr()
+        .expect("a bound address")
+        .port();
+    let requests = serve_primary(&primary_ip, port, script);
     let text = format!(
-        r#"{{"node":"edge-1","ip":"{own}","listenAddrs":{{"front":"{own}:1"}},"portRange":[{port},{port}],"seeds":["{other}:9"]}}"#
+        r#"{{"node":"edge-1","ip":"{data_plane_ip}","listenAddrs":{{"front":"{data_plane_ip}:1"}},"portRange":[{port},{port}],"seeds":["{primary_ip}:9"]}}"#
     );
-    let file = tempfile::NamedTempFile::new().expect("a file");
-    std::fs::write(file.path(), text).expect("written");
-    let settings = Settings::read(&file.path().to_string_lossy()).expect("settings");
+    let file = tempfile::NamedTempFile::new().expect("a temporary file");
+    std::fs::write(file.path(), text).expect("the settings are written");
+    let settings = Settings::read(&file.path().to_string_lossy()).expect("valid settings");
     let clock = Clock::start();
     let control_plane = ControlPlaneClient::start(&settings, clock);
     let mut outcome = RequestOutcome::NoEffect;
-    // Before the primary is known a request has no effect and reaches nobody.
+    // Until the primary is connected a request reaches no node and has no effect.
     while requests.load(Ordering::SeqCst) == 0 {
         task::sleep(Duration::from_millis(20)).await;
-        let deadline_ms = clock.monotonic_ms() + DEADLINE_MS;
+        let deadline_ms = clock.monotonic_ms() + REQUEST_TIMEOUT_MS;
         outcome = control_plane.request("h", "/p/00000000000000aa", &operation, deadline_ms).await;
     }
     let attempts = requests.load(Ordering::SeqCst);
-    assert_counted(&control_plane.outcome_counts(), &outcome, attempts);
-    Submission { outcome, attempts }
+    assert_unknown_outcomes_counted(&control_plane.outcome_counts(), &outcome, attempts);
+    RequestResult { outcome, attempts }
 }
 
 #[async_std::test]
-async fn a_refusal_is_forwarded() {
-    let submission = submit(1, |_| Scripted::Status(429)).await;
-    assert_eq!(submission, Submission { outcome: responded(429), attempts: 1 });
+async fn rejection_of_the_first_attempt_is_forwarded() {
+    let result = submit(1, |_| ScriptedResponse::Status(429)).await;
+    assert_eq!(result, RequestResult { outcome: responded(429), attempts: 1 });
 }
 
-/// The first attempt may have been accepted by a primary that was then replaced, so a refusal of
-/// the second does not prove that the job never runs.
+/// A primary that was then replaced may have accepted the first attempt, so a rejection of the
+/// second does not prove that the job never runs.
 #[async_std::test]
-async fn a_refusal_after_an_unanswered_attempt_leaves_the_outcome_unknown() {
-    for (octet, script) in [(2, late_429 as Script), (3, late_404), (4, late_503)] {
-        let submission = submit(octet, script).await;
-        assert_eq!(submission, Submission { outcome: RequestOutcome::Unknown, attempts: 2 });
+async fn rejection_after_an_unanswered_attempt_makes_the_outcome_unknown() {
+    for (octet, script) in
+        [(2, no_response_then_429 as Script), (3, no_response_then_404), (4, no_response_then_503)]
+    {
+        let result = submit(octet, script).await;
+        assert_eq!(result, RequestResult { outcome: RequestOutcome::Unknown, attempts: 2 });
     }
 }
 
-fn late_429(before: usize) -> Scripted {
-    if before > 0 { Scripted::Status(429) } else { Scripted::Nothing }
+fn no_response_then_429(before: usize) -> ScriptedResponse {
+    if before > 0 { ScriptedResponse::Status(429) } else { ScriptedResponse::NoResponse }
 }
 
-fn late_404(before: usize) -> Scripted {
-    if before > 0 { Scripted::Status(404) } else { Scripted::Nothing }
+fn no_response_then_404(before: usize) -> ScriptedResponse {
+    if before > 0 { ScriptedResponse::Status(404) } else { ScriptedResponse::NoResponse }
 }
 
-fn late_503(before: usize) -> Scripted {
-    if before > 0 { Scripted::Status(503) } else { Scripted::Nothing }
+fn no_response_then_503(before: usize) -> ScriptedResponse {
+    if before > 0 { ScriptedResponse::Status(503) } else { ScriptedResponse::NoResponse }
 }
 
 #[async_std::test]
-async fn a_job_that_is_accepted_at_the_second_attempt_is_accepted() {
-    let late_200 = |before| if before > 0 { Scripted::Status(200) } else { Scripted::Nothing };
-    let submission = submit(5, late_200).await;
-    assert_eq!(submission, Submission { outcome: responded(200), attempts: 2 });
+async fn job_accepted_after_an_unanswered_attempt_is_reported_as_accepted() {
+    let no_response_then_200 =
+        |before| if before > 0 { ScriptedResponse::Status(200) } else { ScriptedResponse::NoResponse };
+    let result = submit(5, no_response_then_200).await;
+    assert_eq!(result, RequestResult { outcome: responded(200), attempts: 2 });
 }
 
-/// A node that is not primary took nothing, so a refusal by the next one is sure.
+/// The first node was not primary and did not execute the request, so the rejection by the next one
+/// is conclusive.
 #[async_std::test]
-async fn a_refusal_after_an_attempt_that_was_not_taken_is_forwarded() {
-    let not_taken = |before| if before > 0 { Scripted::Status(429) } else { Scripted::NotTaken };
-    let submission = submit(6, not_taken).await;
-    assert_eq!(submission, Submission { outcome: responded(429), attempts: 2 });
+async fn rejection_after_an_attempt_that_was_not_executed_is_forwarded() {
+    let not_taken_then_429 =
+        |before| if before > 0 { ScriptedResponse::Status(429) } else { ScriptedResponse::NotTaken };
+    let result = submit(6, not_taken_then_429).await;
+    assert_eq!(result, RequestResult { outcome: responded(429), attempts: 2 });
 }
 
-/// A node that stopped being primary may have committed what it took.
+/// A node that stopped being primary may have committed the request all the same.
 #[async_std::test]
-async fn a_refusal_after_an_abandoned_attempt_leaves_the_outcome_unknown() {
-    let abandoned = |before| if before > 0 { Scripted::Status(429) } else { Scripted::Abandoned };
-    let submission = submit(7, abandoned).await;
-    assert_eq!(submission, Submission { outcome: RequestOutcome::Unknown, attempts: 2 });
+async fn rejection_after_an_abandoned_attempt_makes_the_outcome_unknown() {
+    let abandoned_then_429 =
+        |before| if before > 0 { ScriptedResponse::Status(429) } else { ScriptedResponse::Abandoned };
+    let result = submit(7, abandoned_then_429).await;
+    assert_eq!(result, RequestResult { outcome: RequestOutcome::Unknown, attempts: 2 });
 }
 
 #[async_std::test]
-async fn a_submission_that_nobody_takes_has_no_effect() {
-    let submission = submit(8, |_| Scripted::NotTaken).await;
-    assert_eq!(submission.outcome, RequestOutcome::NoEffect);
-    assert!(submission.attempts > 1, "it is sent again until its deadline");
+async fn job_that_no_node_takes_is_retried_until_its_deadline_without_effect() {
+    let result = submit(8, |_| ScriptedResponse::NotTaken).await;
+    assert_eq!(result.outcome, RequestOutcome::NoEffect);
+    assert!(
+        result.attempts > 1,
+        "expected more than one attempt before the deadline, found {}",
+        result.attempts
+    );
 }
 
-/// A query changes nothing, answered or not: its client may repeat it.
+/// A query changes no state, so its client can repeat it safely.
 #[async_std::test]
-async fn an_unanswered_query_has_no_effect_and_an_unanswered_cancel_may_have() {
-    let query = send(9, |_| Scripted::Nothing, ClientOperation::Query).await;
+async fn unanswered_query_has_no_effect_and_unanswered_cancel_has_an_unknown_outcome() {
+    let query = send(9, |_| ScriptedResponse::NoResponse, ClientOperation::Query).await;
     assert_eq!(query.outcome, RequestOutcome::NoEffect);
-    let cancel = send(10, |_| Scripted::Nothing, ClientOperation::Cancel).await;
+    let cancel = send(10, |_| ScriptedResponse::NoResponse, ClientOperation::Cancel).await;
     assert_eq!(cancel.outcome, RequestOutcome::Unknown);
 }
 
--- a/crates/cluster/data-plane/tests/golden.rs
+++ b/crates/cluster/data-plane/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The help of the program and its words about settings: they must not change.
+//! Golden test of the program's help text and of its output when it checks settings.
 #[path = "../../replication/tests/golden/support.rs"]
 mod support;
 
@@ -6,40 +6,37 @@
 use std::process::Command;
 use support::{compare_text, path_of};
 
-const NAME: &str = "spanlead-data-plane";
-const PROGRAM: &str = env!("CARGO_BIN_EXE_spanlead-data-plane");
+const PROGRAM_NAME: &str = "spanlead-data-plane";
+const PROGRAM_PATH: &str = env!("CARGO_BIN_EXE_spanlead-data-plane");
 
 #[test]
-fn help_of_the_program_stays() {
-    let output = Command::new(PROGRAM).arg("--help").output().expect("it runs");
+fn help_text_matches_the_golden_file() {
+    let output = Command::new(PROGRAM_PATH).arg("--help").output().expect("the program runs");
     assert!(output.status.success());
-    compare_text(&format!("help-{NAME}.txt"), &String::from_utf8(output.stdout).expect("text"));
+    compare_text(
+        &format!("help-{PROGRAM_NAME}.txt"),
+        &String::from_utf8(output.stdout).expect("UTF-8 output"),
+    );
 }
 
 #[test]
-fn the_program_checks_settings_in_the_golden_words() {
+fn check_option_reports_valid_and_invalid_settings_with_the_golden_status_and_text() {
     let check = |file: &str, name: &str| {
         let file = path_of(file);
-        let output = Command::new(PROGRAM).arg("--check").env(VARIABLE, &file).output().expect("it runs");
+        let output = Command::new(PROGRAM_PATH)
+            .arg("--check")
+            .env(VARIABLE, &file)
+            .output()
+            .expect("the program runs");
         let text = [output.stdout, output.stderr].concat();
         let path = file.to_string_lossy().into_owned();
-        (output.status.code(), String::from_utf8(text).expect("text").replace(&path, name))
+        (output.status.code(), String::from_utf8(text).expect("UTF-8 output").replace(&path, name))
     };
-    let good = check("../../../runtime/tests/golden/boot.json", "boot.json");
-    assert_eq!(
-        good,
-        (
-            Some(0),
-            "core-1: settings are good
-"
-            .to_owned()
-        )
-    );
-    let what = "worker_report.json: no settings: a field is missing or of another type
-"
-    .to_owned();
+    let valid = check("../../../runtime/tests/golden/boot.json", "boot.json");
+    assert_eq!(valid, (Some(0), "core-1: settings are good\n".to_owned()));
+    let expected = "worker_report.json: no settings: a field is missing or of another type\n".to_owned();
     assert_eq!(
         check("../../../control-plane/tests/golden/worker_report.json", "worker_report.json"),
-        (Some(2), what)
+        (Some(2), expected)
     );
 }
