--- a/crates/cluster/control-plane/tests/configuration_replacement.rs
+++ b/crates/cluster/control-plane/tests/configuration_replacement.rs
@@ -1,20 +1,21 @@
-//! Operators replace the configuration while machines are isolated for twenty seconds, crash,
-//! pause, and lose power and disks between a write and its answer, and while answers get lost.
+//! Operators replace the configuration while machines are isolated for 20 s, crash, pause, and lose
+//! power or their disks between a write and its response, and while responses are lost.
 //!
-//! Beside what [`operator_simulation`] checks, at the end the newest confirmed version is in force,
-//! or one that came after it without an answer.
+//! In addition to the checks of [`operator_simulation`], at the end the configuration in force must
+//! be the newest confirmed version, or a later one whose response did not reach its operator.
 mod operator_simulation;
 
 use operator_simulation::{Change, Operator, OperatorSimulation, configuration_text};
 use rand::Rng;
 
-/// How long a machine is isolated: longer than every lease, milliseconds.
+/// Duration of an isolation, milliseconds: longer than every lease.
 const ISOLATION_MS: u64 = 20_000;
-/// Faults of one run.
+/// The number of faults in one run.
 const FAULTS_PER_RUN: usize = 8;
+/// The number of runs, each with its own seed, unless the variable `SEEDS` sets another.
 const DEFAULT_RUNS: u64 = 12;
 
-/// A run with operators at work all the time.
+/// Runs a cluster with faults while operators replace the configuration.
 fn run_with_faults(seed: u64) {
     let mut simulation = OperatorSimulation::new(seed);
     simulation.run(2_000);
@@ -29,16 +30,17 @@
         inject_fault(&mut simulation, machine);
         simulation.run(3_000);
     }
-    simulation.answer_loss_rate = 0.0;
+    simulation.response_loss_rate = 0.0;
     simulation.run(4_000);
     let newest = simulation.newest_confirmed();
     let confirmed = simulation.confirmed.len();
-    assert!(confirmed > 20, "seed {seed}: {confirmed} changes confirmed");
+    assert!(confirmed > 20, "seed {seed}: expected more than 20 confirmed changes, found {confirmed}");
     let primary = simulation.cluster.primary().expect("a primary");
     let version = simulation.primaries[&primary].configuration.version();
-    assert!(version >= newest, "seed {seed}: version {version} in force, {newest} confirmed");
+    assert!(version >= newest, "seed {seed}: version {version} in force, but version {newest} was confirmed");
 }
 
+/// Injects a random fault, most of which affect `machine`, and ends it.
 fn inject_fault(simulation: &mut OperatorSimulation, machine: usize) {
     let count = simulation.cluster.machines.len();
     match simulation.rng.random_range(0..8) {
@@ -84,39 +86,42 @@
 }
 
 #[test]
-fn operators_get_consistent_answers_under_faults() {
+fn operators_get_consistent_responses_under_faults() {
     let runs = std::env::var("SEEDS").ok().and_then(|runs| runs.parse().ok()).unwrap_or(DEFAULT_RUNS);
     (0..runs).for_each(run_with_faults);
 }
 
-/// It is not confirmed at a retry, and another change may take its version.
+/// A primary accepts a change and crashes before any other machine has it. The next primary must
+/// not treat it as accepted, so it may confirm another change of the same version, and the lost
+/// change must not come into force when its machine returns.
 #[test]
-fn a_change_that_was_never_committed_is_decided_anew_by_the_next_primary() {
+fn uncommitted_change_of_a_crashed_primary_does_not_come_into_force() {
     for seed in 0..20 {
         let mut simulation = OperatorSimulation::new(seed);
-        simulation.answer_loss_rate = 0.0;
+        simulation.response_loss_rate = 0.0;
         simulation.operators.clear();
         simulation.run(1_500);
         let primary = simulation.cluster.primary().expect("a primary");
-        // What the primary writes reaches no other machine, and it crashes right after.
+        // The primary's messages reach no other machine, and it crashes soon after its write.
         simulation.cluster.isolate(primary, true, false);
-        let lost = Change { base_version: 0, version: 5, text: configuration_text(5, 1) };
-        let other = Change { text: configuration_text(5, 2), ..lost.clone() };
-        simulation.operators.push(Operator::sending(lost.clone()));
-        simulation.send(0, primary);
+        let lost_change = Change { base_version: 0, version: 5, text: configuration_text(5, 1) };
+        let other_change = Change { text: configuration_text(5, 2), ..lost_change.clone() };
+        simulation.operators.push(Operator::sending(lost_change.clone()));
+        simulation.send_change(0, primary);
         simulation.run(30);
-        assert!(simulation.confirmed.is_empty(), "seed {seed}: confirmed without a commit");
+        assert!(simulation.confirmed.is_empty(), "seed {seed}: a change was confirmed before its commit");
         simulation.cluster.crash(primary);
         simulation.cluster.heal_links();
-        simulation.operators[0].change = Some(other.clone());
+        simulation.operators[0].change = Some(other_change.clone());
         simulation.run(3_000);
-        assert_eq!(simulation.confirmed.get(&5), Some(&other), "seed {seed}");
-        // The machine that wrote the lost change returns; its replica does not come into force.
+        assert_eq!(simulation.confirmed.get(&5), Some(&other_change), "seed {seed}");
+        // The machine that wrote the lost change returns; its replica must not replace the
+        // committed one.
         simulation.cluster.start(primary);
         simulation.run(2_000);
         let (machine, state) = simulation.primaries.iter().next().expect("a primary");
         let text = state.configuration.text();
-        assert!(text != Some(&lost.text), "seed {seed}: machine {machine} serves the lost change");
+        assert!(text != Some(&lost_change.text), "seed {seed}: machine {machine} serves the lost change");
         let version = state.configuration.version();
         assert!(version >= 5, "seed {seed}: machine {machine} serves version {version}");
     }
--- a/crates/cluster/control-plane/tests/golden.rs
+++ b/crates/cluster/control-plane/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What workers and the platform are asked and answer, and the help of the program: none of it may
-//! change.
+//! Golden test of the requests to workers and the platform, of the parsing of their responses, and
+//! of the program's help text and its output when it checks settings.
 #[path = "../../replication/tests/golden/support.rs"]
 mod support;
 
@@ -17,15 +17,16 @@
 use std::sync::mpsc::{Receiver, channel};
 use support::{compare_text, path_of, read};
 
-/// A server that gives one answer to each request, and tells the requests.
+/// Starts a server that gives the same response to each request. Returns its address and the
+/// requests that it receives.
 fn serve(status: &'static str, body: String) -> (String, Receiver<String>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("a bound address").to_string();
     let (requests, received) = channel();
-    let own = address.clone();
+    let own_address = address.clone();
     std::thread::spawn(move || {
         while let Ok((mut stream, _)) = listener.accept() {
-            let request = read_request(&mut stream).replace(&own, "ADDRESS");
+            let request = read_request(&mut stream).replace(&own_address, "ADDRESS");
             let _ = requests.send(request);
             let _ = write!(
                 stream,
@@ -37,22 +38,22 @@
     (address, received)
 }
 
-/// A request: its first line, its other lines in order of the alphabet, its body.
+/// Reads a request and formats it: its request line, its headers in alphabetical order, its body.
 fn read_request(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let mut byte = [0];
     while !bytes.ends_with(b"\r\n\r\n") {
-        stream.read_exact(&mut byte).expect("a head");
+        stream.read_exact(&mut byte).expect("a complete head");
         bytes.push(byte[0]);
     }
-    let head = String::from_utf8(bytes).expect("text");
+    let head = String::from_utf8(bytes).expect("a UTF-8 head");
     let mut lines: Vec<&str> = head.trim_end().split("\r\n").collect();
     lines[1..].sort_unstable();
     let length =
         lines.iter().find_map(|line| line.to_lowercase().strip_prefix("content-length: ")?.parse().ok());
     let mut body = vec![0; length.unwrap_or(0)];
-    stream.read_exact(&mut body).expect("a body");
-    format!("{}\n\n{}\n", lines.join("\n"), String::from_utf8(body).expect("text"))
+    stream.read_exact(&mut body).expect("a complete body");
+    format!("{}\n\n{}\n", lines.join("\n"), String::from_utf8(body).expect("a UTF-8 body"))
 }
 
 const TASK: TaskId = TaskId { job: JobId(0x0123_4567_89ab_cdef), occurrence: 3, stage: 2, index: 11 };
@@ -79,10 +80,11 @@
     ]
 }
 
-/// What a call comes to at a worker that gives this answer, and the request as it was sent.
+/// Calls a worker that gives this response. Returns the response as it was parsed and the request
+/// as it was sent.
 fn call(request: WorkerRequest, status: &'static str, body: &str) -> (WorkerResponse, String) {
     let (address, requests) = serve(status, body.to_owned());
-    let (answers, answer) = channel();
+    let (responses, response) = channel();
     let address = address.as_str().into();
     let call = WorkerCall {
         worker_id: "worker-1-incarnation-9".into(),
@@ -92,20 +94,20 @@
         fencing_token: 41,
     };
     WorkerClient::new(4).spawn(call, move |_, response| {
-        let _ = answers.send(response);
+        let _ = responses.send(response);
     });
-    (answer.recv().expect("told"), requests.recv().expect("requested"))
+    (response.recv().expect("a response"), requests.recv().expect("a request"))
 }
 
 #[test]
-fn workers_are_sent_the_golden_requests() {
+fn worker_requests_match_the_golden_file() {
     let sent = requests().into_iter().map(|request| call(request, "200 OK", r#"{"clockMs":1}"#).1);
     compare_text("worker_requests.txt", &sent.collect::<Vec<_>>().join("\n"));
 }
 
 #[test]
-fn golden_answers_of_workers_are_read() {
-    let [start, _, stop, renewal, _] = &requests()[..] else { panic!("five requests") };
+fn golden_worker_responses_are_parsed_in_all_their_fields() {
+    let [start, _, stop, renewal, _] = &requests()[..] else { panic!("expected five requests") };
     for request in [start, stop] {
         let (response, _) = call(request.clone(), "200 OK", r#"{"clockMs":987654}"#);
         assert_eq!(response, WorkerResponse::Acknowledged { clock_ms: 987_654 });
@@ -129,11 +131,11 @@
 }
 
 #[test]
-fn the_platform_is_sent_the_golden_request_and_its_golden_list_is_read() {
+fn worker_list_request_matches_the_golden_file_and_the_golden_list_is_parsed() {
     let (address, requests) = serve("200 OK", read("platform_list.json"));
-    let list = task::block_on(worker_list::fetch(&address)).expect("a list");
-    compare_text("platform_request.txt", &requests.recv().expect("requested"));
-    let full = ListedWorker {
+    let list = task::block_on(worker_list::fetch(&address)).expect("a valid list");
+    compare_text("platform_request.txt", &requests.recv().expect("a request"));
+    let with_all_fields = ListedWorker {
         id: "worker-1-incarnation-9".into(),
         service: "batch".into(),
         address: "10.1.0.1:9000".into(),
@@ -144,7 +146,7 @@
         gpus: 4,
         labels: vec!["ssd".into(), "rack-9".into()],
     };
-    let bare = ListedWorker {
+    let with_required_fields = ListedWorker {
         id: "worker-2".into(),
         service: "batch".into(),
         address: "10.1.0.2:9000".into(),
@@ -155,40 +157,37 @@
         gpus: 0,
         labels: Vec::new(),
     };
-    assert_eq!(list, [full, bare]);
+    assert_eq!(list, [with_all_fields, with_required_fields]);
 }
 
-const NAME: &str = "spanlead-control-plane";
-const PROGRAM: &str = env!("CARGO_BIN_EXE_spanlead-control-plane");
+const PROGRAM_NAME: &str = "spanlead-control-plane";
+const PROGRAM_PATH: &str = env!("CARGO_BIN_EXE_spanlead-control-plane");
 
 #[test]
-fn help_of_the_program_stays() {
-    let output = Command::new(PROGRAM).arg("--help").output().expect("it runs");
+fn help_text_matches_the_golden_file() {
+    let output = Command::new(PROGRAM_PATH).arg("--help").output().expect("the program runs");
     assert!(output.status.success());
-    compare_text(&format!("help-{NAME}.txt"), &String::from_utf8(output.stdout).expect("text"));
+    compare_text(
+        &format!("help-{PROGRAM_NAME}.txt"),
+        &String::from_utf8(output.stdout).expect("UTF-8 output"),
+    );
 }
 
 #[test]
-fn the_program_checks_settings_in_the_golden_words() {
+fn check_option_reports_valid_and_invalid_settings_with_the_golden_status_and_text() {
     let check = |file: &str, name: &str| {
         let file = path_of(file);
-        let output = Command::new(PROGRAM).arg("--check").env(VARIABLE, &file).output().expect("it runs");
+        let output = Command::new(PROGRAM_PATH)
+            .arg("--check")
+            .env(VARIABLE, &file)
+            .output()
+            .expect("the program runs");
         let text = [output.stdout, output.stderr].concat();
         let path = file.to_string_lossy().into_owned();
-        (output.status.code(), String::from_utf8(text).expect("text").replace(&path, name))
+        (output.status.code(), String::from_utf8(text).expect("UTF-8 output").replace(&path, name))
     };
-    let good = check("../../../runtime/tests/golden/boot.json", "boot.json");
-    assert_eq!(
-        good,
-        (
-            Some(0),
-            "core-1: settings are good
-"
-            .to_owned()
-        )
-    );
-    let what = "worker_report.json: no settings: a field is missing or of another type
-"
-    .to_owned();
-    assert_eq!(check("worker_report.json", "worker_report.json"), (Some(2), what));
+    let valid = check("../../../runtime/tests/golden/boot.json", "boot.json");
+    assert_eq!(valid, (Some(0), "core-1: settings are good\n".to_owned()));
+    let expected = "worker_report.json: no settings: a field is missing or of another type\n".to_owned();
+    assert_eq!(check("worker_report.json", "worker_report.json"), (Some(2), expected));
 }
--- a/crates/cluster/control-plane/tests/golden/folder.rs
+++ b/crates/cluster/control-plane/tests/golden/folder.rs
@@ -1,5 +1,5 @@
-//! The content of the golden data folder: what it was made from, and where it lies.
-#![allow(dead_code, reason = "each golden test uses a part of it")]
+//! The golden data folder: its location, and the records from which it was written.
+#![allow(dead_code, reason = "each golden test uses a part of this module")]
 use super::support::path_of;
 use spanlead_control_plane::configuration_state::{ConfigurationState, ReplaceOutcome};
 use spanlead_control_plane::store::Store;
@@ -14,29 +14,30 @@
 };
 use std::path::PathBuf;
 
-/// The file in a data folder.
-pub const FILE: &str = "control.redb";
-/// The identity of the folder.
+/// The name of the key-value file in a data folder.
+pub const FILE_NAME: &str = "control.redb";
+/// The member ID of the node that owns the folder.
 pub const IDENTITY: MemberId = MemberId(0x1111_2222_3333_4441);
-/// The time of day when its jobs came in, milliseconds.
-pub const ACCEPTED_AT: u64 = 1_700_000_000_123;
+/// The Unix time at which the first job was accepted, milliseconds.
+pub const ACCEPTED_AT_MS: u64 = 1_700_000_000_123;
 
-/// A job that is done.
+/// A job that succeeded.
 pub const SUCCEEDED: JobId = JobId(1);
-/// A job that has failed.
+/// A job that failed.
 pub const FAILED: JobId = JobId(2);
 /// A job that was cancelled.
 pub const CANCELLED: JobId = JobId(3);
-/// A job with a task that runs.
+/// A job with a running task.
 pub const RUNNING: JobId = JobId(4);
-/// A job that waits for room.
+/// A job that waits for free capacity on the worker.
 pub const QUEUED: JobId = JobId(5);
-/// A job with every field, due in the year 2100.
-pub const TIMED: JobId = JobId(6);
+/// A repeated job that sets every field of its spec, with the first occurrence in the year 2100.
+pub const SCHEDULED: JobId = JobId(6);
 
-/// The worker that its task runs on.
+/// The ID of the worker on which the task of [`RUNNING`] runs.
 pub const WORKER: &str = "worker-1";
 
+/// The configuration that [`CONFIGURATION_42`] replaced.
 const CONFIGURATION_41: &str = r#"{"version":41,"routes":[],"services":[]}"#;
 
 /// The configuration in force.
@@ -46,34 +47,39 @@
  "services":[{"name":"batch","healthPath":"/healthz","maxConns":17,"guards":true}],
  "limits":{"maxHeaderBytes":8192,"maxBodyBytes":65536,"headerTimeoutMs":2500,"idleTimeoutMs":30000}}"#;
 
-const ONCE: &str = r#"{"spec":"once","stages":[{"count":1,"cpu":100,"checkpoints":true}]}"#;
-const LASTING: &str = r#"{"spec":"lasting","stages":[{"count":1,"cpu":1000,"memMb":64,"longRunning":true}]}"#;
-const FULL: &str = r#"{"spec":"timed","stages":[{"count":1},{"count":2,"cpu":1500,"memMb":2048,"gpus":2,
+const SHORT_SPEC: &str = r#"{"spec":"once","stages":[{"count":1,"cpu":100,"checkpoints":true}]}"#;
+const LONG_RUNNING_SPEC: &str =
+    r#"{"spec":"lasting","stages":[{"count":1,"cpu":1000,"memMb":64,"longRunning":true}]}"#;
+const ALL_FIELDS_SPEC: &str = r#"{"spec":"timed","stages":[{"count":1},{"count":2,"cpu":1500,"memMb":2048,"gpus":2,
     "estRuntimeMs":90000,"dependsOn":[0],"checkpoints":true,"gang":true,"rackLocal":true,
     "constraints":["ssd","a label longer than eight"],"affinity":"rack-9","antiAffinity":3,"speculative":true}],
     "repeats":4,"startAtMs":4102444800000,"intervalMs":60000}"#;
 
-/// The folder that is committed.
-pub fn committed() -> PathBuf {
+/// The path of the golden data folder.
+pub fn golden_path() -> PathBuf {
     path_of("data-folder")
 }
 
-/// A copy of the committed folder's file in a folder for one test.
+/// Copies the golden folder to a temporary folder for one test.
 pub fn copy() -> tempfile::TempDir {
-    let folder = tempfile::tempdir().expect("a folder");
-    std::fs::copy(committed().join(FILE), folder.path().join(FILE)).expect("the golden folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    std::fs::copy(golden_path().join(FILE_NAME), folder.path().join(FILE_NAME))
+        .expect("the golden file is copied");
     folder
 }
 
-/// A copy whose machine has these addresses: ports differ from run to run.
-pub fn copy_at(peer: &str, control: &str) -> tempfile::TempDir {
+/// Copies the golden folder and gives its node these addresses, since ports differ between runs.
+pub fn copy_with_addresses(peer: &str, operators: &str) -> tempfile::TempDir {
     let folder = copy();
-    Store::open(folder.path()).expect("opened").write(&[witness(peer, control)]).expect("written");
+    Store::open(folder.path())
+        .expect("the store opens")
+        .write(&[witness(peer, operators)])
+        .expect("the record is written");
     folder
 }
 
-/// The scheduler's bounds.
-pub const CONFIG: SchedulerConfig = SchedulerConfig {
+/// The scheduler's settings.
+pub const SCHEDULER_CONFIG: SchedulerConfig = SchedulerConfig {
     max_lease_ms: 6_000,
     gang_assembly_timeout_ms: 3_000,
     stop_timeout_ms: 400,
@@ -83,12 +89,12 @@
     max_concurrent_calls: 1_000,
 };
 
-/// The time so many milliseconds after the first job came in.
+/// The time at a monotonic clock that was 0 when the first job was accepted.
 pub fn now(monotonic_ms: u64) -> Now {
-    Now { monotonic_ms, unix_ms: ACCEPTED_AT + monotonic_ms }
+    Now { monotonic_ms, unix_ms: ACCEPTED_AT_MS + monotonic_ms }
 }
 
-/// All that is written to the folder, in order.
+/// Returns all records written to the folder, in order.
 pub fn records() -> Vec<Record> {
     let mut records = vec![
         Record::Identity { id: IDENTITY, bootstrap_voter: true },
@@ -102,9 +108,9 @@
     records
 }
 
-/// The witness's record of the machine at these addresses.
-pub fn witness(peer: &str, control: &str) -> Record {
-    let accepted = AcceptedView { ballot: ballot(), view: view(peer, control) };
+/// The witness record of a single-member view whose member has these addresses.
+pub fn witness(peer: &str, operators: &str) -> Record {
+    let accepted = AcceptedView { ballot: ballot(), view: view(peer, operators) };
     Record::Witness(WitnessRecord { promised: ballot(), accepted: Some(accepted) })
 }
 
@@ -112,12 +118,12 @@
     Ballot { round: 17, candidate: IDENTITY }
 }
 
-fn view(peer: &str, control: &str) -> View {
+fn view(peer: &str, operators: &str) -> View {
     let member = Member {
         id: IDENTITY,
         node_name: "core-1".into(),
         peer_address: peer.into(),
-        operator_address: control.into(),
+        operator_address: operators.into(),
     };
     View {
         epoch: Epoch(41),
@@ -135,7 +141,7 @@
     let mut batches = Vec::new();
     for (base, text) in [(0, CONFIGURATION_41), (41, CONFIGURATION_42)] {
         let ReplaceOutcome::Accepted(changes) = configuration.replace(&keyspace, base, text) else {
-            panic!("accepted")
+            panic!("the configuration must be accepted")
         };
         changes.iter().for_each(|change| keyspace.apply(change));
         batches.push(changes);
@@ -143,34 +149,38 @@
     batches
 }
 
-/// A scheduler with one worker that answers at once, and what it wrote.
-struct Run {
+/// A scheduler with one simulated worker that responds at once.
+struct SchedulerRun {
     scheduler: Scheduler,
     monotonic_ms: u64,
+    /// The batches of changes that the scheduler has committed.
     batches: Vec<Vec<Change>>,
+    /// The worker's running tasks.
     running: Vec<RunningTask>,
+    /// The worker's finished tasks whose end the scheduler has not acknowledged.
     finished: Vec<FinishedTask>,
 }
 
+/// Runs a scheduler until the jobs are in their states, and returns the batches that it commits.
 fn job_batches() -> Vec<Vec<Change>> {
-    let mut run = Run::new();
-    run.submit(SUCCEEDED, ONCE);
-    run.submit(FAILED, ONCE);
-    run.pass(10_000);
-    run.submit(CANCELLED, ONCE);
+    let mut run = SchedulerRun::new();
+    run.submit(SUCCEEDED, SHORT_SPEC);
+    run.submit(FAILED, SHORT_SPEC);
+    run.advance(10_000);
+    run.submit(CANCELLED, SHORT_SPEC);
     assert!(run.scheduler.cancel(now(run.monotonic_ms), CANCELLED));
-    run.pass(1_000);
-    run.submit(RUNNING, LASTING);
-    run.pass(1_000);
-    run.submit(QUEUED, LASTING);
-    run.submit(TIMED, FULL);
-    run.pass(1_000);
+    run.advance(1_000);
+    run.submit(RUNNING, LONG_RUNNING_SPEC);
+    run.advance(1_000);
+    run.submit(QUEUED, LONG_RUNNING_SPEC);
+    run.submit(SCHEDULED, ALL_FIELDS_SPEC);
+    run.advance(1_000);
     run.batches
 }
 
-impl Run {
+impl SchedulerRun {
     fn new() -> Self {
-        let mut scheduler = Scheduler::new(CONFIG, 39, 1, now(0));
+        let mut scheduler = Scheduler::new(SCHEDULER_CONFIG, 39, 1, now(0));
         let worker = ListedWorker {
             id: WORKER.into(),
             service: "batch".into(),
@@ -183,21 +193,28 @@
             labels: vec!["rack-1".into()],
         };
         scheduler.update_workers(now(0), &[worker]);
-        Run { scheduler, monotonic_ms: 0, batches: Vec::new(), running: Vec::new(), finished: Vec::new() }
+        SchedulerRun {
+            scheduler,
+            monotonic_ms: 0,
+            batches: Vec::new(),
+            running: Vec::new(),
+            finished: Vec::new(),
+        }
     }
 
     fn submit(&mut self, id: JobId, spec: &str) {
         let queue = QueueId { host: "jobs.example".into(), path_prefix: "/v1/nightly/".into() };
         let policy = QueuePolicy { queue, service: "batch".into(), priority: 2, max_attempts: 2 };
-        let spec = JobSpec::from_json(spec.as_bytes()).expect("good");
+        let spec = JobSpec::from_json(spec.as_bytes()).expect("a valid job spec");
         assert_eq!(self.scheduler.submit(now(self.monotonic_ms), id, policy, spec), Admission::Accepted);
     }
 
-    fn pass(&mut self, ms: u64) {
+    /// Advances the time by `ms` milliseconds in steps of 50 ms.
+    fn advance(&mut self, ms: u64) {
         for _ in 0..ms / 50 {
             self.monotonic_ms += 50;
             self.scheduler.tick(now(self.monotonic_ms));
-            self.write();
+            self.commit();
             for call in self.scheduler.take_calls() {
                 let response = self.respond(&call.request);
                 self.scheduler.handle_response(
@@ -210,7 +227,8 @@
         }
     }
 
-    fn write(&mut self) {
+    /// Records the scheduler's changes as a batch, which is committed at once.
+    fn commit(&mut self) {
         let changes: Vec<Change> = self
             .scheduler
             .take_changes()
@@ -225,13 +243,14 @@
         self.scheduler.handle_committed(now(self.monotonic_ms), sequence);
     }
 
+    /// Returns the worker's response to a request.
     fn respond(&mut self, request: &WorkerRequest) -> WorkerResponse {
         let clock_ms = 500_000 + self.monotonic_ms;
         match request {
-            WorkerRequest::Start { task, run, .. } => self.start(*task, *run),
+            WorkerRequest::Start { task, run, .. } => self.start_task(*task, *run),
             WorkerRequest::Stop { task, .. } => self.running.retain(|running| running.task != *task),
             WorkerRequest::RenewLease { acknowledged_end, .. } => {
-                self.finished.retain(|end| end.number > *acknowledged_end);
+                self.finished.retain(|finished| finished.number > *acknowledged_end);
                 let (running, finished) = (self.running.clone(), self.finished.clone());
                 return WorkerResponse::Report(WorkerReport {
                     clock_ms,
@@ -244,8 +263,9 @@
         WorkerResponse::Acknowledged { clock_ms }
     }
 
-    /// Tasks of the first two jobs end at once; others go on.
-    fn start(&mut self, task: TaskId, run: u32) {
+    /// Starts a task on the worker. Tasks of [`SUCCEEDED`] and [`FAILED`] end at once; others keep
+    /// running.
+    fn start_task(&mut self, task: TaskId, run: u32) {
         let outcome = match task.job {
             SUCCEEDED => "done",
             FAILED => "failed",
--- a/crates/cluster/control-plane/tests/input_queue.rs
+++ b/crates/cluster/control-plane/tests/input_queue.rs
@@ -1,12 +1,13 @@
-//! The order in which a node takes its inputs.
+//! The order in which a node receives its queued inputs.
 use spanlead_cluster_runtime::frame::Frame;
 use spanlead_control_plane::input::Input;
 use spanlead_control_plane::input_queue::input_queue;
 use spanlead_replication::{Envelope, MemberId, Message};
 
-/// A primary with a backlog of workers' responses must not lose its lease to them.
+/// Guards against a primary that loses its lease because replication messages wait behind a backlog
+/// of worker responses.
 #[async_std::test]
-async fn replication_is_taken_before_all_other_inputs() {
+async fn urgent_inputs_are_received_before_a_backlog_of_normal_inputs() {
     let (inputs, queue) = input_queue();
     for _ in 0..10_000 {
         inputs.send(Input::Terminate);
--- a/crates/cluster/control-plane/tests/unreachable_worker.rs
+++ b/crates/cluster/control-plane/tests/unreachable_worker.rs
@@ -1,5 +1,5 @@
-//! A worker to which no connection can be established: it does not respond, and a start that was
-//! never sent can be placed elsewhere at once.
+//! Calls to a worker to which no connection can be established: a lease renewal gets no response,
+//! and a start is rejected as not sent, so that it can be placed on another worker at once.
 mod common;
 
 use async_std::channel::{Receiver, unbounded};
@@ -21,6 +21,7 @@
     }
 }
 
+/// Calls a worker and returns the channel of its response.
 fn spawn_call(address: SocketAddr, request: WorkerRequest) -> Receiver<WorkerResponse> {
     let (responses, response) = unbounded();
     let call = call("w", &address.to_string(), request, CALL_TIMEOUT_MS);
@@ -31,28 +32,29 @@
 }
 
 async fn assert_unreachable(address: SocketAddr) {
-    let lease = spawn_call(address, renew_lease());
+    let renewal = spawn_call(address, renew_lease());
     let start = spawn_call(address, start_task());
-    assert_eq!(lease.recv().await.expect("a result"), WorkerResponse::NoResponse);
-    let start = start.recv().await.expect("a result");
+    assert_eq!(renewal.recv().await.expect("a response"), WorkerResponse::NoResponse);
+    let start = start.recv().await.expect("a response");
     assert!(matches!(start, WorkerResponse::Rejected { status: 503, .. }), "{start:?}");
 }
 
 #[async_std::test]
-async fn a_refused_connection_sends_nothing() {
-    let address = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
+async fn refused_connection_leaves_a_renewal_unanswered_and_rejects_a_start() {
+    let address =
+        TcpListener::bind("127.0.0.1:0").expect("a free port").local_addr().expect("a bound address");
     assert_unreachable(address).await;
 }
 
-/// As behind a network partition: the connection is neither established nor refused.
+/// The connection is neither established nor refused, as behind a network partition.
 #[async_std::test]
-async fn a_connection_that_is_not_accepted_sends_nothing() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    rustix::net::listen(&listener, 0).expect("a short queue");
-    let address = listener.local_addr().expect("bound");
+async fn connection_that_times_out_leaves_a_renewal_unanswered_and_rejects_a_start() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    rustix::net::listen(&listener, 0).expect("a backlog of 0");
+    let address = listener.local_addr().expect("a bound address");
     let connect_timeout = Duration::from_millis(100);
-    let full: Vec<TcpStream> =
+    let queued: Vec<TcpStream> =
         (0..8).filter_map(|_| TcpStream::connect_timeout(&address, connect_timeout).ok()).collect();
-    assert!(full.len() < 8, "the queue is not full");
+    assert!(queued.len() < 8, "the listener's backlog is not full after 8 connections");
     assert_unreachable(address).await;
 }
--- a/crates/cluster/control-plane/tests/unreadable_records.rs
+++ b/crates/cluster/control-plane/tests/unreadable_records.rs
@@ -1,4 +1,5 @@
-//! Records that are damaged or of a newer version keep a machine from being primary.
+//! A node with records that are damaged or of a newer version must not be primary, and a folder of
+//! a newer format is refused.
 use spanlead_control_plane::store::{Store, StoreError};
 use spanlead_control_plane::unreadable_records::unreadable_keys;
 use spanlead_replication::{
@@ -17,19 +18,20 @@
 fn each_unreadable_record_is_reported_by_its_key() {
     let job = [b"j".as_slice(), &7u64.to_be_bytes()].concat();
     let history = [b"h".as_slice(), &3u64.to_be_bytes()].concat();
-    let good = keyspace(&[(&history, &[1; 16])]);
-    assert!(unreadable_keys(&good).is_empty());
-    let bad: [(&[u8], &[u8]); 4] =
+    let readable = keyspace(&[(&history, &[1; 16])]);
+    assert!(unreadable_keys(&readable).is_empty());
+    let unreadable: [(&[u8], &[u8]); 4] =
         [(b"c", b"cut short"), (&job, b"\xff\x00"), (&history, &[1; 5]), (b"zzz", b"of a newer version")];
-    for record in bad {
+    for record in unreadable {
         assert_eq!(unreadable_keys(&keyspace(&[record])), [record.0.to_vec()], "{record:?}");
     }
 }
 
-/// Whether a lone machine becomes and stays primary. If it is ineligible, it is marked so at the
-/// start and again once it is primary, as a node finds out when it takes over.
-fn becomes_primary(ineligible: bool) -> bool {
-    let options = ReplicaConfig {
+/// Whether the only node of a cluster becomes and stays primary. An ineligible one is marked as
+/// such at the start and again once it is primary, since a node also checks its records when it
+/// becomes primary; the result is then whether it is primary at any time in the 8 s after that.
+fn stays_primary(ineligible: bool) -> bool {
+    let config = ReplicaConfig {
         node_name: "core-1".into(),
         peer_address: "p1".into(),
         operator_address: "c1".into(),
@@ -40,19 +42,19 @@
         heartbeat_ms: 100,
         random: 9,
     };
-    let mut replica = Replica::start(options, RecoveredState::default(), 1_000);
+    let mut replica = Replica::start(config, RecoveredState::default(), 1_000);
     if ineligible {
         replica.mark_ineligible(1_000);
     }
     for now in (1_000..6_000).step_by(10) {
         replica.handle(now, Input::Tick);
-        let mut last = None;
+        let mut last_token = None;
         for output in replica.take_outputs() {
             if let Output::Write { token, .. } = output {
-                last = Some(token);
+                last_token = Some(token);
             }
         }
-        if let Some(token) = last {
+        if let Some(token) = last_token {
             replica.handle(now, Input::Written(token));
         }
         if replica.active_term(now).is_some() {
@@ -71,28 +73,39 @@
 }
 
 #[test]
-fn a_machine_with_unreadable_records_does_not_stay_primary() {
-    assert!(becomes_primary(false), "an eligible machine is primary");
-    assert!(!becomes_primary(true));
+fn node_with_unreadable_records_does_not_stay_primary() {
+    assert!(stays_primary(false), "an eligible node must become primary");
+    assert!(!stays_primary(true), "an ineligible node must not stay primary");
 }
 
 #[test]
-fn a_folder_of_a_newer_format_is_refused_with_its_number() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let store = Store::open(folder.path()).expect("opened");
-    store.write(&[Record::Identity { id: MemberId(5), bootstrap_voter: true }]).expect("written");
-    let recovered = store.recover().expect("read");
+fn folder_of_a_newer_format_is_refused_with_its_format_number() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    let store = Store::open(folder.path()).expect("the store opens");
+    store
+        .write(&[Record::Identity { id: MemberId(5), bootstrap_voter: true }])
+        .expect("the record is written");
+    let recovered = store.recover().expect("the store is recovered");
     assert_eq!(
         (recovered.identity, recovered.bootstrap_voter, recovered.repair_incomplete),
         (Some(MemberId(5)), true, false)
     );
-    store.write(&[Record::Repair { changes: Vec::new() }]).expect("written");
-    assert!(store.recover().expect("read").repair_incomplete, "a repair was begun");
+    store.write(&[Record::Repair { changes: Vec::new() }]).expect("the record is written");
+    assert!(
+        store.recover().expect("the store is recovered").repair_incomplete,
+        "a started repair must be marked incomplete"
+    );
     let position = Position { term: Term(1), sequence: 2 };
-    store.write(&[Record::Batch { position, changes: Vec::new() }]).expect("written");
-    assert!(!store.recover().expect("read").repair_incomplete, "and finished");
-    store.set_format(99).expect("written");
+    store.write(&[Record::Batch { position, changes: Vec::new() }]).expect("the record is written");
+    assert!(
+        !store.recover().expect("the store is recovered").repair_incomplete,
+        "a batch must clear the mark of an incomplete repair"
+    );
+    store.set_format(99).expect("the format is written");
     drop(store);
-    let error = Store::open(folder.path()).expect("opened").recover().expect_err("newer");
+    let error = Store::open(folder.path())
+        .expect("the store opens")
+        .recover()
+        .expect_err("an error about the newer format");
     assert!(matches!(error, StoreError::NewerFormat(99)), "{error}");
 }
--- a/crates/cluster/control-plane/tests/worker_connections.rs
+++ b/crates/cluster/control-plane/tests/worker_connections.rs
@@ -1,5 +1,5 @@
-//! Three thousand simulated workers and few connections: all are called, and calls beyond the
-//! connections wait.
+//! Calls to 3,000 simulated workers over a bounded number of connections: all workers are called,
+//! and calls beyond the bound wait for a connection.
 mod common;
 
 use async_std::io::{ReadExt, WriteExt};
@@ -13,23 +13,26 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Connections that may be open at once; with both ends in this process that is under 1,024
-/// descriptors.
+/// The most connections that may be open at a time. Both ends are in this process, and together
+/// they stay below 1,024 file descriptors.
 const MAX_CONNECTIONS: usize = 300;
 const WORKERS: usize = 3_000;
-/// Addresses of the workers: more than there may be connections.
-const LISTENERS: usize = 500;
+/// The number of the workers' addresses: more than connections may be open.
+const ADDRESSES: usize = 500;
 const CALL_TIMEOUT_MS: u64 = 20_000;
 
+/// What the simulated workers have observed.
 #[derive(Default)]
-struct Seen {
-    open: AtomicUsize,
-    max_open: AtomicUsize,
-    accepted: AtomicUsize,
-    workers: Mutex<BTreeSet<String>>,
+struct Observations {
+    open_connections: AtomicUsize,
+    max_open_connections: AtomicUsize,
+    accepted_connections: AtomicUsize,
+    /// The IDs of the workers that were called.
+    called_workers: Mutex<BTreeSet<String>>,
 }
 
-async fn serve(mut stream: TcpStream, seen: &Seen, answer_after: Duration) {
+/// Responds to each request on a connection, and records the worker that its header names.
+async fn serve(mut stream: TcpStream, observations: &Observations, response_delay: Duration) {
     let mut buffer = vec![0; 2_048];
     while let Ok(count) = stream.read(&mut buffer).await {
         let text = String::from_utf8_lossy(&buffer[..count]).to_lowercase();
@@ -37,10 +40,10 @@
             return;
         };
         let worker = line.split(':').nth(1).unwrap_or_default().trim().to_owned();
-        seen.workers.lock().expect("no panic holds it").insert(worker);
-        task::sleep(answer_after).await;
-        let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"clockMs\":5}";
-        if stream.write_all(answer).await.is_err() {
+        observations.called_workers.lock().expect("the lock is not poisoned").insert(worker);
+        task::sleep(response_delay).await;
+        let response = b"HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"clockMs\":5}";
+        if stream.write_all(response).await.is_err() {
             return;
         }
     }
@@ -53,91 +56,99 @@
 
 #[async_std::test]
 async fn all_workers_are_called_over_a_bounded_number_of_connections() {
-    let (addresses, seen) = workers(Duration::from_millis(5)).await;
-    let calls = WorkerClient::new(MAX_CONNECTIONS);
-    let (done, answers) = async_std::channel::unbounded();
+    let (addresses, observations) = start_workers(Duration::from_millis(5)).await;
+    let client = WorkerClient::new(MAX_CONNECTIONS);
+    let (response_sender, responses) = async_std::channel::unbounded();
     for worker in 0..WORKERS {
-        let done = done.clone();
-        calls.spawn(call_to(worker, &addresses), move |_, reply| {
-            let _ = done.try_send(reply);
+        let response_sender = response_sender.clone();
+        client.spawn(call_to(worker, &addresses), move |_, response| {
+            let _ = response_sender.try_send(response);
         });
     }
     for _ in 0..WORKERS {
-        let reply = answers.recv().await.expect("a result");
-        assert!(matches!(reply, WorkerResponse::Report(_)), "{reply:?}");
+        let response = responses.recv().await.expect("a response");
+        assert!(matches!(response, WorkerResponse::Report(_)), "{response:?}");
     }
-    assert_eq!(seen.workers.lock().expect("no panic holds it").len(), WORKERS, "each was called");
-    let most = seen.max_open.load(Ordering::SeqCst);
-    // What is closed here is seen as closed there a moment later.
-    assert!(most <= MAX_CONNECTIONS + MAX_CONNECTIONS / 4, "{most} connections at once");
-    assert!(calls.connections().open <= MAX_CONNECTIONS);
+    assert_eq!(
+        observations.called_workers.lock().expect("the lock is not poisoned").len(),
+        WORKERS,
+        "every worker must be called"
+    );
+    let max_open = observations.max_open_connections.load(Ordering::SeqCst);
+    // A worker observes the closing of a connection a moment after the client has closed it.
+    assert!(max_open <= MAX_CONNECTIONS + MAX_CONNECTIONS / 4, "{max_open} connections open at a time");
+    assert!(client.connections().open <= MAX_CONNECTIONS);
 }
 
 #[async_std::test]
-async fn a_call_without_a_connection_in_time_is_not_sent() {
-    let (addresses, seen) = workers(Duration::from_millis(600)).await;
-    let calls = WorkerClient::new(1);
-    let (done, answers) = async_std::channel::unbounded();
+async fn call_that_gets_no_connection_before_its_timeout_is_rejected_and_not_sent() {
+    let (addresses, observations) = start_workers(Duration::from_millis(600)).await;
+    let client = WorkerClient::new(1);
+    let (response_sender, responses) = async_std::channel::unbounded();
     for worker in 0..2 {
-        let done = done.clone();
+        let response_sender = response_sender.clone();
         let mut call = call_to(worker, &addresses);
         call.timeout_ms = if worker == 0 { 2_000 } else { 200 };
-        calls.spawn(call, move |call, reply| {
-            let _ = done.try_send((call.worker_id, reply));
+        client.spawn(call, move |call, response| {
+            let _ = response_sender.try_send((call.worker_id, response));
         });
         task::sleep(Duration::from_millis(50)).await;
     }
-    let (worker, reply) = answers.recv().await.expect("a result");
-    assert!(&*worker == "w-1" && matches!(reply, WorkerResponse::Rejected { status: 503, .. }), "{reply:?}");
-    let (worker, reply) = answers.recv().await.expect("a result");
-    assert!(&*worker == "w-0" && matches!(reply, WorkerResponse::Report(_)), "{reply:?}");
-    assert_eq!(seen.workers.lock().expect("no panic holds it").len(), 1);
+    let (worker, response) = responses.recv().await.expect("a response");
+    assert!(
+        &*worker == "w-1" && matches!(response, WorkerResponse::Rejected { status: 503, .. }),
+        "{response:?}"
+    );
+    let (worker, response) = responses.recv().await.expect("a response");
+    assert!(&*worker == "w-0" && matches!(response, WorkerResponse::Report(_)), "{response:?}");
+    assert_eq!(observations.called_workers.lock().expect("the lock is not poisoned").len(), 1);
 }
 
 #[async_std::test]
-async fn connections_to_few_workers_are_kept() {
-    let (addresses, seen) = workers(Duration::ZERO).await;
-    let calls = WorkerClient::new(MAX_CONNECTIONS);
-    let (done, answers) = async_std::channel::unbounded();
+async fn connections_to_few_workers_are_reused() {
+    let (addresses, observations) = start_workers(Duration::ZERO).await;
+    let client = WorkerClient::new(MAX_CONNECTIONS);
+    let (response_sender, responses) = async_std::channel::unbounded();
     for round in 0..50 {
         for worker in 0..10 {
-            let done = done.clone();
-            calls.spawn(call_to(worker, &addresses), move |_, reply| {
-                let _ = done.try_send(reply);
+            let response_sender = response_sender.clone();
+            client.spawn(call_to(worker, &addresses), move |_, response| {
+                let _ = response_sender.try_send(response);
             });
         }
         for _ in 0..10 {
             assert!(
-                matches!(answers.recv().await.expect("a result"), WorkerResponse::Report(_)),
+                matches!(responses.recv().await.expect("a response"), WorkerResponse::Report(_)),
                 "round {round}"
             );
         }
     }
-    let made = seen.accepted.load(Ordering::SeqCst);
-    assert!(made <= 20, "{made} connections for 500 calls to 10 workers");
+    let accepted = observations.accepted_connections.load(Ordering::SeqCst);
+    assert!(accepted <= 20, "{accepted} connections for 500 calls to 10 workers");
 }
 
-/// Listeners that stand for all workers: the header names which one is meant.
-async fn workers(answer_after: Duration) -> (Vec<String>, Arc<Seen>) {
-    let seen = Arc::new(Seen::default());
+/// Serves all workers at [`ADDRESSES`] addresses. A request's header names the worker that it is
+/// for.
+async fn start_workers(response_delay: Duration) -> (Vec<String>, Arc<Observations>) {
+    let observations = Arc::new(Observations::default());
     let mut addresses = Vec::new();
-    for _ in 0..LISTENERS {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        addresses.push(listener.local_addr().expect("bound").to_string());
-        task::spawn(accept(listener, seen.clone(), answer_after));
+    for _ in 0..ADDRESSES {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        addresses.push(listener.local_addr().expect("a bound address").to_string());
+        task::spawn(accept(listener, observations.clone(), response_delay));
     }
-    (addresses, seen)
+    (addresses, observations)
 }
 
-async fn accept(listener: TcpListener, all: Arc<Seen>, answer_after: Duration) {
+async fn accept(listener: TcpListener, observations: Arc<Observations>, response_delay: Duration) {
     while let Ok((stream, _)) = listener.accept().await {
-        let open = all.open.fetch_add(1, Ordering::SeqCst) + 1;
-        all.max_open.fetch_max(open, Ordering::SeqCst);
-        all.accepted.fetch_add(1, Ordering::SeqCst);
-        let seen = all.clone();
+        let open = observations.open_connections.fetch_add(1, Ordering::SeqCst) + 1;
+        observations.max_open_connections.fetch_max(open, Ordering::SeqCst);
+        observations.accepted_connections.fetch_add(1, Ordering::SeqCst);
+        let connection_observations = observations.clone();
         task::spawn(async move {
-            serve(stream, &seen, answer_after).await;
-            seen.open.fetch_sub(1, Ordering::SeqCst);
+            serve(stream, &connection_observations, response_delay).await;
+            connection_observations.open_connections.fetch_sub(1, Ordering::SeqCst);
         });
     }
 }
--- a/crates/cluster/data-plane/src/client_api.rs
+++ b/crates/cluster/data-plane/src/client_api.rs
@@ -19,7 +19,8 @@
 const RESPONSE_RESERVE_MS: u64 = 150;
 /// The waiting time of a client that sends no [`DEADLINE_HEADER`], milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 3_000;
-/// The `Retry-After` header of responses with the status 429 or 503, seconds.
+/// The header `Retry-After` of responses with the status 429 or 503: the time after which the
+/// client may retry, seconds.
 const RETRY_AFTER_S: &str = "1";
 /// The most connections for readiness checks that are open at a time.
 const MAX_READINESS_CONNECTIONS: usize = 32;
--- a/crates/cluster/data-plane/src/outcome_counts.rs
+++ b/crates/cluster/data-plane/src/outcome_counts.rs
@@ -6,7 +6,8 @@
 /// Why the outcome of a request is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownCause {
-    /// No attempt was answered before the deadline, and at least one may have been executed.
+    /// No attempt got a conclusive response before the deadline, and at least one may have been
+    /// executed.
     NoResponse,
     /// The job was rejected after an unanswered attempt, which may have been accepted.
     RefusedAfterUnanswered,
