--- a/crates/cluster/control-plane/tests/golden/http.rs
+++ b/crates/cluster/control-plane/tests/golden/http.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// The timeout of a read.
-const IO_TIMEOUT: Duration = Duration::from_secs(6);
+const READ_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// An HTTP request.
 pub struct Request {
@@ -55,7 +55,7 @@
 /// Sends a request as [`send`] does, with this `Host` header.
 pub fn send_to_host(address: &str, host: &str, request: &Request) -> Option<Response> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(IO_TIMEOUT)).ok()?;
+    stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
     let mut text = format!("{} {} HTTP/1.1\r\nHost: {host}\r\n", request.method, request.path);
     for (name, value) in &request.headers {
         text += &format!("{name}: {value}\r\n");
