--- a/crates/cluster/cluster-config/tests/golden.rs
+++ b/crates/cluster/cluster-config/tests/golden.rs
@@ -6,7 +6,7 @@
 
 use miniserde::json;
 use spanlead_cluster_config::{Configuration, DataPlaneConfiguration, Limits, Route, Service};
-use support::{bytes_of, compare_bytes, compare_text, read};
+use support::{compare_bytes, compare_text, read_example, read_text};
 
 const DATA_PLANE: &str = "data_plane.txt";
 
@@ -63,7 +63,7 @@
 
 #[test]
 fn a_configuration_with_all_fields_is_read() {
-    assert_eq!(Configuration::parse(&read("configuration.json")).expect("good"), full());
+    assert_eq!(Configuration::parse(&read_text("configuration.json")).expect("good"), full());
 }
 
 #[test]
@@ -94,9 +94,9 @@
 
 #[test]
 fn golden_bytes_are_decoded_to_what_data_planes_are_told() {
-    let all = DataPlaneConfiguration::decode(&bytes_of(DATA_PLANE, "all_limits")).expect("decoded");
+    let all = DataPlaneConfiguration::decode(&read_example(DATA_PLANE, "all_limits")).expect("decoded");
     assert_eq!(all, DataPlaneConfiguration { version: 42, limits: limits() });
-    let none = DataPlaneConfiguration::decode(&bytes_of(DATA_PLANE, "no_limits")).expect("decoded");
+    let none = DataPlaneConfiguration::decode(&read_example(DATA_PLANE, "no_limits")).expect("decoded");
     assert_eq!(none, DataPlaneConfiguration { version: 1, limits: Limits::default() });
 }
 
--- a/crates/cluster/control-plane/tests/golden.rs
+++ b/crates/cluster/control-plane/tests/golden.rs
@@ -15,7 +15,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::process::Command;
 use std::sync::mpsc::{Receiver, channel};
-use support::{compare_text, path_of, read};
+use support::{compare_text, golden_path, read_text};
 
 /// A server that gives one answer to each request, and tells the requests.
 fn serve(status: &'static str, body: String) -> (String, Receiver<String>) {
@@ -114,7 +114,7 @@
         let (response, _) = call(request.clone(), "421 Misdirected Request", "{}");
         assert_eq!(response, WorkerResponse::WrongIncarnation);
     }
-    let (response, _) = call(renewal.clone(), "200 OK", &read("worker_report.json"));
+    let (response, _) = call(renewal.clone(), "200 OK", &read_text("worker_report.json"));
     let running =
         vec![RunningTask { task: TASK, run: 5, checkpoint: "checkpoint-4".into(), progress_percent: 37.5 }];
     let finished = vec![FinishedTask {
@@ -130,7 +130,7 @@
 
 #[test]
 fn the_platform_is_sent_the_golden_request_and_its_golden_list_is_read() {
-    let (address, requests) = serve("200 OK", read("platform_list.json"));
+    let (address, requests) = serve("200 OK", read_text("platform_list.json"));
     let list = task::block_on(worker_list::fetch(&address)).expect("a list");
     compare_text("platform_request.txt", &requests.recv().expect("requested"));
     let full = ListedWorker {
@@ -171,7 +171,7 @@
 #[test]
 fn the_program_checks_settings_in_the_golden_words() {
     let check = |file: &str, name: &str| {
-        let file = path_of(file);
+        let file = golden_path(file);
         let output = Command::new(PROGRAM).arg("--check").env(VARIABLE, &file).output().expect("it runs");
         let text = [output.stdout, output.stderr].concat();
         let path = file.to_string_lossy().into_owned();
--- a/crates/cluster/control-plane/tests/golden/folder.rs
+++ b/crates/cluster/control-plane/tests/golden/folder.rs
@@ -1,6 +1,6 @@
 //! The content of the golden data folder: what it was made from, and where it lies.
 #![allow(dead_code, reason = "each golden test uses a part of it")]
-use super::support::path_of;
+use super::support::golden_path;
 use spanlead_control_plane::configuration_state::{ConfigurationState, ReplaceOutcome};
 use spanlead_control_plane::store::Store;
 use spanlead_job_scheduler::{
@@ -55,7 +55,7 @@
 
 /// The folder that is committed.
 pub fn committed() -> PathBuf {
-    path_of("data-folder")
+    golden_path("data-folder")
 }
 
 /// A copy of the committed folder's file in a folder for one test.
--- a/crates/cluster/control-plane/tests/golden_folder.rs
+++ b/crates/cluster/control-plane/tests/golden_folder.rs
@@ -13,7 +13,7 @@
 use spanlead_replication::{Member, Record, RecoveredState};
 use std::fmt::Write;
 use std::path::Path;
-use support::{compare_text, is_writing, to_hex};
+use support::{compare_text, is_updating_golden_files, to_hex};
 
 /// The largest that the committed file may be, bytes.
 const MAX_FILE_BYTES: u64 = 1 << 20;
@@ -128,7 +128,7 @@
 #[test]
 fn the_golden_folder_is_there() {
     let file = folder::committed().join(folder::FILE);
-    if is_writing() {
+    if is_updating_golden_files() {
         let _ = std::fs::remove_file(&file);
         write_folder(&folder::committed());
     }
--- a/crates/cluster/data-plane/tests/golden.rs
+++ b/crates/cluster/data-plane/tests/golden.rs
@@ -4,7 +4,7 @@
 
 use spanlead_cluster_runtime::settings::VARIABLE;
 use std::process::Command;
-use support::{compare_text, path_of};
+use support::{compare_text, golden_path};
 
 const NAME: &str = "spanlead-data-plane";
 const PROGRAM: &str = env!("CARGO_BIN_EXE_spanlead-data-plane");
@@ -19,7 +19,7 @@
 #[test]
 fn the_program_checks_settings_in_the_golden_words() {
     let check = |file: &str, name: &str| {
-        let file = path_of(file);
+        let file = golden_path(file);
         let output = Command::new(PROGRAM).arg("--check").env(VARIABLE, &file).output().expect("it runs");
         let text = [output.stdout, output.stderr].concat();
         let path = file.to_string_lossy().into_owned();
--- a/crates/cluster/job-scheduler/tests/golden.rs
+++ b/crates/cluster/job-scheduler/tests/golden.rs
@@ -14,7 +14,7 @@
     WorkerRequest, WorkerResponse, is_readable_record,
 };
 use std::fmt::Write as _;
-use support::{NamedBytes, bytes_of, compare_bytes, compare_text, read, read_bytes, to_hex};
+use support::{NamedBytes, compare_bytes, compare_text, read_bytes, read_example, read_text, to_hex};
 
 const RECORDS: &str = "records.txt";
 const SPECS: &str = "specs.txt";
@@ -181,7 +181,7 @@
 }
 
 fn golden(name: &str) -> Vec<u8> {
-    bytes_of(RECORDS, name)
+    read_example(RECORDS, name)
 }
 
 /// The value that a write gives to a key.
@@ -462,7 +462,7 @@
 
 #[test]
 fn a_client_s_job_is_read_in_all_its_fields() {
-    assert_eq!(JobSpec::from_json(read("job.json").as_bytes()).expect("good"), full_spec());
+    assert_eq!(JobSpec::from_json(read_text("job.json").as_bytes()).expect("good"), full_spec());
     let one_label = br#"{"stages":[{"count":1,"constraints":"ssd","affinity":""}]}"#;
     let read = JobSpec::from_json(one_label).expect("good");
     assert_eq!(
--- a/crates/cluster/replication/tests/golden.rs
+++ b/crates/cluster/replication/tests/golden.rs
@@ -8,7 +8,7 @@
     LeaseGrant, MajorityContact, Member, MemberId, Message, Position, RANGE_COUNT, RangeLeafDigests,
     StreamItem, Term, TrafficClass, View, WitnessRecord,
 };
-use support::{NamedBytes, bytes_of, compare_bytes, compare_text, read_bytes};
+use support::{NamedBytes, compare_bytes, compare_text, read_bytes, read_example};
 
 const MESSAGES: &str = "messages.txt";
 const RECORDS: &str = "records.txt";
@@ -254,7 +254,7 @@
 
 #[test]
 fn golden_bytes_are_decoded_to_the_records() {
-    let of = |name| bytes_of(RECORDS, name);
+    let of = |name| read_example(RECORDS, name);
     let witness = WitnessRecord { promised: ballot(), accepted: Some(accepted()) };
     assert_eq!(decode_witness(&of("witness")), witness);
     let accepted_nothing = WitnessRecord { promised: ballot(), accepted: None };
--- a/crates/cluster/replication/tests/golden/support.rs
+++ b/crates/cluster/replication/tests/golden/support.rs
@@ -16,12 +16,12 @@
 pub type NamedBytes = (&'static str, Vec<u8>);
 
 /// Where a golden file of the crate under test lies.
-pub fn path_of(file: &str) -> PathBuf {
+pub fn golden_path(file: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file)
 }
 
 /// Whether this run writes golden files.
-pub fn is_writing() -> bool {
+pub fn is_updating_golden_files() -> bool {
     std::env::var(WRITE_VARIABLE).is_ok_and(|value| value == "1")
 }
 
@@ -29,7 +29,7 @@
 /// same.
 pub fn compare_bytes(file: &str, actual: &[NamedBytes]) {
     let lines = actual.iter().map(|(name, bytes)| format!("{name}\t{}\n", to_hex(bytes)));
-    if is_writing() {
+    if is_updating_golden_files() {
         return write(file, &lines.collect::<String>());
     }
     let expected = read_bytes(file);
@@ -50,30 +50,30 @@
         let (name, hex) = line.split_once('\t').unwrap_or_else(|| panic!("{file}: no tab in {line:?}"));
         (name.to_owned(), from_hex(hex))
     };
-    read(file).lines().map(line).collect()
+    read_text(file).lines().map(line).collect()
 }
 
 /// The bytes of one example of a file.
-pub fn bytes_of(file: &str, name: &str) -> Vec<u8> {
+pub fn read_example(file: &str, name: &str) -> Vec<u8> {
     let found = read_bytes(file).into_iter().find(|(other, _)| other == name);
     found.unwrap_or_else(|| panic!("{file}: {name} is missing")).1
 }
 
 /// Compares a text with a golden file, exactly.
 pub fn compare_text(file: &str, actual: &str) {
-    if is_writing() {
+    if is_updating_golden_files() {
         return write(file, actual);
     }
-    assert_eq!(actual, read(file), "{file}: the text has changed");
+    assert_eq!(actual, read_text(file), "{file}: the text has changed");
 }
 
 /// A golden file's text.
-pub fn read(file: &str) -> String {
-    std::fs::read_to_string(path_of(file)).unwrap_or_else(|error| panic!("{file}: {error}"))
+pub fn read_text(file: &str) -> String {
+    std::fs::read_to_string(golden_path(file)).unwrap_or_else(|error| panic!("{file}: {error}"))
 }
 
 fn write(file: &str, text: &str) {
-    let path = path_of(file);
+    let path = golden_path(file);
     std::fs::create_dir_all(path.parent().expect("a folder")).expect("made");
     std::fs::write(path, text).expect("written");
 }
--- a/crates/cluster/runtime/tests/golden.rs
+++ b/crates/cluster/runtime/tests/golden.rs
@@ -13,12 +13,12 @@
 use spanlead_dissemination::{Item, Message as GossipMessage};
 use spanlead_job_scheduler::JobSpec;
 use spanlead_replication::{Change, Envelope, MemberId, Message, StreamItem};
-use support::{NamedBytes, compare_bytes, compare_text, path_of, read, read_bytes};
+use support::{NamedBytes, compare_bytes, compare_text, golden_path, read_bytes, read_text};
 
 const FRAMES: &str = "frames.txt";
 
 fn job() -> JobSpec {
-    let file = path_of("../../../job-scheduler/tests/golden/job.json");
+    let file = golden_path("../../../job-scheduler/tests/golden/job.json");
     JobSpec::from_json(&std::fs::read(file).expect("the golden job")).expect("good")
 }
 
@@ -159,7 +159,7 @@
 
 #[test]
 fn golden_settings_are_read_in_all_their_fields() {
-    let settings = Settings::read(&path_of("boot.json").to_string_lossy()).expect("good");
+    let settings = Settings::read(&golden_path("boot.json").to_string_lossy()).expect("good");
     assert_eq!((settings.node.as_str(), settings.ip.as_str()), ("core-1", "10.0.0.1"));
     assert_eq!(settings.zone.as_deref(), Some("zone-a"));
     assert_eq!(settings.listen.clients.as_deref(), Some("10.0.0.1:8080"));
@@ -196,15 +196,15 @@
             settings.grace_ms()
         )
     };
-    let full = Settings::read(&path_of("boot.json").to_string_lossy()).expect("good");
-    let least = Settings::read(&path_of("boot_least.json").to_string_lossy()).expect("good");
+    let full = Settings::read(&golden_path("boot.json").to_string_lossy()).expect("good");
+    let least = Settings::read(&golden_path("boot_least.json").to_string_lossy()).expect("good");
     assert_eq!(told(&full), "5000 2500 300 700 90000 2.5 2996 7500\n");
     assert_eq!(told(&least), "6000 3000 400 600 120000 1 256 6000\n");
 }
 
 #[test]
 fn faulty_settings_are_refused_in_the_golden_words() {
-    let good = read("boot.json");
+    let good = read_text("boot.json");
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("boot.json");
     let path = file.to_string_lossy().into_owned();
--- a/crates/tools/cluster-testbed/tests/golden.rs
+++ b/crates/tools/cluster-testbed/tests/golden.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use std::process::{Command, Output};
-use support::{compare_text, path_of};
+use support::{compare_text, golden_path};
 
 /// The program with all its commands, as they are asked for help.
 const COMMANDS: [&str; 9] =
@@ -50,7 +50,7 @@
 
 #[test]
 fn a_configuration_is_checked_with_the_golden_words() {
-    let good = path_of("../../../../cluster/cluster-config/tests/golden/configuration.json");
+    let good = golden_path("../../../../cluster/cluster-config/tests/golden/configuration.json");
     let output = run(&["config", "check", &good.to_string_lossy()]);
     assert_eq!(String::from_utf8_lossy(&output.stdout), "version 42: 2 routes are good\n");
     assert_eq!(output.status.code(), Some(0));
