--- a/crates/cluster/replication/src/replica/backup.rs
+++ b/crates/cluster/replication/src/replica/backup.rs
@@ -1,4 +1,4 @@
-//! This machine as a backup: heartbeats, sessions, and what arrives in them.
+//! The backup role: heartbeats, replication sessions and the items of their streams.
 use super::outbox::{Destination, WriteCompletion};
 use super::state::{Replica, Role, VerifiedContact};
 use crate::backup::{PrimaryProgress, StreamAction};
@@ -13,17 +13,17 @@
     pub(super) fn handle_heartbeat(&mut self, now_ms: u64, from: MemberId, heartbeat: Heartbeat) {
         let Some(primary) = heartbeat.view.member(from).cloned() else { return };
         if let Vote::Rejected { retry_after_ms } = self.witness.grant_lease(now_ms, heartbeat.ballot) {
-            let message = self.rejection(heartbeat.ballot, retry_after_ms);
+            let message = self.reject_message(heartbeat.ballot, retry_after_ms);
             return self.send_to(&primary, message);
         }
-        self.answer_lease_request(now_ms, &primary, &heartbeat);
+        self.send_lease_grant(now_ms, &primary, &heartbeat);
         if !matches!(self.role, Role::Backup) {
             self.become_backup(now_ms);
         }
         self.timers.last_primary_contact_ms = now_ms;
         let term = heartbeat.view.term;
         if let Some(contact) = heartbeat.majority_contact {
-            self.note_majority_contact(term, contact);
+            self.record_majority_contact(term, contact);
         }
         let Heartbeat { view, session, sequence, .. } = heartbeat;
         self.learn_decided_view(view);
@@ -33,7 +33,7 @@
         }
     }
 
-    fn note_majority_contact(&mut self, term: Term, contact: MajorityContact) {
+    fn record_majority_contact(&mut self, term: Term, contact: MajorityContact) {
         let at_ms = contact.receiver_clock_ms.saturating_sub(contact.age_ms);
         self.verified_contact = self.verified_contact.max(Some(VerifiedContact { term, at_ms }));
     }
@@ -44,8 +44,9 @@
         self.send_to(primary, Message::SessionRequest { term, session, range_digests });
     }
 
-    /// The primary has stepped down and released its lease. The successor that it names starts an
-    /// election at once, the others after it; if it names none, all in the order of their ranks.
+    /// Handles the resignation of the primary, which has released its lease. The named successor
+    /// starts an election immediately, the other replicas one [`ELECTION_STAGGER_MS`] later;
+    /// without a successor all start in the order of their election ranks.
     pub(super) fn handle_resign(&mut self, now_ms: u64, ballot: Ballot, successor: Option<MemberId>) {
         self.witness.release_lease(ballot);
         let is_known_primary = self.view.as_ref().is_some_and(|view| view.primary == ballot.candidate);
@@ -75,11 +76,11 @@
         let Some(session) = self.backup.session_numbered(number) else { return };
         let primary = Destination { address: session.primary_address.clone(), id: Some(session.primary) };
         for action in session.receive(now_ms, &mut self.local_state.keyspace, index, item) {
-            self.take_stream_action(&primary, number, action);
+            self.execute_stream_action(&primary, number, action);
         }
     }
 
-    fn take_stream_action(&mut self, primary: &Destination, session: u64, action: StreamAction) {
+    fn execute_stream_action(&mut self, primary: &Destination, session: u64, action: StreamAction) {
         let primary = primary.clone();
         match action {
             StreamAction::EndSession => self.backup.end_session(),
@@ -91,7 +92,7 @@
                 self.write_repair(changes, acknowledge.map(acknowledgement));
             }
             StreamAction::WriteBatch { position, changes } => {
-                self.local_state.batch_applied(position);
+                self.local_state.record_applied_batch(position);
                 let sequence = position.sequence;
                 let completion = WriteCompletion::AcknowledgeBatch { primary, session, sequence };
                 self.outbox.write(Record::Batch { position, changes }, completion);
@@ -104,7 +105,7 @@
             return;
         }
         self.local_state.repair_incomplete |= !changes.is_empty();
-        let completion = acknowledgement.unwrap_or(WriteCompletion::Nothing);
+        let completion = acknowledgement.unwrap_or(WriteCompletion::NoAction);
         self.outbox.write(Record::Repair { changes }, completion);
     }
 }
--- a/crates/cluster/replication/src/replica/bootstrap.rs
+++ b/crates/cluster/replication/src/replica/bootstrap.rs
@@ -1,20 +1,21 @@
-//! The first start: the election that starts the system.
+//! Bootstrap: the election of the first view.
 //!
-//! Machines whose folders date from the first start ("bootstrap voters") vote. There are 2f + 1 of
-//! them; if the seeds name as many, only machines at the seeds' addresses vote. A candidate gathers
-//! promises from f + 1 voters, then proposes the first view, which is in force when f + 1 have it
-//! on disk. Any two such sets share a voter, and a voter keeps its promise on disk, so at most one
-//! first view is ever in force, whoever answers first and whatever links are down. A folder that
-//! was lost comes back as one that is no bootstrap voter.
+//! The voters are the machines whose data directories were created at the first start of the system
+//! ("bootstrap voters"). There are 2f + 1 of them; if at least 2f + 1 seeds are configured, only
+//! the machines at seed addresses vote. A candidate collects promises from f + 1 voters and then
+//! proposes the first view, which is in force once f + 1 voters have it on disk. Any two such sets
+//! share a voter, and a voter keeps its promise on disk, so at most one first view is ever in
+//! force, whatever the order of messages and whichever links are down. A machine that lost its data
+//! directory gets a new one that is not a bootstrap voter.
 use super::state::{Replica, Role};
 use crate::election::Election;
 use crate::timing::{BOOTSTRAP_ANNOUNCE_INTERVAL_MS, BOOTSTRAP_GATHER_TIMEOUT_MS, ELECTION_STAGGER_MS};
 use crate::view::Member;
 
 impl Replica {
-    /// Announces this machine, and starts the election that starts the system when its turn has
-    /// come.
-    pub(super) fn wait_for_first_view(&mut self, now_ms: u64) {
+    /// Performs the periodic work of a machine that knows no view: announces the machine, and
+    /// starts the bootstrap election if it is a voter.
+    pub(super) fn run_bootstrap(&mut self, now_ms: u64) {
         if now_ms >= self.timers.announced_at_ms + BOOTSTRAP_ANNOUNCE_INTERVAL_MS {
             self.announce(now_ms);
         }
@@ -23,13 +24,15 @@
         }
     }
 
-    /// Whether a machine's vote counts at the first start. Where the seeds name enough machines,
-    /// only theirs do.
-    pub(super) fn may_vote_at_bootstrap(&self, member: &Member) -> bool {
+    /// Whether a machine's vote counts in the bootstrap election. If at least 2f + 1 seeds are
+    /// configured, only the votes of machines at seed addresses count.
+    pub(super) fn is_eligible_bootstrap_voter(&self, member: &Member) -> bool {
         let seeds = &self.config.seeds;
         seeds.len() < self.config.full_membership() || seeds.contains(&member.peer_address)
     }
 
+    /// Starts the bootstrap election if this machine is a seed, at least f + 1 voters are known,
+    /// and the delay of this machine's rank among the seeds has passed.
     fn start_bootstrap_election(&mut self, now_ms: u64) {
         let local_address = &self.local_member.peer_address;
         let Some(rank) = self.config.seeds.iter().position(|seed| seed == local_address) else { return };
@@ -46,6 +49,6 @@
         let (election, step) =
             Election::start_bootstrap(self.local_member.id, self.min_quorum(), ballot, first_view, now_ms);
         self.role = Role::Candidate(Box::new(election));
-        self.take_election_step(now_ms, ballot, step);
+        self.execute_election_step(now_ms, ballot, step);
     }
 }
--- a/crates/cluster/replication/src/replica/candidate.rs
+++ b/crates/cluster/replication/src/replica/candidate.rs
@@ -1,4 +1,4 @@
-//! This machine as a candidate: when it starts an election, and what it does at each step of it.
+//! The candidate role: when an election starts, and the actions of each election step.
 use super::outbox::WriteCompletion;
 use super::state::{Replica, Role};
 use crate::election::{Election, ElectionStep};
@@ -10,13 +10,14 @@
 use crate::view::{Ballot, Member, MemberId};
 use crate::witness::Vote;
 
-/// A multiplier that spreads the rounds of elections over the range of the jitter.
+/// Multiplier that spreads successive election rounds over the jitter range: 2^32 divided by the
+/// golden ratio.
 const JITTER_MULTIPLIER: u64 = 0x9E37_79B9;
 
 impl Replica {
-    /// Announces this machine while the primary is silent, and starts an election when its turn has
-    /// come.
-    pub(super) fn watch_primary(&mut self, now_ms: u64) {
+    /// Performs the periodic work of a backup: announces the machine while the primary is silent,
+    /// and starts an election once the lease and the delay of its election rank have passed.
+    pub(super) fn run_backup(&mut self, now_ms: u64) {
         let Some(view) = &self.view else { return };
         let is_member = view.has_member(self.local_member.id);
         let ms_since_contact = now_ms.saturating_sub(self.timers.last_primary_contact_ms);
@@ -37,19 +38,19 @@
         }
     }
 
-    /// Whether this machine's own witness has granted a lease that still runs to another primary.
+    /// Whether this machine's own witness has granted another primary a lease that has not expired.
     fn has_granted_lease_to_other(&self, now_ms: u64) -> bool {
         let primary = self.view.as_ref().map(|view| view.primary);
         self.witness.lease_until_ms() > now_ms && primary != Some(self.local_member.id)
     }
 
-    /// This machine's rank among those that may start an election, from 0: replicas in sync, the
-    /// last primary after the others. `None` if it may not: it is no member, not in sync, or its
-    /// replica may not lead.
+    /// This machine's rank, from 0, in the order in which in-sync replicas start elections; the
+    /// last primary ranks after the others. `None` if this machine must not start an election: it
+    /// is not a member, it is not in sync, or its replica is incomplete or ineligible.
     pub(super) fn election_rank(&self) -> Option<u64> {
         let local_id = self.local_member.id;
         let view = self.view.as_ref()?;
-        if !view.has_member(local_id) || !self.local_state.may_lead() {
+        if !view.has_member(local_id) || !self.local_state.may_become_primary() {
             return None;
         }
         let others = view.in_sync.iter().filter(|id| **id != view.primary);
@@ -57,22 +58,24 @@
         others.chain(last_primary).position(|id| *id == local_id).map(|rank| rank as u64)
     }
 
-    /// Starts an election among the voters of the newest view known.
+    /// Starts an election among the voters of the newest known view.
     pub(super) fn start_election(&mut self, now_ms: u64) {
         let Some(view) = self.view.clone() else { return };
         let ballot = self.next_ballot();
         let (election, step) =
             Election::start(self.local_member.id, self.min_quorum(), ballot, &view, now_ms);
         self.role = Role::Candidate(Box::new(election));
-        self.take_election_step(now_ms, ballot, step);
+        self.execute_election_step(now_ms, ballot, step);
     }
 
+    /// The ballot of this machine's next election.
     pub(super) fn next_ballot(&self) -> Ballot {
         Ballot { round: self.witness.next_round(), candidate: self.local_member.id }
     }
 
-    /// Passes an answer to the election of that ballot, if it still runs.
-    pub(super) fn with_election(
+    /// Applies a response to the election of this ballot, if it is still running, and executes the
+    /// resulting step.
+    pub(super) fn advance_election(
         &mut self,
         now_ms: u64,
         ballot: Ballot,
@@ -82,11 +85,11 @@
             && election.ballot() == ballot
         {
             let step = advance(election);
-            self.take_election_step(now_ms, ballot, step);
+            self.execute_election_step(now_ms, ballot, step);
         }
     }
 
-    pub(super) fn take_election_step(&mut self, now_ms: u64, ballot: Ballot, step: ElectionStep) {
+    pub(super) fn execute_election_step(&mut self, now_ms: u64, ballot: Ballot, step: ElectionStep) {
         match step {
             ElectionStep::Wait => {}
             ElectionStep::RequestPreVotes(members) => self.request_pre_votes(now_ms, ballot, &members),
@@ -107,7 +110,7 @@
         let message = Message::PreVoteRequest { ballot, candidate: self.local_member.clone() };
         self.send_to_others(members, &message);
         if self.witness.pre_vote(now_ms, ballot) == Vote::Granted {
-            self.with_election(now_ms, ballot, |election| election.pre_vote_granted(local_id));
+            self.advance_election(now_ms, ballot, |election| election.pre_vote_granted(local_id));
         }
     }
 
@@ -116,25 +119,25 @@
         self.send_to_others(members, &message);
         let is_voter = members.iter().any(|member| member.id == self.local_member.id);
         if is_voter && self.witness.prepare(now_ms, ballot) == Vote::Granted {
-            // As for any witness that promises: nothing of an older term may be applied from here
+            // As at any witness that promises, no batch of an older term may be applied from here
             // on.
             self.backup.end_session();
-            self.write_witness(WriteCompletion::Promised(ballot));
+            self.write_witness_record(WriteCompletion::CountPromise(ballot));
         }
     }
 
-    /// The candidate's own promise is on disk.
+    /// Counts the candidate's own promise, which is now on disk.
     pub(super) fn count_own_promise(&mut self, now_ms: u64, ballot: Ballot) {
         let local_id = self.local_member.id;
         let accepted = self.witness.record.accepted.clone();
-        self.with_election(now_ms, ballot, |election| election.promised(local_id, accepted));
+        self.advance_election(now_ms, ballot, |election| election.promised(local_id, accepted));
     }
 
     fn abandon_election(&mut self, now_ms: u64, retry_after_ms: u64) {
         let Role::Candidate(election) = &self.role else { return };
         let is_pre_vote = election.pre_vote_at_ms().is_some();
         self.role = Role::Backup;
-        // A pre-vote promises nothing, so repeating it soon costs nothing.
+        // A pre-vote binds no witness, so it may be repeated after a short delay.
         let delay_ms = if is_pre_vote {
             retry_after_ms.min(PRE_VOTE_INTERVAL_MS)
         } else {
@@ -143,7 +146,7 @@
         self.timers.not_candidate_before_ms = now_ms + delay_ms;
     }
 
-    /// A witness rejects a ballot of this machine.
+    /// Handles a witness's rejection of a ballot of this machine.
     pub(super) fn handle_reject(
         &mut self,
         now_ms: u64,
@@ -157,7 +160,7 @@
                 if promised > ballot {
                     self.abandon_election(now_ms, retry_after_ms);
                 } else {
-                    self.with_election(now_ms, ballot, |election| election.rejected(from, retry_after_ms));
+                    self.advance_election(now_ms, ballot, |election| election.rejected(from, retry_after_ms));
                 }
             }
             Role::Primary(primary) if primary.ballot() == ballot && promised > ballot => {
@@ -167,7 +170,7 @@
         }
     }
 
-    /// A delay that differs between machines and rounds, milliseconds.
+    /// The delay before the next election, milliseconds. It differs between machines and rounds.
     pub(super) fn election_jitter_ms(&self) -> u64 {
         let round = self.witness.record.promised.round.wrapping_mul(JITTER_MULTIPLIER);
         MIN_ELECTION_JITTER_MS + (self.local_member.id.0 ^ round) % ELECTION_JITTER_RANGE_MS
--- a/crates/cluster/replication/src/replica/discovery.rs
+++ b/crates/cluster/replication/src/replica/discovery.rs
@@ -1,4 +1,4 @@
-//! How machines find each other and the newest view while no primary is in contact.
+//! Discovery of other machines and of the newest view while no primary is in contact.
 use super::outbox::Destination;
 use super::state::Replica;
 use crate::interface::ReplicaEvent;
@@ -6,7 +6,7 @@
 use crate::view::{Epoch, Member, View};
 
 impl Replica {
-    /// Announces this machine to all addresses that it knows.
+    /// Announces this machine to all known addresses: the seeds and the members of the view.
     pub(super) fn announce(&mut self, now_ms: u64) {
         self.timers.announced_at_ms = now_ms;
         let members = self.view.iter().flat_map(|view| &view.members);
@@ -17,7 +17,7 @@
         addresses.retain(|address| *address != self.local_member.peer_address);
         let message = Message::Announce {
             member: self.local_member.clone(),
-            bootstrap_voter: self.is_waiting_to_vote_at_bootstrap(),
+            bootstrap_voter: self.is_undecided_bootstrap_voter(),
             known_epoch: self.view.as_ref().map_or(Epoch::default(), |view| view.epoch),
         };
         for address in addresses {
@@ -25,8 +25,11 @@
         }
     }
 
-    fn is_waiting_to_vote_at_bootstrap(&self) -> bool {
-        self.bootstrap.is_voter() && self.view.is_none() && self.may_vote_at_bootstrap(&self.local_member)
+    /// Whether this machine may vote in the bootstrap election and knows no view yet.
+    fn is_undecided_bootstrap_voter(&self) -> bool {
+        self.bootstrap.is_voter()
+            && self.view.is_none()
+            && self.is_eligible_bootstrap_voter(&self.local_member)
     }
 
     pub(super) fn handle_announce(
@@ -50,14 +53,14 @@
             Some(_) => {}
             None => {
                 let is_waiting = bootstrap_voter && known_epoch == Epoch::default();
-                if is_waiting && self.bootstrap.is_voter() && self.may_vote_at_bootstrap(&member) {
+                if is_waiting && self.bootstrap.is_voter() && self.is_eligible_bootstrap_voter(&member) {
                     self.bootstrap.add_voter(member, now_ms);
                 }
             }
         }
     }
 
-    /// Takes a view that may not be in force yet, if it is newer than the one known.
+    /// Stores a view, which may not be in force yet, if it is newer than the known one.
     pub(super) fn learn_view(&mut self, view: View) {
         if self.view.as_ref().is_none_or(|known| view.epoch > known.epoch) {
             self.bootstrap.finish();
@@ -66,8 +69,8 @@
         }
     }
 
-    /// Takes a view that is in force. It replaces another one of the same epoch: that one was never
-    /// decided.
+    /// Stores a view that is in force. It also replaces a different view of the same epoch, which
+    /// was never decided.
     pub(super) fn learn_decided_view(&mut self, view: View) {
         if self.view.as_ref().is_some_and(|known| view.epoch == known.epoch && view != *known) {
             self.view = None;
--- a/crates/cluster/replication/src/replica/dispatch.rs
+++ b/crates/cluster/replication/src/replica/dispatch.rs
@@ -1,4 +1,4 @@
-//! Inputs, each passed to the module that handles it.
+//! Dispatch of inputs, messages and periodic work to the modules that handle them.
 use super::outbox::WriteCompletion;
 use super::state::{Replica, Role};
 use crate::interface::Input;
@@ -7,7 +7,7 @@
 use crate::view::MemberId;
 
 impl Replica {
-    /// Handles an input.
+    /// Processes an input at `now_ms` (milliseconds), then the periodic work that is due.
     pub fn handle(&mut self, now_ms: u64, input: Input) {
         match input {
             Input::Message(envelope) => self.handle_envelope(now_ms, envelope),
@@ -40,11 +40,11 @@
                 self.handle_pre_vote_request(now_ms, ballot, &candidate);
             }
             Message::PreVoteGrant { ballot } => {
-                self.with_election(now_ms, ballot, |election| election.pre_vote_granted(from));
+                self.advance_election(now_ms, ballot, |election| election.pre_vote_granted(from));
             }
             Message::Prepare { ballot, candidate } => self.handle_prepare(now_ms, ballot, &candidate),
             Message::Promise { ballot, accepted } => {
-                self.with_election(now_ms, ballot, |election| election.promised(from, accepted));
+                self.advance_election(now_ms, ballot, |election| election.promised(from, accepted));
             }
             Message::Reject { ballot, promised, retry_after_ms } => {
                 self.witness.observe_round(promised.round);
@@ -70,22 +70,22 @@
         }
     }
 
-    /// All records up to this token are on disk.
+    /// Runs the completions of all records up to this token, which are now on disk.
     ///
-    /// Only the last acknowledgement of each kind is sent: it covers those before.
+    /// Acknowledgements are cumulative, so only the last one of each kind is sent.
     fn handle_written(&mut self, now_ms: u64, token: u64) {
         let mut chunk_ack = None;
         let mut batch_ack = None;
         for completion in self.outbox.complete_up_to(token) {
             match completion {
-                WriteCompletion::Nothing => {}
+                WriteCompletion::NoAction => {}
                 WriteCompletion::Send(to, message) => self.send(to, message),
-                WriteCompletion::Promised(ballot) => self.count_own_promise(now_ms, ballot),
-                WriteCompletion::Accepted(ballot, epoch) => {
+                WriteCompletion::CountPromise(ballot) => self.count_own_promise(now_ms, ballot),
+                WriteCompletion::CountAcceptance(ballot, epoch) => {
                     self.handle_accepted(now_ms, self.local_member.id, ballot, epoch);
                 }
-                WriteCompletion::BatchProposed { term, sequence } => {
-                    self.own_batch_written(term, sequence);
+                WriteCompletion::RecordOwnBatch { term, sequence } => {
+                    self.handle_own_batch_written(term, sequence);
                 }
                 WriteCompletion::AcknowledgeBatch { primary, session, sequence } => {
                     self.local_state.durable_sequence = sequence;
@@ -109,10 +109,10 @@
         }
         let Some(primary) = self.as_primary_mut() else { return };
         let members = primary.view().members.iter();
-        let lost: Vec<MemberId> =
+        let disconnected: Vec<MemberId> =
             members.filter(|member| member.peer_address == address).map(|member| member.id).collect();
-        for id in lost {
-            // What was in flight on the connection is lost, so the session must begin anew.
+        for id in disconnected {
+            // Items in flight on the connection are lost, so the backup needs a new session.
             primary.end_session(id);
             primary.failure_detector.connection_lost(id, now_ms);
         }
@@ -122,8 +122,8 @@
         match &self.role {
             Role::Primary(_) => self.run_primary(now_ms),
             Role::Candidate(_) => self.run_candidate(now_ms),
-            Role::Backup if self.view.is_none() => self.wait_for_first_view(now_ms),
-            Role::Backup => self.watch_primary(now_ms),
+            Role::Backup if self.view.is_none() => self.run_bootstrap(now_ms),
+            Role::Backup => self.run_backup(now_ms),
         }
         self.send_leave_requests(now_ms);
     }
@@ -136,7 +136,7 @@
             self.role = Role::Backup;
             self.timers.not_candidate_before_ms = now_ms + self.election_jitter_ms();
         } else if pre_vote_at_ms.is_some_and(|at_ms| now_ms >= at_ms + PRE_VOTE_INTERVAL_MS) {
-            self.with_election(now_ms, ballot, |election| election.retry_pre_vote(now_ms));
+            self.advance_election(now_ms, ballot, |election| election.retry_pre_vote(now_ms));
         }
     }
 }
--- a/crates/cluster/replication/src/replica/handover.rs
+++ b/crates/cluster/replication/src/replica/handover.rs
@@ -1,9 +1,10 @@
-//! Members that leave for good.
+//! Planned departure of members.
 //!
-//! A member that is told to terminate asks the primary to be replaced by a standby. It may
-//! terminate once no view that can still be decided needs its vote, so another loss right after it
-//! is tolerated. If there is no standby, this is taken for a restart: the member terminates at
-//! once, and nobody takes its place until it has been gone for long.
+//! A member that is told to terminate asks the primary to replace it by a standby. It may terminate
+//! once no view that can still be decided needs its vote, so that the loss of another machine right
+//! afterwards is tolerated. Without a standby the departure is treated as a restart: the member may
+//! terminate immediately, and no standby replaces it until it has been silent for the replacement
+//! timeout.
 use super::state::{Replica, Role};
 use crate::interface::ReplicaEvent;
 use crate::leave::LeaveState;
@@ -12,25 +13,25 @@
 use crate::view::Member;
 
 impl Replica {
-    /// Tells this machine to leave for good. [`ReplicaEvent::LeaveAllowed`] tells when it may
-    /// terminate.
+    /// Starts the permanent departure of this machine, which steps down if it is primary. The
+    /// machine may terminate once [`ReplicaEvent::LeaveAllowed`] is emitted.
     pub fn request_leave(&mut self, now_ms: u64) {
         if self.leave.is_some() {
             return;
         }
         self.leave = Some(LeaveState::new());
-        self.hand_over_primary_role(now_ms);
+        self.resign_if_primary(now_ms);
         self.send_leave_requests(now_ms);
     }
 
-    /// A primary that leaves steps down first.
-    fn hand_over_primary_role(&mut self, now_ms: u64) {
+    /// Steps down if this machine is primary: a member that leaves must not stay primary.
+    fn resign_if_primary(&mut self, now_ms: u64) {
         if matches!(self.role, Role::Primary(_)) {
             self.resign(now_ms);
         }
     }
 
-    /// Repeats the request to leave, if there is one.
+    /// Sends the leave request to all members if one is pending and due.
     pub(super) fn send_leave_requests(&mut self, now_ms: u64) {
         let Some(leave) = &mut self.leave else { return };
         if !leave.take_due_request(now_ms) {
@@ -40,12 +41,12 @@
         let Some(members) = view.map(|view| view.members.clone()) else {
             return self.handle_leave_response(false);
         };
-        self.hand_over_primary_role(now_ms);
+        self.resign_if_primary(now_ms);
         let message = Message::LeaveRequest { member: self.local_member.clone() };
         self.send_to_others(&members, &message);
     }
 
-    /// A member asks to leave.
+    /// Answers a member's request to leave.
     pub(super) fn handle_leave_request(&mut self, now_ms: u64, member: &Member) {
         let Some(primary) = self.as_primary_mut() else { return };
         let is_voter = primary.may_need_vote_of(member.id);
@@ -54,7 +55,7 @@
         }
         let has_standby = primary.has_standby(IN_SYNC_CONTACT_TIMEOUT_MS, now_ms);
         let is_replacing = primary.view().changes_members();
-        // A primary that has just taken over has no contact with standbys yet.
+        // A newly elected primary may not have received the announcements of standbys yet.
         let may_have_standby = now_ms < primary.elected_at_ms() + STANDBY_DISCOVERY_MS;
         let must_wait = is_voter && (has_standby || is_replacing || may_have_standby || !primary.is_active());
         self.send_to(member, Message::LeaveResponse { must_wait });
--- a/crates/cluster/replication/src/replica/local_state.rs
+++ b/crates/cluster/replication/src/replica/local_state.rs
@@ -3,7 +3,7 @@
 use crate::keyspace::Keyspace;
 use crate::view::Position;
 
-/// The key space of this machine and how far it is.
+/// The key space of this machine and its position.
 ///
 /// Invariant: unless `repair_incomplete`, `keyspace` is the state that the primary of
 /// `position.term` had after the batch `position.sequence`.
@@ -11,17 +11,18 @@
 pub(super) struct LocalState {
     pub(super) keyspace: Keyspace,
     pub(super) position: Position,
-    /// Whether an unfinished repair has left the key space between two states.
+    /// Whether a repair has begun and not completed, so that the key space equals no state of any
+    /// primary.
     pub(super) repair_incomplete: bool,
-    /// Whether the key space holds records that the embedder can't read, so that this machine must
-    /// not become primary before it is repaired.
+    /// Whether the key space holds records that the embedder cannot read, so that this machine must
+    /// not become primary before its replica is repaired.
     pub(super) ineligible: bool,
-    /// The last batch on this machine's disk.
+    /// The sequence number of the last batch on this machine's disk.
     pub(super) durable_sequence: u64,
 }
 
 impl LocalState {
-    /// What the data folder holds.
+    /// Creates the state from a recovered data directory.
     pub(super) fn recovered(state: RecoveredState) -> Self {
         LocalState {
             keyspace: state.keyspace,
@@ -33,13 +34,13 @@
     }
 
     /// Whether a machine with this replica may become primary.
-    pub(super) fn may_lead(&self) -> bool {
+    pub(super) fn may_become_primary(&self) -> bool {
         !self.repair_incomplete && !self.ineligible
     }
 
-    /// A batch from a primary was applied: the replica equals that primary's, and so any repair is
-    /// complete.
-    pub(super) fn batch_applied(&mut self, position: Position) {
+    /// Records that a batch from a primary was applied: the replica now equals that primary's, so
+    /// any repair is complete.
+    pub(super) fn record_applied_batch(&mut self, position: Position) {
         self.position = position;
         self.repair_incomplete = false;
         self.ineligible = false;
--- a/crates/cluster/replication/src/replica/mod.rs
+++ b/crates/cluster/replication/src/replica/mod.rs
@@ -1,6 +1,6 @@
-//! The state machine of one machine: witness, and backup, candidate or primary.
+//! The state machine of one machine: a witness that is also a backup, a candidate or a primary.
 //!
-//! `state` holds [`Replica`] itself; every other module adds the handling of one concern to it.
+//! `state` defines [`Replica`]; each of the other modules implements one concern of it.
 mod backup;
 mod bootstrap;
 mod candidate;
--- a/crates/cluster/replication/src/replica/outbox.rs
+++ b/crates/cluster/replication/src/replica/outbox.rs
@@ -1,4 +1,4 @@
-//! What a replica asks of its embedder, and what follows once a record is on disk.
+//! The outputs to the embedder, and the actions that follow once a record is on disk.
 use crate::interface::{Output, Record, ReplicaEvent};
 use crate::message::{Envelope, Message};
 use crate::view::{Ballot, Epoch, Member, MemberId, Term};
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Destination {
     pub(super) address: String,
-    /// `None` where only the address is known.
+    /// `None` if only the address is known.
     pub(super) id: Option<MemberId>,
 }
 
@@ -18,25 +18,26 @@
     }
 }
 
-/// What follows once a record is on disk.
+/// The action that follows once a record is on disk.
 #[derive(Clone, Debug)]
 pub(super) enum WriteCompletion {
-    /// Nothing.
-    Nothing,
-    /// Send an answer that rests on the record.
+    /// No action.
+    NoAction,
+    /// Send a response that may be sent only after the record is on disk.
     Send(Destination, Message),
     /// Count the candidate's own promise.
-    Promised(Ballot),
-    /// Count the own acceptance of a proposed view.
-    Accepted(Ballot, Epoch),
-    /// Count a batch that this machine proposed as primary.
-    BatchProposed { term: Term, sequence: u64 },
+    CountPromise(Ballot),
+    /// Count this machine's own acceptance of the view that it proposed.
+    CountAcceptance(Ballot, Epoch),
+    /// Record that a batch that this machine proposed as primary is on its own disk.
+    RecordOwnBatch { term: Term, sequence: u64 },
     /// Acknowledge a batch to the primary.
     AcknowledgeBatch { primary: Destination, session: u64, sequence: u64 },
     /// Acknowledge a chunk of a repair to the primary.
     AcknowledgeChunk { primary: Destination, session: u64, index: u64 },
 }
 
+/// A write that the embedder has not confirmed.
 #[derive(Clone, Debug)]
 struct PendingWrite {
     token: u64,
@@ -45,8 +46,8 @@
 
 /// The outputs that the embedder has not taken yet, and the writes that it has not confirmed.
 ///
-/// Invariant: tokens rise by one, and writes complete in their order, since the embedder writes
-/// records in order.
+/// Invariant: tokens increase by one, and writes complete in the order of their tokens, since the
+/// embedder writes records in that order.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Outbox {
     outputs: Vec<Output>,
@@ -55,13 +56,13 @@
 }
 
 impl Outbox {
-    /// Sends a message.
+    /// Adds an output that sends a message.
     pub(super) fn send(&mut self, from: MemberId, to: Destination, message: Message) {
         let envelope = Envelope { from, to: to.id, message };
         self.outputs.push(Output::Send { to: to.address, envelope });
     }
 
-    /// Writes a record.
+    /// Adds an output that writes a record, and keeps the completion until the write is confirmed.
     pub(super) fn write(&mut self, record: Record, completion: WriteCompletion) {
         self.last_token += 1;
         let token = self.last_token;
@@ -69,18 +70,19 @@
         self.outputs.push(Output::Write { token, record });
     }
 
-    /// Tells the embedder of an event.
+    /// Adds an output that reports an event to the embedder.
     pub(super) fn emit(&mut self, event: ReplicaEvent) {
         self.outputs.push(Output::Event(event));
     }
 
-    /// All records up to this token are on disk: what follows, in order.
+    /// Removes the pending writes up to this token, which are on disk, and returns their
+    /// completions in order.
     pub(super) fn complete_up_to(&mut self, token: u64) -> Vec<WriteCompletion> {
         let count = self.pending_writes.iter().take_while(|write| write.token <= token).count();
         self.pending_writes.drain(..count).map(|write| write.completion).collect()
     }
 
-    /// The outputs since this was last called.
+    /// Takes the outputs that were added since the previous call.
     pub(super) fn take(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
--- a/crates/cluster/replication/src/replica/primary.rs
+++ b/crates/cluster/replication/src/replica/primary.rs
@@ -1,21 +1,20 @@
-//! This machine as primary: taking over, proposing batches, renewing the lease, reviewing the view,
-//! stepping down.
+//! The primary role: takeover, batch proposals, lease renewal, view changes and stepping down.
 use super::outbox::WriteCompletion;
 use super::state::{Replica, Role};
 use crate::interface::{Record, ReplicaEvent};
 use crate::keyspace::Change;
 use crate::message::{Heartbeat, LeaseGrant, MajorityContact, Message};
 use crate::primary::{BatchTracker, Grant, PrimarySession, PrimaryState, ReviewContext};
-use crate::timing::{ACTIVATION_TIMEOUT_LEASES, STEP_DOWN_COOLDOWN_MS};
+use crate::timing::{ACTIVATION_TIMEOUT_LEASES, DISK_STALL_TIMEOUT_MS, STEP_DOWN_COOLDOWN_MS};
 use crate::view::{Ballot, Member, MemberId, Position, Term, View};
 use crate::witness::Vote;
 
 impl Replica {
-    /// Proposes changes as primary, and returns the sequence number of their batch; `None` if this
-    /// machine is not primary.
+    /// Proposes a batch of changes and returns its sequence number; `None` if this machine is not
+    /// primary.
     ///
-    /// They are applied here at once. They are durable once [`ReplicaEvent::Committed`] covers the
-    /// batch.
+    /// The changes are applied to the local replica immediately. They are durable once
+    /// [`ReplicaEvent::Committed`] reports this sequence number or a higher one.
     pub fn propose(&mut self, now_ms: u64, changes: Vec<Change>) -> Option<u64> {
         let Role::Primary(primary) = &mut self.role else { return None };
         self.local_state.keyspace.apply_all(&changes);
@@ -23,12 +22,13 @@
         let position = Position { term: primary.view().term, sequence };
         self.local_state.position = position;
         self.stream_batch(position, &changes);
-        let completion = WriteCompletion::BatchProposed { term: position.term, sequence };
+        let completion = WriteCompletion::RecordOwnBatch { term: position.term, sequence };
         self.outbox.write(Record::Batch { position, changes }, completion);
         Some(sequence)
     }
 
-    /// Steps down, if this machine is primary, in favour of a replica that lacks nothing.
+    /// Steps down, if this machine is primary, and names an in-sync replica that has acknowledged
+    /// all batches as successor, if there is one.
     pub fn resign(&mut self, now_ms: u64) {
         let Some(primary) = self.as_primary() else { return };
         let ballot = primary.ballot();
@@ -39,14 +39,16 @@
         self.timers.not_candidate_before_ms = now_ms + STEP_DOWN_COOLDOWN_MS;
     }
 
-    /// Tells that this machine's replica holds records that the embedder can't read. It does not
-    /// become primary until another primary has repaired it.
+    /// Marks this machine's replica as ineligible because it holds records that the embedder cannot
+    /// read. The machine steps down, and does not become primary until another primary has repaired
+    /// its replica.
     pub fn mark_ineligible(&mut self, now_ms: u64) {
         self.local_state.ineligible = true;
         self.resign(now_ms);
     }
 
-    /// Stops acting as primary and releases the lease, so that nobody has to wait for its end.
+    /// Stops acting as primary and releases the lease, so that other candidates need not wait until
+    /// it expires.
     fn release_lease(&mut self, now_ms: u64, ballot: Ballot, successor: Option<MemberId>) {
         let Some(primary) = self.as_primary() else { return };
         let members = primary.view().members.clone();
@@ -55,7 +57,7 @@
         self.send_to_others(&members, &Message::Resign { ballot, successor });
     }
 
-    /// Takes over after a won election.
+    /// Takes over as primary after an election was won.
     pub(super) fn become_primary(&mut self, now_ms: u64, ballot: Ballot, view: View) {
         log::info!("primary elected term={} in_sync={}", view.term, view.in_sync.len());
         let batches =
@@ -65,19 +67,21 @@
             PrimaryState::new(local_id, ballot, view.clone(), self.min_quorum(), batches, now_ms);
         let last_contact_ms = self.timers.last_primary_contact_ms.min(now_ms);
         if let Role::Candidate(election) = &self.role {
-            // A member that did not answer the election was in contact before it at the latest.
+            // A member that sent no promise was last in contact before the election: it counts as
+            // silent since this machine's own last contact with a primary.
             for member in view.members.iter().filter(|member| !election.has_promised(member.id)) {
                 primary.failure_detector.set_last_contact(member.id, last_contact_ms);
             }
         }
         self.role = Role::Primary(Box::new(primary));
         self.learn_decided_view(view);
-        // Batches that an earlier primary left uncommitted are committed with this one.
+        // The commit of this empty batch includes the batches that an earlier primary left
+        // uncommitted.
         self.propose(now_ms, Vec::new());
         self.run_primary(now_ms);
     }
 
-    /// Stops being candidate or primary.
+    /// Returns this machine to the backup role.
     pub(super) fn become_backup(&mut self, now_ms: u64) {
         let previous_role = std::mem::replace(&mut self.role, Role::Backup);
         self.timers.last_primary_contact_ms = now_ms;
@@ -89,7 +93,7 @@
         }
     }
 
-    /// A change of view that this primary proposed is in force.
+    /// Adopts a view that this primary proposed and that is now in force.
     pub(super) fn adopt_view(&mut self, now_ms: u64, view: View) {
         let Role::Primary(primary) = &mut self.role else { return };
         log::info!(
@@ -111,8 +115,8 @@
         }
     }
 
-    /// A batch that this machine proposed as primary of that term is on its disk.
-    pub(super) fn own_batch_written(&mut self, term: Term, sequence: u64) {
+    /// Records that a batch that this machine proposed as primary of `term` is on its own disk.
+    pub(super) fn handle_own_batch_written(&mut self, term: Term, sequence: u64) {
         self.local_state.durable_sequence = sequence;
         if let Some(primary) = self.as_primary_mut()
             && primary.view().term == term
@@ -121,7 +125,7 @@
         }
     }
 
-    /// Commits what is on disk at all replicas whose acknowledgement is needed.
+    /// Commits all batches that are on disk at every replica whose acknowledgement is needed.
     pub(super) fn advance_commit(&mut self) {
         let local_id = self.local_member.id;
         let Some(primary) = self.as_primary_mut() else { return };
@@ -131,15 +135,16 @@
         }
     }
 
-    /// The primary's periodic work: lease, heartbeats, view.
+    /// Performs the periodic work of a primary: checks the lease, sends heartbeats and reviews the
+    /// view.
     pub(super) fn run_primary(&mut self, now_ms: u64) {
         let lease_ms = self.config.lease_ms;
         let Some(primary) = self.as_primary_mut() else { return };
         let holds_majority = now_ms < primary.lease_until_ms(lease_ms);
         let activation_deadline_ms = primary.elected_at_ms() + ACTIVATION_TIMEOUT_LEASES * lease_ms;
         if !holds_majority && (primary.is_active() || now_ms >= activation_deadline_ms) {
-            // This machine is cut off from the witnesses. If they still receive its messages, they
-            // need not wait for the lease's end.
+            // This machine has no contact with a majority of the witnesses. Those that still
+            // receive its messages need not wait until the lease expires.
             let ballot = primary.ballot();
             return self.release_lease(now_ms, ballot, None);
         }
@@ -149,7 +154,9 @@
             self.outbox.emit(ReplicaEvent::Activated { term });
         }
         if self.as_primary().is_some_and(|primary| primary.batches.is_own_disk_stalled(now_ms)) {
-            log::warn!("primary's disk stalled, stepping down");
+            log::warn!(
+                "local disk made no progress for {DISK_STALL_TIMEOUT_MS} ms; stepping down as primary"
+            );
             return self.resign(now_ms);
         }
         self.send_heartbeats(now_ms);
@@ -197,7 +204,7 @@
         self.send_to(member, Message::Heartbeat(heartbeat));
     }
 
-    /// Proposes the change of view that is due, or repeats the proposal that is under way.
+    /// Proposes the view change that is due, or repeats the pending proposal.
     fn review_view(&mut self, now_ms: u64) {
         let local_id = self.local_member.id;
         let max_failures = self.config.max_failures;
--- a/crates/cluster/replication/src/replica/repair.rs
+++ b/crates/cluster/replication/src/replica/repair.rs
@@ -1,4 +1,4 @@
-//! The primary's side of its backups' sessions: repair and the stream of batches.
+//! The primary's side of replication sessions: repair and the stream of batches.
 use super::outbox::Destination;
 use super::state::{Replica, Role};
 use crate::keyspace::Change;
@@ -51,7 +51,7 @@
         self.advance_commit();
     }
 
-    /// Sends a backup what its session allows now.
+    /// Sends a backup the repair items that its session allows now.
     fn send_next_items(&mut self, to: MemberId) {
         let Role::Primary(primary) = &mut self.role else { return };
         let Some(address) = primary.address_of(to) else { return };
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Sends a batch to all backups.
+    /// Sends a batch to every backup that has a session. Ends the sessions whose unacknowledged
+    /// batches exceed the limit.
     pub(super) fn stream_batch(&mut self, position: Position, changes: &[Change]) {
         let local_id = self.local_member.id;
         let Role::Primary(primary) = &mut self.role else { return };
@@ -83,7 +84,7 @@
                 messages.push((Destination { address, id: Some(id) }, message));
             }
             if session.is_over_limit() {
-                log::warn!("backup too slow, session ended backup={}", id.0);
+                log::warn!("session ended: too many unacknowledged batches backup={}", id.0);
                 primary.end_session(id);
             }
         }
@@ -93,7 +94,7 @@
     }
 }
 
-/// A backup's session, if it still has this number: messages of an earlier one are dropped.
+/// Returns a backup's session if it has this number; messages of earlier sessions are dropped.
 fn current_session(primary: &mut PrimaryState, from: MemberId, number: u64) -> Option<&mut PrimarySession> {
     primary.session_mut(from).filter(|session| session.number() == number)
 }
--- a/crates/cluster/replication/src/replica/state.rs
+++ b/crates/cluster/replication/src/replica/state.rs
@@ -1,4 +1,4 @@
-//! [`Replica`]: its parts, its start, and what the embedder may ask it.
+//! [`Replica`]: its state, its construction and the queries of the embedder.
 use super::local_state::LocalState;
 use super::outbox::{Destination, Outbox, WriteCompletion};
 use crate::backup::BackupState;
@@ -13,31 +13,31 @@
 use crate::view::{Member, MemberId, Position, Term, View};
 use crate::witness::Witness;
 
-/// What this machine is in the view.
+/// The role of this machine in the view.
 #[derive(Clone, Debug)]
 pub(super) enum Role {
-    /// It follows a primary, or waits for one.
+    /// Follows a primary, or waits for one.
     Backup,
-    /// It runs an election.
+    /// Runs an election.
     Candidate(Box<Election>),
-    /// It has won one.
+    /// Has won an election.
     Primary(Box<PrimaryState>),
 }
 
-/// When a primary was in contact last, and what this machine may do while it is not. All times in
-/// milliseconds.
+/// The times that decide when this machine announces itself and starts an election, milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ElectionTimers {
-    /// When the primary, or a candidate that should get the time to win, was in contact last.
+    /// The last contact with the primary, or with a candidate that is given time to win its
+    /// election.
     pub(super) last_primary_contact_ms: u64,
-    /// From when on this machine may start an election.
+    /// The earliest time at which this machine may start an election.
     pub(super) not_candidate_before_ms: u64,
-    /// When this machine announced itself last.
+    /// The last time at which this machine announced itself.
     pub(super) announced_at_ms: u64,
 }
 
-/// A time at which the primary of a term certainly was in contact with a majority. Ordered by term,
-/// then time.
+/// A time at which the primary of a term is proven to have been in contact with a majority of the
+/// witnesses. Ordered by term, then by time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct VerifiedContact {
     pub(super) term: Term,
@@ -45,7 +45,7 @@
     pub(super) at_ms: u64,
 }
 
-/// One machine's part in the replicated key space.
+/// The replication state machine of one machine.
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub(super) config: ReplicaConfig,
@@ -53,24 +53,24 @@
     pub(super) started_at_ms: u64,
     pub(super) witness: Witness,
     pub(super) local_state: LocalState,
-    /// The newest view known.
+    /// The newest known view.
     pub(super) view: Option<View>,
     pub(super) role: Role,
     pub(super) backup: BackupState,
     pub(super) timers: ElectionTimers,
     pub(super) verified_contact: Option<VerifiedContact>,
     pub(super) bootstrap: BootstrapState,
-    /// Set once this machine is to leave for good.
+    /// Set once this machine is told to leave permanently.
     pub(super) leave: Option<LeaveState>,
     pub(super) outbox: Outbox,
 }
 
 impl Replica {
-    /// A replica that starts at `now_ms` with what its folder holds. What it must do at once is in
-    /// its outputs.
+    /// Creates a replica that starts at `now_ms` (milliseconds) with the recovered contents of its
+    /// data directory. Its first outputs are ready to be taken.
     #[must_use]
     pub fn start(config: ReplicaConfig, recovered: RecoveredState, now_ms: u64) -> Self {
-        let is_new_folder = recovered.identity.is_none();
+        let is_new_directory = recovered.identity.is_none();
         let id = recovered.identity.unwrap_or(MemberId(config.random | 1));
         let local_member = Member {
             id,
@@ -78,11 +78,11 @@
             peer_address: config.peer_address.clone(),
             operator_address: config.operator_address.clone(),
         };
-        let bootstrap_voter = if is_new_folder { config.bootstrap } else { recovered.bootstrap_voter };
+        let bootstrap_voter = if is_new_directory { config.bootstrap } else { recovered.bootstrap_voter };
         let view = recovered.witness.accepted.as_ref().map(|accepted| accepted.view.clone());
         let last_primary_contact_ms = if view.as_ref().is_some_and(|view| view.primary == id) {
-            // No other machine holds a lease while this one's may run, so it need not wait before
-            // it starts an election.
+            // No other machine can hold a lease while this machine's own may still be valid, so it
+            // may start an election without waiting for a lease to expire.
             now_ms.saturating_sub(2 * config.lease_ms)
         } else {
             now_ms
@@ -106,20 +106,20 @@
             outbox: Outbox::default(),
             config,
         };
-        if is_new_folder {
+        if is_new_directory {
             let record = Record::Identity { id, bootstrap_voter };
-            replica.outbox.write(record, WriteCompletion::Nothing);
+            replica.outbox.write(record, WriteCompletion::NoAction);
         }
         replica
     }
 
-    /// This machine as a member.
+    /// The member entry of this machine.
     #[must_use]
     pub fn local_member(&self) -> &Member {
         &self.local_member
     }
 
-    /// The newest view known here.
+    /// The newest view that this machine knows.
     #[must_use]
     pub fn view(&self) -> Option<&View> {
         self.view.as_ref()
@@ -131,30 +131,33 @@
         &self.local_state.keyspace
     }
 
-    /// How far this machine's replica of the key space is.
+    /// The position of this machine's replica: the last batch applied to it.
     #[must_use]
     pub fn position(&self) -> Position {
         self.local_state.position
     }
 
-    /// Whether an unfinished repair has left the key space here between two states.
+    /// Whether a repair has begun and not completed, so that the local key space equals no state of
+    /// any primary.
     #[must_use]
     pub fn has_incomplete_repair(&self) -> bool {
         self.local_state.repair_incomplete
     }
 
-    /// The term, if this machine is primary and its lease is valid at `now_ms`.
+    /// The term of this machine as primary; `None` if it is not primary or its lease is not valid
+    /// at `now_ms` (milliseconds).
     ///
-    /// At most one machine has a term at any time: a lease needs a majority, and its holder stops
-    /// before the witnesses do.
+    /// At most one machine has an active term at any time: a lease needs a majority of the
+    /// witnesses, and its holder stops using it before the witnesses let it expire.
     #[must_use]
     pub fn active_term(&self, now_ms: u64) -> Option<Term> {
         let Role::Primary(primary) = &self.role else { return None };
         primary.holds_lease(self.config.lease_ms, now_ms).then_some(primary.view().term)
     }
 
-    /// The primary, if this machine can prove that it was in contact with a majority less than a
-    /// lease ago: only then may clients be redirected to it.
+    /// The primary; `None` if this machine has no proof that the primary was in contact with a
+    /// majority less than one lease before `now_ms` (milliseconds). Clients may be redirected to a
+    /// verified primary only.
     #[must_use]
     pub fn verified_primary(&self, now_ms: u64) -> Option<&Member> {
         let view = self.view.as_ref()?;
@@ -172,7 +175,7 @@
         self.as_primary().map_or(0, |primary| primary.batches.committed())
     }
 
-    /// The members as the primary sees them; none if this machine is not primary.
+    /// The status of each member as the primary knows it; empty if this machine is not primary.
     #[must_use]
     pub fn member_statuses(&self) -> Vec<MemberStatus> {
         let Some(primary) = self.as_primary() else { return Vec::new() };
@@ -196,7 +199,7 @@
         primary.view().members.iter().map(status).collect()
     }
 
-    /// What is to be done since this was last called.
+    /// Takes the outputs that were produced since the previous call, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         self.outbox.take()
     }
@@ -215,7 +218,7 @@
         }
     }
 
-    /// The fewest votes that decide anything.
+    /// The minimum number of votes for any decision: f + 1.
     pub(super) fn min_quorum(&self) -> usize {
         self.config.min_quorum()
     }
@@ -228,7 +231,7 @@
         self.send(Destination::from(member), message);
     }
 
-    /// Sends a message to each of these members but this machine.
+    /// Sends a message to each of these members except this machine.
     pub(super) fn send_to_others(&mut self, members: &[Member], message: &Message) {
         let local_id = self.local_member.id;
         for member in members.iter().filter(|member| member.id != local_id) {
@@ -236,8 +239,8 @@
         }
     }
 
-    /// Writes the witness's record as it is now.
-    pub(super) fn write_witness(&mut self, completion: WriteCompletion) {
+    /// Writes the current record of the witness to disk.
+    pub(super) fn write_witness_record(&mut self, completion: WriteCompletion) {
         self.outbox.write(Record::Witness(self.witness.record.clone()), completion);
     }
 }
--- a/crates/cluster/replication/src/replica/view_proposal.rs
+++ b/crates/cluster/replication/src/replica/view_proposal.rs
@@ -1,4 +1,4 @@
-//! Proposals of views, by a candidate or a primary, and the votes for them.
+//! View proposals of a candidate or primary, and the votes for them.
 use super::outbox::WriteCompletion;
 use super::state::{Replica, Role};
 use crate::message::Message;
@@ -12,16 +12,16 @@
             if member.id != self.local_member.id {
                 self.send_to(member, Message::Accept { ballot, view: view.clone() });
             } else if self.witness.accept(ballot, view) == Vote::Granted {
-                self.write_witness(WriteCompletion::Accepted(ballot, view.epoch));
+                self.write_witness_record(WriteCompletion::CountAcceptance(ballot, view.epoch));
             }
         }
     }
 
-    /// A witness has accepted a view that this machine proposed.
+    /// Counts a witness's acceptance of a view that this machine proposed.
     pub(super) fn handle_accepted(&mut self, now_ms: u64, from: MemberId, ballot: Ballot, epoch: Epoch) {
         match &mut self.role {
             Role::Candidate(_) => {
-                self.with_election(now_ms, ballot, |election| election.accepted(from, epoch));
+                self.advance_election(now_ms, ballot, |election| election.accepted(from, epoch));
             }
             Role::Primary(primary) if primary.ballot() == ballot => {
                 if let Some(view) = primary.accepted(from, epoch) {
