--- a/crates/cluster/replication/tests/bootstrap.rs
+++ b/crates/cluster/replication/tests/bootstrap.rs
@@ -1,17 +1,21 @@
-//! The first start: the system starts once, within a second, with any majority of its machines.
+//! Bootstrap: the system starts exactly once, within a second, with any majority of its machines.
 mod common;
 use common::{SimulatedCluster, env_number};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeSet;
 
-/// By when the system must have started, milliseconds after the last machine of a majority.
+/// The maximum time from the start of the last running machine until the first commit,
+/// milliseconds.
 const BOOTSTRAP_TIMEOUT_MS: u64 = 1_000;
-/// The same once links and machines that were in trouble are back, milliseconds.
+/// The maximum time from the recovery of all links and machines until the first commit,
+/// milliseconds.
 const RECOVERY_TIMEOUT_MS: u64 = 6_000;
+/// The interval at which a test checks for the first commit, milliseconds.
 const POLL_MS: u64 = 10;
 
-/// Whether there is a primary that has committed something within so long.
+/// Runs the cluster until it has a primary and a committed key, and returns whether that took at
+/// most `timeout_ms`.
 fn bootstraps_within(cluster: &mut SimulatedCluster, timeout_ms: u64) -> bool {
     (0..timeout_ms / POLL_MS).any(|_| {
         cluster.run(POLL_MS);
@@ -19,9 +23,11 @@
     })
 }
 
+/// Starts all machines except those in `down`, checks that the system bootstraps in time, and then
+/// that the machines in `down` join it when they start.
 fn check_bootstrap_without(seed: u64, max_failures: usize, down: &BTreeSet<usize>) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut cluster = SimulatedCluster::before_start(seed, max_failures);
+    let mut cluster = SimulatedCluster::not_started(seed, max_failures);
     let count = cluster.machines.len();
 
     for index in (0..count).filter(|index| !down.contains(index)) {
@@ -29,17 +35,21 @@
         cluster.run(rng.random_range(0..300 / count as u64));
     }
     let bootstraps = bootstraps_within(&mut cluster, BOOTSTRAP_TIMEOUT_MS);
-    assert!(bootstraps, "seed {seed}, without {down:?}: {}", cluster.describe());
+    assert!(bootstraps, "seed {seed}, without {down:?}: no bootstrap: {}", cluster.describe());
 
-    // Those that start later join and start no system of their own: a rule of `common` checks that
-    // nothing is missing.
+    // The machines that start later must join the system and not bootstrap another one: the
+    // invariants of `common` detect a second primary and lost keys.
     for index in down {
         cluster.run(rng.random_range(0..2_000));
         cluster.start(*index);
     }
     cluster.run(3_000);
     for index in 0..count {
-        assert!(cluster.is_in_sync(index), "seed {seed}: {index} is not in sync: {}", cluster.describe());
+        assert!(
+            cluster.is_in_sync(index),
+            "seed {seed}: machine {index} is not in sync: {}",
+            cluster.describe()
+        );
     }
 }
 
@@ -61,12 +71,12 @@
     }
 }
 
-/// Links that are cut in any direction, crashes and lost disks during bootstrap. The system starts
-/// at most once: two first views in force would show as two primaries, or as committed keys that a
-/// later primary lacks.
+/// Cuts links in single directions, crashes machines and erases disks during bootstrap. The system
+/// must start exactly once: two first views in force would show as two primaries, or as committed
+/// keys that a later primary lacks.
 fn check_bootstrap_under_faults(seed: u64, max_failures: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xF157);
-    let mut cluster = SimulatedCluster::before_start(seed, max_failures);
+    let mut cluster = SimulatedCluster::not_started(seed, max_failures);
     let count = cluster.machines.len();
     for _ in 0..rng.random_range(1..2 * count) {
         let (from, to) = (rng.random_range(0..count), rng.random_range(0..count));
@@ -77,16 +87,16 @@
         cluster.run(rng.random_range(0..300));
     }
 
-    // As many machines as may be lost; one that crashes before it has written anything is as good
-    // as without its disk.
-    let mut struck: Vec<usize> = (0..max_failures).map(|_| rng.random_range(0..count)).collect();
-    struck.extend_from_within(..);
+    // As many machines as may fail at once, each of them twice. A machine that crashes before its
+    // first write is equivalent to one that lost its disk.
+    let mut faulty: Vec<usize> = (0..max_failures).map(|_| rng.random_range(0..count)).collect();
+    faulty.extend_from_within(..);
     let mut is_beyond_tolerance = false;
-    for index in struck {
+    for index in faulty {
         if rng.random_bool(0.3) {
-            // With a machine cut off this is one loss too many: the view may have no more than f +
-            // 1 members yet.
-            is_beyond_tolerance |= !cluster.network.partitioned.is_empty();
+            // While links are cut this may be one failure too many: the view may have only f + 1
+            // members yet.
+            is_beyond_tolerance |= !cluster.network.cut_links.is_empty();
             cluster.lose_disk(index);
         } else {
             cluster.crash(index);
@@ -98,24 +108,24 @@
     cluster.heal_links();
 
     let bootstraps = bootstraps_within(&mut cluster, RECOVERY_TIMEOUT_MS);
-    assert!(bootstraps || is_beyond_tolerance, "seed {seed}: {}", cluster.describe());
+    assert!(bootstraps || is_beyond_tolerance, "seed {seed}: no bootstrap: {}", cluster.describe());
     cluster.run(2_000);
 }
 
 #[test]
-fn the_system_starts_exactly_once_under_cut_links_and_losses() {
+fn the_system_bootstraps_exactly_once_under_cut_links_crashes_and_lost_disks() {
     let seeds = env_number("SEEDS", 60);
     (0..seeds).for_each(|seed| check_bootstrap_under_faults(seed, 1));
     (0..seeds / 2).for_each(|seed| check_bootstrap_under_faults(10_000 + seed, 2));
 }
 
-/// The first seed has lost its disk, with `bootstrap` still in its settings, and meets the two
-/// others, who know a view.
+/// A seed that lost its disk restarts with `bootstrap` still set, while the two others have a view.
+/// It must join that view and not start a second system.
 #[test]
 fn a_seed_that_lost_its_disk_does_not_bootstrap_again() {
     for seed in 0..20 {
         let mut cluster = SimulatedCluster::new(seed, 1);
-        assert!(bootstraps_within(&mut cluster, BOOTSTRAP_TIMEOUT_MS), "seed {seed}");
+        assert!(bootstraps_within(&mut cluster, BOOTSTRAP_TIMEOUT_MS), "seed {seed}: no bootstrap");
         cluster.run(300);
 
         cluster.lose_disk(0);
@@ -124,6 +134,6 @@
         cluster.start(0);
         cluster.run(3_000);
 
-        assert!(cluster.is_in_sync(0), "seed {seed}: {}", cluster.describe());
+        assert!(cluster.is_in_sync(0), "seed {seed}: machine 0 is not in sync: {}", cluster.describe());
     }
 }
--- a/crates/cluster/replication/tests/common/cluster.rs
+++ b/crates/cluster/replication/tests/common/cluster.rs
@@ -1,6 +1,6 @@
-//! The cluster: what a test does to it, and how a millisecond passes.
+//! The simulated cluster: the faults that tests inject, and the simulation step.
 use super::machine::{Machine, PendingWrite, Proposal, ServedTerm, peer_address};
-use super::network::{InFlight, Link, SimulatedNetwork};
+use super::network::{InFlightMessage, Link, SimulatedNetwork};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use spanlead_replication::{
@@ -8,21 +8,21 @@
 };
 use std::collections::BTreeSet;
 
-/// How long a write takes until it is on disk, milliseconds.
-const SYNC_MS: u64 = 9;
-/// How often machines get a tick, milliseconds.
+/// The time from the start of a write until it is on disk, milliseconds.
+const WRITE_LATENCY_MS: u64 = 9;
+/// The interval between two ticks of a machine, milliseconds.
 const TICK_INTERVAL_MS: u64 = 10;
-/// How often [`SimulatedCluster::run`] proposes a batch, milliseconds.
+/// The interval at which [`SimulatedCluster::run`] proposes a batch, milliseconds.
 const PROPOSAL_INTERVAL_MS: u64 = 7;
 /// The size of a proposed value unless a test sets another, bytes.
 const DEFAULT_VALUE_BYTES: usize = 20;
-/// Addresses that are known from the start, at most.
+/// The maximum number of seed addresses in the settings of a machine.
 const MAX_SEEDS: usize = 3;
-/// Commits after which service counts as restored.
+/// The number of new commits that must be exceeded before service counts as restored.
 const MIN_NEW_COMMITS: usize = 5;
-/// How often service is checked for, milliseconds.
+/// The interval at which [`SimulatedCluster::serves_within`] checks for service, milliseconds.
 const SERVICE_POLL_MS: u64 = 50;
-/// How long a cluster runs before a test begins, milliseconds.
+/// How long a cluster runs before a test injects faults, milliseconds.
 const WARM_UP_MS: u64 = 1_500;
 
 /// An event that a machine reported.
@@ -32,44 +32,44 @@
     pub event: ReplicaEvent,
 }
 
-/// What is being simulated. Machines are named by their indexes.
+/// A simulated cluster. Machines are identified by their indexes.
 #[derive(Clone)]
 pub struct SimulatedCluster {
     pub now_ms: u64,
     pub machines: Vec<Machine>,
     pub network: SimulatedNetwork,
-    /// Events of all machines in order, for tests that serve something of their own.
+    /// The events of all machines in order, for tests that simulate an application on the replicas.
     pub events: Vec<RecordedEvent>,
-    /// Whether `events` is kept.
+    /// Whether events are added to `events`.
     pub records_events: bool,
-    /// The size of a value that is proposed, bytes.
+    /// The size of proposed values, bytes.
     pub value_bytes: usize,
     /// Every key that was committed.
     pub committed_keys: BTreeSet<Vec<u8>>,
-    /// How often a machine became primary.
+    /// The number of times that any machine became an active primary.
     pub activations: u64,
     proposed_keys: u64,
     rng: ChaCha8Rng,
 }
 
 impl SimulatedCluster {
-    /// A cluster whose 2f + 1 machines all start now.
+    /// Creates a cluster and starts its 2f + 1 machines.
     pub fn new(seed: u64, max_failures: usize) -> Self {
-        let mut cluster = SimulatedCluster::before_start(seed, max_failures);
+        let mut cluster = SimulatedCluster::not_started(seed, max_failures);
         (0..cluster.machines.len()).for_each(|index| cluster.start(index));
         cluster
     }
 
-    /// A cluster that has a primary.
-    pub fn started(seed: u64, max_failures: usize) -> Self {
+    /// Creates a cluster and runs it for [`WARM_UP_MS`]. Panics if it has no primary then.
+    pub fn with_primary(seed: u64, max_failures: usize) -> Self {
         let mut cluster = SimulatedCluster::new(seed, max_failures);
         cluster.run(WARM_UP_MS);
-        assert!(cluster.primary().is_some(), "seed {seed}: no start");
+        assert!(cluster.primary().is_some(), "seed {seed}: no primary after {WARM_UP_MS} ms");
         cluster
     }
 
-    /// A cluster of which no machine has been started yet.
-    pub fn before_start(seed: u64, max_failures: usize) -> Self {
+    /// Creates a cluster whose 2f + 1 machines are not started yet.
+    pub fn not_started(seed: u64, max_failures: usize) -> Self {
         let count = 2 * max_failures + 1;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let seeds: Vec<String> = (0..count.min(MAX_SEEDS)).map(peer_address).collect();
@@ -100,7 +100,7 @@
         index
     }
 
-    /// Adds a standby and lets it run for so long.
+    /// Adds a standby, starts it, and runs the cluster for `for_ms`.
     pub fn add_standby(&mut self, for_ms: u64) -> usize {
         let standby = self.add_machine();
         self.start(standby);
@@ -108,7 +108,7 @@
         standby
     }
 
-    /// Tells a machine to leave for good.
+    /// Tells a machine to leave permanently.
     pub fn request_leave(&mut self, index: usize) {
         let now_ms = self.now_ms;
         self.with_replica(index, |replica| replica.request_leave(now_ms));
@@ -120,11 +120,12 @@
         self.with_replica(index, |replica| replica.resign(now_ms));
     }
 
-    /// Does something with a machine's replica, if its process runs.
+    /// Applies `action` to a machine's replica and performs the outputs. Does nothing if the
+    /// process does not run.
     pub fn with_replica(&mut self, index: usize, action: impl FnOnce(&mut Replica)) {
         if let Some(replica) = &mut self.machines[index].replica {
             action(replica);
-            self.carry_out(index);
+            self.perform_outputs(index);
         }
     }
 
@@ -132,49 +133,52 @@
     pub fn start(&mut self, index: usize) {
         let random = self.rng.random();
         self.machines[index].start(random, self.now_ms);
-        self.carry_out(index);
+        self.perform_outputs(index);
     }
 
-    /// Ends a machine's process. The disk keeps the writes under way up to a random one.
+    /// Terminates a machine's process. A random number of its pending writes, the oldest first,
+    /// still reach the disk.
     pub fn crash(&mut self, index: usize) {
         let kept_writes = self.rng.random_range(0..=self.machines[index].pending_writes.len());
         self.machines[index].crash(kept_writes);
     }
 
-    /// Ends a machine's process and empties its disk.
+    /// Terminates a machine's process and erases its disk.
     pub fn lose_disk(&mut self, index: usize) {
         self.crash(index);
         self.machines[index].disk = RecoveredState::default();
     }
 
-    /// Stops a machine's process for so long without ending it.
+    /// Pauses a machine's process for `for_ms`.
     pub fn pause(&mut self, index: usize, for_ms: u64) {
         self.machines[index].paused_until_ms = self.now_ms + for_ms;
     }
 
-    /// Delays what is sent on a link for so long; then all of it arrives, in order.
+    /// Holds back the messages sent on a link during the next `for_ms`, and then delivers them in
+    /// the order in which they were sent.
     pub fn delay_link(&mut self, from: usize, to: usize, for_ms: u64) {
         self.network.delay_until(Link { from, to }, self.now_ms + for_ms);
     }
 
-    /// Makes messages of the data class on a link take longer than others.
+    /// Adds `delay_ms` to the latency of data messages on a link.
     pub fn delay_data(&mut self, from: usize, to: usize, delay_ms: u64) {
         self.network.data_delay_ms.insert(Link { from, to }, delay_ms);
     }
 
-    /// Limits the rate at which a link carries messages of the data class.
+    /// Limits the rate at which a link carries data messages. Requires a network that preserves the
+    /// order of messages.
     pub fn limit_data_rate(&mut self, from: usize, to: usize, bytes_per_ms: usize) {
         self.network.data_bytes_per_ms.insert(Link { from, to }, bytes_per_ms);
     }
 
-    /// The bytes of the data class that a link has carried since they were last cleared.
+    /// The bytes of data messages sent on a link since `network.data_bytes` was last cleared.
     pub fn data_bytes(&self, from: usize, to: usize) -> usize {
         self.network.data_bytes.get(&Link { from, to }).copied().unwrap_or(0)
     }
 
     /// Cuts the link from one machine to another.
     pub fn cut_link(&mut self, from: usize, to: usize) {
-        self.network.partitioned.insert(Link { from, to });
+        self.network.cut_links.insert(Link { from, to });
     }
 
     /// Cuts the links between two machines in both directions.
@@ -183,7 +187,7 @@
         self.cut_link(other, one);
     }
 
-    /// Cuts a machine off from all others: what it sends, what it receives, or both.
+    /// Cuts the links from a machine to all others, from all others to it, or both.
     pub fn isolate(&mut self, index: usize, cut_sends: bool, cut_receives: bool) {
         for other in (0..self.machines.len()).filter(|other| *other != index) {
             if cut_sends {
@@ -197,7 +201,7 @@
 
     /// Restores all links.
     pub fn heal_links(&mut self) {
-        self.network.partitioned.clear();
+        self.network.cut_links.clear();
     }
 
     /// Whether a machine's process is paused.
@@ -205,7 +209,7 @@
         self.now_ms < self.machines[index].paused_until_ms
     }
 
-    /// The term of a machine that acts as primary.
+    /// The term of a machine that acts as primary; `None` if it does not.
     pub fn active_term(&self, index: usize) -> Option<Term> {
         self.machines[index].replica.as_ref()?.active_term(self.now_ms)
     }
@@ -220,13 +224,13 @@
         self.active_machines().into_iter().find(|index| !self.is_paused(*index))
     }
 
-    /// Whether a machine is of use as primary: it is not paused, and has a link to and from some
-    /// other.
+    /// Whether a machine can serve as primary: it is not paused, and at least one link from it and
+    /// one to it are intact.
     pub fn is_reachable(&self, index: usize) -> bool {
         let others = || (0..self.machines.len()).filter(|other| *other != index);
-        let is_up = |from: usize, to: usize| !self.network.partitioned.contains(&Link { from, to });
-        let sends = others().any(|other| is_up(index, other));
-        let receives = others().any(|other| is_up(other, index));
+        let is_intact = |from: usize, to: usize| !self.network.cut_links.contains(&Link { from, to });
+        let sends = others().any(|other| is_intact(index, other));
+        let receives = others().any(|other| is_intact(other, index));
         !self.is_paused(index) && sends && receives
     }
 
@@ -235,7 +239,7 @@
         self.machines[self.primary()?].replica.as_ref()?.view()
     }
 
-    /// The identity of a machine that runs.
+    /// The identity of a machine; `None` if its process does not run.
     fn member_id(&self, index: usize) -> Option<MemberId> {
         self.machines[index].replica.as_ref().map(|replica| replica.local_member().id)
     }
@@ -246,14 +250,15 @@
         self.primary_view().is_some_and(|view| view.has_member(id) && view.is_in_sync(id))
     }
 
-    /// Whether service is restored within so long: there is a primary, and it has committed new
-    /// batches.
+    /// Runs the cluster until service is restored, and returns whether that took at most
+    /// `timeout_ms`. Service is restored once there is a primary and more than [`MIN_NEW_COMMITS`]
+    /// new keys are committed.
     pub fn serves_within(&mut self, timeout_ms: u64) -> bool {
-        self.serves_within_polled(timeout_ms, SERVICE_POLL_MS)
+        self.serves_within_polling(timeout_ms, SERVICE_POLL_MS)
     }
 
-    /// The same, checked at this interval.
-    pub fn serves_within_polled(&mut self, timeout_ms: u64, poll_ms: u64) -> bool {
+    /// Like [`SimulatedCluster::serves_within`], with a check every `poll_ms`.
+    pub fn serves_within_polling(&mut self, timeout_ms: u64, poll_ms: u64) -> bool {
         let committed_before = self.committed_keys.len();
         (0..timeout_ms / poll_ms).any(|_| {
             self.run(poll_ms);
@@ -261,7 +266,7 @@
         })
     }
 
-    /// Proposes a new key at the primary.
+    /// Proposes a batch with a new key at the primary, if there is one.
     pub fn propose(&mut self) {
         let Some(primary) = self.primary() else { return };
         self.proposed_keys += 1;
@@ -272,10 +277,10 @@
         if let Some(sequence) = replica.propose(self.now_ms, vec![change]) {
             machine.proposals.push(Proposal { sequence, key });
         }
-        self.carry_out(primary);
+        self.perform_outputs(primary);
     }
 
-    /// Lets so much time pass, with proposals.
+    /// Runs the cluster for `for_ms`, with proposals at regular intervals.
     pub fn run(&mut self, for_ms: u64) {
         for elapsed_ms in 0..for_ms {
             if elapsed_ms.is_multiple_of(PROPOSAL_INTERVAL_MS) {
@@ -285,12 +290,12 @@
         }
     }
 
-    /// Lets so much time pass without proposals.
-    pub fn run_idle(&mut self, for_ms: u64) {
+    /// Runs the cluster for `for_ms` without proposals.
+    pub fn run_without_proposals(&mut self, for_ms: u64) {
         (0..for_ms).for_each(|_| self.step());
     }
 
-    /// Lets one millisecond pass.
+    /// Advances the simulation by one millisecond and checks the invariants.
     pub fn step(&mut self) {
         self.now_ms += 1;
         (0..self.machines.len()).for_each(|index| self.finish_writes(index));
@@ -298,50 +303,50 @@
         if self.now_ms.is_multiple_of(TICK_INTERVAL_MS) {
             for index in 0..self.machines.len() {
                 if !self.is_paused(index) {
-                    self.handle(index, Input::Tick);
+                    self.handle_input(index, Input::Tick);
                 }
             }
         }
-        self.check_rules();
+        self.check_invariants();
     }
 
     fn finish_writes(&mut self, index: usize) {
         let mut last_token = None;
-        while let Some(write) = self.machines[index].next_finished_write(self.now_ms) {
+        while let Some(write) = self.machines[index].take_finished_write(self.now_ms) {
             self.machines[index].write_to_disk(write.record);
             last_token = Some(write.token);
         }
         if let Some(token) = last_token {
-            self.handle(index, Input::Written(token));
+            self.handle_input(index, Input::Written(token));
         }
     }
 
     fn deliver_messages(&mut self) {
-        while let Some(message) = self.network.next_arrived(self.now_ms) {
+        while let Some(message) = self.network.take_arrived(self.now_ms) {
             let receiver = message.link.to;
             if self.is_paused(receiver) {
                 let resumes_at_ms = self.machines[receiver].paused_until_ms + 1;
-                self.network.deliver_at(resumes_at_ms, message);
+                self.network.schedule_delivery(resumes_at_ms, message);
             } else {
-                self.handle(receiver, Input::Message(message.envelope));
+                self.handle_input(receiver, Input::Message(message.envelope));
             }
         }
     }
 
-    fn handle(&mut self, index: usize, input: Input) {
+    fn handle_input(&mut self, index: usize, input: Input) {
         if let Some(replica) = &mut self.machines[index].replica {
             replica.handle(self.now_ms, input);
-            self.carry_out(index);
+            self.perform_outputs(index);
         }
     }
 
-    fn carry_out(&mut self, index: usize) {
+    fn perform_outputs(&mut self, index: usize) {
         let Some(replica) = &mut self.machines[index].replica else { return };
         for output in replica.take_outputs() {
             match output {
                 Output::Send { to, envelope } => self.send(index, &to, envelope),
                 Output::Write { token, record } => {
-                    let write = PendingWrite { due_at_ms: self.now_ms + SYNC_MS, token, record };
+                    let write = PendingWrite { due_at_ms: self.now_ms + WRITE_LATENCY_MS, token, record };
                     self.machines[index].pending_writes.push_back(write);
                 }
                 Output::Event(event) => self.handle_event(index, event),
@@ -352,7 +357,7 @@
     fn send(&mut self, from: usize, address: &str, envelope: Envelope) {
         let is_receiver = |machine: &Machine| machine.config.peer_address == address;
         let Some(to) = self.machines.iter().position(is_receiver) else { return };
-        let message = InFlight { link: Link { from, to }, envelope };
+        let message = InFlightMessage { link: Link { from, to }, envelope };
         self.network.send(&mut self.rng, self.now_ms, message);
     }
 
@@ -363,13 +368,13 @@
         let machine = &mut self.machines[index];
         match event {
             ReplicaEvent::Activated { term } => {
-                let first_sequence =
+                let activation_sequence =
                     machine.replica.as_ref().map_or(0, |replica| replica.position().sequence);
-                machine.serving = Some(ServedTerm { term, first_sequence });
+                machine.served_term = Some(ServedTerm { term, activation_sequence });
                 self.activations += 1;
             }
             ReplicaEvent::Deactivated => {
-                machine.serving = None;
+                machine.served_term = None;
                 machine.proposals.clear();
             }
             ReplicaEvent::Committed { sequence } => self.handle_commit(index, sequence),
@@ -384,6 +389,6 @@
         let committed = machine.proposals.iter().filter(|proposal| is_committed(proposal));
         self.committed_keys.extend(committed.map(|proposal| proposal.key.clone()));
         machine.proposals.retain(|proposal| !is_committed(proposal));
-        self.check_nothing_committed_is_lost(index, sequence);
+        self.check_committed_keys_are_present(index, sequence);
     }
 }
--- a/crates/cluster/replication/tests/common/machine.rs
+++ b/crates/cluster/replication/tests/common/machine.rs
@@ -1,31 +1,32 @@
-//! One machine: its disk, the writes under way, and its process if it runs.
+//! A simulated machine: its disk, its pending writes and its process.
 use super::{HEARTBEAT_MS, LEASE_MS};
 use spanlead_replication::{Record, RecoveredState, Replica, ReplicaConfig, Term};
 use std::collections::VecDeque;
 
-/// A record that is being written.
+/// A record that is not on disk yet.
 #[derive(Clone)]
 pub struct PendingWrite {
+    /// When the write completes.
     pub due_at_ms: u64,
     pub token: u64,
     pub record: Record,
 }
 
-/// A batch that was proposed and is not committed, with the key that it sets.
+/// A proposed batch that is not committed yet, with the key that it sets.
 #[derive(Clone)]
 pub struct Proposal {
     pub sequence: u64,
     pub key: Vec<u8>,
 }
 
-/// The term in which a machine acts as primary, and the batch after which the term began.
+/// The term of an active primary, with the last batch of its replica at the activation.
 #[derive(Clone, Copy)]
 pub struct ServedTerm {
     pub term: Term,
-    pub first_sequence: u64,
+    pub activation_sequence: u64,
 }
 
-/// One machine.
+/// A simulated machine.
 #[derive(Clone)]
 pub struct Machine {
     pub config: ReplicaConfig,
@@ -34,18 +35,19 @@
     /// `None` while the process does not run.
     pub replica: Option<Replica>,
     pub paused_until_ms: u64,
-    pub serving: Option<ServedTerm>,
-    /// The last term of its own in which it was seen to hold all that was committed.
+    /// `None` while the machine is not an active primary.
+    pub served_term: Option<ServedTerm>,
+    /// The last of the machine's own terms in which it was checked to hold every committed key.
     pub checked_term: Term,
     pub proposals: Vec<Proposal>,
-    /// When it last acted as primary.
+    /// The last time at which the machine acted as primary.
     pub last_active_at_ms: u64,
-    /// Whether it was told that it may terminate.
+    /// Whether the machine may terminate after a request to leave.
     pub leave_allowed: bool,
 }
 
 impl Machine {
-    /// A machine with an empty disk whose process does not run.
+    /// Creates a machine with an empty disk. Its process is not started.
     pub fn new(index: usize, seeds: Vec<String>, max_failures: usize, random: u64) -> Self {
         let config = ReplicaConfig {
             node_name: format!("core-{index}"),
@@ -64,7 +66,7 @@
             pending_writes: VecDeque::new(),
             replica: None,
             paused_until_ms: 0,
-            serving: None,
+            served_term: None,
             checked_term: Term::default(),
             proposals: Vec::new(),
             last_active_at_ms: 0,
@@ -72,31 +74,31 @@
         }
     }
 
-    /// Starts the process with what the disk holds.
+    /// Starts the process with the contents of the disk.
     pub fn start(&mut self, random: u64, now_ms: u64) {
         self.config.random = random;
         self.replica = Some(Replica::start(self.config.clone(), self.disk.clone(), now_ms));
         self.config.bootstrap = false;
-        self.serving = None;
+        self.served_term = None;
         self.leave_allowed = false;
     }
 
-    /// Ends the process. Of the writes under way the disk keeps this many.
+    /// Terminates the process. The oldest `kept_writes` pending writes still reach the disk.
     pub fn crash(&mut self, kept_writes: usize) {
         let pending: Vec<PendingWrite> = self.pending_writes.drain(..).take(kept_writes).collect();
         pending.into_iter().for_each(|write| self.write_to_disk(write.record));
         self.replica = None;
         self.proposals.clear();
-        self.serving = None;
+        self.served_term = None;
     }
 
-    /// The first write that is done by now.
-    pub fn next_finished_write(&mut self, now_ms: u64) -> Option<PendingWrite> {
+    /// Removes and returns the oldest pending write that is complete at `now_ms`.
+    pub fn take_finished_write(&mut self, now_ms: u64) -> Option<PendingWrite> {
         let is_done = self.pending_writes.front().is_some_and(|write| write.due_at_ms <= now_ms);
         if is_done { self.pending_writes.pop_front() } else { None }
     }
 
-    /// Brings a record to disk.
+    /// Applies a record to the disk.
     pub fn write_to_disk(&mut self, record: Record) {
         let disk = &mut self.disk;
         match record {
--- a/crates/cluster/replication/tests/common/network.rs
+++ b/crates/cluster/replication/tests/common/network.rs
@@ -1,28 +1,28 @@
-//! The network: messages in flight, and links that are partitioned, delayed, slow, or repeat
-//! messages.
+//! The simulated network: messages in flight, and links that are cut, delayed or slow, or that
+//! duplicate messages.
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use spanlead_replication::{Change, Envelope, LeafChunk, Message, StreamItem, TrafficClass};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How late a repeated message comes at most, milliseconds.
-const MAX_REPEAT_DELAY_MS: u64 = 5_000;
+/// The maximum delay of a duplicate after the original message, milliseconds.
+const MAX_DUPLICATE_DELAY_MS: u64 = 5_000;
 
-/// A link from one machine to another, by their indexes; the other direction is another link.
+/// A link in one direction between two machines, by their indexes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Link {
     pub from: usize,
     pub to: usize,
 }
 
-/// A message on its way.
+/// A message that was sent and has not arrived.
 #[derive(Clone)]
-pub struct InFlight {
+pub struct InFlightMessage {
     pub link: Link,
     pub envelope: Envelope,
 }
 
-/// When a message arrives; messages that arrive together keep the order in which they were sent.
+/// The arrival of a message; messages that arrive in the same millisecond are ordered by number.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     at_ms: u64,
@@ -32,40 +32,42 @@
 /// The network between all machines.
 #[derive(Clone, Default)]
 pub struct SimulatedNetwork {
-    in_flight: BTreeMap<Arrival, InFlight>,
-    sent: u64,
+    in_flight: BTreeMap<Arrival, InFlightMessage>,
+    scheduled_deliveries: u64,
     last_arrival_ms: BTreeMap<(Link, TrafficClass), u64>,
     delayed_until_ms: BTreeMap<Link, u64>,
-    /// Links on which nothing arrives.
-    pub partitioned: BTreeSet<Link>,
-    /// What a message of the data class takes longer than others, milliseconds.
+    /// Links that lose all messages.
+    pub cut_links: BTreeSet<Link>,
+    /// The additional latency of data messages, milliseconds.
     pub data_delay_ms: BTreeMap<Link, u64>,
-    /// Bytes of the data class that a link carries in a millisecond; a link without an entry
-    /// carries any number.
+    /// The maximum rate of data messages, bytes per millisecond; a link without an entry has no
+    /// limit. Applies only if `preserves_order` is set.
     pub data_bytes_per_ms: BTreeMap<Link, usize>,
-    /// Whether messages of one link and class keep their order.
+    /// Whether messages of the same link and class are delivered in order.
     pub preserves_order: bool,
-    /// Whether both classes of a link share one connection, so that data delays everything behind
-    /// it.
+    /// Whether both classes of a link share one connection, so that data messages delay the control
+    /// messages behind them. Applies only if `preserves_order` is set.
     pub shared_connection: bool,
-    /// A copy of each resignation comes so many milliseconds late.
-    pub resign_repeat_delay_ms: Option<u64>,
-    /// The share of messages that come a second time.
-    pub repeat_rate: f64,
-    /// The largest message of the data class, bytes.
+    /// The delay after which a duplicate of each [`Message::Resign`] arrives, milliseconds; `None`
+    /// for no duplicates.
+    pub resign_duplicate_delay_ms: Option<u64>,
+    /// The probability that a message is duplicated.
+    pub duplicate_rate: f64,
+    /// The size of the largest data message sent, bytes.
     pub max_data_message_bytes: usize,
-    /// The bytes of all messages of the data class, by link.
+    /// The total size of the data messages sent on each link, bytes.
     pub data_bytes: BTreeMap<Link, usize>,
 }
 
 impl SimulatedNetwork {
-    /// Delays what is sent on a link until then; then all of it arrives, in order.
+    /// Holds back the messages sent on a link before `until_ms`, and then delivers them in the
+    /// order in which they were sent.
     pub fn delay_until(&mut self, link: Link, until_ms: u64) {
         self.delayed_until_ms.insert(link, until_ms);
     }
 
-    /// Sends a message.
-    pub fn send(&mut self, rng: &mut ChaCha8Rng, now_ms: u64, message: InFlight) {
+    /// Sends a message, with a latency of 1 to 3 ms plus the delays of its link.
+    pub fn send(&mut self, rng: &mut ChaCha8Rng, now_ms: u64, message: InFlightMessage) {
         let link = message.link;
         let class = message.envelope.message.traffic_class();
         let size_bytes = data_size_bytes(&message.envelope.message);
@@ -82,16 +84,16 @@
             at_ms = self.arrival_in_order(link, class, size_bytes, at_ms);
         }
         let is_resignation = matches!(message.envelope.message, Message::Resign { .. });
-        if let Some(delay_ms) = self.resign_repeat_delay_ms.filter(|_| is_resignation) {
-            self.deliver_at(at_ms + delay_ms, message.clone());
+        if let Some(delay_ms) = self.resign_duplicate_delay_ms.filter(|_| is_resignation) {
+            self.schedule_delivery(at_ms + delay_ms, message.clone());
         }
-        if self.repeat_rate > 0.0 && rng.random_bool(self.repeat_rate) {
-            self.deliver_at(at_ms + rng.random_range(0..MAX_REPEAT_DELAY_MS), message.clone());
+        if self.duplicate_rate > 0.0 && rng.random_bool(self.duplicate_rate) {
+            self.schedule_delivery(at_ms + rng.random_range(0..MAX_DUPLICATE_DELAY_MS), message.clone());
         }
-        self.deliver_at(at_ms, message);
+        self.schedule_delivery(at_ms, message);
     }
 
-    /// When a message arrives that may not overtake those before it on its connection.
+    /// The arrival time of a message that must not overtake earlier messages of its connection.
     fn arrival_in_order(&mut self, link: Link, class: TrafficClass, size_bytes: usize, at_ms: u64) -> u64 {
         let connection = if self.shared_connection { TrafficClass::Data } else { class };
         let last_arrival_ms = self.last_arrival_ms.entry((link, connection)).or_default();
@@ -103,24 +105,26 @@
         at_ms
     }
 
-    /// Puts a message on its way that arrives at this time.
-    pub fn deliver_at(&mut self, at_ms: u64, message: InFlight) {
-        self.sent += 1;
-        self.in_flight.insert(Arrival { at_ms, number: self.sent }, message);
+    /// Schedules the arrival of a message.
+    pub fn schedule_delivery(&mut self, at_ms: u64, message: InFlightMessage) {
+        self.scheduled_deliveries += 1;
+        self.in_flight.insert(Arrival { at_ms, number: self.scheduled_deliveries }, message);
     }
 
-    /// The next message that has arrived by now. Those on partitioned links are lost.
-    pub fn next_arrived(&mut self, now_ms: u64) -> Option<InFlight> {
+    /// Removes and returns the next message that has arrived at `now_ms`. Messages on cut links are
+    /// lost.
+    pub fn take_arrived(&mut self, now_ms: u64) -> Option<InFlightMessage> {
         loop {
             let first = self.in_flight.first_entry().filter(|entry| entry.key().at_ms <= now_ms)?;
             let message = first.remove();
-            if !self.partitioned.contains(&message.link) {
+            if !self.cut_links.contains(&message.link) {
                 return Some(message);
             }
         }
     }
 }
 
+/// The size of the chunks or changes in a data message, bytes; 0 for any other message.
 fn data_size_bytes(message: &Message) -> usize {
     match message {
         Message::Stream { item: StreamItem::RepairChunk(chunks), .. } => {
--- a/crates/cluster/replication/tests/golden.rs
+++ b/crates/cluster/replication/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of all messages and records, as other processes and data folders have them: they must
-//! not change.
+//! The encodings of all messages and records. Other processes and existing data directories use
+//! them, so they must not change.
 #[path = "golden/support.rs"]
 mod support;
 
@@ -13,25 +13,25 @@
 const MESSAGES: &str = "messages.txt";
 const RECORDS: &str = "records.txt";
 
-/// The bytes of a value and the value that bytes give.
-macro_rules! coded {
+/// Defines the functions that encode and decode a type.
+macro_rules! define_codec {
     ($encode:ident, $decode:ident, $value:ty) => {
         fn $encode(value: &$value) -> Vec<u8> {
-            rkyv::to_bytes::<rkyv::rancor::Error>(value).expect("encoded").to_vec()
+            rkyv::to_bytes::<rkyv::rancor::Error>(value).expect("a value that can be encoded").to_vec()
         }
 
         fn $decode(bytes: &[u8]) -> $value {
-            rkyv::from_bytes::<$value, rkyv::rancor::Error>(bytes).expect("decoded")
+            rkyv::from_bytes::<$value, rkyv::rancor::Error>(bytes).expect("bytes that can be decoded")
         }
     };
 }
 
-coded!(encode_envelope, decode_envelope, Envelope);
-coded!(encode_witness, decode_witness, WitnessRecord);
-coded!(encode_position, decode_position, Position);
-coded!(encode_member_id, decode_member_id, MemberId);
-coded!(encode_change, decode_change, Change);
-coded!(encode_leaf_chunk, decode_leaf_chunk, LeafChunk);
+define_codec!(encode_envelope, decode_envelope, Envelope);
+define_codec!(encode_witness, decode_witness, WitnessRecord);
+define_codec!(encode_position, decode_position, Position);
+define_codec!(encode_member_id, decode_member_id, MemberId);
+define_codec!(encode_change, decode_change, Change);
+define_codec!(encode_leaf_chunk, decode_leaf_chunk, LeafChunk);
 
 fn member(number: u64) -> Member {
     Member {
@@ -84,6 +84,7 @@
     ]
 }
 
+/// Examples of all kinds of messages, by their names in the golden files.
 fn messages() -> Vec<(&'static str, Message)> {
     let session = 0xfeed_0000_0000_0007;
     vec![
@@ -169,7 +170,8 @@
     ]
 }
 
-/// The kind of a message. Without a last arm for all others: a new variant needs an example here.
+/// The kind of a message. The match has no wildcard arm, so that a new variant must be added here
+/// and get an example.
 fn kind(message: &Message) -> &'static str {
     match message {
         Message::Announce { .. } => "register",
@@ -197,9 +199,10 @@
     }
 }
 
-/// How many kinds of messages there are.
-const KINDS: usize = 22;
+/// The number of kinds of messages.
+const MESSAGE_KINDS: usize = 22;
 
+/// The examples of messages in envelopes, and one envelope without a receiver.
 fn envelopes() -> Vec<(&'static str, Envelope)> {
     let envelope = |message, to| Envelope { from: member(1).id, to, message };
     let mut all: Vec<_> =
@@ -208,6 +211,7 @@
     all
 }
 
+/// Examples of all kinds of records, by their names in the golden file.
 fn records() -> Vec<NamedBytes> {
     let witness = WitnessRecord { promised: ballot(), accepted: Some(accepted()) };
     let position = Position { term: Term(39), sequence: 0x1122_3344_5566_7788 };
@@ -226,7 +230,7 @@
 fn every_kind_of_message_has_an_example() {
     let mut kinds: Vec<&str> = messages().iter().map(|(_, message)| kind(message)).collect();
     kinds.dedup();
-    assert_eq!(kinds.len(), KINDS);
+    assert_eq!(kinds.len(), MESSAGE_KINDS);
 }
 
 #[test]
@@ -240,7 +244,7 @@
 fn golden_bytes_are_decoded_to_the_messages() {
     let golden = read_bytes(MESSAGES);
     let expected = envelopes();
-    assert_eq!(golden.len(), expected.len());
+    assert_eq!(golden.len(), expected.len(), "number of examples in {MESSAGES}");
     for ((name, bytes), (expected_name, envelope)) in golden.iter().zip(&expected) {
         assert_eq!(name, expected_name);
         assert_eq!(&decode_envelope(bytes), envelope, "{name}");
@@ -254,17 +258,17 @@
 
 #[test]
 fn golden_bytes_are_decoded_to_the_records() {
-    let of = |name| read_example(RECORDS, name);
+    let bytes_of = |name| read_example(RECORDS, name);
     let witness = WitnessRecord { promised: ballot(), accepted: Some(accepted()) };
-    assert_eq!(decode_witness(&of("witness")), witness);
+    assert_eq!(decode_witness(&bytes_of("witness")), witness);
     let accepted_nothing = WitnessRecord { promised: ballot(), accepted: None };
-    assert_eq!(decode_witness(&of("witness_that_accepted_nothing")), accepted_nothing);
+    assert_eq!(decode_witness(&bytes_of("witness_that_accepted_nothing")), accepted_nothing);
     let position = Position { term: Term(39), sequence: 0x1122_3344_5566_7788 };
-    assert_eq!(decode_position(&of("position")), position);
-    assert_eq!(decode_member_id(&of("member_id")), member(1).id);
-    assert_eq!(decode_change(&of("change")), changes()[0]);
-    assert_eq!(decode_change(&of("change_that_removes")), changes()[1]);
-    assert_eq!(decode_leaf_chunk(&of("part")), leaf_chunks()[0]);
+    assert_eq!(decode_position(&bytes_of("position")), position);
+    assert_eq!(decode_member_id(&bytes_of("member_id")), member(1).id);
+    assert_eq!(decode_change(&bytes_of("change")), changes()[0]);
+    assert_eq!(decode_change(&bytes_of("change_that_removes")), changes()[1]);
+    assert_eq!(decode_leaf_chunk(&bytes_of("part")), leaf_chunks()[0]);
 }
 
 #[test]
@@ -278,9 +282,10 @@
     compare_text("lanes.txt", &lines);
 }
 
-/// Replicas of two versions compare digests: they must agree on them.
+/// Replicas of different versions compare their digests, so all versions must compute the same
+/// ones.
 #[test]
-fn digests_of_a_key_space_stay() {
+fn digests_of_a_key_space_equal_the_golden_ones() {
     let mut keyspace = Keyspace::default();
     for number in 0..200u64 {
         let key = [b"j".as_slice(), &number.to_be_bytes()].concat();
--- a/crates/cluster/replication/tests/keyspace.rs
+++ b/crates/cluster/replication/tests/keyspace.rs
@@ -1,4 +1,4 @@
-//! The key space: digests follow its content, and chunks make any replica equal to any other.
+//! The key space: digests depend only on its content, and chunks make a replica equal to another.
 use quickcheck::quickcheck;
 use spanlead_replication::{Change, Keyspace, LEAF_COUNT, LeafChunk};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
     keyspace.iter().collect()
 }
 
-/// All chunks of a leaf, each with at most so many bytes if it has more than one entry.
+/// All chunks of a leaf. A chunk with more than one entry has at most `limit_bytes`.
 fn chunks_of_leaf(keyspace: &Keyspace, leaf: u16, limit_bytes: usize) -> Vec<LeafChunk> {
     let mut chunks = Vec::new();
     let mut after: Option<Vec<u8>> = None;
@@ -34,7 +34,7 @@
     }
 }
 
-/// Makes a replica equal to another one by chunks of all its leaves.
+/// Makes a replica equal to `source` with the chunks of all leaves of `source`.
 fn repair(replica: &mut Keyspace, source: &Keyspace, limit_bytes: usize) {
     for leaf in 0..LEAF_COUNT as u16 {
         for chunk in chunks_of_leaf(source, leaf, limit_bytes) {
@@ -62,7 +62,7 @@
         is_changed && keyspace.range_digests() == digests
     }
 
-    fn chunks_make_a_replica_equal(source: Entries, replica: Entries, limit_bytes: u8) -> bool {
+    fn all_chunks_of_a_key_space_make_a_replica_equal_to_it(source: Entries, replica: Entries, limit_bytes: u8) -> bool {
         let source = keyspace_of(source.iter());
         let mut replica = keyspace_of(replica.iter());
         repair(&mut replica, &source, usize::from(limit_bytes));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_chunk_keeps_the_limit_unless_one_entry_exceeds_it() {
+fn a_chunk_exceeds_the_size_limit_only_with_a_single_entry() {
     const LIMIT_BYTES: usize = 64;
     let mut keyspace = Keyspace::default();
     for number in 0..20_000_u32 {
@@ -82,7 +82,10 @@
     for leaf in 0..LEAF_COUNT as u16 {
         for chunk in chunks_of_leaf(&keyspace, leaf, LIMIT_BYTES) {
             let size_bytes = chunk.size_bytes();
-            assert!(size_bytes <= LIMIT_BYTES || chunk.entries.len() == 1, "{size_bytes} bytes");
+            assert!(
+                size_bytes <= LIMIT_BYTES || chunk.entries.len() == 1,
+                "chunk of {size_bytes} bytes in leaf {leaf}, expected at most {LIMIT_BYTES}"
+            );
         }
     }
 }
--- a/crates/cluster/replication/tests/member_replacement.rs
+++ b/crates/cluster/replication/tests/member_replacement.rs
@@ -1,41 +1,42 @@
-//! Members that leave for good, are replaced, or are only paused, and a second loss that comes
-//! right after.
+//! Replacement of members that leave permanently, are lost or are paused, and the loss of another
+//! machine shortly afterwards.
 mod common;
 use common::{LEASE_MS, SimulatedCluster};
 
 const SEEDS: u64 = 15;
-/// By when service must be back after the second loss, milliseconds.
+/// The maximum time from the last loss until service is restored, milliseconds.
 const RECOVERY_TIMEOUT_MS: u64 = 6_000;
-/// By when a member that asks to leave must be let go, milliseconds.
+/// The maximum time from a request to leave until the member may terminate, milliseconds.
 const LEAVE_TIMEOUT_MS: u64 = 2_000;
-/// How long a standby runs before a test goes on, milliseconds.
+/// How long a standby runs before the next fault, milliseconds.
 const STANDBY_WARM_UP_MS: u64 = 1_000;
 
-fn assert_serves_again(cluster: &mut SimulatedCluster, context: &str) {
+/// Asserts that service is restored in time.
+fn assert_service_is_restored(cluster: &mut SimulatedCluster, context: &str) {
     let serves = cluster.serves_within(RECOVERY_TIMEOUT_MS);
-    assert!(serves, "{context}: {}", cluster.describe());
+    assert!(serves, "{context}: no service within {RECOVERY_TIMEOUT_MS} ms: {}", cluster.describe());
 }
 
-/// In a third of the runs the primary, else another member.
+/// Chooses the primary in a third of the runs, and another member in the others.
 fn choose_member(cluster: &SimulatedCluster, seed: u64) -> usize {
-    let primary = cluster.primary().expect("serves");
+    let primary = cluster.primary().expect("the cluster has a primary");
     if seed.is_multiple_of(3) { primary } else { (primary + 1) % cluster.machines.len() }
 }
 
-/// Crashes as many of the machines that are left as may be lost, the primary first.
+/// Crashes `max_failures` of the running machines, the primary first.
 fn crash_tolerated_number(cluster: &mut SimulatedCluster, max_failures: usize) {
     for _ in 0..max_failures {
         let runs = |index: &usize| cluster.machines[*index].replica.is_some();
         let any = (0..cluster.machines.len()).find(runs);
-        let next = cluster.primary().or(any).expect("a machine runs");
+        let next = cluster.primary().or(any).expect("a running machine");
         cluster.crash(next);
     }
 }
 
-/// A standby is there, and a member is told to leave. Once it may terminate it is lost, and
-/// `pause_ms` later the second loss comes.
-fn check_planned_replacement(seed: u64, max_failures: usize, pause_ms: u64) {
-    let mut cluster = SimulatedCluster::started(seed, max_failures);
+/// Tells a member to leave while there is a standby, erases its disk as soon as it may terminate,
+/// and crashes further machines `delay_ms` later. Service must be restored.
+fn check_planned_replacement(seed: u64, max_failures: usize, delay_ms: u64) {
+    let mut cluster = SimulatedCluster::with_primary(seed, max_failures);
     cluster.add_standby(STANDBY_WARM_UP_MS);
     let leaving = choose_member(&cluster, seed);
 
@@ -44,71 +45,80 @@
     while !cluster.machines[leaving].leave_allowed {
         cluster.run(1);
         let is_in_time = cluster.now_ms < asked_at_ms + LEAVE_TIMEOUT_MS;
-        assert!(is_in_time, "seed {seed}: not let go: {}", cluster.describe());
+        assert!(
+            is_in_time,
+            "seed {seed}: leave not allowed within {LEAVE_TIMEOUT_MS} ms: {}",
+            cluster.describe()
+        );
     }
     cluster.lose_disk(leaving);
-    cluster.run(pause_ms);
+    cluster.run(delay_ms);
     crash_tolerated_number(&mut cluster, max_failures);
 
-    assert_serves_again(&mut cluster, &format!("seed {seed}, {pause_ms} ms after"));
+    assert_service_is_restored(&mut cluster, &format!("seed {seed}, second loss after {delay_ms} ms"));
 }
 
 #[test]
-fn a_second_loss_is_tolerated_at_once_after_a_planned_replacement() {
-    for pause_ms in [0, 50, 400] {
-        (0..SEEDS).for_each(|seed| check_planned_replacement(seed, 1, pause_ms));
-        (0..SEEDS / 3).for_each(|seed| check_planned_replacement(500 + seed, 2, pause_ms));
+fn a_second_loss_right_after_a_planned_replacement_is_tolerated() {
+    for delay_ms in [0, 50, 400] {
+        (0..SEEDS).for_each(|seed| check_planned_replacement(seed, 1, delay_ms));
+        (0..SEEDS / 3).for_each(|seed| check_planned_replacement(500 + seed, 2, delay_ms));
     }
 }
 
-/// A standby is there, and a member is lost for good without a request to leave.
-fn serves_after_unplanned_replacement(seed: u64, max_failures: usize, pause_ms: u64) -> bool {
-    let mut cluster = SimulatedCluster::started(seed, max_failures);
+/// Erases the disk of a member without a request to leave while there is a standby, and crashes
+/// further machines `delay_ms` later. Returns whether service is restored.
+fn serves_after_unplanned_replacement(seed: u64, max_failures: usize, delay_ms: u64) -> bool {
+    let mut cluster = SimulatedCluster::with_primary(seed, max_failures);
     cluster.add_standby(STANDBY_WARM_UP_MS);
-    let primary = cluster.primary().expect("serves");
+    let primary = cluster.primary().expect("the cluster has a primary");
     cluster.lose_disk((primary + 1) % cluster.machines.len());
-    cluster.run(pause_ms);
+    cluster.run(delay_ms);
     crash_tolerated_number(&mut cluster, max_failures);
     cluster.serves_within(RECOVERY_TIMEOUT_MS)
 }
 
 #[test]
 fn a_standby_has_replaced_a_lost_member_within_400_ms() {
-    for pause_ms in [400, 600, 1_000] {
-        let fails_with_one = |seed: &u64| !serves_after_unplanned_replacement(*seed, 1, pause_ms);
+    for delay_ms in [400, 600, 1_000] {
+        let fails_with_one = |seed: &u64| !serves_after_unplanned_replacement(*seed, 1, delay_ms);
         let failed: Vec<u64> = (0..SEEDS).filter(fails_with_one).collect();
-        assert!(failed.is_empty(), "{pause_ms} ms after, seeds {failed:?}");
-        let fails_with_two = |seed: &u64| !serves_after_unplanned_replacement(700 + *seed, 2, pause_ms);
+        assert!(failed.is_empty(), "no service after a second loss {delay_ms} ms later, seeds {failed:?}");
+        let fails_with_two = |seed: &u64| !serves_after_unplanned_replacement(700 + *seed, 2, delay_ms);
         let failed: Vec<u64> = (0..SEEDS / 3).filter(fails_with_two).collect();
-        assert!(failed.is_empty(), "two losses, {pause_ms} ms after, seeds {failed:?}");
+        assert!(failed.is_empty(), "no service after two more losses {delay_ms} ms later, seeds {failed:?}");
     }
 }
 
-/// The lost machine is gone for a second when the new one starts.
-fn serves_after_late_replacement(seed: u64, pause_ms: u64) -> bool {
-    let mut cluster = SimulatedCluster::started(seed, 1);
-    let primary = cluster.primary().expect("serves");
+/// Erases the disk of a member, adds a new machine a second later, and crashes another machine
+/// `delay_ms` after that. Returns whether service is restored.
+fn serves_after_late_replacement(seed: u64, delay_ms: u64) -> bool {
+    let mut cluster = SimulatedCluster::with_primary(seed, 1);
+    let primary = cluster.primary().expect("the cluster has a primary");
     cluster.lose_disk((primary + 1) % 3);
     cluster.run(1_000);
-    cluster.add_standby(pause_ms);
+    cluster.add_standby(delay_ms);
     crash_tolerated_number(&mut cluster, 1);
     cluster.serves_within(RECOVERY_TIMEOUT_MS)
 }
 
 #[test]
 fn a_machine_that_starts_a_second_after_the_loss_has_joined_within_150_ms() {
-    for pause_ms in [150, 500, 1_000] {
+    for delay_ms in [150, 500, 1_000] {
         let failed: Vec<u64> =
-            (0..SEEDS).filter(|seed| !serves_after_late_replacement(*seed, pause_ms)).collect();
-        assert!(failed.is_empty(), "{pause_ms} ms after, seeds {failed:?}");
+            (0..SEEDS).filter(|seed| !serves_after_late_replacement(*seed, delay_ms)).collect();
+        assert!(
+            failed.is_empty(),
+            "no service after a second loss {delay_ms} ms after the start, seeds {failed:?}"
+        );
     }
 }
 
 #[test]
 fn a_machine_that_lost_its_disk_has_rejoined_within_50_ms_of_its_return() {
     for seed in 0..SEEDS {
-        let mut cluster = SimulatedCluster::started(seed, 1);
-        let primary = cluster.primary().expect("serves");
+        let mut cluster = SimulatedCluster::with_primary(seed, 1);
+        let primary = cluster.primary().expect("the cluster has a primary");
         let wiped = (primary + 1) % 3;
         cluster.lose_disk(wiped);
         cluster.run(500);
@@ -117,60 +127,72 @@
 
         crash_tolerated_number(&mut cluster, 1);
 
-        assert_serves_again(&mut cluster, &format!("seed {seed}"));
+        assert_service_is_restored(&mut cluster, &format!("seed {seed}"));
     }
 }
 
 #[test]
-fn a_member_that_was_only_paused_gets_its_place_back() {
+fn a_paused_member_regains_its_place_from_the_standby() {
     for seed in 0..SEEDS {
-        let mut cluster = SimulatedCluster::started(seed, 1);
+        let mut cluster = SimulatedCluster::with_primary(seed, 1);
         let standby = cluster.add_standby(STANDBY_WARM_UP_MS);
-        let primary = cluster.primary().expect("serves");
+        let primary = cluster.primary().expect("the cluster has a primary");
         let paused = (primary + 1) % 3;
         let pause_ms = 200 + seed * 150;
 
         cluster.pause(paused, pause_ms);
         cluster.run(pause_ms + 600);
 
-        assert!(cluster.is_in_sync(paused), "seed {seed}: {}", cluster.describe());
-        assert!(!cluster.is_in_sync(standby), "seed {seed}: {}", cluster.describe());
-        // Whichever of them is lost next, service goes on.
+        assert!(
+            cluster.is_in_sync(paused),
+            "seed {seed}: paused machine {paused} is not in sync: {}",
+            cluster.describe()
+        );
+        assert!(!cluster.is_in_sync(standby), "seed {seed}: the standby is in sync: {}", cluster.describe());
+        // The loss of the reinstated member and of another machine is tolerated.
         cluster.lose_disk(paused);
         cluster.run(400);
         crash_tolerated_number(&mut cluster, 1);
-        assert_serves_again(&mut cluster, &format!("seed {seed}"));
+        assert_service_is_restored(&mut cluster, &format!("seed {seed}"));
     }
 }
 
 #[test]
-fn a_restart_without_a_standby_is_no_replacement() {
+fn a_member_that_leaves_without_a_standby_may_terminate_and_rejoins_after_its_restart() {
     for seed in 0..SEEDS {
-        let mut cluster = SimulatedCluster::started(seed, 1);
+        let mut cluster = SimulatedCluster::with_primary(seed, 1);
         let restarting = choose_member(&cluster, seed);
 
         cluster.request_leave(restarting);
         cluster.run(LEASE_MS + 200);
-        assert!(cluster.machines[restarting].leave_allowed, "seed {seed}: waits for nobody");
+        assert!(
+            cluster.machines[restarting].leave_allowed,
+            "seed {seed}: leave not allowed without a standby"
+        );
         cluster.crash(restarting);
         cluster.run(500);
         cluster.start(restarting);
         cluster.run(1_500);
 
-        assert!(cluster.is_in_sync(restarting), "seed {seed}: {}", cluster.describe());
+        assert!(
+            cluster.is_in_sync(restarting),
+            "seed {seed}: restarted machine {restarting} is not in sync: {}",
+            cluster.describe()
+        );
     }
 }
 
-/// While a member is replaced, the network is partitioned between the primary with the standby and
-/// the two others. The new members alone have a majority on the primary's side, the old ones on the
-/// other: the replacement needs both, or two primaries would act.
+/// During a replacement the network is partitioned between the primary with the standby and the two
+/// other machines. The majority of the new members is on the primary's side and that of the old
+/// members on the other, so a change of members needs both majorities, or each side could elect a
+/// primary.
 #[test]
-fn a_partition_during_a_replacement_leaves_one_primary() {
+fn a_partition_during_a_replacement_leaves_at_most_one_primary() {
     for seed in 0..4 {
         for after_ms in 0..40 {
-            let mut cluster = SimulatedCluster::started(seed, 1);
+            let mut cluster = SimulatedCluster::with_primary(seed, 1);
             let standby = cluster.add_standby(STANDBY_WARM_UP_MS);
-            let primary = cluster.primary().expect("serves");
+            let primary = cluster.primary().expect("the cluster has a primary");
             let (leaving, other) = ((primary + 1) % 3, (primary + 2) % 3);
 
             cluster.request_leave(leaving);
@@ -180,11 +202,12 @@
                     cluster.cut_links_between(near, far);
                 }
             }
-            // Rules of `common`: nobody acts beside another, and nothing committed is lost.
+            // The invariants of `common` check that there is at most one active primary and that no
+            // committed key is lost.
             cluster.run(3_000);
             cluster.heal_links();
 
-            assert_serves_again(&mut cluster, &format!("seed {seed}, {after_ms} ms"));
+            assert_service_is_restored(&mut cluster, &format!("seed {seed}, partition after {after_ms} ms"));
         }
     }
 }
--- a/crates/cluster/replication/tests/model.rs
+++ b/crates/cluster/replication/tests/model.rs
@@ -1,52 +1,56 @@
-//! Every placement of two faults at a set of moments, searched exhaustively: three machines that
-//! serve, with and without a standby. The first fault may come at any of the moments of a
-//! heartbeat's period, the second at any moment after the first; the rules of `common` are checked
-//! in each millisecond, and service must return wherever no more is lost than the system tolerates.
+//! Exhaustive search over all combinations of two faults at discrete times, in a cluster of three
+//! machines with and without a standby. The first fault occurs at any time step of a heartbeat
+//! period, the second at any time step after the first. The invariants of `common` are checked in
+//! each millisecond, and service must be restored unless more is lost than the system tolerates.
 mod common;
 use common::{SimulatedCluster, env_number};
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Moments at which faults may come.
+/// The discrete times at which faults may occur.
 #[derive(Clone, Copy)]
-struct Moments {
-    /// Between two of them, milliseconds.
-    stride_ms: u64,
-    /// How many there are for the first fault: a heartbeat's period.
+struct TimeSteps {
+    /// The length of a time step, milliseconds.
+    step_ms: u64,
+    /// The number of time steps for the first fault, which cover a heartbeat period.
     first: u64,
-    /// How many there are after the first fault for the second: until a lease has ended, and the
-    /// failover after it.
+    /// The number of time steps after the first fault for the second, which cover the rest of a
+    /// lease and the failover after it.
     second: u64,
 }
 
-/// For each change of the code. `MODEL_FULL=1` searches the finer moments.
-const COARSE: Moments = Moments { stride_ms: 53, first: 2, second: 13 };
-const FINE: Moments = Moments { stride_ms: 12, first: 9, second: 56 };
+/// The time steps of a run for each change of the code.
+const COARSE: TimeSteps = TimeSteps { step_ms: 53, first: 2, second: 13 };
+/// The time steps of a run with `MODEL_FULL=1`.
+const FINE: TimeSteps = TimeSteps { step_ms: 12, first: 9, second: 56 };
 
-fn moments() -> Moments {
+fn time_steps() -> TimeSteps {
     if std::env::var("MODEL_FULL").is_ok() { FINE } else { COARSE }
 }
 
-/// By when service must be back after all that is not lost has returned, milliseconds.
+/// The maximum time until service is restored after all machines that are not lost have returned,
+/// milliseconds.
 const RECOVERY_TIMEOUT_MS: u64 = 4_000;
-/// How often service is checked for, milliseconds.
+/// The interval at which a test checks for service, milliseconds.
 const SERVICE_POLL_MS: u64 = 25;
-/// How long after the silent loss of a member another loss is tolerated, milliseconds.
+/// The time after the loss of a member without a request to leave from which another loss is
+/// tolerated, milliseconds.
 const REPLACEMENT_MS: u64 = 400;
-/// The same where there is no standby and the lost machine returns with an empty disk.
+/// The same after the loss of a disk whose machine restarts at once, milliseconds.
 const REPAIR_MS: u64 = 100;
-/// How long a machine is told to leave before it is taken anyway, milliseconds.
+/// How long a machine that was told to leave waits for permission before it is terminated anyway,
+/// milliseconds.
 const LEAVE_TIMEOUT_MS: u64 = 2_000;
-/// How long a paused machine stands still: longer than a lease, milliseconds.
+/// The duration of a pause, which exceeds that of a lease, milliseconds.
 const PAUSE_MS: u64 = 800;
-/// How late the messages of a delayed machine come, milliseconds.
+/// How long the messages of a delayed machine are held back, milliseconds.
 const DELAY_MS: u64 = 400;
 
 /// The property that holds in every state.
-const RULES_HOLD: &str = "rules hold and service returns";
+const INVARIANTS_HOLD: &str = "invariants hold and service is restored";
 
-/// A machine, by what it is when the fault comes.
+/// A machine, by its role when the fault occurs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Target {
     Primary,
@@ -66,26 +70,27 @@
     }
 }
 
+/// A fault that the search injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Fault {
-    /// The process ends; it starts again when all is over.
+    /// The process terminates, and restarts at the recovery.
     Crash(Target),
-    /// The machine is lost with its disk. A standby takes its place.
+    /// The machine is lost with its disk, and does not return. A standby may replace it.
     LoseMachine(Target),
-    /// The disk is lost, and the machine starts again at once.
+    /// The disk is erased, and the machine restarts at once.
     LoseDisk(Target),
     /// The process is paused for longer than a lease.
     Pause(Target),
-    /// Nothing that the machine sends arrives.
+    /// All messages from the machine are lost.
     CutSends(Target),
-    /// Nothing arrives at the machine.
+    /// All messages to the machine are lost.
     CutReceives(Target),
-    /// What the machine sends arrives late.
+    /// All messages from the machine are held back for a while.
     DelaySends(Target),
-    /// The machine is told to leave for good, and is lost with its disk as soon as it may
-    /// terminate.
+    /// The machine is told to leave permanently, and terminates as soon as it may; its disk is lost
+    /// if there is a standby.
     Leave(Target),
-    /// All lose power, and start again.
+    /// All running machines lose power, and restart at once.
     PowerLoss,
 }
 
@@ -104,46 +109,47 @@
     targeted.chain([Fault::PowerLoss]).collect()
 }
 
+/// A transition between two states of the search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    /// Let time pass until the next moment.
+    /// Run the cluster until the next time step.
     Wait,
     /// Inject a fault.
     Inject(Fault),
-    /// All that is not lost returns, and service must too.
+    /// Restore all links and all machines that are not lost, and check that service is restored.
     Recover,
 }
 
-/// A fault and the number of moments that passed before it, since the beginning or the fault
-/// before.
+/// A fault, with the number of time steps between it and the previous fault or the start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct InjectedFault {
-    waited: u64,
+    steps_before: u64,
     fault: Fault,
 }
 
+/// A state of the search.
 #[derive(Clone)]
 struct State {
     cluster: SimulatedCluster,
-    /// Moments since the beginning, or since the last fault.
-    waited: u64,
+    /// The number of time steps since the last fault or the start.
+    steps: u64,
     injected: Vec<InjectedFault>,
     recovered: bool,
-    /// The rule that was broken.
-    broken: Option<String>,
+    /// The message of the invariant that was violated.
+    violation: Option<String>,
 }
 
 impl State {
-    /// What tells states apart: the seed and the actions determine the rest.
+    /// The parts that identify a state: the seed and the actions determine all others.
     fn key(&self) -> (&[InjectedFault], u64, bool, bool) {
-        (&self.injected, self.waited, self.recovered, self.broken.is_some())
+        (&self.injected, self.steps, self.recovered, self.violation.is_some())
     }
 }
 
 impl std::fmt::Debug for State {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let broken = self.broken.as_deref().unwrap_or("");
-        write!(f, "{:?} then {} moments{broken}", self.injected, self.waited)
+        let violation = self.violation.as_deref().unwrap_or("");
+        write!(f, "{:?} then {} time steps{violation}", self.injected, self.steps)
     }
 }
 
@@ -161,11 +167,12 @@
     }
 }
 
+/// The search over all combinations of two faults.
 struct TwoFaults {
     seed: u64,
-    /// Whether there is a fourth machine as a standby.
+    /// Whether a fourth machine runs as a standby.
     has_standby: bool,
-    moments: Moments,
+    time_steps: TimeSteps,
 }
 
 impl TwoFaults {
@@ -190,6 +197,7 @@
         }
     }
 
+    /// Tells a machine to leave and terminates it once it may terminate.
     fn let_leave(&self, cluster: &mut SimulatedCluster, index: usize) {
         cluster.request_leave(index);
         for _ in 0..LEAVE_TIMEOUT_MS {
@@ -202,7 +210,7 @@
         if self.has_standby { cluster.lose_disk(index) } else { cluster.crash(index) }
     }
 
-    /// Whether a fault takes a disk away for good.
+    /// Whether a fault erases a disk.
     fn loses_disk(&self, fault: Fault) -> bool {
         match fault {
             Fault::LoseMachine(_) | Fault::LoseDisk(_) => true,
@@ -211,8 +219,8 @@
         }
     }
 
-    /// Whether service must return: no two disks were lost closer together than the system
-    /// tolerates, and no disk was lost while something else kept the others from taking its place.
+    /// Whether service must be restored. It need not be if two disks were lost in a shorter time
+    /// than the system needs to replace the first one, or if the replacement was not possible.
     fn must_serve(&self, injected: &[InjectedFault]) -> bool {
         let [first, second] = injected else { return true };
         if !self.loses_disk(first.fault) || !self.loses_disk(second.fault) {
@@ -225,7 +233,7 @@
             _ => REPLACEMENT_MS,
         };
         let is_primary_lost = matches!(first.fault, Fault::LoseMachine(Target::Primary));
-        let between_ms = second.waited * self.moments.stride_ms;
+        let between_ms = second.steps_before * self.time_steps.step_ms;
         self.has_standby && !is_primary_lost && between_ms >= tolerated_after_ms
     }
 
@@ -238,14 +246,15 @@
         };
         let down: Vec<usize> = (0..cluster.machines.len()).filter(is_down).collect();
         down.into_iter().for_each(|index| cluster.start(index));
-        let serves = cluster.serves_within_polled(RECOVERY_TIMEOUT_MS, SERVICE_POLL_MS);
+        let serves = cluster.serves_within_polling(RECOVERY_TIMEOUT_MS, SERVICE_POLL_MS);
         state.recovered = true;
         if !serves && self.must_serve(&state.injected) {
-            state.broken = Some(format!(": no service again: {}", state.cluster.describe()));
+            state.violation = Some(format!(": service is not restored: {}", state.cluster.describe()));
         }
     }
 }
 
+/// Crashes and restarts all running machines.
 fn restart_all(cluster: &mut SimulatedCluster) {
     let runs = |index: &usize| cluster.machines[*index].replica.is_some();
     let running: Vec<usize> = (0..cluster.machines.len()).filter(runs).collect();
@@ -265,20 +274,20 @@
             cluster.start(standby);
         }
         cluster.run(1_200);
-        assert!(cluster.primary().is_some(), "no start");
-        vec![State { cluster, waited: 0, injected: Vec::new(), recovered: false, broken: None }]
+        assert!(cluster.primary().is_some(), "seed {}: no primary after warm-up", self.seed);
+        vec![State { cluster, steps: 0, injected: Vec::new(), recovered: false, violation: None }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.recovered || state.broken.is_some() {
+        if state.recovered || state.violation.is_some() {
             return;
         }
-        let moments = match state.injected.len() {
-            0 => self.moments.first,
-            1 => self.moments.second,
+        let step_count = match state.injected.len() {
+            0 => self.time_steps.first,
+            1 => self.time_steps.second,
             _ => return actions.push(Action::Recover),
         };
-        if state.waited + 1 < moments {
+        if state.steps + 1 < step_count {
             actions.push(Action::Wait);
         }
         actions.extend(all_faults().into_iter().map(Action::Inject));
@@ -288,52 +297,53 @@
         let mut next = state.clone();
         let result = catch_unwind(AssertUnwindSafe(|| match action {
             Action::Wait => {
-                next.waited += 1;
-                next.cluster.run(self.moments.stride_ms);
+                next.steps += 1;
+                next.cluster.run(self.time_steps.step_ms);
             }
             Action::Inject(fault) => {
-                next.injected.push(InjectedFault { waited: next.waited, fault });
-                next.waited = 0;
+                next.injected.push(InjectedFault { steps_before: next.steps, fault });
+                next.steps = 0;
                 self.inject(&mut next.cluster, fault);
             }
             Action::Recover => self.recover(&mut next),
         }));
         if let Err(panic) = result {
             let message = panic.downcast_ref::<String>().cloned().unwrap_or_default();
-            next.broken = Some(format!(": {message}"));
+            next.violation = Some(format!(": {message}"));
         }
         Some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always(RULES_HOLD, |_, state: &State| state.broken.is_none())]
+        vec![Property::always(INVARIANTS_HOLD, |_, state: &State| state.violation.is_none())]
     }
 }
 
+/// Searches all states, and panics with the first state found that violates the property.
 fn search(model: TwoFaults) {
     let name = format!("seed {}, standby {}", model.seed, model.has_standby);
     let checker = model.checker().threads(4).spawn_bfs().join();
     println!("{name}: {} states", checker.unique_state_count());
-    if let Some(path) = checker.discovery(RULES_HOLD) {
+    if let Some(path) = checker.discovery(INVARIANTS_HOLD) {
         panic!("{name}: {:?}", path.last_state());
     }
 }
 
-/// How many seeds are searched; more than one for a long search.
+/// The number of seeds to search, from the environment variable `MODEL_SEEDS`.
 fn seeds() -> u64 {
     env_number("MODEL_SEEDS", 1)
 }
 
 #[test]
-fn two_faults_at_any_moments_are_tolerated_with_a_standby() {
+fn any_two_faults_are_tolerated_with_a_standby() {
     for seed in 0..seeds() {
-        search(TwoFaults { seed, has_standby: true, moments: moments() });
+        search(TwoFaults { seed, has_standby: true, time_steps: time_steps() });
     }
 }
 
 #[test]
-fn two_faults_at_any_moments_are_tolerated_with_three_machines() {
+fn any_two_faults_are_tolerated_without_a_standby() {
     for seed in 0..seeds() {
-        search(TwoFaults { seed: 100 + seed, has_standby: false, moments: moments() });
+        search(TwoFaults { seed: 100 + seed, has_standby: false, time_steps: time_steps() });
     }
 }
