--- a/crates/cluster/replication/src/replica/handover.rs
+++ b/crates/cluster/replication/src/replica/handover.rs
@@ -3,7 +3,8 @@
 //! A member that is told to terminate asks the primary to replace it by a standby. It may terminate
 //! once no view that can still be decided needs its vote, so that the loss of another machine right
 //! afterwards is tolerated. Without a standby the departure is treated as a restart: the member may
-//! terminate immediately, and no standby replaces it until it has been silent for the replacement
+//! terminate immediately. It keeps its place unless a standby appears later, which may replace it
+//! while the request to leave is valid or once the member has been silent for the replacement
 //! timeout.
 use super::state::{Replica, Role};
 use crate::interface::ReplicaEvent;
