--- a/crates/cluster/control-plane/tests/golden.rs
+++ b/crates/cluster/control-plane/tests/golden.rs
@@ -15,7 +15,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::process::Command;
 use std::sync::mpsc::{Receiver, channel};
-use support::{compare_text, path_of, read};
+use support::{compare_text, golden_path, read_text};
 
 /// Starts a server that gives the same response to each request. Returns its address and the
 /// requests that it receives.
@@ -116,7 +116,7 @@
         let (response, _) = call(request.clone(), "421 Misdirected Request", "{}");
         assert_eq!(response, WorkerResponse::WrongIncarnation);
     }
-    let (response, _) = call(renewal.clone(), "200 OK", &read("worker_report.json"));
+    let (response, _) = call(renewal.clone(), "200 OK", &read_text("worker_report.json"));
     let running =
         vec![RunningTask { task: TASK, run: 5, checkpoint: "checkpoint-4".into(), progress_percent: 37.5 }];
     let finished = vec![FinishedTask {
@@ -132,7 +132,7 @@
 
 #[test]
 fn worker_list_request_matches_the_golden_file_and_the_golden_list_is_parsed() {
-    let (address, requests) = serve("200 OK", read("platform_list.json"));
+    let (address, requests) = serve("200 OK", read_text("platform_list.json"));
     let list = task::block_on(worker_list::fetch(&address)).expect("a valid list");
     compare_text("platform_request.txt", &requests.recv().expect("a request"));
     let with_all_fields = ListedWorker {
@@ -176,7 +176,7 @@
 #[test]
 fn check_option_reports_valid_and_invalid_settings_with_the_golden_status_and_text() {
     let check = |file: &str, name: &str| {
-        let file = path_of(file);
+        let file = golden_path(file);
         let output = Command::new(PROGRAM_PATH)
             .arg("--check")
             .env(VARIABLE, &file)
--- a/crates/cluster/control-plane/tests/golden/folder.rs
+++ b/crates/cluster/control-plane/tests/golden/folder.rs
@@ -1,6 +1,5 @@
 //! The golden data folder: its location, and the records from which it was written.
 #![allow(dead_code, reason = "each golden test uses a part of this module")]
-use super::support::path_of;
 use spanlead_control_plane::configuration_state::{ConfigurationState, ReplaceOutcome};
 use spanlead_control_plane::store::Store;
 use spanlead_job_scheduler::{
@@ -57,7 +56,7 @@
 
 /// The path of the golden data folder.
 pub fn golden_path() -> PathBuf {
-    path_of("data-folder")
+    super::support::golden_path("data-folder")
 }
 
 /// Copies the golden folder to a temporary folder for one test.
--- a/crates/cluster/control-plane/tests/golden_folder.rs
+++ b/crates/cluster/control-plane/tests/golden_folder.rs
@@ -13,7 +13,7 @@
 use spanlead_replication::{Member, Record, RecoveredState};
 use std::fmt::Write;
 use std::path::Path;
-use support::{compare_text, is_writing, to_hex};
+use support::{compare_text, is_updating_golden_files, to_hex};
 
 /// The largest permitted size of the golden folder's file, bytes.
 const MAX_FILE_BYTES: u64 = 1 << 20;
@@ -135,7 +135,7 @@
 #[test]
 fn golden_folder_exists_within_its_size_limit() {
     let file = folder::golden_path().join(folder::FILE_NAME);
-    if is_writing() {
+    if is_updating_golden_files() {
         let _ = std::fs::remove_file(&file);
         write_folder(&folder::golden_path());
     }
--- a/crates/cluster/data-plane/tests/golden.rs
+++ b/crates/cluster/data-plane/tests/golden.rs
@@ -4,7 +4,7 @@
 
 use spanlead_cluster_runtime::settings::VARIABLE;
 use std::process::Command;
-use support::{compare_text, path_of};
+use support::{compare_text, golden_path};
 
 const PROGRAM_NAME: &str = "spanlead-data-plane";
 const PROGRAM_PATH: &str = env!("CARGO_BIN_EXE_spanlead-data-plane");
@@ -22,7 +22,7 @@
 #[test]
 fn check_option_reports_valid_and_invalid_settings_with_the_golden_status_and_text() {
     let check = |file: &str, name: &str| {
-        let file = path_of(file);
+        let file = golden_path(file);
         let output = Command::new(PROGRAM_PATH)
             .arg("--check")
             .env(VARIABLE, &file)
--- a/crates/cluster/job-scheduler/tests/golden.rs
+++ b/crates/cluster/job-scheduler/tests/golden.rs
@@ -14,7 +14,7 @@
     WorkerRequest, WorkerResponse, is_readable_record,
 };
 use std::fmt::Write as _;
-use support::{NamedBytes, bytes_of, compare_bytes, compare_text, read, read_bytes, to_hex};
+use support::{NamedBytes, compare_bytes, compare_text, read_bytes, read_example, read_text, to_hex};
 
 const RECORDS: &str = "records.txt";
 const SPECS: &str = "specs.txt";
@@ -191,7 +191,7 @@
 
 /// The golden bytes of a key or record.
 fn golden(name: &str) -> Vec<u8> {
-    bytes_of(RECORDS, name)
+    read_example(RECORDS, name)
 }
 
 /// The value that `changes` write to a key. Panics if they don't change the key or if they remove
@@ -480,7 +480,7 @@
 
 #[test]
 fn all_fields_of_a_job_body_are_parsed() {
-    assert_eq!(JobSpec::from_json(read("job.json").as_bytes()).expect("the body is valid"), full_spec());
+    assert_eq!(JobSpec::from_json(read_text("job.json").as_bytes()).expect("the body is valid"), full_spec());
     let one_label = br#"{"stages":[{"count":1,"constraints":"ssd","affinity":""}]}"#;
     let read = JobSpec::from_json(one_label).expect("the body is valid");
     assert_eq!(
