--- a/crates/service/engine/tests/crash.rs
+++ b/crates/service/engine/tests/crash.rs
@@ -682,8 +682,7 @@
         self.clients[client].open_submission = Some((submission, request_id));
         let key: Option<Arc<str>> = Some(format!("key-{client}").into());
         let encoded_request = client.to_string().into();
-        let durable_request =
-            DurableRequest { key, fingerprint: [client as u8; 16], encoded_request: encoded_request };
+        let durable_request = DurableRequest { key, fingerprint: [client as u8; 16], encoded_request };
         let job = Job {
             id: format!("r{submission}").into(),
             class: self.clients[client].class,
