--- a/crates/cluster/control-plane/src/connection_pool.rs
+++ b/crates/cluster/control-plane/src/connection_pool.rs
@@ -152,7 +152,7 @@
     /// Waits for the right to use a connection to this address.
     pub async fn acquire(&self, address: &Arc<str>) -> ConnectionSlot {
         while let Some(IdleConnection { stream, permit, .. }) = self.take_idle(address) {
-            if client::is_idle(&stream) {
+            if client::is_reusable(&stream) {
                 return self.new_slot(address, Some(stream), permit);
             }
         }
--- a/crates/cluster/control-plane/src/lib.rs
+++ b/crates/cluster/control-plane/src/lib.rs
@@ -103,7 +103,7 @@
     signals::on_terminate(move || signal_inputs.send(Input::Terminate));
     spawn_servers(settings, operators, &inputs);
     task::spawn(forward_link_events(link_events, inputs));
-    program::run_to_end(run_event_loop(node, input_receiver, clock));
+    program::run_to_completion(run_event_loop(node, input_receiver, clock));
     Ok(())
 }
 
@@ -116,7 +116,7 @@
     task::spawn(peer_server::serve(settings.peer_address(), Arc::new(handler)));
     if let Some(endpoint) = settings.metrics_endpoint() {
         let inputs = inputs.clone();
-        metrics::spawn(endpoint, move || operator_api::metrics(inputs.clone()));
+        metrics::spawn_server(endpoint, move || operator_api::metrics(inputs.clone()));
     }
     task::spawn(operator_api::serve(operators, inputs.clone()));
 }
--- a/crates/cluster/control-plane/src/node/client_requests.rs
+++ b/crates/cluster/control-plane/src/node/client_requests.rs
@@ -42,7 +42,7 @@
         let is_active = self.replica.active_term(now.monotonic_ms).is_some();
         let accepts_requests = is_active && !self.shutdown.is_requested();
         let Some(primary) = self.primary.as_mut().filter(|_| accepts_requests) else {
-            let _ = replies.try_send(Frame::ClientResponse(ClientResponse::not_taken(request.request_id)));
+            let _ = replies.try_send(Frame::ClientResponse(ClientResponse::not_executed(request.request_id)));
             return;
         };
         let request_id = request.request_id;
--- a/crates/cluster/control-plane/src/node/mod.rs
+++ b/crates/cluster/control-plane/src/node/mod.rs
@@ -78,7 +78,7 @@
             operator_address: settings.listen.operators.clone().unwrap_or_default(),
             seeds: settings.seed_peer_addresses(),
             bootstrap: settings.bootstrap.unwrap_or(false),
-            max_failures: settings.tolerated_losses(),
+            max_failures: settings.tolerated_failures(),
             lease_ms: LEASE_MS,
             heartbeat_ms: HEARTBEAT_INTERVAL_MS,
             random: clock.random_seed(&settings.node),
@@ -102,7 +102,7 @@
             primary: None,
             data_planes: DataPlanes::default(),
             write_latency: WriteLatency::default(),
-            shutdown: Shutdown::new(settings.grace_ms()),
+            shutdown: Shutdown::new(settings.shutdown_grace_ms()),
         }
     }
 
--- a/crates/cluster/control-plane/src/node/pending_replies.rs
+++ b/crates/cluster/control-plane/src/node/pending_replies.rs
@@ -28,7 +28,8 @@
     /// as it is not known whether the change is committed.
     fn abandon(self) {
         if let PendingReply::Client(replies, response) = self {
-            let _ = replies.try_send(Frame::ClientResponse(ClientResponse::abandoned(response.request_id)));
+            let _ =
+                replies.try_send(Frame::ClientResponse(ClientResponse::outcome_unknown(response.request_id)));
         }
     }
 }
--- a/crates/cluster/control-plane/tests/golden.rs
+++ b/crates/cluster/control-plane/tests/golden.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use async_std::task;
-use spanlead_cluster_runtime::settings::VARIABLE;
+use spanlead_cluster_runtime::settings::SETTINGS_PATH_VARIABLE;
 use spanlead_control_plane::worker_client::WorkerClient;
 use spanlead_control_plane::worker_list;
 use spanlead_job_scheduler::{
@@ -172,7 +172,11 @@
 fn the_program_checks_settings_in_the_golden_words() {
     let check = |file: &str, name: &str| {
         let file = path_of(file);
-        let output = Command::new(PROGRAM).arg("--check").env(VARIABLE, &file).output().expect("it runs");
+        let output = Command::new(PROGRAM)
+            .arg("--check")
+            .env(SETTINGS_PATH_VARIABLE, &file)
+            .output()
+            .expect("it runs");
         let text = [output.stdout, output.stderr].concat();
         let path = file.to_string_lossy().into_owned();
         (output.status.code(), String::from_utf8(text).expect("text").replace(&path, name))
--- a/crates/cluster/data-plane/src/control_plane_client.rs
+++ b/crates/cluster/data-plane/src/control_plane_client.rs
@@ -64,7 +64,7 @@
     /// After another attempt with this response. Only an operation that changes something may have
     /// been carried out with an effect.
     fn after(self, operation: &ClientOperation, response: Option<&ClientResponse>) -> Self {
-        let is_not_taken = response.is_some_and(ClientResponse::is_not_taken);
+        let is_not_taken = response.is_some_and(ClientResponse::is_not_executed);
         if is_not_taken || matches!(operation, ClientOperation::Query) { self } else { Attempts::Unanswered }
     }
 }
--- a/crates/cluster/data-plane/src/lib.rs
+++ b/crates/cluster/data-plane/src/lib.rs
@@ -59,7 +59,7 @@
     let control_plane = ControlPlaneClient::start(settings, clock);
     if let Some(endpoint) = settings.metrics_endpoint() {
         let counts = control_plane.outcome_counts();
-        metrics::spawn(endpoint, move || {
+        metrics::spawn_server(endpoint, move || {
             let text = traffic::metrics_text() + &counts.metrics_text();
             async { text }
         });
@@ -69,8 +69,8 @@
     if let Some(readiness) = settings.listen.readiness.clone() {
         task::spawn(client_api::serve_readiness(readiness, api.clone()));
     }
-    let grace = Duration::from_millis(settings.grace_ms());
-    program::run_to_end(async move {
+    let grace = Duration::from_millis(settings.shutdown_grace_ms());
+    program::run_to_completion(async move {
         while !is_shutting_down.load(Ordering::Relaxed) {
             task::sleep(SHUTDOWN_POLL_INTERVAL).await;
         }
--- a/crates/cluster/data-plane/tests/client_requests.rs
+++ b/crates/cluster/data-plane/tests/client_requests.rs
@@ -29,8 +29,8 @@
     fn response(self, request_id: u64) -> Option<ClientResponse> {
         match self {
             Scripted::Status(status) => Some(ClientResponse { request_id, status, body: String::new() }),
-            Scripted::NotTaken => Some(ClientResponse::not_taken(request_id)),
-            Scripted::Abandoned => Some(ClientResponse::abandoned(request_id)),
+            Scripted::NotTaken => Some(ClientResponse::not_executed(request_id)),
+            Scripted::Abandoned => Some(ClientResponse::outcome_unknown(request_id)),
             Scripted::Nothing => None,
         }
     }
--- a/crates/cluster/runtime/src/frame.rs
+++ b/crates/cluster/runtime/src/frame.rs
@@ -49,24 +49,24 @@
     /// The body beside [`ClientResponse::NOT_PRIMARY`] of a node that did not begin to carry the
     /// request out. A node that stopped being primary meanwhile, or one of the version before,
     /// sends none: the request may be committed.
-    const NOT_TAKEN_BODY: &'static str = "not taken";
+    const NOT_EXECUTED_BODY: &'static str = "not taken";
 
     /// The response of a node that is not primary, and so did not begin to carry the request out.
     #[must_use]
-    pub fn not_taken(request_id: u64) -> Self {
-        ClientResponse { request_id, status: Self::NOT_PRIMARY, body: Self::NOT_TAKEN_BODY.to_owned() }
+    pub fn not_executed(request_id: u64) -> Self {
+        ClientResponse { request_id, status: Self::NOT_PRIMARY, body: Self::NOT_EXECUTED_BODY.to_owned() }
     }
 
     /// The response of a node that stopped being primary before the request was committed.
     #[must_use]
-    pub fn abandoned(request_id: u64) -> Self {
+    pub fn outcome_unknown(request_id: u64) -> Self {
         ClientResponse { request_id, status: Self::NOT_PRIMARY, body: String::new() }
     }
 
     /// Whether the request surely had no effect at the node that responded.
     #[must_use]
-    pub fn is_not_taken(&self) -> bool {
-        self.status == Self::NOT_PRIMARY && self.body == Self::NOT_TAKEN_BODY
+    pub fn is_not_executed(&self) -> bool {
+        self.status == Self::NOT_PRIMARY && self.body == Self::NOT_EXECUTED_BODY
     }
 }
 
--- a/crates/cluster/runtime/src/http/client.rs
+++ b/crates/cluster/runtime/src/http/client.rs
@@ -46,7 +46,7 @@
 /// The socket is asked directly: to wait for it to become readable would register it with the event
 /// loop, at the cost of two system calls.
 #[must_use]
-pub fn is_idle(stream: &TcpStream) -> bool {
+pub fn is_reusable(stream: &TcpStream) -> bool {
     let mut byte = [0];
     recv(stream, &mut byte, RecvFlags::PEEK | RecvFlags::DONTWAIT) == Err(Errno::WOULDBLOCK)
 }
--- a/crates/cluster/runtime/src/metrics.rs
+++ b/crates/cluster/runtime/src/metrics.rs
@@ -16,7 +16,7 @@
 const MAX_CONNECTIONS: usize = 8;
 
 /// Starts to serve the text that `metrics` returns, rendered anew for each request.
-pub fn spawn<F, Text>(endpoint: MetricsEndpoint, metrics: F)
+pub fn spawn_server<F, Text>(endpoint: MetricsEndpoint, metrics: F)
 where
     F: Fn() -> Text + Clone + Send + Sync + 'static,
     Text: Future<Output = String> + Send + 'static,
--- a/crates/cluster/runtime/src/program.rs
+++ b/crates/cluster/runtime/src/program.rs
@@ -59,7 +59,7 @@
 ///
 /// A thread in `block_on` would take turns with the executor's in waiting for sockets, and each
 /// turn costs two switches between threads.
-pub fn run_to_end(future: impl Future<Output = ()> + Send + 'static) {
+pub fn run_to_completion(future: impl Future<Output = ()> + Send + 'static) {
     let (ended, end) = channel();
     task::spawn(async move {
         future.await;
--- a/crates/cluster/runtime/src/settings.rs
+++ b/crates/cluster/runtime/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process, JSON, which the variable [`VARIABLE`] names.
+//! The settings file of a process, JSON, which the variable [`SETTINGS_PATH_VARIABLE`] names.
 //!
 //! The names of its keys belong to the platform; see `docs/cluster.md`.
 use miniserde::{Deserialize, json};
@@ -12,11 +12,11 @@
     #[derive(Debug)]
     pub enum SettingsError {
         /// The variable is not set.
-        Unnamed {
+        VariableNotSet {
             display("SPANLEAD_CONFIG names no settings file")
         }
         /// The file can't be read.
-        File(path: String, error: std::io::Error) {
+        Io(path: String, error: std::io::Error) {
             display("{}: {}", path, error)
         }
         /// It is no JSON of this form.
@@ -45,7 +45,7 @@
 const MS_PER_S: f64 = 1_000.0;
 
 /// The environment variable that names the settings file.
-pub const VARIABLE: &str = "SPANLEAD_CONFIG";
+pub const SETTINGS_PATH_VARIABLE: &str = "SPANLEAD_CONFIG";
 
 /// Where a process listens, each `ip:port`.
 #[derive(Deserialize, Clone, Debug)]
@@ -164,7 +164,7 @@
     /// # Errors
     /// If the variable is not set, or as [`Settings::read`].
     pub fn load() -> Result<Self, SettingsError> {
-        let path = std::env::var(VARIABLE).map_err(|_| SettingsError::Unnamed)?;
+        let path = std::env::var(SETTINGS_PATH_VARIABLE).map_err(|_| SettingsError::VariableNotSet)?;
         Settings::read(&path)
     }
 
@@ -174,7 +174,7 @@
     /// If it can't be read, is not of this form, or holds an invalid value.
     pub fn read(path: &str) -> Result<Self, SettingsError> {
         let text =
-            std::fs::read_to_string(path).map_err(|error| SettingsError::File(path.to_owned(), error))?;
+            std::fs::read_to_string(path).map_err(|error| SettingsError::Io(path.to_owned(), error))?;
         let settings: Settings =
             json::from_str(&text).map_err(|_| SettingsError::Malformed(path.to_owned()))?;
         match settings.invalid_value() {
@@ -227,7 +227,7 @@
 
     /// How many machines of the control plane may be lost at once.
     #[must_use]
-    pub fn tolerated_losses(&self) -> usize {
+    pub fn tolerated_failures(&self) -> usize {
         let machines = self.fault_tolerance.as_ref().and_then(|tolerance| tolerance.machines);
         machines.unwrap_or(0) as usize
     }
@@ -248,7 +248,7 @@
 
     /// How long the process has to shut down, milliseconds.
     #[must_use]
-    pub fn grace_ms(&self) -> u64 {
+    pub fn shutdown_grace_ms(&self) -> u64 {
         (self.bound(|bounds| bounds.grace_s, DEFAULT_GRACE_S) * MS_PER_S) as u64
     }
 
--- a/crates/cluster/runtime/tests/golden.rs
+++ b/crates/cluster/runtime/tests/golden.rs
@@ -8,7 +8,7 @@
     ClientOperation, ClientRequest, ClientResponse, Directory, Frame, FrameKind,
 };
 use spanlead_cluster_runtime::frame_codec::{decode, encode};
-use spanlead_cluster_runtime::settings::{Settings, SettingsError, VARIABLE};
+use spanlead_cluster_runtime::settings::{SETTINGS_PATH_VARIABLE, Settings, SettingsError};
 use spanlead_cluster_runtime::traffic;
 use spanlead_dissemination::{Item, Message as GossipMessage};
 use spanlead_job_scheduler::JobSpec;
@@ -169,11 +169,11 @@
     assert_eq!(settings.peer_address(), "10.0.0.1:7000");
     assert_eq!(settings.seed_peer_addresses(), ["10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"]);
     assert_eq!((settings.bootstrap, settings.counts_for_quorum), (Some(true), Some(true)));
-    assert_eq!(settings.tolerated_losses(), 1);
+    assert_eq!(settings.tolerated_failures(), 1);
     assert_eq!(settings.limits.as_ref().and_then(|limits| limits.memory_mb), Some(512));
     assert_eq!((settings.max_descriptors(), settings.max_worker_connections()), (4_096, 2_996));
     assert_eq!(settings.data_folder().expect("a folder").to_string_lossy(), "data");
-    assert_eq!(settings.grace_ms(), 7_500);
+    assert_eq!(settings.shutdown_grace_ms(), 7_500);
     let endpoint = settings.metrics_endpoint().expect("an endpoint");
     assert_eq!((endpoint.address.as_str(), endpoint.path.as_str()), ("10.0.0.1:9100", "/metrics"));
     let cloud = settings.cloud_api.as_ref().expect("a platform");
@@ -193,7 +193,7 @@
             config.closed_job_retention_ms,
             config.remote_data_slowdown,
             config.max_concurrent_calls,
-            settings.grace_ms()
+            settings.shutdown_grace_ms()
         )
     };
     let full = Settings::read(&path_of("boot.json").to_string_lossy()).expect("good");
@@ -218,7 +218,7 @@
         std::fs::write(&file, text).expect("written");
         lines += &format!("{}\n", Settings::read(&path).expect_err("faulty")).replace(&path, "FILE");
     }
-    lines += &format!("{}\n", SettingsError::Unnamed);
+    lines += &format!("{}\n", SettingsError::VariableNotSet);
     compare_text("settings_faults.txt", &lines);
-    assert_eq!(VARIABLE, "SPANLEAD_CONFIG");
+    assert_eq!(SETTINGS_PATH_VARIABLE, "SPANLEAD_CONFIG");
 }
--- a/crates/cluster/runtime/tests/http_client.rs
+++ b/crates/cluster/runtime/tests/http_client.rs
@@ -38,7 +38,7 @@
     let answer = client::call(&mut stream, b"POST /x HTTP/1.1\r\n\r\n").await.expect("answered");
     assert!(answer.reusable);
     task::sleep(Duration::from_millis(50)).await;
-    assert!(!client::is_idle(&stream), "closed by the worker");
+    assert!(!client::is_reusable(&stream), "closed by the worker");
 
     let talkative = worker(|mut stream: TcpStream| async move {
         let mut buffer = [0; 1_024];
@@ -51,9 +51,9 @@
     .await;
     let mut stream = connect(&talkative).await;
     let answer = client::call(&mut stream, b"POST /x HTTP/1.1\r\n\r\n").await.expect("answered");
-    assert!(answer.reusable && client::is_idle(&stream), "nothing has come yet");
+    assert!(answer.reusable && client::is_reusable(&stream), "nothing has come yet");
     task::sleep(Duration::from_millis(60)).await;
-    assert!(!client::is_idle(&stream), "an answer without a question");
+    assert!(!client::is_reusable(&stream), "an answer without a question");
 }
 
 #[async_std::test]
--- a/crates/cluster/runtime/tests/settings.rs
+++ b/crates/cluster/runtime/tests/settings.rs
@@ -15,7 +15,7 @@
 fn settings_are_read_and_seeds_have_the_peer_port() {
     let settings = read(GOOD).expect("good");
     assert_eq!(settings.seed_peer_addresses(), ["127.0.0.1:5", "127.0.0.2:5"]);
-    assert_eq!((settings.tolerated_losses(), settings.grace_ms()), (1, 6_000));
+    assert_eq!((settings.tolerated_failures(), settings.shutdown_grace_ms()), (1, 6_000));
     assert!((settings.scheduler_config().remote_data_slowdown - 1.5).abs() < 1e-9);
 }
 
