--- a/crates/cluster/control-plane/tests/golden.rs
+++ b/crates/cluster/control-plane/tests/golden.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use async_std::task;
-use spanlead_cluster_runtime::settings::VARIABLE;
+use spanlead_cluster_runtime::settings::SETTINGS_PATH_VARIABLE;
 use spanlead_control_plane::worker_client::WorkerClient;
 use spanlead_control_plane::worker_list;
 use spanlead_job_scheduler::{
@@ -179,7 +179,7 @@
         let file = golden_path(file);
         let output = Command::new(PROGRAM_PATH)
             .arg("--check")
-            .env(VARIABLE, &file)
+            .env(SETTINGS_PATH_VARIABLE, &file)
             .output()
             .expect("the program runs");
         let text = [output.stdout, output.stderr].concat();
--- a/crates/cluster/data-plane/src/control_plane_client.rs
+++ b/crates/cluster/data-plane/src/control_plane_client.rs
@@ -65,7 +65,7 @@
 impl AttemptEffect {
     /// Returns the effect after one more attempt, which got this response.
     fn after_attempt(self, operation: &ClientOperation, response: Option<&ClientResponse>) -> Self {
-        let is_not_taken = response.is_some_and(ClientResponse::is_not_taken);
+        let is_not_taken = response.is_some_and(ClientResponse::is_not_executed);
         if is_not_taken || matches!(operation, ClientOperation::Query) {
             self
         } else {
--- a/crates/cluster/data-plane/tests/client_requests.rs
+++ b/crates/cluster/data-plane/tests/client_requests.rs
@@ -32,8 +32,8 @@
             ScriptedResponse::Status(status) => {
                 Some(ClientResponse { request_id, status, body: String::new() })
             }
-            ScriptedResponse::NotTaken => Some(ClientResponse::not_taken(request_id)),
-            ScriptedResponse::Abandoned => Some(ClientResponse::abandoned(request_id)),
+            ScriptedResponse::NotTaken => Some(ClientResponse::not_executed(request_id)),
+            ScriptedResponse::Abandoned => Some(ClientResponse::outcome_unknown(request_id)),
             ScriptedResponse::NoResponse => None,
         }
     }
--- a/crates/cluster/data-plane/tests/golden.rs
+++ b/crates/cluster/data-plane/tests/golden.rs
@@ -2,7 +2,7 @@
 #[path = "../../replication/tests/golden/support.rs"]
 mod support;
 
-use spanlead_cluster_runtime::settings::VARIABLE;
+use spanlead_cluster_runtime::settings::SETTINGS_PATH_VARIABLE;
 use std::process::Command;
 use support::{compare_text, golden_path};
 
@@ -25,7 +25,7 @@
         let file = golden_path(file);
         let output = Command::new(PROGRAM_PATH)
             .arg("--check")
-            .env(VARIABLE, &file)
+            .env(SETTINGS_PATH_VARIABLE, &file)
             .output()
             .expect("the program runs");
         let text = [output.stdout, output.stderr].concat();
