--- a/crates/service/durable-jobs/src/job.rs
+++ b/crates/service/durable-jobs/src/job.rs
@@ -30,7 +30,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct IdempotencyKey {
     /// The tenant's name.
-    pub owner: Arc<str>,
+    #[serde(rename = "owner")]
+    pub tenant: Arc<str>,
     /// The class's name.
     pub class: Arc<str>,
     /// The value of the `Idempotency-Key` header.
@@ -50,7 +51,7 @@
     Failed,
     /// No worker can run the job.
     #[serde(rename = "Unusable")]
-    Unschedulable,
+    Unprocessable,
 }
 
 /// The immutable part of a job, recorded when the job is accepted.
@@ -66,7 +67,8 @@
     /// The class's name.
     pub class: Arc<str>,
     /// The tenant's name.
-    pub owner: Arc<str>,
+    #[serde(rename = "owner")]
+    pub tenant: Arc<str>,
     /// A digest of the client's request, which detects the reuse of a key for a different request.
     pub fingerprint: [u8; 16],
     /// The consequence of a second run.
@@ -83,10 +85,11 @@
     /// The number of memory units that the job takes at a worker.
     pub memory: f64,
     /// A digest of the job's affinity key: jobs with the same digest prefer the same workers.
-    pub subject: Option<u64>,
+    #[serde(rename = "subject")]
+    pub affinity_key: Option<u64>,
     /// The encoded request, as it is sent to a worker.
     #[serde(rename = "text")]
-    pub request_body: Bytes,
+    pub encoded_request: Bytes,
     /// Attempts that may have run, inherited from an earlier job with the same key that this job
     /// continues.
     #[serde(rename = "before")]
@@ -185,7 +188,7 @@
     #[must_use]
     pub fn key(&self) -> Option<IdempotencyKey> {
         let key = self.accepted.key.clone()?;
-        Some(IdempotencyKey { owner: self.accepted.owner.clone(), class: self.accepted.class.clone(), key })
+        Some(IdempotencyKey { tenant: self.accepted.tenant.clone(), class: self.accepted.class.clone(), key })
     }
 
     /// Returns the name of the state in operator output.
@@ -246,7 +249,7 @@
             Some(JobOutcome::Succeeded(result)) => result.len(),
             _ => 0,
         };
-        JOB_OVERHEAD_BYTES + self.accepted.request_body.len() + result_bytes
+        JOB_OVERHEAD_BYTES + self.accepted.encoded_request.len() + result_bytes
     }
 
     /// Adds `shift` nanoseconds to all times, which converts them to another process's clock.
--- a/crates/service/durable-jobs/src/table.rs
+++ b/crates/service/durable-jobs/src/table.rs
@@ -198,7 +198,7 @@
         let number = job.accepted.number;
         match job.outcome() {
             None => KeyLookup::InProgress(number),
-            Some(outcome @ (JobOutcome::Succeeded(_) | JobOutcome::Unschedulable)) => {
+            Some(outcome @ (JobOutcome::Succeeded(_) | JobOutcome::Unprocessable)) => {
                 KeyLookup::Finished(number, outcome.clone())
             }
             Some(outcome @ (JobOutcome::Failed | JobOutcome::Rejected)) => lookup_unsuccessful(job, outcome),
--- a/crates/service/durable-jobs/src/table/apply.rs
+++ b/crates/service/durable-jobs/src/table/apply.rs
@@ -190,7 +190,7 @@
     let second_run_is_harmless = previous.accepted.retry_safety == RetrySafety::Idempotent;
     match previous.outcome() {
         None => Err(RejectReason::KeyInUse),
-        Some(JobOutcome::Succeeded(_) | JobOutcome::Unschedulable) => Err(RejectReason::KeyHasFinalOutcome),
+        Some(JobOutcome::Succeeded(_) | JobOutcome::Unprocessable) => Err(RejectReason::KeyHasFinalOutcome),
         Some(JobOutcome::Rejected | JobOutcome::Failed) if inherits_all || second_run_is_harmless => Ok(()),
         Some(JobOutcome::Rejected | JobOutcome::Failed) => Err(RejectReason::InheritedAttemptsMissing),
     }
--- a/crates/service/durable-jobs/tests/common/mod.rs
+++ b/crates/service/durable-jobs/tests/common/mod.rs
@@ -36,15 +36,15 @@
         id: format!("id-{number}").into(),
         key: key.map(Arc::from),
         class: "guest-visit".into(),
-        owner: "norrtrim".into(),
+        tenant: "norrtrim".into(),
         fingerprint: FINGERPRINT,
         retry_safety,
         accepted_at: ACCEPTED_AT,
         deadline: DEADLINE,
         slots: 1.0,
         memory: 0.0,
-        subject: Some(5),
-        request_body: "text".into(),
+        affinity_key: Some(5),
+        encoded_request: "text".into(),
         inherited_attempts: Vec::new(),
     }
 }
@@ -72,7 +72,7 @@
 }
 
 pub fn key(text: &str) -> IdempotencyKey {
-    IdempotencyKey { owner: "norrtrim".into(), class: "guest-visit".into(), key: text.into() }
+    IdempotencyKey { tenant: "norrtrim".into(), class: "guest-visit".into(), key: text.into() }
 }
 
 /// A table after these records, each of which must fit.
--- a/crates/service/durable-jobs/tests/job_table.rs
+++ b/crates/service/durable-jobs/tests/job_table.rs
@@ -68,16 +68,16 @@
 #[test]
 fn a_key_lookup_of_an_open_job_returns_in_progress() {
     let table = table_of(&[accepted(1, Some("k"), RetrySafety::NonIdempotent), leased(1, 1, "s-a")]);
-    let key_of_another_owner = IdempotencyKey { owner: "kraftverket".into(), ..key("k") };
+    let key_of_another_tenant = IdempotencyKey { tenant: "kraftverket".into(), ..key("k") };
 
     assert_eq!(JobTable::new(LIMITS).lookup(&key("k"), &FINGERPRINT), KeyLookup::New);
     assert_eq!(table.lookup(&key("k"), &FINGERPRINT), KeyLookup::InProgress(JobNumber(1)));
     assert_eq!(table.lookup(&key("k"), &[8; 16]), KeyLookup::RequestMismatch);
     assert_eq!(table.lookup(&key("other"), &FINGERPRINT), KeyLookup::New);
     assert_eq!(
-        table.lookup(&key_of_another_owner, &[8; 16]),
+        table.lookup(&key_of_another_tenant, &[8; 16]),
         KeyLookup::New,
-        "an equal key of another owner is another key"
+        "an equal key of another tenant is another key"
     );
 }
 
@@ -259,7 +259,7 @@
         Just(succeeded("r")),
         Just(JobOutcome::Rejected),
         Just(JobOutcome::Failed),
-        Just(JobOutcome::Unschedulable)
+        Just(JobOutcome::Unprocessable)
     ];
     prop_oneof![
         3 => (job.clone(), prop::option::of("[ab]"), retry_safety)
--- a/crates/service/engine/examples/facts.rs
+++ b/crates/service/engine/examples/facts.rs
@@ -11,7 +11,7 @@
     DeduplicationScope, EndpointUpdate, Idempotency, Nanos, RequestClass, RequestId, Settings, WorkerState,
 };
 use spanlead_deployment_settings::Names;
-use spanlead_engine::{Engine, Input, InventoryUpdate, Job, WorkerEndpoint};
+use spanlead_engine::{Engine, Input, InventoryUpdate, JobRequest, WorkerEndpoint};
 use spanlead_worker_attributes::{
     AttributeValue, DefaultAttributes, HostRecord, InventorySource, MergedInventory, SourceLocation, Version,
 };
@@ -48,7 +48,7 @@
             self.request_id += 1;
             let (request_id, id) = (RequestId(self.request_id), format!("id-{}", self.request_id).into());
             let deadline = self.now + 1_000 * MS;
-            let job = Job {
+            let job = JobRequest {
                 id,
                 class: 0,
                 tenant: 0,
--- a/crates/service/engine/examples/recovery.rs
+++ b/crates/service/engine/examples/recovery.rs
@@ -37,15 +37,15 @@
         id: format!("9b1f03aa5c7e2d41-{number}").into(),
         key: Some(format!("5c0f6e1a2b3d4c59a8b7c6d5e4f30211-{number}").into()),
         class: "guest-visit".into(),
-        owner: "kraftverket".into(),
+        tenant: "kraftverket".into(),
         fingerprint: [3; 16],
         retry_safety: RetrySafety::Deduplicated(25 * SEC),
         accepted_at: 1000 * SEC,
         deadline: 1015 * SEC,
         slots: 1.0,
         memory: 0.0,
-        subject: Some(number),
-        request_body: vec![b'x'; 250].into(),
+        affinity_key: Some(number),
+        encoded_request: vec![b'x'; 250].into(),
         inherited_attempts: Vec::new(),
     };
     let leased = Record::Leased {
--- a/crates/service/engine/src/durable.rs
+++ b/crates/service/engine/src/durable.rs
@@ -121,7 +121,7 @@
     job: Option<JobNumber>,
     deadline: Nanos,
 ) -> Effect {
-    let must_wait = job.is_some() && matches!(answer, Answer::Served(_));
+    let must_wait = job.is_some() && matches!(answer, Answer::Succeeded(_));
     let effect = Effect::Answer { request_id, answer, job };
     if must_wait { after_durable(effect, deadline) } else { effect }
 }
--- a/crates/service/engine/src/durable/recording.rs
+++ b/crates/service/engine/src/durable/recording.rs
@@ -1,6 +1,6 @@
 //! The choice of the jobs that are durable, and the records of their acceptance and outcome.
 use super::DURABLE_RETRY_AFTER;
-use crate::{Answer, Effect, Engine, Job};
+use crate::{Answer, Effect, Engine, JobRequest};
 use bytes::Bytes;
 use spanlead_balancing_policy::{Idempotency, Nanos};
 use spanlead_durable_jobs::{
@@ -30,29 +30,29 @@
 
     /// Returns whether a job is durable: all jobs are if so configured, otherwise those that have
     /// an idempotency key or must run at most once.
-    fn is_durable(&self, job: &Job) -> bool {
+    fn is_durable(&self, job: &JobRequest) -> bool {
         let Some(request) = &job.durable_request else { return false };
         let keep_all_jobs = self.durable.as_ref().is_some_and(|jobs| jobs.keep_all_jobs);
         keep_all_jobs || self.classes.runs_at_most_once(job.class) || request.key.is_some()
     }
 
     /// Returns the idempotency key of a job, scoped by its tenant and class.
-    pub(super) fn idempotency_key(&self, job: &Job) -> Option<IdempotencyKey> {
+    pub(super) fn idempotency_key(&self, job: &JobRequest) -> Option<IdempotencyKey> {
         let key = job.durable_request.as_ref()?.key.clone()?;
-        Some(IdempotencyKey { owner: self.tenant_name(job), class: self.class_name(job), key })
+        Some(IdempotencyKey { tenant: self.tenant_name(job), class: self.class_name(job), key })
     }
 
-    fn tenant_name(&self, job: &Job) -> Arc<str> {
+    fn tenant_name(&self, job: &JobRequest) -> Arc<str> {
         name_of(&self.classes.names.tenants, job.tenant)
     }
 
-    fn class_name(&self, job: &Job) -> Arc<str> {
+    fn class_name(&self, job: &JobRequest) -> Arc<str> {
         name_of(&self.classes.names.classes, job.class)
     }
 
     /// Returns the rejection of a durable job that cannot be accepted now: the log has failed or is
     /// not open, or the job table or the disk is full. Returns `None` for any other job.
-    pub(crate) fn durable_rejection(&mut self, job: &Job) -> Option<Answer> {
+    pub(crate) fn durable_rejection(&mut self, job: &JobRequest) -> Option<Answer> {
         if !self.keeps_durable_jobs || !self.is_durable(job) {
             return None;
         }
@@ -71,7 +71,7 @@
     pub(crate) fn record_accepted_job(
         &mut self,
         now: Nanos,
-        job: &Job,
+        job: &JobRequest,
         unresolved: Vec<PastAttempt>,
         out: &mut Vec<Effect>,
     ) -> Option<JobNumber> {
@@ -90,15 +90,15 @@
             id: job.id.clone(),
             key: request.key.clone(),
             class: self.class_name(job),
-            owner: self.tenant_name(job),
+            tenant: self.tenant_name(job),
             fingerprint: request.fingerprint,
             retry_safety,
             accepted_at: now,
             deadline: job.deadline,
             slots: job.slots,
             memory: job.memory,
-            subject: job.affinity_key,
-            request_body: request.encoded_request.clone(),
+            affinity_key: job.affinity_key,
+            encoded_request: request.encoded_request.clone(),
             inherited_attempts: unresolved,
         };
         self.record(Record::Accepted(accepted), out);
@@ -120,7 +120,7 @@
 
     /// Returns the encoded request of a durable job, as it is sent to a worker.
     pub(crate) fn stored_request(&self, job: JobNumber) -> Option<Bytes> {
-        Some(self.durable.as_ref()?.job_table.job(job)?.accepted.request_body.clone())
+        Some(self.durable.as_ref()?.job_table.job(job)?.accepted.encoded_request.clone())
     }
 }
 
@@ -132,9 +132,9 @@
 /// Returns the outcome that is recorded for an answer.
 fn outcome_of(answer: &Answer) -> JobOutcome {
     match answer {
-        Answer::Served(result) => JobOutcome::Succeeded(Arc::from(result.as_str())),
+        Answer::Succeeded(result) => JobOutcome::Succeeded(Arc::from(result.as_str())),
         Answer::Rejected { .. } => JobOutcome::Rejected,
-        Answer::Unprocessable => JobOutcome::Unschedulable,
+        Answer::Unprocessable => JobOutcome::Unprocessable,
         Answer::Failed | Answer::DuplicateId | Answer::KeyMismatch => JobOutcome::Failed,
     }
 }
@@ -142,9 +142,9 @@
 /// Returns the answer to a client whose job has this recorded outcome.
 pub(super) fn answer_of(outcome: &JobOutcome) -> Answer {
     match outcome {
-        JobOutcome::Succeeded(result) => Answer::Served(result.to_string()),
+        JobOutcome::Succeeded(result) => Answer::Succeeded(result.to_string()),
         JobOutcome::Rejected => Answer::Rejected { retry_after: Some(DURABLE_RETRY_AFTER) },
         JobOutcome::Failed => Answer::Failed,
-        JobOutcome::Unschedulable => Answer::Unprocessable,
+        JobOutcome::Unprocessable => Answer::Unprocessable,
     }
 }
--- a/crates/service/engine/src/durable/recovery.rs
+++ b/crates/service/engine/src/durable/recovery.rs
@@ -4,7 +4,7 @@
 use crate::request_table::{Attempt, AttemptStage};
 use crate::requests::NewRequest;
 use crate::timers::Timer;
-use crate::{Answer, AttemptId, Effect, Engine, Job, MS, WorkerEndpoint};
+use crate::{Answer, AttemptId, Effect, Engine, JobRequest, MS, WorkerEndpoint};
 use spanlead_balancing_policy::{Event, Nanos, Outcome, PriorAttempt, RequestId, WorkerId, WorkerState};
 use spanlead_deployment_settings::index_of;
 use spanlead_durable_jobs::{AcceptedJob, JobNumber, Lease, PastAttempt};
@@ -28,7 +28,7 @@
 /// A request that continues from earlier attempts.
 struct ResumedRequest {
     request_id: RequestId,
-    job: Job,
+    job: JobRequest,
     durable: Option<JobNumber>,
     /// The earlier attempts, including one that is still pending.
     past: Vec<PastAttempt>,
@@ -93,17 +93,17 @@
 
     /// Restores a job from its record; returns `None` if its deadline has passed, or if its class
     /// or tenant is no longer known.
-    fn recovered_job(&self, now: Nanos, accepted: &AcceptedJob) -> Option<Job> {
+    fn recovered_job(&self, now: Nanos, accepted: &AcceptedJob) -> Option<JobRequest> {
         let names = &self.classes.names;
         let class = names.class_index(&accepted.class)?;
-        let tenant = if names.tenants.is_empty() { 0 } else { index_of(&names.tenants, &accepted.owner)? };
-        (now < accepted.deadline).then(|| Job {
+        let tenant = if names.tenants.is_empty() { 0 } else { index_of(&names.tenants, &accepted.tenant)? };
+        (now < accepted.deadline).then(|| JobRequest {
             id: accepted.id.clone(),
             class,
             tenant,
             slots: accepted.slots,
             memory: accepted.memory,
-            affinity_key: accepted.subject,
+            affinity_key: accepted.affinity_key,
             deadline: accepted.deadline,
             durable_request: None,
         })
@@ -114,7 +114,7 @@
         &mut self,
         now: Nanos,
         request_id: RequestId,
-        job: Job,
+        job: JobRequest,
         durable: Option<JobNumber>,
         past: Vec<PastAttempt>,
         out: &mut Vec<Effect>,
--- a/crates/service/engine/src/durable/repeats.rs
+++ b/crates/service/engine/src/durable/repeats.rs
@@ -4,7 +4,7 @@
 use super::{DURABLE_RETRY_AFTER, after_durable};
 use crate::request_table::JoinedClient;
 use crate::timers::Timer;
-use crate::{Answer, Effect, Engine, Job};
+use crate::{Answer, Effect, Engine, JobRequest};
 use spanlead_balancing_policy::{Nanos, RequestId};
 use spanlead_durable_jobs::{JobNumber, KeyLookup, PastAttempt};
 
@@ -35,7 +35,7 @@
         &mut self,
         now: Nanos,
         request_id: RequestId,
-        job: Job,
+        job: JobRequest,
         out: &mut Vec<Effect>,
     ) {
         let open = self.durable.as_ref().and_then(|jobs| jobs.open_request(&job.id));
@@ -59,7 +59,7 @@
     }
 
     /// Looks up a request by its idempotency key; a request without a key is new.
-    pub(crate) fn look_up_request(&mut self, now: Nanos, job: &Job) -> RequestLookup {
+    pub(crate) fn look_up_request(&mut self, now: Nanos, job: &JobRequest) -> RequestLookup {
         let key = self.idempotency_key(job);
         let Some(jobs) = &mut self.durable else { return RequestLookup::New(Vec::new()) };
         jobs.job_table.expire(now);
@@ -90,7 +90,13 @@
 
     /// Lets a client wait for the answer to an open request of another client, until shortly before
     /// its own deadline.
-    pub(crate) fn join(&mut self, request_id: RequestId, first: RequestId, job: Job, out: &mut Vec<Effect>) {
+    pub(crate) fn join(
+        &mut self,
+        request_id: RequestId,
+        first: RequestId,
+        job: JobRequest,
+        out: &mut Vec<Effect>,
+    ) {
         let client = JoinedClient { request_id, job_id: job.id };
         if !self.requests.join(first, client) {
             // The request is already answered and only waits for workers to confirm that its
--- a/crates/service/engine/src/effect.rs
+++ b/crates/service/engine/src/effect.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// The job succeeded with this result.
-    Served(String),
+    Succeeded(String),
     /// The job has not run; the client may retry.
     Rejected {
         /// The delay after which to retry, if one is advised.
--- a/crates/service/engine/src/input.rs
+++ b/crates/service/engine/src/input.rs
@@ -14,7 +14,7 @@
 
 /// A decoded request of a client to run a job.
 #[derive(Debug)]
-pub struct Job {
+pub struct JobRequest {
     /// The id chosen by the client, under which workers know the job.
     pub id: Arc<str>,
     /// Number of the class, an index into [`Names::classes`].
@@ -154,7 +154,7 @@
         /// The id that the driver gave the request; unique in the process.
         request_id: RequestId,
         /// The request.
-        job: Job,
+        job: JobRequest,
         /// The attempts made by the process that handed the request over; `None` for a request that
         /// was not handed over.
         previous_attempts: Option<Vec<AttemptSnapshot>>,
--- a/crates/service/engine/src/lib.rs
+++ b/crates/service/engine/src/lib.rs
@@ -48,8 +48,8 @@
 pub use effect::{Answer, Effect, LeaseGrant, NoticeReply};
 pub use engine::Engine;
 pub use input::{
-    AttemptId, DispatchResult, DurableRequest, Input, InventoryUpdate, InventoryVersion, Job, JobUpdate,
-    SettingsChange, WorkerEndpoint, WorkerNotice,
+    AttemptId, DispatchResult, DurableRequest, Input, InventoryUpdate, InventoryVersion, JobRequest,
+    JobUpdate, SettingsChange, WorkerEndpoint, WorkerNotice,
 };
 pub use membership::{MemberView, MembersView};
 pub use roles::{RoleCallResult, RoleTask, RoleView};
--- a/crates/service/engine/src/notices.rs
+++ b/crates/service/engine/src/notices.rs
@@ -48,7 +48,7 @@
                 self.report_progress(now, attempt, AttemptProgress::Completed(share), out);
             }
             JobUpdate::Done(result) => {
-                self.answer(now, attempt.request, Answer::Served(result), out);
+                self.answer(now, attempt.request, Answer::Succeeded(result), out);
                 self.end_attempt(now, attempt, Outcome::Ok, report, out);
             }
             JobUpdate::Failed => self.end_attempt(now, attempt, Outcome::Error, report, out),
--- a/crates/service/engine/src/request_table.rs
+++ b/crates/service/engine/src/request_table.rs
@@ -258,7 +258,7 @@
     pub(crate) fn count(&mut self, class: u32, answer: &Answer) {
         let Some(counts) = self.counts.get_mut(class as usize) else { return };
         match answer {
-            Answer::Served(_) => counts.completed += 1,
+            Answer::Succeeded(_) => counts.completed += 1,
             Answer::Rejected { .. } => counts.rejected += 1,
             Answer::Failed | Answer::Unprocessable | Answer::DuplicateId | Answer::KeyMismatch => {
                 counts.failed += 1;
--- a/crates/service/engine/src/requests.rs
+++ b/crates/service/engine/src/requests.rs
@@ -3,7 +3,7 @@
 use crate::durable::{after_durable, answer_effect};
 use crate::request_table::{Attempt, AttemptStage, Request};
 use crate::timers::Timer;
-use crate::{Answer, AttemptId, AttemptSnapshot, Effect, Engine, Job, MS};
+use crate::{Answer, AttemptId, AttemptSnapshot, Effect, Engine, JobRequest, MS};
 use spanlead_balancing_policy::{Event, Nanos, PriorAttempt, RequestId, WorkerId};
 use spanlead_durable_jobs::JobNumber;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 /// A request to be opened.
 pub(crate) struct NewRequest {
     pub(crate) request_id: RequestId,
-    pub(crate) job: Job,
+    pub(crate) job: JobRequest,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) durable: Option<JobNumber>,
     /// Whether a client of this process waits for the answer.
@@ -28,7 +28,7 @@
         &mut self,
         now: Nanos,
         request_id: RequestId,
-        job: Job,
+        job: JobRequest,
         previous: Option<Vec<AttemptSnapshot>>,
         out: &mut Vec<Effect>,
     ) {
@@ -62,7 +62,7 @@
 
     /// The answer to a request that must be rejected. The capacity limits do not apply to a request
     /// that was handed over, since another process has accepted it.
-    fn rejection(&mut self, now: Nanos, job: &Job, is_handed_over: bool) -> Option<Answer> {
+    fn rejection(&mut self, now: Nanos, job: &JobRequest, is_handed_over: bool) -> Option<Answer> {
         // No worker could tell two open requests with the same id apart; it would take them for two
         // attempts of one request.
         if self.requests.id_of_job(&job.id).is_some() {
@@ -79,7 +79,7 @@
         &mut self,
         now: Nanos,
         request_id: RequestId,
-        job: Job,
+        job: JobRequest,
         durable: Option<JobNumber>,
         previous: Vec<AttemptSnapshot>,
         out: &mut Vec<Effect>,
--- a/crates/service/engine/tests/bounds.rs
+++ b/crates/service/engine/tests/bounds.rs
@@ -6,7 +6,8 @@
 use spanlead_deployment_settings::Names;
 use spanlead_durable_jobs::{ClockAnchor, JobTable, JobTableLimits, decode, encode};
 use spanlead_engine::{
-    Answer, DurableRequest, DurableSetup, Effect, Engine, Input, Job, JobUpdate, WorkerEndpoint, WorkerNotice,
+    Answer, DurableRequest, DurableSetup, Effect, Engine, Input, JobRequest, JobUpdate, WorkerEndpoint,
+    WorkerNotice,
 };
 use spanlead_wal::simulated::SimulatedDirectory;
 use spanlead_wal::{LogOptions, RecordRejected, WriteAheadLog};
@@ -117,7 +118,7 @@
         let encoded_request = vec![b'x'; BODY_BYTES].into();
         let durable_request =
             DurableRequest { key: Some(key.into()), fingerprint: [1; 16], encoded_request: encoded_request };
-        let job = Job {
+        let job = JobRequest {
             id: format!("r{}", self.submissions).into(),
             class: 0,
             tenant: 0,
@@ -166,7 +167,7 @@
             scheduler.submit("old");
         }
         assert_eq!(scheduler.submit(&format!("k{i}")), None);
-        assert_eq!(scheduler.complete_last_job(), Some(Answer::Served("R".into())));
+        assert_eq!(scheduler.complete_last_job(), Some(Answer::Succeeded("R".into())));
         if i == 29_999 {
             peak_after_30_000_jobs = scheduler.peak_log_bytes;
         }
@@ -183,8 +184,8 @@
     drop(scheduler);
     let mut successor = Scheduler::new(&directory, AMPLE_JOBS, AMPLE_DISK_BYTES, now);
     successor.submissions = 1_000_000;
-    assert_eq!(successor.submit("k49999"), Some(Answer::Served("R".into())));
-    assert_eq!(successor.submit("k49000"), Some(Answer::Served("R".into())));
+    assert_eq!(successor.submit("k49999"), Some(Answer::Succeeded("R".into())));
+    assert_eq!(successor.submit("k49000"), Some(Answer::Succeeded("R".into())));
     assert_eq!(successor.submit("k100"), None, "the retention of k100 has ended: it is a new job");
 }
 
@@ -198,7 +199,7 @@
         let mut accepted = 0;
         let rejection = loop {
             match scheduler.submit(&format!("k{accepted}")) {
-                None => assert_eq!(scheduler.complete_last_job(), Some(Answer::Served("R".into()))),
+                None => assert_eq!(scheduler.complete_last_job(), Some(Answer::Succeeded("R".into()))),
                 Some(answer) => break answer,
             }
             accepted += 1;
@@ -211,7 +212,7 @@
             "the log had {peak} bytes with a limit of {max_disk_bytes}"
         );
         for i in 0..accepted {
-            assert_eq!(scheduler.submit(&format!("k{i}")), Some(Answer::Served("R".into())), "key k{i}");
+            assert_eq!(scheduler.submit(&format!("k{i}")), Some(Answer::Succeeded("R".into())), "key k{i}");
         }
         // After their retention there is room again, though nothing was written meanwhile.
         scheduler.now += 70 * SEC;
--- a/crates/service/engine/tests/crash.rs
+++ b/crates/service/engine/tests/crash.rs
@@ -16,7 +16,7 @@
 use spanlead_durable_jobs::{ClockAnchor, JobTable, JobTableLimits, decode, encode};
 use spanlead_engine::{
     Answer, AttemptId, DispatchResult, DurabilityBarrier, DurableRequest, DurableSetup, Effect, Engine,
-    Input, Job, JobUpdate, LeaseGrant, NoticeReply, ReleasedEffect, WorkerEndpoint, WorkerNotice,
+    Input, JobRequest, JobUpdate, LeaseGrant, NoticeReply, ReleasedEffect, WorkerEndpoint, WorkerNotice,
 };
 use spanlead_wal::simulated::SimulatedDirectory;
 use spanlead_wal::{LogOptions, RecordRejected, WriteAheadLog};
@@ -543,7 +543,7 @@
         let received = format!("client {client} received {answer:?}");
         self.trace.push(received.clone());
         let is_expected = match &answer {
-            Answer::Served(result) => *result == result_for(client),
+            Answer::Succeeded(result) => *result == result_for(client),
             other => *other != Answer::KeyMismatch && *other != Answer::DuplicateId,
         };
         self.ensure(
@@ -552,7 +552,7 @@
         );
         let is_at_most_once = self.clients[client].class == AT_MOST_ONCE_CLASS;
         if is_at_most_once && self.acknowledged.contains(&client) && !self.disk_may_fail {
-            let is_result_retained = matches!(answer, Answer::Served(_) | Answer::Rejected { .. });
+            let is_result_retained = matches!(answer, Answer::Succeeded(_) | Answer::Rejected { .. });
             self.ensure(
                 is_result_retained,
                 &format!("{received} though the worker's result had been acknowledged"),
@@ -684,7 +684,7 @@
         let encoded_request = client.to_string().into();
         let durable_request =
             DurableRequest { key, fingerprint: [client as u8; 16], encoded_request: encoded_request };
-        let job = Job {
+        let job = JobRequest {
             id: format!("r{submission}").into(),
             class: self.clients[client].class,
             tenant: 0,
--- a/crates/service/engine/tests/members.rs
+++ b/crates/service/engine/tests/members.rs
@@ -6,8 +6,8 @@
 };
 use spanlead_deployment_settings::Names;
 use spanlead_engine::{
-    AttemptId, DispatchResult, Effect, Engine, Input, InventoryStats, InventoryUpdate, InventoryVersion, Job,
-    WorkerEndpoint,
+    AttemptId, DispatchResult, Effect, Engine, Input, InventoryStats, InventoryUpdate, InventoryVersion,
+    JobRequest, WorkerEndpoint,
 };
 use spanlead_worker_attributes::{
     AttributeValue, DefaultAttributes, HostRecord, InventorySource, MergedInventory, SourceLocation, Version,
@@ -97,7 +97,7 @@
     fn submit(&mut self, class: u32) -> (RequestId, Vec<Effect>) {
         self.last_request_id += 1;
         let request_id = RequestId(self.last_request_id);
-        let job = Job {
+        let job = JobRequest {
             id: format!("id-{}", self.last_request_id).into(),
             class,
             tenant: 0,
--- a/crates/service/net/src/clients/requests.rs
+++ b/crates/service/net/src/clients/requests.rs
@@ -11,7 +11,7 @@
 use hyper::header::TRANSFER_ENCODING;
 use hyper::{Method, Request, Response, StatusCode};
 use spanlead_balancing_policy::RequestId;
-use spanlead_engine::{Answer, Input, Job};
+use spanlead_engine::{Answer, Input, JobRequest};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
@@ -129,7 +129,12 @@
     }
 
     /// Gives a job to the driver and waits for its answer, or for the client to disconnect.
-    async fn await_answer(&self, job: Job, request: ClientRequest, guard: &RequestGuard<'_>) -> Answer {
+    async fn await_answer(
+        &self,
+        job: JobRequest,
+        request: ClientRequest,
+        guard: &RequestGuard<'_>,
+    ) -> Answer {
         let request_id = RequestId(self.next_id());
         let (reply, mut answer) = oneshot::channel();
         let connection = guard.connection.clone();
--- a/crates/service/net/src/message.rs
+++ b/crates/service/net/src/message.rs
@@ -3,7 +3,7 @@
 use crate::wire::{ClientRequest, NoticeBody};
 use bytes::Bytes;
 use spanlead_balancing_policy::RequestId;
-use spanlead_engine::{Answer, DurableSetup, Input, Job, NoticeReply, RequestSnapshot};
+use spanlead_engine::{Answer, DurableSetup, Input, JobRequest, NoticeReply, RequestSnapshot};
 use spanlead_wal::{CommitProgress, LogWriter};
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
@@ -43,7 +43,7 @@
     /// The request's number.
     pub request_id: RequestId,
     /// The job that it asks for.
-    pub job: Job,
+    pub job: JobRequest,
     /// What goes on to a worker.
     pub request: ClientRequest,
     /// The connection that it came over.
--- a/crates/service/net/src/wire/client_request.rs
+++ b/crates/service/net/src/wire/client_request.rs
@@ -8,7 +8,7 @@
 use hyper::{HeaderMap, Method, Response, StatusCode, Uri};
 use spanlead_balancing_policy::Nanos;
 use spanlead_deployment_settings::{Names, index_of};
-use spanlead_engine::{Answer, Job};
+use spanlead_engine::{Answer, JobRequest};
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -64,7 +64,12 @@
 ///
 /// # Errors
 /// The first thing that is wrong with it.
-pub fn decode_job(head: &Parts, class: u32, names: &Names, arrived: Nanos) -> Result<Job, RequestError> {
+pub fn decode_job(
+    head: &Parts,
+    class: u32,
+    names: &Names,
+    arrived: Nanos,
+) -> Result<JobRequest, RequestError> {
     if head.method != Method::POST {
         return Err(RequestError::JobMethod);
     }
@@ -77,7 +82,7 @@
     let tenant = decode_tenant(&head.headers, names)?;
     let deadline_ms = decode_deadline_ms(&head.headers)?;
     let extra = text(&head.headers, &REQ_EXTRA).unwrap_or("");
-    Ok(Job {
+    Ok(JobRequest {
         id: Arc::from(id),
         class,
         tenant,
@@ -125,7 +130,7 @@
 /// A request's final answer.
 pub fn answer_response(answer: Answer) -> Response<Body> {
     match answer {
-        Answer::Served(result) => plain(StatusCode::OK, result),
+        Answer::Succeeded(result) => plain(StatusCode::OK, result),
         Answer::Rejected { retry_after } => rejected_response(retry_after),
         Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed\n"),
         Answer::Unprocessable => {
--- a/crates/service/net/tests/golden.rs
+++ b/crates/service/net/tests/golden.rs
@@ -352,7 +352,7 @@
 #[test]
 fn answers_keep_their_text() {
     let answers = [
-        Answer::Served("R".into()),
+        Answer::Succeeded("R".into()),
         Answer::Rejected { retry_after: None },
         Answer::Rejected { retry_after: Some(1_234_567_890) },
         Answer::Failed,
--- a/crates/service/spanlead/src/ledger_command.rs
+++ b/crates/service/spanlead/src/ledger_command.rs
@@ -105,7 +105,7 @@
         taken.number.0.to_string(),
         job.state_name().to_owned(),
         taken.class.to_string(),
-        taken.owner.to_string(),
+        taken.tenant.to_string(),
         taken.key.as_deref().unwrap_or("-").to_owned(),
         taken.id.to_string(),
         last.map_or("-".to_owned(), |(place, token)| format!("{} ({})", place.worker, token.0)),
--- a/crates/service/spanlead/tests/golden.rs
+++ b/crates/service/spanlead/tests/golden.rs
@@ -52,15 +52,15 @@
         id: id.as_str().into(),
         key: key.map(Into::into),
         class: class.into(),
-        owner: "norrtrim".into(),
+        tenant: "norrtrim".into(),
         fingerprint: [job as u8; 16],
         retry_safety,
         accepted_at: BEGIN + job * SEC,
         deadline: BEGIN + (job + 15) * SEC,
         slots: 1.0,
         memory: 0.5,
-        subject: job.is_multiple_of(2).then_some(job * 1_000),
-        request_body: text(class, &id).into(),
+        affinity_key: job.is_multiple_of(2).then_some(job * 1_000),
+        encoded_request: text(class, &id).into(),
         inherited_attempts: Vec::new(),
     }
 }
@@ -138,7 +138,7 @@
             Record::Accepted(taken(6, "status-check", None, RetrySafety::Idempotent)),
             ended(6, JobOutcome::Succeeded("gone at once".into())),
             Record::Accepted(taken(7, "once", Some("k-7"), RetrySafety::NonIdempotent)),
-            ended(7, JobOutcome::Unschedulable),
+            ended(7, JobOutcome::Unprocessable),
             Record::Accepted(again),
         ],
         vec![
--- a/crates/tools/experiments/src/rival.rs
+++ b/crates/tools/experiments/src/rival.rs
@@ -126,7 +126,7 @@
                         if self.workers[worker as usize].own <= 0.0 {
                             self.idle.insert(worker, ());
                         }
-                        self.close(request_id, Some(Answer::Served(result)), out);
+                        self.close(request_id, Some(Answer::Succeeded(result)), out);
                     }
                     JobUpdate::Failed => self.over(now, attempt, Outcome::Error, out),
                     JobUpdate::Returned => self.over(now, attempt, Outcome::Rejected, out),
--- a/crates/tools/experiments/src/world.rs
+++ b/crates/tools/experiments/src/world.rs
@@ -20,7 +20,8 @@
 };
 use spanlead_deployment_settings::Names;
 use spanlead_engine::{
-    Answer, AttemptId, DispatchResult, Effect, Engine, Input, Job, JobUpdate, WorkerEndpoint, WorkerNotice,
+    Answer, AttemptId, DispatchResult, Effect, Engine, Input, JobRequest, JobUpdate, WorkerEndpoint,
+    WorkerNotice,
 };
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -467,7 +468,7 @@
         n.tickets.insert(request_id, job);
         self.jobs[job as usize].out = Some((node, request_id, epoch));
         let due = now + ns(self.spec.classes[class as usize].deadline_s * 1000.0);
-        let job_input = Job {
+        let job_input = JobRequest {
             id: Arc::from(format!("{job}-{tries}-{node}")),
             class: class.into(),
             tenant: 0,
@@ -585,7 +586,7 @@
                 }
                 self.jobs[job as usize].out = None;
                 match answer {
-                    Answer::Served(_) => self.over(job, End::Served),
+                    Answer::Succeeded(_) => self.over(job, End::Served),
                     Answer::Rejected { retry_after } => self.came_back(job, End::Refused, retry_after),
                     _ => self.came_back(job, End::Failed, None),
                 }
