--- a/crates/service/durable-jobs/src/job.rs
+++ b/crates/service/durable-jobs/src/job.rs
@@ -49,7 +49,7 @@
     Rejected,
     /// The job failed and may have run.
     Failed,
-    /// No worker can run the job.
+    /// A worker found the request invalid; no other worker could process it either.
     #[serde(rename = "Unusable")]
     Unprocessable,
 }
--- a/crates/service/durable-jobs/src/lib.rs
+++ b/crates/service/durable-jobs/src/lib.rs
@@ -10,11 +10,14 @@
 //!                                                               └── retention ends ──► expired (removed)
 //! ```
 //!
+//! Records are capitalised, states are in lower case. A job that is open again after `Released` can
+//! get a new lease.
+//!
 //! The state of a job changes only in [`JobTable::apply`], both when a record is created and when
 //! it is replayed from the log, so a recovering process arrives at the state of its predecessor. A
-//! record that is invalid in the current state is rejected with an [`ApplyError`] and changes no
-//! job. Two concurrent leases of one job cannot be represented: [`JobState::Leased`] and
-//! [`JobState::Running`] contain the only lease.
+//! record that is invalid in the current state is rejected with an [`ApplyError`]; it changes
+//! nothing, except that expired jobs may be removed. Two concurrent leases of one job cannot be
+//! represented: [`JobState::Leased`] and [`JobState::Running`] contain the only lease.
 //!
 //! The caller is responsible for the order of records and effects: it must not send a job, answer a
 //! client or acknowledge a message before the record that precedes this effect is durable ("output
--- a/crates/service/durable-jobs/src/session.rs
+++ b/crates/service/durable-jobs/src/session.rs
@@ -11,8 +11,8 @@
 pub struct Session {
     /// A simultaneous reading of the process's clock and the machine's uptime.
     pub anchor: ClockAnchor,
-    /// The next job number; smaller ones may have been assigned. It is stored here because it must
-    /// outlive the records that assigned them.
+    /// The next job number; smaller ones may have been assigned. It is stored here because the log
+    /// may drop the records that assigned them.
     pub next_job: JobNumber,
     /// The next fencing token; smaller ones may have been issued.
     pub next_token: FencingToken,
--- a/crates/service/durable-jobs/src/table.rs
+++ b/crates/service/durable-jobs/src/table.rs
@@ -184,9 +184,9 @@
 
     /// Looks up a request by its key and fingerprint.
     ///
-    /// The failure of a job that may have run is not final if some workers deduplicate its class: a
-    /// retry continues from the job's attempts. For a non-idempotent class the failure is final,
-    /// and each retry gets the same outcome.
+    /// The failure of a job that may have run is final only for a non-idempotent class: then each
+    /// retry gets the same outcome. If some workers deduplicate the class, a retry continues from
+    /// the job's attempts; an idempotent job starts anew.
     #[must_use]
     pub fn lookup(&self, key: &IdempotencyKey, fingerprint: &[u8; 16]) -> KeyLookup {
         let Some(job) = self.by_key.get(key).and_then(|number| self.job(*number)) else {
--- a/crates/service/durable-jobs/src/table/apply.rs
+++ b/crates/service/durable-jobs/src/table/apply.rs
@@ -99,7 +99,8 @@
         if accepted.number < self.next_job {
             return Err(RejectReason::JobNumberReused);
         }
-        // The process that accepted the job had removed all jobs that had expired by then.
+        // The process that accepted the job had removed all jobs that had expired by then, so a
+        // replay must remove them as well.
         self.expire(accepted.accepted_at);
         let job = Job::new(accepted.clone());
         let previous = job.key().and_then(|key| self.by_key.get(&key).copied());
--- a/crates/service/durable-jobs/tests/job_table.rs
+++ b/crates/service/durable-jobs/tests/job_table.rs
@@ -12,7 +12,7 @@
     KeyLookup, Nanos, PastAttempt, Record, RejectReason, RetrySafety, Session, decode, encode,
 };
 
-// Guards the state machine of a job: a record that is not allowed in the present state is rejected
+// Guards the state machine of a job: a record that is not allowed in the current state is rejected
 // and changes nothing.
 #[test]
 fn a_record_that_does_not_fit_is_rejected_and_changes_nothing() {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_key_lookup_of_an_open_job_returns_in_progress() {
+fn a_key_lookup_finds_an_open_job_only_by_its_own_key_and_request() {
     let table = table_of(&[accepted(1, Some("k"), RetrySafety::NonIdempotent), leased(1, 1, "s-a")]);
     let key_of_another_tenant = IdempotencyKey { tenant: "kraftverket".into(), ..key("k") };
 
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_finished_job_without_a_key_is_forgotten_at_once() {
+fn a_finished_job_without_a_key_is_removed_at_once() {
     let table = table_of(&[
         accepted(1, None, RetrySafety::NonIdempotent),
         leased(1, 1, "s-a"),
@@ -246,7 +246,7 @@
     })
 }
 
-/// Any record, allowed in the present state or not. Job numbers, tokens and keys are drawn from
+/// Any record, allowed in the current state or not. Job numbers, tokens and keys are drawn from
 /// small ranges, so that records often concern the same job.
 fn any_record() -> impl Strategy<Value = Record> {
     let (job, token) = ((1_u64..6).prop_map(JobNumber), (1_u64..12).prop_map(FencingToken));
--- a/crates/service/durable-jobs/tests/lease_protocol_model.rs
+++ b/crates/service/durable-jobs/tests/lease_protocol_model.rs
@@ -1,9 +1,9 @@
 //! A model of the lease protocol, checked exhaustively for small sizes.
 //!
 //! One scheduler writes a log; two workers run one job; a client submits it twice. The scheduler
-//! crashes, and its unsynced records survive or are lost; messages are lost, duplicated and delayed;
-//! the workers' clocks run slow by up to the bound. Each rule of the protocol can be disabled; the
-//! check must then find the fault that the rule prevents.
+//! crashes, and its unsynced records survive or are lost; messages are lost, duplicated and
+//! delayed; the workers' clocks run slow by up to the bound. Each rule of the protocol can be
+//! disabled; the check must then find the fault that the rule prevents.
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -11,15 +11,15 @@
 const LEASE_TICKS: u8 = 1;
 /// The bound on the drift of clocks within a lease, ticks.
 const CLOCK_DRIFT_TICKS: u8 = 1;
-/// The length of a run, ticks.
+/// The time at which an execution of the model ends, ticks.
 const MAX_TICKS: u8 = 4;
-/// Crashes of the scheduler in a run.
+/// The maximum number of crashes of the scheduler.
 const MAX_CRASHES: u8 = 1;
-/// Unsynced records at a time.
+/// The maximum number of unsynced records at a time.
 const MAX_UNSYNCED: usize = 4;
-/// Submissions of the client.
+/// The maximum number of submissions of the client.
 const MAX_SUBMISSIONS: u8 = 2;
-/// Attempts of the job.
+/// The maximum number of attempts of the job.
 const MAX_ATTEMPTS: u8 = 2;
 const WORKERS: [u8; 2] = [0, 1];
 
@@ -43,7 +43,7 @@
     ClockDriftMargin,
     /// A renewal is logged before it is sent.
     RenewalLogged,
-    /// A result is accepted only under the present lease.
+    /// A result is accepted only under the current lease.
     Fencing,
     /// A non-idempotent job that may have run is not leased again.
     NoSecondRun,
@@ -53,7 +53,7 @@
     OfferExpiry,
 }
 
-/// The job's class: non-idempotent, or with duplicates that both workers drop.
+/// The job's class: it must not run twice, or both workers drop a duplicate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Class {
     NonIdempotent,
@@ -74,6 +74,8 @@
     Finished { token: u8 },
 }
 
+/// A message between the client, the scheduler and the workers. An offer dispatches the job to a
+/// worker under a new lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
     Offer { worker: u8, token: u8 },
--- a/crates/service/engine/src/classes.rs
+++ b/crates/service/engine/src/classes.rs
@@ -57,7 +57,7 @@
         self.idempotency(class) == Some(Idempotency::AtMostOnce)
     }
 
-    /// The longest deduplication window of any class, within which workers drop repeats of a job.
+    /// The longest deduplication window of any class; within it workers drop duplicates of a job.
     pub(crate) fn longest_deduplication_window(&self) -> Nanos {
         let window = |idempotency: &Idempotency| match idempotency {
             Idempotency::Deduplicated { window, .. } => *window,
--- a/crates/service/engine/src/discovery.rs
+++ b/crates/service/engine/src/discovery.rs
@@ -5,11 +5,11 @@
 use spanlead_balancing_policy::{EndpointUpdate, Nanos};
 use std::net::SocketAddr;
 
-/// Delay before the agent is called again after a failed call. It is within the shortest grace
-/// period for draining that remains after a call.
+/// Delay before the agent is called again after a failed call. It is shorter than the rest that a
+/// call leaves of the shortest drain grace period, so that a draining worker is learned of in time.
 const AGENT_RETRY_INTERVAL: Nanos = 100 * MS;
 
-/// The state of the watch on discovery.
+/// The address of discovery and the state of the watch on it.
 pub(crate) struct DiscoveryState {
     /// The address of discovery.
     pub(crate) addr: SocketAddr,
@@ -42,9 +42,9 @@
 
     /// Watches the agent if lists are pushed. The policy then requests no list but waits for one to
     /// be pushed. In this program lists are pushed to an agent on this machine, and a list held by
-    /// the agent counts as pushed. So the agent is watched from the start, and again
-    /// [`AGENT_RETRY_INTERVAL`] after a failed call.
-    pub(crate) fn follow_agent(&mut self, now: Nanos, scope: EndpointUpdate, out: &mut Vec<Effect>) {
+    /// the agent counts as pushed. So the agent is watched from the start, that is, from the cached
+    /// list on, and again [`AGENT_RETRY_INTERVAL`] after a failed call.
+    pub(crate) fn keep_watching_agent(&mut self, now: Nanos, scope: EndpointUpdate, out: &mut Vec<Effect>) {
         if !self.discovery.is_pushed {
             return;
         }
--- a/crates/service/engine/src/durable.rs
+++ b/crates/service/engine/src/durable.rs
@@ -1,7 +1,7 @@
 //! Durable jobs: jobs that survive a crash of the process.
 //!
 //! - `recording`: which jobs are durable, and their records in the log;
-//! - `repeats`: repeated requests, which join the open request or get the recorded answer;
+//! - `repeats`: client retries, which join the open request or get the recorded answer;
 //! - `leases`: the leases under which workers run durable jobs;
 //! - `storage`: the log's size and failure;
 //! - `recovery`: the continuation of open jobs after a crash.
@@ -31,8 +31,8 @@
     pub job_table: JobTable,
     /// Relates the clock of this process to those of other processes.
     pub clock_anchor: ClockAnchor,
-    /// Whether all jobs are durable, including those without an idempotency key, which no client
-    /// can ask for again, in classes whose jobs may run more than once.
+    /// Whether all jobs are durable. Otherwise a job is durable if it has an idempotency key or
+    /// must run at most once; no client can retry a job without a key.
     pub keep_all_jobs: bool,
     /// How long a worker may keep a job without sending a notice.
     pub lease_duration: Nanos,
@@ -83,7 +83,7 @@
         DurableJobStats { open, retained, live_bytes, failed: self.failed, ..self.counters }
     }
 
-    /// Whether the job of this id has ended and its result is retained.
+    /// Whether the job of this id has finished and is retained.
     pub(crate) fn has_finished_job(&self, job_id: &str) -> bool {
         self.job_table.job_by_id(job_id).is_some_and(|job| !job.is_open())
     }
--- a/crates/service/engine/src/durable/leases.rs
+++ b/crates/service/engine/src/durable/leases.rs
@@ -1,6 +1,6 @@
 //! The leases under which workers run durable jobs. A worker that honours its lease stops the job
-//! when the lease expires, unless the reply to a notice has renewed it; the job can then run on
-//! another worker.
+//! when the lease expires, unless the reply to a notice has renewed it. Once the lease has expired,
+//! the job can run on another worker.
 use crate::attempts::{ACCEPT_TIMEOUT, CANCEL_TIMEOUT};
 use crate::request_table::AttemptStage;
 use crate::timers::Timer;
@@ -9,7 +9,8 @@
 use spanlead_durable_jobs::{FencingToken, JobNumber, JobOutcome, JobState, Record, WorkerLocation};
 use std::sync::Arc;
 
-/// A renewal is recorded only if it extends the lease by more than its length divided by this.
+/// A renewal of a lease that is known to be honoured is recorded only if it extends the lease by
+/// more than its length divided by this.
 const RENEWAL_RECORD_DIVISOR: Nanos = 4;
 
 /// The job and the fencing token that identify a lease.
@@ -36,8 +37,8 @@
         let reported = self.workers.get(&worker)?.reported?;
         let zone = self.classes.names.zones.get(reported.zone as usize).map_or("", String::as_str);
         let location = WorkerLocation { worker, addr, zone: Arc::from(zone), cell: reported.portable_cell() };
-        // The worker counts the lease from the arrival of the attempt, which precedes the arrival
-        // of its acknowledgement here.
+        // The worker counts the lease from the arrival of the attempt. That is at most
+        // `ACCEPT_TIMEOUT` from now: an attempt that is not acknowledged by then is cancelled.
         let expires_at = now + ACCEPT_TIMEOUT + length;
         self.record(Record::Leased { job, token, location, sent_at: now, expires_at }, out);
         Some(LeaseGrant { token: token.0, duration: length })
@@ -83,7 +84,7 @@
     /// Renews the lease of an attempt whose worker honours it and has sent a notice. Returns how
     /// long the renewed lease lasts, counted from when the worker sent the notice; `None` if the
     /// lease cannot be renewed. A renewal is recorded only if it extends the lease by more than a
-    /// quarter of its length.
+    /// quarter of its length, or if no record states yet that the worker honours the lease.
     pub(crate) fn renew_lease(
         &mut self,
         now: Nanos,
@@ -104,7 +105,8 @@
         }
         self.track_lease_expiry(attempt);
         let expires_at = self.durable.as_ref()?.job_table.job(job)?.lease()?.expires_at;
-        // Neither beyond the recorded expiration nor for longer than one lease.
+        // The worker must not hold the lease beyond its recorded expiration, and no renewal lasts
+        // longer than one lease.
         Some(expires_at.saturating_sub(now).min(length))
     }
 
@@ -150,7 +152,7 @@
         }
         jobs.counters.expired_leases += 1;
         let addr = entry.addr;
-        // A worker that is still reachable need not finish the job: its result is no longer
+        // Spares a worker that is still reachable the rest of the job, whose result is no longer
         // awaited.
         let until = now + CANCEL_TIMEOUT;
         out.push(Effect::CancelAttempt { attempt, addr, job_id, accepted: true, until });
--- a/crates/service/engine/src/durable/repeats.rs
+++ b/crates/service/engine/src/durable/repeats.rs
@@ -1,5 +1,5 @@
-//! Retries of a request by idempotency key: a retry joins the request that is still open, or gets
-//! the answer to the request that has finished.
+//! Client retries, identified by their idempotency key: a retry joins the request that is still
+//! open, or gets the answer to the request that has finished.
 use super::recording::answer_of;
 use super::{DURABLE_RETRY_AFTER, after_durable};
 use crate::request_table::JoinedClient;
--- a/crates/service/engine/src/durable/storage.rs
+++ b/crates/service/engine/src/durable/storage.rs
@@ -7,8 +7,8 @@
 const MAX_SNAPSHOT_RECORDS: usize = 64;
 /// The number of records that must have become unneeded before the log is asked to remove segments.
 const TRUNCATE_INTERVAL_RECORDS: Lsn = 256;
-/// Snapshots are written when the log exceeds the size of the live jobs and one segment by this
-/// factor.
+/// Snapshots are written when the log is larger than this factor times the size of the live jobs
+/// and one segment.
 const MAX_DISK_OVERHEAD_FACTOR: u64 = 2;
 
 impl Engine {
@@ -27,8 +27,9 @@
     pub(crate) fn records_durable(&mut self, disk_bytes: u64, out: &mut Vec<Effect>) {
         let Some(jobs) = &mut self.durable else { return };
         jobs.counters.disk_bytes = disk_bytes;
-        // A few old jobs may keep many unneeded records from being removed; they are rewritten as
-        // snapshots. `live_bytes` is an upper estimate, so the rewriting ends.
+        // A few old jobs may keep many unneeded records from being removed; these jobs are
+        // rewritten as snapshots. `live_bytes` is an upper estimate of the size of all snapshots,
+        // so the log becomes smaller than the limit and the rewriting ends.
         let live_bytes = jobs.job_table.stats().live_bytes as u64;
         if disk_bytes > MAX_DISK_OVERHEAD_FACTOR * (live_bytes + jobs.segment_bytes) {
             for record in jobs.job_table.snapshot_records(MAX_SNAPSHOT_RECORDS) {
--- a/crates/service/engine/src/effect.rs
+++ b/crates/service/engine/src/effect.rs
@@ -34,7 +34,7 @@
 pub enum Answer {
     /// The job succeeded with this result.
     Succeeded(String),
-    /// The job has not run; the client may retry.
+    /// The request was rejected; the client may retry it safely.
     Rejected {
         /// The delay after which to retry, if one is advised.
         retry_after: Option<Nanos>,
--- a/crates/service/engine/src/engine.rs
+++ b/crates/service/engine/src/engine.rs
@@ -98,8 +98,8 @@
         })
     }
 
-    /// Whether this job is open in this process, or is a durable job that has ended and whose
-    /// result is retained.
+    /// Whether this job is open in this process, or is a durable job that has finished and is
+    /// retained.
     pub fn knows_job(&self, job_id: &str) -> bool {
         let is_retained = || self.durable.as_ref().is_some_and(|jobs| jobs.has_finished_job(job_id));
         self.requests.id_of_job(job_id).is_some() || is_retained()
@@ -174,7 +174,7 @@
             Input::EndpointList { scope, version, hosts } => {
                 self.discovery.version = version;
                 self.endpoint_list_updated(now, scope, hosts, out);
-                self.follow_agent(now, scope, out);
+                self.keep_watching_agent(now, scope, out);
             }
             Input::HealthChecked { worker, sent, outcome, report } => {
                 let elapsed = now.saturating_sub(sent);
@@ -262,8 +262,8 @@
                 let attempt = AttemptId { request: id, number: attempt };
                 self.cancel_attempt(now, attempt, Outcome::Cancelled, out);
             }
-            // A timer never fires in the step that sets it, so the delay is at least one tick. A
-            // tick corresponds to a round of the simulator.
+            // A timer never fires in the step that sets it: the delay is at least one tick, which
+            // corresponds to one round of the simulator.
             Action::Timer { after, token } => {
                 self.timers.set(now + after.max(self.classes.tick), Timer::Policy(token));
             }
--- a/crates/service/engine/src/input.rs
+++ b/crates/service/engine/src/input.rs
@@ -34,8 +34,8 @@
     pub durable_request: Option<DurableRequest>,
 }
 
-/// The part of a request that is logged: it identifies repeats of the request and lets another
-/// process dispatch it.
+/// The part of a request that is logged: it identifies the client's retries and lets another
+/// process dispatch the request.
 #[derive(Clone, Debug)]
 pub struct DurableRequest {
     /// The request's `Idempotency-Key`.
--- a/crates/service/engine/src/lib.rs
+++ b/crates/service/engine/src/lib.rs
@@ -9,7 +9,7 @@
 //! | `input`, `effect`, `snapshot`, `stats` | the types of the public interface |
 //! | `request_table`, `requests`, `handover` | open requests and their handover to a successor |
 //! | `attempts`, `notices` | attempts at workers and the notices that workers send |
-//! | `durable` | durable jobs: records, repeated requests, leases, recovery |
+//! | `durable` | durable jobs: records, client retries, leases, recovery |
 //! | `durability_barrier` | effects that wait until their records are durable |
 //! | `workers` | the endpoint list and the workers' attributes |
 //! | `discovery` | the source of the endpoint list |
--- a/crates/service/engine/src/membership.rs
+++ b/crates/service/engine/src/membership.rs
@@ -1,5 +1,5 @@
 //! The integration of the membership: sends heartbeats by timer, announces this scheduler's
-//! lifecycle phase, and passes messages of other protocols on.
+//! lifecycle phase, and passes role messages to the singleton roles.
 use crate::roles::ROLES_PROTOCOL;
 use crate::timers::Timer;
 use crate::{Effect, Engine, MS};
--- a/crates/service/engine/src/notices.rs
+++ b/crates/service/engine/src/notices.rs
@@ -14,11 +14,12 @@
     pub(crate) fn worker_notice(&mut self, now: Nanos, notice: WorkerNotice, out: &mut Vec<Effect>) {
         let before = self.last_record_lsn();
         let notice_id = notice.notice_id;
-        let is_last = !matches!(notice.update, JobUpdate::Running(_));
+        let is_state_change = !matches!(notice.update, JobUpdate::Running(_));
         let reply = self.apply_notice(now, notice, out);
         let effect = Effect::Acknowledge { notice_id, reply };
-        // A repeated notice may arrive before the records of the first one are durable.
-        let must_wait = self.last_record_lsn() > before || is_last && self.durable.is_some();
+        // A notice that repeats an earlier one adds no record but must wait for the records of the
+        // earlier one, which may not be durable yet.
+        let must_wait = self.last_record_lsn() > before || is_state_change && self.durable.is_some();
         out.push(if must_wait { after_durable(effect, now + ACKNOWLEDGE_TIMEOUT) } else { effect });
     }
 
@@ -43,9 +44,9 @@
                 self.record_started(attempt, out);
                 self.report_progress(now, attempt, AttemptProgress::Started, out);
             }
-            JobUpdate::Running(share) => {
+            JobUpdate::Running(fraction) => {
                 lease = self.renew_lease(now, attempt, token, out);
-                self.report_progress(now, attempt, AttemptProgress::Completed(share), out);
+                self.report_progress(now, attempt, AttemptProgress::Completed(fraction), out);
             }
             JobUpdate::Done(result) => {
                 self.answer(now, attempt.request, Answer::Succeeded(result), out);
--- a/crates/service/engine/src/requests.rs
+++ b/crates/service/engine/src/requests.rs
@@ -60,16 +60,16 @@
         self.open_request(now, request_id, job, durable, previous, out);
     }
 
-    /// The answer to a request that must be rejected. The capacity limits do not apply to a request
-    /// that was handed over, since another process has accepted it.
+    /// The answer to a request that must be rejected. Neither a shutdown nor the limit on open
+    /// requests applies to a request that was handed over, since another process has accepted it.
     fn rejection(&mut self, now: Nanos, job: &JobRequest, is_handed_over: bool) -> Option<Answer> {
         // No worker could tell two open requests with the same id apart; it would take them for two
         // attempts of one request.
         if self.requests.id_of_job(&job.id).is_some() {
             return Some(Answer::DuplicateId);
         }
-        let is_full = !self.lifecycle.accepts_requests(now) || self.requests.is_full();
-        if is_full && !is_handed_over {
+        let is_closed_or_full = !self.lifecycle.accepts_requests(now) || self.requests.is_full();
+        if is_closed_or_full && !is_handed_over {
             return Some(Answer::Rejected { retry_after: Some(OVERLOAD_RETRY_AFTER) });
         }
         self.durable_rejection(job)
--- a/crates/service/engine/src/stats.rs
+++ b/crates/service/engine/src/stats.rs
@@ -10,7 +10,7 @@
 pub struct RequestCounts {
     /// Requests whose job succeeded.
     pub completed: u64,
-    /// Requests that were rejected without having run, so that a retry is harmless.
+    /// Requests that were rejected; their clients may retry them safely.
     pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
@@ -65,8 +65,8 @@
     pub hosts: usize,
     /// Workers in the endpoint list that an inventory also names.
     pub matched: usize,
-    /// Workers whose pod or zone has changed. Each counts as alone in its pod or zone until no
-    /// deduplication window that began at the former place is still open.
+    /// Workers isolated because their pod or zone has changed: each counts as being in a pod or
+    /// zone of its own until the longest deduplication window has passed since the change.
     #[serde(rename = "apart")]
     pub isolated: usize,
     /// Changes of workers that are still queued for processing.
@@ -83,8 +83,8 @@
     /// The attributes and their sources.
     #[serde(rename = "facts")]
     pub attributes: Vec<AttributeProvenance>,
-    /// `pod` and `zone`, as far as they have changed and the worker counts as alone in them (see
-    /// [`InventoryStats::isolated`]).
+    /// `pod`, `zone` or both: those that have changed and in which the worker is therefore isolated
+    /// (see [`InventoryStats::isolated`]).
     #[serde(rename = "apart", skip_serializing_if = "Vec::is_empty")]
     pub isolated: Vec<&'static str>,
 }
@@ -92,20 +92,20 @@
 /// Statistics of durable jobs. Counters start from 0 when the process starts.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct DurableJobStats {
-    /// Jobs that have not ended.
+    /// Jobs that have not finished.
     pub open: usize,
-    /// Ended jobs whose result is retained.
+    /// Finished jobs that are retained for clients that retry.
     #[serde(rename = "kept")]
     pub retained: usize,
-    /// Memory used by open and retained jobs, bytes.
+    /// Upper estimate of the memory used by open and retained jobs, bytes.
     pub live_bytes: usize,
     /// Size of the log on disk, bytes.
     pub disk_bytes: u64,
     /// Jobs recovered from the log of the previous process.
     pub recovered: u64,
-    /// Repeated requests that joined the open request that they repeat.
+    /// Client retries that joined the open request that they repeat.
     pub joined: u64,
-    /// Repeated requests that were answered with a retained result.
+    /// Client retries that were answered with a retained outcome.
     pub replayed: u64,
     /// Requests whose idempotency key was used before for a different request.
     pub mismatched: u64,
@@ -114,7 +114,7 @@
     pub expired_leases: u64,
     /// Notices that arrived after the lease of their worker was over.
     pub fenced: u64,
-    /// Jobs rejected because the log is full or has failed.
+    /// Jobs rejected because the job table or the log is full, or the log has failed.
     #[serde(rename = "turned_away")]
     pub rejected: u64,
     /// Whether the log is no longer writable.
--- a/crates/service/engine/src/timers.rs
+++ b/crates/service/engine/src/timers.rs
@@ -62,8 +62,8 @@
 }
 
 impl Engine {
-    /// Fires all timers that are due, including those set by the timers fired before, and expires
-    /// durable jobs.
+    /// Fires all timers that are due, including those set by the timers fired before, and removes
+    /// expired durable jobs.
     pub(crate) fn run_timers(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         while let Some(timer) = self.timers.pop_due(now) {
             self.fire(now, timer, out);
--- a/crates/service/engine/src/workers.rs
+++ b/crates/service/engine/src/workers.rs
@@ -18,7 +18,7 @@
 mod views;
 
 use crate::WorkerEndpoint;
-use isolation::IsolatedAttribute;
+use isolation::TopologyAttribute;
 use rustc_hash::FxHashMap;
 use spanlead_balancing_policy::{Endpoint, Nanos, WorkerState};
 use spanlead_worker_attributes::{MergedInventory, normalize_host_name};
@@ -45,10 +45,11 @@
     normalized_name: Option<Arc<str>>,
     /// Whether an inventory names it.
     is_in_inventory: bool,
-    /// Number of its pod and zone while it counts as alone in them.
+    /// The number, shared with no other worker, that is reported for its pod or zone while that is
+    /// unknown or the worker is isolated in it.
     own_number: u32,
-    pod: IsolatedAttribute,
-    zone: IsolatedAttribute,
+    pod: TopologyAttribute,
+    zone: TopologyAttribute,
     /// When the attributes in its list entry last changed, or it was listed again.
     since: Nanos,
     /// When it was removed from the list; `None` while it is listed.
--- a/crates/service/engine/src/workers/attributes.rs
+++ b/crates/service/engine/src/workers/attributes.rs
@@ -79,8 +79,8 @@
 ) -> Option<f64> {
     let stated = merged_inventory.weight(normalized_name);
     let inventory_has_precedence =
-        stated.as_ref().is_some_and(|fact| merged_inventory.sources[fact.source].weight_first);
-    let stated = stated.and_then(|fact| fact.value.copied());
+        stated.as_ref().is_some_and(|resolved| merged_inventory.sources[resolved.source].weight_first);
+    let stated = stated.and_then(|resolved| resolved.value.copied());
     let merged = if inventory_has_precedence { stated.or(listed) } else { listed.or(stated) };
     merged.or(merged_inventory.defaults.weight)
 }
--- a/crates/service/engine/src/workers/endpoint_list.rs
+++ b/crates/service/engine/src/workers/endpoint_list.rs
@@ -2,7 +2,7 @@
 //! delay no job: at most [`MAX_SLICE_HOSTS`] hosts are processed at once, the rest in further
 //! slices [`SLICE_INTERVAL`] apart, with other inputs handled in between. Hosts that are draining,
 //! removed or have just started are processed first.
-use super::isolation::IsolatedAttribute;
+use super::isolation::TopologyAttribute;
 use super::{ReportedWorker, Worker, WorkerTable};
 use crate::timers::Timer;
 use crate::{Effect, Engine, MS, WorkerEndpoint};
@@ -29,7 +29,8 @@
             self.incoming.retain(|host| !named.contains(&*host.name));
         }
         if hosts.len() > MAX_SLICE_HOSTS {
-            // The sort is stable: if the list names a host twice, its last entry stays last.
+            // The sort is stable: if the list names a host twice with the same state and start
+            // time, its last entry stays last.
             hosts.sort_by_key(|host| (host.state == WorkerState::Ready, Reverse(host.started)));
         }
         let older = std::mem::replace(&mut self.incoming, hosts.into());
@@ -74,8 +75,8 @@
             normalized_name: None,
             is_in_inventory: false,
             own_number,
-            pod: IsolatedAttribute::default(),
-            zone: IsolatedAttribute::default(),
+            pod: TopologyAttribute::default(),
+            zone: TopologyAttribute::default(),
             since: now,
             removed_at,
         }
@@ -109,8 +110,8 @@
         out: &mut Vec<Effect>,
     ) {
         self.workers.queue(scope, hosts);
-        // The queue contains the workers that a full list leaves out, as removed; so the policy
-        // need not find them.
+        // The queue contains the workers that a full list leaves out, marked as removed, so the
+        // policy need not determine them.
         let scope = if scope == EndpointUpdate::Snapshot { EndpointUpdate::Delta } else { scope };
         self.process_slice(now, scope, out);
     }
@@ -157,8 +158,8 @@
         }
     }
 
-    /// Adds a worker that the list has not named, as removed, and reports it to the policy: a
-    /// previous process sent an attempt to it.
+    /// Adds a worker that the list has not named but to which a previous process sent an attempt,
+    /// and reports it to the policy. `host` states it as removed.
     pub(crate) fn register_removed_worker(
         &mut self,
         now: Nanos,
--- a/crates/service/engine/src/workers/inventory.rs
+++ b/crates/service/engine/src/workers/inventory.rs
@@ -47,7 +47,7 @@
         let name = normalized_name(&worker.host.name);
         let stated: Option<Arc<str>> = merged_inventory
             .kind(&name)
-            .and_then(|fact| fact.value.or(merged_inventory.defaults.kind.as_ref()).cloned());
+            .and_then(|resolved| resolved.value.or(merged_inventory.defaults.kind.as_ref()).cloned());
         listed.or_else(|| index_of(&self.classes.names.kinds, &stated?))
     }
 }
--- a/crates/service/engine/src/workers/isolation.rs
+++ b/crates/service/engine/src/workers/isolation.rs
@@ -1,20 +1,20 @@
 //! Temporary isolation of workers whose pod or zone has changed. Workers drop retries of a keyed
 //! job within the pod or zone of its worker, for the deduplication window of its class. A worker
 //! whose configured pod or zone changes may still hold jobs of its previous one, so it counts as
-//! being in a pod, or zone, of its own until the longest window has passed. So does a worker whose
-//! pod or zone is unknown.
+//! being in a pod, or zone, of its own until the longest window of any class has passed. So does a
+//! worker whose pod or zone is unknown, as long as it is unknown.
 use spanlead_balancing_policy::Nanos;
 
 /// The pod or the zone of a worker, with its isolation.
 #[derive(Clone, Copy, Default)]
-pub(super) struct IsolatedAttribute {
+pub(super) struct TopologyAttribute {
     /// The last known number of the pod or zone.
     last_known: Option<u32>,
     /// The time until which the worker is isolated in a pod or zone of its own; 0 if it never was.
     pub(super) isolated_until: Nanos,
 }
 
-impl IsolatedAttribute {
+impl TopologyAttribute {
     /// Sets the pod or zone known now, and returns the one that the worker counts as being in: that
     /// or, while it is isolated or nothing is known, `own_number`, which no other worker shares. A
     /// change of the known number isolates the worker for `window` from `now`.
--- a/crates/service/engine/tests/bounds.rs
+++ b/crates/service/engine/tests/bounds.rs
@@ -69,16 +69,16 @@
             hosts: vec![host],
         });
         let anchor = ClockAnchor { boot_id: "b".into(), uptime: now, process_clock: now };
-        let durability = DurableSetup {
+        let setup = DurableSetup {
             job_table,
             clock_anchor: anchor,
             keep_all_jobs: false,
             lease_duration: 10 * SEC,
             clock_bound: SEC,
-            max_disk_bytes: max_disk_bytes,
+            max_disk_bytes,
             segment_bytes: MAX_SEGMENT_BYTES,
         };
-        scheduler.step(Input::DurableJobsOpened(Box::new(durability)));
+        scheduler.step(Input::DurableJobsOpened(Box::new(setup)));
         scheduler
     }
 
@@ -116,8 +116,7 @@
     fn submit(&mut self, key: &str) -> Option<Answer> {
         self.submissions += 1;
         let encoded_request = vec![b'x'; BODY_BYTES].into();
-        let durable_request =
-            DurableRequest { key: Some(key.into()), fingerprint: [1; 16], encoded_request: encoded_request };
+        let durable_request = DurableRequest { key: Some(key.into()), fingerprint: [1; 16], encoded_request };
         let job = JobRequest {
             id: format!("r{}", self.submissions).into(),
             class: 0,
--- a/crates/service/engine/tests/crash.rs
+++ b/crates/service/engine/tests/crash.rs
@@ -353,7 +353,7 @@
         let hosts = self.workers.iter().enumerate().map(host).collect();
         self.step(Input::EndpointList { scope: EndpointUpdate::CachedSnapshot, version: 1, hosts });
         let anchor = ClockAnchor { boot_id: "b".into(), uptime: self.now, process_clock: self.now };
-        let durability = DurableSetup {
+        let setup = DurableSetup {
             job_table,
             clock_anchor: anchor,
             keep_all_jobs: false,
@@ -362,7 +362,7 @@
             max_disk_bytes: 1 << 30,
             segment_bytes: MAX_SEGMENT_BYTES,
         };
-        self.step(Input::DurableJobsOpened(Box::new(durability)));
+        self.step(Input::DurableJobsOpened(Box::new(setup)));
         self.schedule(TICK_INTERVAL, Event::Tick { epoch: self.epoch });
     }
 
@@ -682,8 +682,7 @@
         self.clients[client].open_submission = Some((submission, request_id));
         let key: Option<Arc<str>> = Some(format!("key-{client}").into());
         let encoded_request = client.to_string().into();
-        let durable_request =
-            DurableRequest { key, fingerprint: [client as u8; 16], encoded_request: encoded_request };
+        let durable_request = DurableRequest { key, fingerprint: [client as u8; 16], encoded_request };
         let job = JobRequest {
             id: format!("r{submission}").into(),
             class: self.clients[client].class,
--- a/crates/service/engine/tests/members.rs
+++ b/crates/service/engine/tests/members.rs
@@ -372,10 +372,10 @@
     assert_eq!(scheduler.listed_workers(), 4999);
 }
 
-// Guards against slices that are processed twice or not at all: in the end the policy knows the
-// attributes that the list and the inventory state.
+// Guards against slices that are processed twice or not at all: after the last slice the policy
+// knows the attributes that the list and the inventory state.
 #[test]
-fn attributes_of_many_workers_change_in_slices() {
+fn an_inventory_of_many_workers_reaches_the_policy_in_slices() {
     let mut scheduler = Scheduler::new((0..3000).map(|i| host(&format!("w{i}"), i)).collect());
     scheduler.advance(ALL_SLICES_TIME);
     let names: Vec<String> = (0..3000).map(|i| format!("w{i}")).collect();
