--- a/crates/service/durable-jobs/src/table/apply.rs
+++ b/crates/service/durable-jobs/src/table/apply.rs
@@ -99,7 +99,8 @@
         if accepted.number < self.next_job {
             return Err(RejectReason::JobNumberReused);
         }
-        // The process that accepted the job had removed all jobs that had expired by then.
+        // The process that accepted the job had removed all jobs that had expired by then, so a
+        // replay must remove them as well.
         self.expire(accepted.accepted_at);
         let job = Job::new(accepted.clone());
         let previous = job.key().and_then(|key| self.by_key.get(&key).copied());
@@ -190,7 +191,7 @@
     let second_run_is_harmless = previous.accepted.retry_safety == RetrySafety::Idempotent;
     match previous.outcome() {
         None => Err(RejectReason::KeyInUse),
-        Some(JobOutcome::Succeeded(_) | JobOutcome::Unschedulable) => Err(RejectReason::KeyHasFinalOutcome),
+        Some(JobOutcome::Succeeded(_) | JobOutcome::Unprocessable) => Err(RejectReason::KeyHasFinalOutcome),
         Some(JobOutcome::Rejected | JobOutcome::Failed) if inherits_all || second_run_is_harmless => Ok(()),
         Some(JobOutcome::Rejected | JobOutcome::Failed) => Err(RejectReason::InheritedAttemptsMissing),
     }
--- a/crates/service/engine/src/effect.rs
+++ b/crates/service/engine/src/effect.rs
@@ -33,8 +33,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// The job succeeded with this result.
-    Served(String),
-    /// The job has not run; the client may retry.
+    Succeeded(String),
+    /// The request was rejected; the client may retry it safely.
     Rejected {
         /// The delay after which to retry, if one is advised.
         retry_after: Option<Nanos>,
--- a/crates/service/engine/src/input.rs
+++ b/crates/service/engine/src/input.rs
@@ -14,7 +14,7 @@
 
 /// A decoded request of a client to run a job.
 #[derive(Debug)]
-pub struct Job {
+pub struct JobRequest {
     /// The id chosen by the client, under which workers know the job.
     pub id: Arc<str>,
     /// Number of the class, an index into [`Names::classes`].
@@ -34,8 +34,8 @@
     pub durable_request: Option<DurableRequest>,
 }
 
-/// The part of a request that is logged: it identifies repeats of the request and lets another
-/// process dispatch it.
+/// The part of a request that is logged: it identifies the client's retries and lets another
+/// process dispatch the request.
 #[derive(Clone, Debug)]
 pub struct DurableRequest {
     /// The request's `Idempotency-Key`.
@@ -154,7 +154,7 @@
         /// The id that the driver gave the request; unique in the process.
         request_id: RequestId,
         /// The request.
-        job: Job,
+        job: JobRequest,
         /// The attempts made by the process that handed the request over; `None` for a request that
         /// was not handed over.
         previous_attempts: Option<Vec<AttemptSnapshot>>,
--- a/crates/service/engine/src/lib.rs
+++ b/crates/service/engine/src/lib.rs
@@ -9,7 +9,7 @@
 //! | `input`, `effect`, `snapshot`, `stats` | the types of the public interface |
 //! | `request_table`, `requests`, `handover` | open requests and their handover to a successor |
 //! | `attempts`, `notices` | attempts at workers and the notices that workers send |
-//! | `durable` | durable jobs: records, repeated requests, leases, recovery |
+//! | `durable` | durable jobs: records, client retries, leases, recovery |
 //! | `durability_barrier` | effects that wait until their records are durable |
 //! | `workers` | the endpoint list and the workers' attributes |
 //! | `discovery` | the source of the endpoint list |
@@ -48,8 +48,8 @@
 pub use effect::{Answer, Effect, LeaseGrant, NoticeReply};
 pub use engine::Engine;
 pub use input::{
-    AttemptId, DispatchResult, DurableRequest, Input, InventoryUpdate, InventoryVersion, Job, JobUpdate,
-    SettingsChange, WorkerEndpoint, WorkerNotice,
+    AttemptId, DispatchResult, DurableRequest, Input, InventoryUpdate, InventoryVersion, JobRequest,
+    JobUpdate, SettingsChange, WorkerEndpoint, WorkerNotice,
 };
 pub use membership::{MemberView, MembersView};
 pub use roles::{RoleCallResult, RoleTask, RoleView};
