--- a/crates/cluster/control-plane/src/configuration_state.rs
+++ b/crates/cluster/control-plane/src/configuration_state.rs
@@ -21,8 +21,7 @@
 }
 
 quick_error! {
-    /// The reason why a configuration can't come into force, whatever base version the request
-    /// names.
+    /// The reason for which a configuration is rejected, other than a version conflict.
     #[derive(Clone, Debug, PartialEq)]
     pub enum RejectionReason {
         /// The configuration is malformed or inconsistent.
@@ -57,7 +56,8 @@
     text: String,
 }
 
-/// The configuration in force, if any.
+/// The current configuration, if any: the one that was accepted last. It is in force once its
+/// changes are committed.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationState {
     current: Option<CurrentConfiguration>,
@@ -96,26 +96,26 @@
         ConfigurationState { current }
     }
 
-    /// Returns the configuration in force.
+    /// Returns the current configuration.
     #[must_use]
     pub fn current(&self) -> Option<&Configuration> {
         self.current.as_ref().map(|current| &current.configuration)
     }
 
-    /// Returns the text of the configuration in force, as the operator sent it.
+    /// Returns the text of the current configuration, as the operator sent it.
     #[must_use]
     pub fn text(&self) -> Option<&str> {
         self.current.as_ref().map(|current| current.text.as_str())
     }
 
-    /// Returns the version of the configuration in force; 0 if there is none.
+    /// Returns the version of the current configuration; 0 if there is none.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.current().map_or(0, |configuration| configuration.version)
     }
 
-    /// Decides on a request to replace version `base_version` by the configuration `text`, and
-    /// applies it if it is accepted.
+    /// Decides on a request to replace version `base_version` by the configuration `text`. An
+    /// accepted configuration becomes the current one.
     ///
     /// Retries are recognised before the versions are checked, so that an accepted configuration is
     /// never refused when it is sent again, even after a newer one was accepted.
--- a/crates/cluster/control-plane/src/connection_pool.rs
+++ b/crates/cluster/control-plane/src/connection_pool.rs
@@ -102,7 +102,7 @@
     }
 }
 
-/// The number of connections of a pool.
+/// The numbers of open and of idle connections of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionCount {
     /// The number of connections that are open or being established, including idle ones.
@@ -122,7 +122,7 @@
     max_connections: usize,
 }
 
-/// The right to use one connection to an address: a reused idle connection or a new one.
+/// The permit for one connection to an address, and the idle connection to reuse if there was one.
 #[derive(Debug)]
 pub struct ConnectionSlot {
     pool: ConnectionPool,
@@ -149,7 +149,8 @@
         }
     }
 
-    /// Waits for the right to use a connection to this address.
+    /// Returns a slot for a connection to this address; waits while no permit is free and no idle
+    /// connection can be evicted.
     pub async fn acquire(&self, address: &Arc<str>) -> ConnectionSlot {
         while let Some(IdleConnection { stream, permit, .. }) = self.take_idle(address) {
             if client::is_idle(&stream) {
@@ -177,7 +178,7 @@
         *self.lock() = IdleConnections::default();
     }
 
-    /// Returns the number of connections.
+    /// Returns the numbers of open and of idle connections.
     #[must_use]
     pub fn connections(&self) -> ConnectionCount {
         ConnectionCount {
--- a/crates/cluster/control-plane/src/input.rs
+++ b/crates/cluster/control-plane/src/input.rs
@@ -30,7 +30,8 @@
     Members,
     /// All workers.
     Workers,
-    /// The numbers of jobs, pending units, active runs and events.
+    /// The numbers of jobs, pending units (tasks and gangs that wait to be placed), active runs and
+    /// events.
     Jobs,
     /// One job.
     Job(JobId),
--- a/crates/cluster/control-plane/src/lib.rs
+++ b/crates/cluster/control-plane/src/lib.rs
@@ -2,7 +2,7 @@
 //! manages the configuration and calls the workers.
 //!
 //! One task owns the [`node::Node`] and passes it one [`input::Input`] at a time from
-//! [`mod@input_queue`]. All other components run concurrently with it and send it inputs:
+//! [`mod@input_queue`]. These components run concurrently with it and send it inputs:
 //!
 //! - [`store`] and [`store_writer`]: the data folder, written by a dedicated thread.
 //! - [`worker_client`], which uses [`connection_pool`]: calls to workers.
@@ -15,12 +15,12 @@
 //! as primary.
 #![warn(missing_docs, unreachable_pub)]
 #![warn(clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
-mod client_api;
 pub mod commit_latency;
 pub mod configuration_state;
 pub mod connection_pool;
 pub mod input;
 pub mod input_queue;
+mod job_text;
 pub mod metrics_text;
 pub mod node;
 pub mod operator_api;
--- a/crates/cluster/control-plane/src/node/client_requests.rs
+++ b/crates/cluster/control-plane/src/node/client_requests.rs
@@ -2,7 +2,7 @@
 use super::Node;
 use super::pending_replies::PendingReply;
 use super::primary::PrimaryState;
-use crate::client_api::{job_state_name, parse_job_id};
+use crate::job_text::{job_state_name, parse_job_id};
 use async_std::channel::Sender;
 use spanlead_cluster_config::Route;
 use spanlead_cluster_runtime::frame::{ClientOperation, ClientRequest, ClientResponse, Frame};
@@ -53,7 +53,7 @@
 }
 
 impl PrimaryState {
-    /// Carries out a request according to the configuration in force.
+    /// Carries out a request according to the current configuration.
     fn respond(&mut self, now: Now, request: ClientRequest) -> Response {
         let ClientRequest { host, path, operation, .. } = request;
         let Some(configuration) = self.configuration.current() else {
--- a/crates/cluster/control-plane/src/node/data_planes.rs
+++ b/crates/cluster/control-plane/src/node/data_planes.rs
@@ -20,6 +20,7 @@
     /// Whether the gossip peers must be selected and sent again.
     gossip_peers_outdated: bool,
     directory: Directory,
+    /// The version of the last configuration that was sent to all data planes; 0 for none.
     configuration_version: u64,
 }
 
@@ -31,9 +32,10 @@
         self.gossip_peers_outdated = true;
     }
 
-    /// Has the gossip peers sent again by a node that became primary, since the data planes
-    /// connected to the previous primary may have been others.
-    pub(super) fn resend_gossip_peers(&mut self) {
+    /// Marks the gossip peers as outdated, so that they are sent again. Needed when the node
+    /// becomes primary, since the data planes may still use the peers that the previous primary
+    /// selected among the data planes connected to it.
+    pub(super) fn mark_gossip_peers_outdated(&mut self) {
         self.gossip_peers_outdated = true;
     }
 
--- a/crates/cluster/control-plane/src/node/mod.rs
+++ b/crates/cluster/control-plane/src/node/mod.rs
@@ -232,7 +232,7 @@
             Ok(primary) => {
                 log::info!("primary activated term={term} keys={}", keyspace.len());
                 self.primary = Some(primary);
-                self.data_planes.resend_gossip_peers();
+                self.data_planes.mark_gossip_peers_outdated();
                 self.update_data_planes();
             }
             Err(UnreadableKeys(keys)) => {
@@ -296,8 +296,8 @@
         let committed = self.replica.committed_sequence();
         let is_active = self.replica.active_term(self.clock.monotonic_ms()).is_some();
         let Some(primary) = &mut self.primary else { return };
-        // Also releases the actions of a pass that changed no record, and for which no commit will
-        // be reported.
+        // Also releases the actions of a flush that changed no record: the replica reports no
+        // commit for them.
         primary.scheduler.handle_committed(self.clock.now(), committed);
         for call in primary.scheduler.take_calls() {
             let inputs = self.inputs.clone();
--- a/crates/cluster/control-plane/src/node/operator_requests.rs
+++ b/crates/cluster/control-plane/src/node/operator_requests.rs
@@ -11,8 +11,8 @@
 impl Node {
     /// Replaces the configuration. The reply is sent once the change is committed.
     pub(super) fn replace_configuration(&mut self, request: &ReplaceRequest, replies: Sender<OperatorReply>) {
-        if let Some(redirect) = self.redirect("/config/replace") {
-            let _ = replies.try_send(redirect);
+        if let Some(reply) = self.not_primary_reply("/config/replace") {
+            let _ = replies.try_send(reply);
             return;
         }
         let Some(primary) = &mut self.primary else { return };
@@ -33,10 +33,10 @@
         self.queue_operator_reply(replies, reply);
     }
 
-    /// Replies with the configuration in force, once it is committed.
+    /// Replies with the current configuration, once it is committed.
     pub(super) fn read_configuration(&mut self, replies: Sender<OperatorReply>) {
-        if let Some(redirect) = self.redirect("/config/get") {
-            let _ = replies.try_send(redirect);
+        if let Some(reply) = self.not_primary_reply("/config/get") {
+            let _ = replies.try_send(reply);
             return;
         }
         let Some(primary) = &self.primary else { return };
@@ -60,9 +60,9 @@
             StatusQuery::Jobs => "/status/jobs".to_owned(),
             StatusQuery::Job(id) => format!("/status/jobs/{id}"),
         };
-        match (self.redirect(&path), &self.primary) {
+        match (self.not_primary_reply(&path), &self.primary) {
             (None, Some(primary)) => self.primary_status(query, primary),
-            (Some(redirect), _) => redirect,
+            (Some(reply), _) => reply,
             (None, None) => no_primary(),
         }
     }
@@ -96,10 +96,10 @@
         }
     }
 
-    /// Returns the reply of a node that is not primary, or `None` if it is primary: a redirect to
-    /// the primary, if this node can verify that the primary was in contact with a majority less
-    /// than a lease ago.
-    fn redirect(&self, path: &str) -> Option<OperatorReply> {
+    /// Returns `None` if this node is primary and its lease is valid, and otherwise the reply that
+    /// it gives instead of handling the request: a redirect to the primary if this node can verify
+    /// that the primary was in contact with a majority less than a lease ago, else the status 503.
+    fn not_primary_reply(&self, path: &str) -> Option<OperatorReply> {
         let now_ms = self.clock.monotonic_ms();
         if self.primary.is_some() && self.replica.active_term(now_ms).is_some() {
             return None;
--- a/crates/cluster/control-plane/src/node/primary.rs
+++ b/crates/cluster/control-plane/src/node/primary.rs
@@ -9,9 +9,9 @@
 
 /// The state of a primary, from its activation to its deactivation.
 ///
-/// It is recovered from the key space at activation. From then on, every change to it is proposed
-/// as a batch, and no call to a worker and no reply to a request is sent that depends on a batch
-/// which is not committed.
+/// It is recovered from the key space at activation. From then on, every change to the jobs and the
+/// configuration is proposed as a batch. A call to a worker or a reply to a request is sent only
+/// once the batches that it depends on are committed; replies to status queries are the exception.
 #[derive(Debug)]
 pub(super) struct PrimaryState {
     /// The term, which is also the fencing token of calls to workers.
--- a/crates/cluster/control-plane/src/node/shutdown.rs
+++ b/crates/cluster/control-plane/src/node/shutdown.rs
@@ -1,9 +1,10 @@
 //! The graceful shutdown of a node.
 
-/// The time for which a primary that shuts down completes the requests it has accepted before it
-/// leaves, milliseconds.
+/// The time that a primary has to complete accepted requests before it requests to leave the view,
+/// milliseconds.
 const PRIMARY_FINISH_MS: u64 = 400;
-/// The time after that for which the process still sends responses, milliseconds.
+/// The time after [`PRIMARY_FINISH_MS`] for which the process keeps running to send responses,
+/// milliseconds.
 const RESPONSE_MS: u64 = 500;
 /// The time before the end of the grace period at which the node stops waiting to be replaced,
 /// milliseconds.
@@ -11,8 +12,9 @@
 
 /// Decides when a node that shuts down leaves the view and when its process ends.
 ///
-/// The process ends after the time for open requests, once the node may leave because a standby has
-/// replaced it in the view or there is none, or when its grace period is nearly over.
+/// The process ends once the node may leave the view, because a standby has replaced it or there is
+/// no standby, and at the latest when the grace period is nearly over. In both cases it runs for at
+/// least [`PRIMARY_FINISH_MS`] and [`RESPONSE_MS`] after the request, to complete open requests.
 #[derive(Debug)]
 pub(super) struct Shutdown {
     grace_ms: u64,
--- a/crates/cluster/control-plane/src/operator_api.rs
+++ b/crates/cluster/control-plane/src/operator_api.rs
@@ -1,7 +1,7 @@
 //! The operators' HTTP interface, see `docs/cluster.md`.
-use crate::client_api::parse_job_id;
 use crate::input::{Input, OperatorReply, ReplaceRequest, StatusQuery};
 use crate::input_queue::InputSender;
+use crate::job_text::parse_job_id;
 use async_std::channel::{Sender, bounded};
 use spanlead_cluster_runtime::http::framing::MessageLimits;
 use spanlead_cluster_runtime::http::server::{self, ConnectionLimits};
@@ -12,13 +12,15 @@
 
 /// The header with the version that the new configuration replaces.
 const BASE_VERSION_HEADER: &str = "Spanlead-Base-Version";
-/// The time-out for the node's reply. After it the operator's own time-out has passed.
+/// The time-out for the node's reply. A later reply is useless: the operator's client has timed out
+/// by then.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(5_000);
 /// The maximum size of a request body, and so of a configuration, bytes.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 /// The maximum size of a request head, bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The time within which a request must be received completely.
+/// The time within which the head of a request must be received, and each part of its body after
+/// the previous one.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// The time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/cluster/control-plane/src/status.rs
+++ b/crates/cluster/control-plane/src/status.rs
@@ -1,6 +1,6 @@
 //! The state of a primary as JSON, for operators. The names of the fields belong to the operators'
 //! interface.
-use crate::client_api::job_state_name;
+use crate::job_text::job_state_name;
 use serde::Serialize;
 use serde_json::{Value, json};
 use spanlead_job_scheduler::{JobId, RunView, Scheduler, TaskView, WorkerView};
@@ -21,8 +21,8 @@
     /// Whether the member holds records that it can't read, and so must not become primary.
     #[serde(rename = "unfit")]
     is_ineligible: bool,
-    /// The number of batches that the member does not yet have on disk; `None` if it is not
-    /// connected.
+    /// The number of batches that the member does not yet have on disk; `None` while it has no
+    /// session with the primary or is under repair.
     #[serde(rename = "lag")]
     lag_batches: Option<u64>,
 }
@@ -68,7 +68,8 @@
     })
 }
 
-/// Returns the numbers of jobs, pending units, active runs and events.
+/// Returns the numbers of jobs, pending units (tasks and gangs that wait to be placed), active runs
+/// and events.
 #[must_use]
 pub fn jobs(scheduler: &Scheduler) -> Value {
     let counts = scheduler.counts();
--- a/crates/cluster/control-plane/src/store.rs
+++ b/crates/cluster/control-plane/src/store.rs
@@ -11,7 +11,7 @@
 use std::path::Path;
 
 quick_error! {
-    /// An error in the use of the data folder.
+    /// An error in opening, reading or writing the data folder.
     #[derive(Debug)]
     pub enum StoreError {
         /// The database file can't be read or written.
--- a/crates/cluster/control-plane/src/worker_client/mod.rs
+++ b/crates/cluster/control-plane/src/worker_client/mod.rs
@@ -22,7 +22,7 @@
 /// The progress of a call.
 #[derive(Clone, Copy, Debug)]
 enum CallProgress {
-    /// The call waits for the right to a connection.
+    /// The call waits for a connection slot.
     WaitingForSlot,
     /// The connection is being established.
     Connecting,
@@ -84,7 +84,7 @@
         self.pool.close_idle();
     }
 
-    /// Returns the number of connections.
+    /// Returns the numbers of open and of idle connections.
     #[must_use]
     pub fn connections(&self) -> ConnectionCount {
         self.pool.connections()
