--- a/crates/cluster/data-plane/src/client_api.rs
+++ b/crates/cluster/data-plane/src/client_api.rs
@@ -22,13 +22,13 @@
 /// The header `Retry-After` of responses with the status 429 or 503: the time after which the
 /// client may retry, seconds.
 const RETRY_AFTER_S: &str = "1";
-/// The most connections for readiness checks that are open at a time.
+/// The maximum number of open connections for readiness checks.
 const MAX_READINESS_CONNECTIONS: usize = 32;
 
 // The limits that apply where the configuration sets none.
 const DEFAULT_MAX_BODY_BYTES: usize = 256 * 1024;
 const DEFAULT_MAX_HEAD_BYTES: usize = 16 * 1024;
-const DEFAULT_HEAD_TIMEOUT_MS: u64 = 3_000;
+const DEFAULT_REQUEST_TIMEOUT_MS: u64 = 3_000;
 const DEFAULT_IDLE_TIMEOUT_MS: u64 = 15_000;
 
 /// The state that the request handlers share.
@@ -37,14 +37,14 @@
     control_plane: ControlPlaneClient,
     is_shutting_down: Arc<AtomicBool>,
     clock: Clock,
-    /// Requests that were received and not answered yet.
+    /// The number of requests that were received and not answered yet.
     open_requests: Arc<AtomicU64>,
     /// When the last request arrived, on the monotonic clock.
     last_request_ms: Arc<AtomicU64>,
 }
 
 impl ClientApi {
-    /// Creates the state of a process that starts. The process reports that it is not ready once
+    /// Creates the state without any requests. The process reports that it is not ready once
     /// `is_shutting_down` is set.
     #[must_use]
     pub fn new(control_plane: ControlPlaneClient, is_shutting_down: Arc<AtomicBool>, clock: Clock) -> Self {
@@ -91,7 +91,8 @@
     server::serve(address, app, Arc::new(limits), MAX_READINESS_CONNECTIONS).await;
 }
 
-/// Returns the limits on client connections under a configuration, the defaults where it sets none.
+/// Returns the limits on connections that a configuration sets, and the defaults for those that it
+/// does not set.
 fn connection_limits(configuration: Option<&DataPlaneConfiguration>) -> ConnectionLimits {
     let configured = configuration.map(|configuration| &configuration.limits);
     let bytes = |value: Option<u64>, default: usize| {
@@ -112,7 +113,7 @@
         },
         request_timeout: milliseconds(
             configured.and_then(|limits| limits.header_timeout_ms),
-            DEFAULT_HEAD_TIMEOUT_MS,
+            DEFAULT_REQUEST_TIMEOUT_MS,
         ),
         idle_timeout: milliseconds(
             configured.and_then(|limits| limits.idle_timeout_ms),
@@ -172,7 +173,7 @@
             response.insert_header("Retry-After", RETRY_AFTER_S);
             response
         }
-        RequestOutcome::Unknown => plain_response(504, "no answer in time"),
+        RequestOutcome::Unknown => plain_response(504, "outcome unknown: the request may have been executed"),
     }
 }
 
--- a/crates/cluster/data-plane/src/control_plane_client.rs
+++ b/crates/cluster/data-plane/src/control_plane_client.rs
@@ -404,8 +404,8 @@
         .is_ok_and(|configuration| configuration.version == item.version)
 }
 
-/// Connects to every known control plane node that is not connected, and drives the disseminator.
-/// Never returns.
+/// Connects to every known control plane node that is not connected, records when the primary was
+/// last connected, and drives the disseminator. Never returns.
 async fn keep_connected(client: ControlPlaneClient) {
     loop {
         for address in client.addresses_to_connect() {
--- a/crates/cluster/data-plane/src/lib.rs
+++ b/crates/cluster/data-plane/src/lib.rs
@@ -26,27 +26,27 @@
 use std::time::{Duration, Instant};
 
 quick_error! {
-    /// Error with which a data plane fails to start.
+    /// An error that prevents a data plane from starting.
     #[derive(Debug)]
     pub enum DataPlaneError {
-        /// A required setting is missing.
+        /// A required setting, with this key, is missing.
         MissingSetting(key: &'static str) {
             display("settings: {}: missing", key)
         }
     }
 }
 
-/// The least time for which a process that shuts down still accepts requests: until the platform
-/// has seen that it is not ready any more.
+/// The minimum time for which a process that shuts down still accepts requests, so that the
+/// platform can observe that it is no longer ready.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(2_500);
-/// The part at the end of the platform's grace period that the drain leaves unused.
+/// The time before the end of the platform's grace period at which the drain ends at the latest.
 const GRACE_MARGIN: Duration = Duration::from_millis(1_000);
 /// Time without a new request after which a draining process ends, milliseconds.
 const IDLE_BEFORE_EXIT_MS: u64 = 500;
 /// Interval between checks whether a shutdown was requested, and whether the drain is complete.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// File descriptors that are reserved for files and for connections to the control plane and to
-/// other data planes.
+/// The number of file descriptors that are reserved for files and for connections to the control
+/// plane and to other data planes.
 const RESERVED_DESCRIPTORS: usize = 512;
 
 /// Runs a data plane until a shutdown was requested and its drain is complete.
@@ -84,7 +84,8 @@
     Ok(())
 }
 
-/// Returns the number of client connections that the limit on file descriptors allows.
+/// Returns the number of client connections that the limit on file descriptors allows, at least
+/// [`RESERVED_DESCRIPTORS`].
 fn max_client_connections(settings: &Settings) -> usize {
     settings.max_descriptors().saturating_sub(RESERVED_DESCRIPTORS).max(RESERVED_DESCRIPTORS)
 }
--- a/crates/cluster/data-plane/src/main.rs
+++ b/crates/cluster/data-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! The data plane's program.
+//! The program `spanlead-data-plane`.
 use spanlead_cluster_runtime::program;
 use std::process::ExitCode;
 
