--- a/crates/cluster/control-plane/tests/configuration_replacement.rs
+++ b/crates/cluster/control-plane/tests/configuration_replacement.rs
@@ -1,8 +1,9 @@
-//! Operators replace the configuration while machines are isolated for 20 s, crash, pause, and lose
-//! power or their disks between a write and its response, and while responses are lost.
+//! Operators replace the configuration while machines crash, also all at once and with writes in
+//! progress, lose their disks, pause, are isolated for 20 s, and while messages are delayed and
+//! responses are lost.
 //!
-//! In addition to the checks of [`operator_simulation`], at the end the configuration in force must
-//! be the newest confirmed version, or a later one whose response did not reach its operator.
+//! In addition to the checks of [`operator_simulation`], the configuration of the primary at the
+//! end must be the newest confirmed version, or a later one that was accepted but not confirmed.
 mod operator_simulation;
 
 use operator_simulation::{Change, Operator, OperatorSimulation, configuration_text};
@@ -40,7 +41,8 @@
     assert!(version >= newest, "seed {seed}: version {version} in force, but version {newest} was confirmed");
 }
 
-/// Injects a random fault, most of which affect `machine`, and ends it.
+/// Injects a random fault and ends it. Except for a crash of all machines, the fault concerns
+/// `machine`.
 fn inject_fault(simulation: &mut OperatorSimulation, machine: usize) {
     let count = simulation.cluster.machines.len();
     match simulation.rng.random_range(0..8) {
--- a/crates/cluster/control-plane/tests/golden.rs
+++ b/crates/cluster/control-plane/tests/golden.rs
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn check_option_reports_valid_and_invalid_settings_with_the_golden_status_and_text() {
+fn check_option_accepts_valid_settings_and_rejects_invalid_ones_with_status_2() {
     let check = |file: &str, name: &str| {
         let file = path_of(file);
         let output = Command::new(PROGRAM_PATH)
--- a/crates/cluster/control-plane/tests/golden/folder.rs
+++ b/crates/cluster/control-plane/tests/golden/folder.rs
@@ -14,7 +14,7 @@
 };
 use std::path::PathBuf;
 
-/// The name of the key-value file in a data folder.
+/// The name of the database file in a data folder.
 pub const FILE_NAME: &str = "control.redb";
 /// The member ID of the node that owns the folder.
 pub const IDENTITY: MemberId = MemberId(0x1111_2222_3333_4441);
@@ -55,7 +55,7 @@
     "constraints":["ssd","a label longer than eight"],"affinity":"rack-9","antiAffinity":3,"speculative":true}],
     "repeats":4,"startAtMs":4102444800000,"intervalMs":60000}"#;
 
-/// The path of the golden data folder.
+/// Returns the path of the golden data folder.
 pub fn golden_path() -> PathBuf {
     path_of("data-folder")
 }
@@ -89,7 +89,7 @@
     max_concurrent_calls: 1_000,
 };
 
-/// The time at a monotonic clock that was 0 when the first job was accepted.
+/// Returns the time at this reading of a monotonic clock that is 0 when the first job is accepted.
 pub fn now(monotonic_ms: u64) -> Now {
     Now { monotonic_ms, unix_ms: ACCEPTED_AT_MS + monotonic_ms }
 }
@@ -108,7 +108,7 @@
     records
 }
 
-/// The witness record of a single-member view whose member has these addresses.
+/// Returns the witness record of a single-member view whose member has these addresses.
 pub fn witness(peer: &str, operators: &str) -> Record {
     let accepted = AcceptedView { ballot: ballot(), view: view(peer, operators) };
     Record::Witness(WitnessRecord { promised: ballot(), accepted: Some(accepted) })
@@ -161,7 +161,8 @@
     finished: Vec<FinishedTask>,
 }
 
-/// Runs a scheduler until the jobs are in their states, and returns the batches that it commits.
+/// Runs a scheduler until each job is in the state that its constant describes, and returns the
+/// batches that it commits.
 fn job_batches() -> Vec<Vec<Change>> {
     let mut run = SchedulerRun::new();
     run.submit(SUCCEEDED, SHORT_SPEC);
--- a/crates/cluster/control-plane/tests/golden/http.rs
+++ b/crates/cluster/control-plane/tests/golden/http.rs
@@ -4,7 +4,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// The timeout of a read.
+/// The time-out of a read.
 const READ_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// An HTTP request.
@@ -87,8 +87,8 @@
     Ok((start_line, headers, String::from_utf8_lossy(&body).into_owned()))
 }
 
-/// Serves in threads of its own. `handler` receives the path and the body of a request and returns
-/// the body of the response, which has the status 200.
+/// Serves requests in separate threads. `handler` receives the path and the body of a request and
+/// returns the body of the response, which has the status 200.
 pub fn serve(listener: TcpListener, handler: impl Fn(&str, &str) -> String + Clone + Send + 'static) {
     std::thread::spawn(move || {
         while let Ok((mut stream, _)) = listener.accept() {
--- a/crates/cluster/control-plane/tests/golden/system.rs
+++ b/crates/cluster/control-plane/tests/golden/system.rs
@@ -238,8 +238,8 @@
         self.record(process, endpoint, request, status, "");
     }
 
-    /// Sends an operator's request repeatedly until the response, which changes on its own,
-    /// contains the text that it has in the end; records the last response.
+    /// Sends an operator's request repeatedly until the response, whose content changes while the
+    /// programs run, contains this text; records that response.
     pub fn operator_request_until(&mut self, process: &Process, request: &Request, contained: &str) {
         let endpoint = Endpoint { address: &process.operators, host: &process.operators };
         self.record(process, endpoint, request, 200, contained);
@@ -258,8 +258,9 @@
         self.record(process, endpoint, &Request::get("/readyz"), status, "");
     }
 
-    /// Sends a request and records it with its response. Retries while there is no response, or
-    /// only that of an unavailable node: other load on the test machine may delay the cluster.
+    /// Sends a request and records it with its response, which must have this status. Retries while
+    /// there is no response, the node is unavailable, or the body does not yet contain `contained`:
+    /// other load on the test machine may delay the cluster.
     fn record(
         &mut self,
         process: &Process,
--- a/crates/cluster/control-plane/tests/golden_answers.rs
+++ b/crates/cluster/control-plane/tests/golden_answers.rs
@@ -47,8 +47,8 @@
 }
 
 impl Cluster {
-    /// Starts the cluster. The primary starts last, after the responses of the others without one
-    /// were recorded.
+    /// Starts the cluster. Before the primary starts, records the responses that the other
+    /// processes give without a primary.
     fn start(transcript: &mut Transcript) -> Self {
         let platform = Platform::start();
         let ports = system::Ports::free();
@@ -125,27 +125,27 @@
         transcript.title("configurations");
         let primary = &self.primary;
         let newer = folder::CONFIGURATION_42.replace(r#""version":42"#, r#""version":43"#);
-        let based = |base: &str, text: &str| {
+        let replace_version = |base: &str, text: &str| {
             Request::post("/config/replace", text).with_header("Spanlead-Base-Version", base)
         };
         transcript.operator_request(primary, &Request::get("/config/get"), 200);
-        transcript.operator_request(primary, &based("41", &newer), 412);
+        transcript.operator_request(primary, &replace_version("41", &newer), 412);
         transcript.operator_request(primary, &Request::post("/config/replace", &newer), 412);
-        transcript.operator_request(primary, &based("x", &newer), 400);
-        transcript.operator_request(primary, &based("42", "{"), 400);
+        transcript.operator_request(primary, &replace_version("x", &newer), 400);
+        transcript.operator_request(primary, &replace_version("42", "{"), 400);
         transcript.operator_request(
             primary,
-            &based("42", &newer.replace("\"timeoutMs\":3000", "\"timeoutMs\":0")),
+            &replace_version("42", &newer.replace("\"timeoutMs\":3000", "\"timeoutMs\":0")),
             400,
         );
         transcript.operator_request(
             primary,
-            &based("42", r#"{"version":40,"routes":[],"services":[]}"#),
+            &replace_version("42", r#"{"version":40,"routes":[],"services":[]}"#),
             400,
         );
-        transcript.operator_request(primary, &based("41", folder::CONFIGURATION_42), 200);
-        transcript.operator_request(primary, &based("42", &newer), 200);
-        transcript.operator_request(primary, &based("42", &newer), 200);
+        transcript.operator_request(primary, &replace_version("41", folder::CONFIGURATION_42), 200);
+        transcript.operator_request(primary, &replace_version("42", &newer), 200);
+        transcript.operator_request(primary, &replace_version("42", &newer), 200);
         transcript.operator_request(primary, &Request::get("/config/get"), 200);
     }
 
--- a/crates/cluster/control-plane/tests/operator_simulation/mod.rs
+++ b/crates/cluster/control-plane/tests/operator_simulation/mod.rs
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Follows the events of the cluster: primaries come and go, and committed batches release
-    /// responses.
+    /// Handles the cluster's events: creates and removes the states of primaries, and sends the
+    /// responses whose batches are committed.
     fn handle_events(&mut self) {
         for RecordedEvent { machine, event } in std::mem::take(&mut self.cluster.events) {
             match event {
@@ -263,7 +263,7 @@
                 let mut sequence = None;
                 self.cluster.with_replica(machine, |replica| sequence = replica.propose(now, changes));
                 let primary_state = self.primaries.get_mut(&machine).expect("a primary");
-                primary_state.sequence = sequence.expect("primary");
+                primary_state.sequence = sequence.expect("a primary accepts the proposal");
                 Response::Confirmed
             }
             ReplaceOutcome::AlreadyAccepted => Response::Confirmed,
--- a/crates/cluster/control-plane/tests/unreadable_records.rs
+++ b/crates/cluster/control-plane/tests/unreadable_records.rs
@@ -1,10 +1,12 @@
-//! A node with records that are damaged or of a newer version must not be primary, and a folder of
-//! a newer format is refused.
+//! State in the data folder that a node must not use: a node with records that are damaged or of a
+//! newer version must not be primary, a started repair is marked incomplete until the next batch,
+//! and a folder of a newer format is refused.
 use spanlead_control_plane::store::{Store, StoreError};
 use spanlead_control_plane::unreadable_records::unreadable_keys;
 use spanlead_replication::{
     Change, Input, Keyspace, MemberId, Output, Position, Record, RecoveredState, Replica, ReplicaConfig, Term,
 };
+use std::path::Path;
 
 fn keyspace(records: &[(&[u8], &[u8])]) -> Keyspace {
     let mut keyspace = Keyspace::default();
@@ -27,10 +29,12 @@
     }
 }
 
-/// Whether the only node of a cluster becomes and stays primary. An ineligible one is marked as
-/// such at the start and again once it is primary, since a node also checks its records when it
-/// becomes primary; the result is then whether it is primary at any time in the 8 s after that.
-fn stays_primary(ineligible: bool) -> bool {
+/// Runs the only node of a cluster. Returns whether it becomes primary, if it is eligible.
+///
+/// An ineligible node is marked as such when it starts, and again if it becomes primary all the
+/// same, since a node checks its records at both times. Returns whether it is primary at any time
+/// in the 8 s after the second mark.
+fn serves_as_primary(ineligible: bool) -> bool {
     let config = ReplicaConfig {
         node_name: "core-1".into(),
         peer_address: "p1".into(),
@@ -74,17 +78,23 @@
 
 #[test]
 fn node_with_unreadable_records_does_not_stay_primary() {
-    assert!(stays_primary(false), "an eligible node must become primary");
-    assert!(!stays_primary(true), "an ineligible node must not stay primary");
+    assert!(serves_as_primary(false), "an eligible node must become primary");
+    assert!(!serves_as_primary(true), "an ineligible node must not stay primary");
 }
 
-#[test]
-fn folder_of_a_newer_format_is_refused_with_its_format_number() {
-    let folder = tempfile::tempdir().expect("a temporary folder");
-    let store = Store::open(folder.path()).expect("the store opens");
+/// Opens a store in this folder and writes the node's identity to it.
+fn store_with_identity(folder: &Path) -> Store {
+    let store = Store::open(folder).expect("the store opens");
     store
         .write(&[Record::Identity { id: MemberId(5), bootstrap_voter: true }])
         .expect("the record is written");
+    store
+}
+
+#[test]
+fn started_repair_is_marked_incomplete_until_the_next_batch() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    let store = store_with_identity(folder.path());
     let recovered = store.recover().expect("the store is recovered");
     assert_eq!(
         (recovered.identity, recovered.bootstrap_voter, recovered.repair_incomplete),
@@ -101,6 +111,13 @@
         !store.recover().expect("the store is recovered").repair_incomplete,
         "a batch must clear the mark of an incomplete repair"
     );
+}
+
+#[test]
+fn folder_of_a_newer_format_is_refused_with_its_format_number() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    let store = store_with_identity(folder.path());
+    store.recover().expect("a folder of the current format is recovered");
     store.set_format(99).expect("the format is written");
     drop(store);
     let error = Store::open(folder.path())
--- a/crates/cluster/control-plane/tests/worker_connections.rs
+++ b/crates/cluster/control-plane/tests/worker_connections.rs
@@ -17,7 +17,8 @@
 /// they stay below 1,024 file descriptors.
 const MAX_CONNECTIONS: usize = 300;
 const WORKERS: usize = 3_000;
-/// The number of the workers' addresses: more than connections may be open.
+/// The number of the workers' addresses: more than [`MAX_CONNECTIONS`], so that connections must be
+/// closed.
 const ADDRESSES: usize = 500;
 const CALL_TIMEOUT_MS: u64 = 20_000;
 
@@ -76,7 +77,11 @@
     );
     let max_open = observations.max_open_connections.load(Ordering::SeqCst);
     // A worker observes the closing of a connection a moment after the client has closed it.
-    assert!(max_open <= MAX_CONNECTIONS + MAX_CONNECTIONS / 4, "{max_open} connections open at a time");
+    let max_observed = MAX_CONNECTIONS + MAX_CONNECTIONS / 4;
+    assert!(
+        max_open <= max_observed,
+        "expected at most {max_observed} connections open at a time, found {max_open}"
+    );
     assert!(client.connections().open <= MAX_CONNECTIONS);
 }
 
@@ -124,7 +129,7 @@
         }
     }
     let accepted = observations.accepted_connections.load(Ordering::SeqCst);
-    assert!(accepted <= 20, "{accepted} connections for 500 calls to 10 workers");
+    assert!(accepted <= 20, "expected at most 20 connections for 500 calls to 10 workers, found {accepted}");
 }
 
 /// Serves all workers at [`ADDRESSES`] addresses. A request's header names the worker that it is
