--- a/crates/cluster/control-plane/src/operator_api.rs
+++ b/crates/cluster/control-plane/src/operator_api.rs
@@ -60,7 +60,7 @@
         Some(Err(_)) => return Ok(plain_response(400, "Spanlead-Base-Version: no number")),
     };
     let Ok(text) = String::from_utf8(request.body_bytes().await?) else {
-        return Ok(plain_response(400, "body: not UTF-8"));
+        return Ok(plain_response(400, "no text"));
     };
     let replace = ReplaceRequest { base_version, text };
     request_reply(request.state(), |replies| Input::ReplaceConfiguration(replace, replies)).await
@@ -91,10 +91,7 @@
     match timeout(REPLY_TIMEOUT, reply.recv()).await {
         Ok(Ok(reply)) => Ok(response(reply)),
         // It is not known whether the node carried the request out.
-        _ => Ok(plain_response(
-            504,
-            "no reply from the node in time; a requested change may have taken effect",
-        )),
+        _ => Ok(plain_response(504, "no answer in time")),
     }
 }
 
--- a/crates/cluster/data-plane/src/client_api.rs
+++ b/crates/cluster/data-plane/src/client_api.rs
@@ -173,7 +173,7 @@
             response.insert_header("Retry-After", RETRY_AFTER_S);
             response
         }
-        RequestOutcome::Unknown => plain_response(504, "outcome unknown: the request may have been executed"),
+        RequestOutcome::Unknown => plain_response(504, "no answer in time"),
     }
 }
 
