--- a/crates/service/engine/src/roles.rs
+++ b/crates/service/engine/src/roles.rs
@@ -157,9 +157,7 @@
     pub(crate) fn call_role(&mut self, now: Nanos, role: usize, out: &mut Vec<Effect>) {
         let Some(roles) = &mut self.roles else { return };
         let Some(calls) = roles.calls.get_mut(role) else { return };
-        if let Some(term) =
-            roles.leases.term_to_act_under(now / MS, RoleIndex(role)).filter(|_| !calls.is_calling)
-        {
+        if let Some(term) = roles.leases.held_term(now / MS, RoleIndex(role)).filter(|_| !calls.is_calling) {
             calls.is_calling = true;
             calls.calls_made += 1;
             let (addr, path) = (calls.task.addr, calls.task.path.clone());
@@ -189,8 +187,8 @@
     pub fn roles_view(&self, now: Nanos) -> Option<Vec<RoleView>> {
         let roles = self.roles.as_ref()?;
         let views = roles.leases.roles().enumerate().map(|(number, (role, stats))| {
-            let own_term = roles.leases.term_to_act_under(now / MS, RoleIndex(number));
-            let granted = roles.leases.known_grant(now / MS, RoleIndex(number));
+            let own_term = roles.leases.held_term(now / MS, RoleIndex(number));
+            let granted = roles.leases.local_grant(now / MS, RoleIndex(number));
             RoleView {
                 name: role.name.clone(),
                 holder: granted.map(|grant| grant.holder),
--- a/crates/service/singleton-roles/src/manager.rs
+++ b/crates/service/singleton-roles/src/manager.rs
@@ -70,13 +70,13 @@
     ///
     /// The caller asks at that moment, and passes the term to what it acts on, which rejects an
     /// older one: the process may be suspended between this check and the act.
-    pub fn term_to_act_under(&self, now: Millis, role: RoleIndex) -> Option<Term> {
+    pub fn held_term(&self, now: Millis, role: RoleIndex) -> Option<Term> {
         let held = self.roles.get(role.0)?.held;
         held.filter(|lease| now < lease.expires_at).map(|lease| lease.term)
     }
 
     /// The lease holder by this scheduler's own grant.
-    pub fn known_grant(&self, now: Millis, role: RoleIndex) -> Option<Grant> {
+    pub fn local_grant(&self, now: Millis, role: RoleIndex) -> Option<Grant> {
         self.roles.get(role.0)?.acceptor.grant(now)
     }
 
--- a/crates/service/singleton-roles/tests/common/mod.rs
+++ b/crates/service/singleton-roles/tests/common/mod.rs
@@ -154,7 +154,7 @@
 
     /// The term under which a scheduler may act now.
     pub fn term_of(&self, number: SchedulerNumber) -> Option<Term> {
-        self.schedulers[usize::from(number)].term_to_act_under(self.now, ROLE)
+        self.schedulers[usize::from(number)].held_term(self.now, ROLE)
     }
 
     /// The lease holder. There must not be two.
--- a/crates/service/singleton-roles/tests/lease_model.rs
+++ b/crates/service/singleton-roles/tests/lease_model.rs
@@ -164,7 +164,7 @@
 
     fn term_of(&self, number: SchedulerNumber) -> Option<Term> {
         let index = usize::from(number);
-        self.schedulers[index].term_to_act_under(self.clocks[index], ROLE)
+        self.schedulers[index].held_term(self.clocks[index], ROLE)
     }
 
     /// Whether a scheduler has a lease, expired or not.
