--- a/crates/service/membership/examples/compare_with_swim.rs
+++ b/crates/service/membership/examples/compare_with_swim.rs
@@ -1,6 +1,6 @@
-//! Our gossip and SWIM (the library `foca`) under the same losses, in virtual time, one tier after
-//! another on all cores: false deaths, how soon a death is known, and what it costs. Figures:
-//! `docs/measurements/membership.md`.
+//! Compares this crate's gossip protocol with SWIM (the library `foca`) under the same datagram
+//! loss, in virtual time: false deaths, detection time of deaths, and traffic. The trials run in
+//! parallel on all cores. Results: `docs/measurements/membership.md`.
 //!
 //! `cargo run --release -p spanlead-membership --example compare_with_swim -- ours|foca COUNT LOSS%
 //! HOURS SEEDS [PERIOD_MS]`
@@ -18,45 +18,56 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
+/// The number of members to which a node sends heartbeats in each period.
 const FANOUT: u16 = 4;
-/// The loss that our thresholds tolerate.
+/// The datagram loss that the thresholds of the gossip protocol tolerate.
 const TOLERATED_LOSS: f64 = 0.3;
-/// How long a datagram takes at the most, milliseconds.
+/// The maximum delay of a datagram, milliseconds.
 const MAX_DELAY_MS: u64 = 30;
 
-/// What was measured in a tier.
+/// The measurements of a trial.
 #[derive(Default)]
-struct Report {
+struct Measurements {
     false_deaths: u64,
     suspicions: u64,
-    /// Milliseconds from a kill until the first, and until 99 in 100 knew of it.
-    first_known_ms: Vec<u64>,
-    known_ms: Vec<u64>,
+    /// The times from a kill until the first member detected it, milliseconds.
+    first_detection_ms: Vec<u64>,
+    /// The times from a kill until 99 in 100 live members had detected it, milliseconds.
+    detection_ms: Vec<u64>,
     datagrams: u64,
     bytes: u64,
     seconds: f64,
 }
 
 /// A datagram that a node sends.
-struct Outgoing {
+struct OutgoingDatagram {
     to: usize,
     bytes: Vec<u8>,
 }
 
-/// A node of either kind.
+/// A node of either protocol.
 trait Node {
-    /// What it does at its time; datagrams go to `send`.
-    fn tick(&mut self, now: u64, send: &mut Vec<Outgoing>, report: &mut Report);
-    fn receive(&mut self, now: u64, from: usize, bytes: &[u8], send: &mut Vec<Outgoing>, report: &mut Report);
-    /// When it next wants to be called.
+    /// Performs the work that is due at `now`, and adds the datagrams to send to `outgoing`.
+    fn tick(&mut self, now: u64, outgoing: &mut Vec<OutgoingDatagram>, measurements: &mut Measurements);
+    fn receive(
+        &mut self,
+        now: u64,
+        from: usize,
+        bytes: &[u8],
+        outgoing: &mut Vec<OutgoingDatagram>,
+        measurements: &mut Measurements,
+    );
+    /// The time of the next tick, milliseconds.
     fn next_tick_at(&self) -> u64;
+    /// Whether a member is dead in this node's view.
     fn sees_dead(&self, member: usize) -> bool;
 }
 
+/// A node of this crate's gossip protocol.
 struct GossipNode {
     members: GossipMembership,
     period_ms: u64,
-    /// Milliseconds.
+    /// The time of the next tick, milliseconds.
     next_tick_at: u64,
     dead: Vec<bool>,
 }
@@ -83,15 +94,22 @@
         }
     }
 
-    fn perform(&mut self, actions: Vec<Action>, send: &mut Vec<Outgoing>, report: &mut Report) {
+    fn apply_actions(
+        &mut self,
+        actions: Vec<Action>,
+        outgoing: &mut Vec<OutgoingDatagram>,
+        measurements: &mut Measurements,
+    ) {
         for action in actions {
             match action {
-                Action::Send { to, datagram: bytes } => send.push(Outgoing { to: to.into(), bytes }),
+                Action::Send { to, datagram: bytes } => {
+                    outgoing.push(OutgoingDatagram { to: to.into(), bytes });
+                }
                 Action::Payload { .. } => {}
                 Action::StateChanged(change) => {
                     self.dead[usize::from(change.number)] = change.to == MemberState::Dead;
-                    report.suspicions += u64::from(change.to == MemberState::Suspect);
-                    report.false_deaths += u64::from(change.to == MemberState::Dead);
+                    measurements.suspicions += u64::from(change.to == MemberState::Suspect);
+                    measurements.false_deaths += u64::from(change.to == MemberState::Dead);
                 }
             }
         }
@@ -99,17 +117,24 @@
 }
 
 impl Node for GossipNode {
-    fn tick(&mut self, _: u64, send: &mut Vec<Outgoing>, report: &mut Report) {
+    fn tick(&mut self, _: u64, outgoing: &mut Vec<OutgoingDatagram>, measurements: &mut Measurements) {
         let mut actions = Vec::new();
         self.members.tick(&mut actions);
         self.next_tick_at += self.period_ms;
-        self.perform(actions, send, report);
+        self.apply_actions(actions, outgoing, measurements);
     }
 
-    fn receive(&mut self, _: u64, from: usize, bytes: &[u8], send: &mut Vec<Outgoing>, report: &mut Report) {
+    fn receive(
+        &mut self,
+        _: u64,
+        from: usize,
+        bytes: &[u8],
+        outgoing: &mut Vec<OutgoingDatagram>,
+        measurements: &mut Measurements,
+    ) {
         let mut actions = Vec::new();
         self.members.receive(from as u16, bytes, &mut actions);
-        self.perform(actions, send, report);
+        self.apply_actions(actions, outgoing, measurements);
     }
 
     fn next_tick_at(&self) -> u64 {
@@ -121,9 +146,11 @@
     }
 }
 
+/// The identity of a SWIM node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct SwimId {
     number: u16,
+    /// The incarnation, incremented by each renewal of the identity.
     start: u32,
 }
 
@@ -140,15 +167,18 @@
     }
 }
 
+/// A node of SWIM.
 struct SwimNode {
     foca: Foca<SwimId, PostcardCodec, rand_10::rngs::StdRng, foca::NoCustomBroadcast>,
     runtime: AccumulatingRuntime<SwimId>,
+    /// The timers with their times, milliseconds.
     timers: Vec<(u64, Timer<SwimId>)>,
     dead: Vec<bool>,
 }
 
 impl SwimNode {
-    /// As quick as the aim wants: a death is to be known within two seconds.
+    /// Creates a node with a configuration fast enough for the target of detecting a death within
+    /// two seconds. `period` is in milliseconds.
     fn new(number: usize, count: usize, period: u64, seed: u64) -> Self {
         let one = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
         let every =
@@ -178,9 +208,14 @@
         swim
     }
 
-    fn perform(&mut self, now: u64, send: &mut Vec<Outgoing>, report: &mut Report) {
+    fn apply_actions(
+        &mut self,
+        now: u64,
+        outgoing: &mut Vec<OutgoingDatagram>,
+        measurements: &mut Measurements,
+    ) {
         while let Some((to, bytes)) = self.runtime.to_send() {
-            send.push(Outgoing { to: to.number.into(), bytes: bytes.to_vec() });
+            outgoing.push(OutgoingDatagram { to: to.number.into(), bytes: bytes.to_vec() });
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.timers.push((now + after.as_millis() as u64, timer));
@@ -190,7 +225,7 @@
                 OwnedNotification::MemberUp(id) => self.dead[usize::from(id.number)] = false,
                 OwnedNotification::MemberDown(id) => {
                     self.dead[usize::from(id.number)] = true;
-                    report.false_deaths += 1;
+                    measurements.false_deaths += 1;
                 }
                 _ => {}
             }
@@ -199,18 +234,25 @@
 }
 
 impl Node for SwimNode {
-    fn tick(&mut self, now: u64, send: &mut Vec<Outgoing>, report: &mut Report) {
-        self.perform(now, send, report);
+    fn tick(&mut self, now: u64, outgoing: &mut Vec<OutgoingDatagram>, measurements: &mut Measurements) {
+        self.apply_actions(now, outgoing, measurements);
         while let Some(at) = self.timers.iter().position(|(at, _)| *at <= now) {
             let (_, timer) = self.timers.swap_remove(at);
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
         }
-        self.perform(now, send, report);
+        self.apply_actions(now, outgoing, measurements);
     }
 
-    fn receive(&mut self, now: u64, _: usize, bytes: &[u8], send: &mut Vec<Outgoing>, report: &mut Report) {
+    fn receive(
+        &mut self,
+        now: u64,
+        _: usize,
+        bytes: &[u8],
+        outgoing: &mut Vec<OutgoingDatagram>,
+        measurements: &mut Measurements,
+    ) {
         let _ = self.foca.handle_data(bytes, &mut self.runtime);
-        self.perform(now, send, report);
+        self.apply_actions(now, outgoing, measurements);
     }
 
     fn next_tick_at(&self) -> u64 {
@@ -222,57 +264,62 @@
     }
 }
 
-/// Milliseconds.
+/// The length of a minute, milliseconds.
 const MINUTE_MS: f64 = 60_000.0;
-/// The time between the end of one death's detection and the next kill.
+/// The time between the detection of a death and the next kill, milliseconds.
 const PAUSE_BETWEEN_KILLS_MS: u64 = 1000;
-/// The least time in which the members must have found each other.
+/// The minimum time that the members have to discover one another, milliseconds.
 const MIN_SETTLE_MS: u64 = 20_000;
-/// A death that is not known after this many settle times is given up.
+/// The timeout for the detection of a death, in settle times.
 const MAX_DETECTION_SETTLE_TIMES: u64 = 20;
-/// The share of the live members that must know of a death.
-const KNOWING_SHARE: f64 = 0.99;
+/// The share of the live members that must see a killed member dead for its death to count as
+/// detected.
+const DETECTED_SHARE: f64 = 0.99;
 
-/// What a trial is played with.
+/// The parameters of a trial.
 #[derive(Clone, Copy)]
 struct TrialParams {
+    /// The share of lost datagrams, 0 to 1.
     loss: f64,
-    /// How long the tier is observed without a death.
-    quiet_minutes: f64,
+    /// The duration of the phase without kills, minutes.
+    failure_free_minutes: f64,
     kills: usize,
+    /// The time that the members have to discover one another, milliseconds.
     settle_ms: u64,
     seed: u64,
 }
 
-/// A datagram under way.
-struct InFlight {
+/// A datagram in flight.
+struct InFlightDatagram {
     from: usize,
     to: usize,
     bytes: Vec<u8>,
 }
 
-/// A kill whose detection is awaited.
+/// A kill that is not detected yet.
 struct PendingKill {
     member: usize,
+    /// Milliseconds.
     killed_at: u64,
-    first_known_after: Option<u64>,
+    /// The time from the kill until the first member detected it, milliseconds.
+    first_detected_after: Option<u64>,
 }
 
-/// A tier that is played for some minutes without a death; then members are killed one by one, each
-/// with time for the others to know.
+/// A simulation of a tier: it first runs for some minutes without kills; then members are killed
+/// one by one, each after the detection of the kill before.
 struct Trial {
     params: TrialParams,
     nodes: Vec<Box<dyn Node>>,
     is_alive: Vec<bool>,
     rng: ChaCha8Rng,
-    /// Milliseconds.
+    /// The current time, milliseconds.
     now: u64,
-    /// Datagrams by the time of their arrival and their number.
-    in_flight: BTreeMap<(u64, u64), InFlight>,
+    /// The datagrams by time of arrival and sequence number.
+    in_flight: BTreeMap<(u64, u64), InFlightDatagram>,
     datagrams_sent: u64,
-    /// The nodes by the time of their next tick.
+    /// The times of the next ticks, with their nodes.
     ticks: BTreeSet<(u64, usize)>,
-    report: Report,
+    measurements: Measurements,
 }
 
 impl Trial {
@@ -285,142 +332,146 @@
             in_flight: BTreeMap::new(),
             datagrams_sent: 0,
             ticks: nodes.iter().enumerate().map(|(n, node)| (node.next_tick_at(), n)).collect(),
-            report: Report::default(),
+            measurements: Measurements::default(),
             nodes,
         }
     }
 
-    /// The time of the next arrival or tick.
+    /// The time of the next arrival or tick, milliseconds.
     fn next_event_at(&self) -> Option<u64> {
         let arrival = self.in_flight.first_key_value().map(|((at, _), _)| *at);
         let tick = self.ticks.first().map(|(at, _)| *at);
         arrival.into_iter().chain(tick).min()
     }
 
-    /// Plays the arrival or tick of this time.
-    fn play_event(&mut self, at: u64) {
+    /// Processes the next arrival or tick, which is due at the time `at`.
+    fn process_event(&mut self, at: u64) {
         self.now = at;
         let mut outgoing = Vec::new();
         let is_arrival = self.in_flight.first_key_value().is_some_and(|((arrival, _), _)| *arrival == at);
         let sender =
-            if is_arrival { self.play_arrival(&mut outgoing) } else { self.play_tick(&mut outgoing) };
+            if is_arrival { self.process_arrival(&mut outgoing) } else { self.process_tick(&mut outgoing) };
         if let Some(sender) = sender {
             self.send(sender, outgoing);
         }
     }
 
-    fn play_arrival(&mut self, outgoing: &mut Vec<Outgoing>) -> Option<usize> {
-        let (_, InFlight { from, to, bytes }) = self.in_flight.pop_first()?;
+    fn process_arrival(&mut self, outgoing: &mut Vec<OutgoingDatagram>) -> Option<usize> {
+        let (_, InFlightDatagram { from, to, bytes }) = self.in_flight.pop_first()?;
         if self.is_alive[to] {
-            self.nodes[to].receive(self.now, from, &bytes, outgoing, &mut self.report);
+            self.nodes[to].receive(self.now, from, &bytes, outgoing, &mut self.measurements);
         }
         Some(to)
     }
 
-    fn play_tick(&mut self, outgoing: &mut Vec<Outgoing>) -> Option<usize> {
+    fn process_tick(&mut self, outgoing: &mut Vec<OutgoingDatagram>) -> Option<usize> {
         let (_, node) = self.ticks.pop_first()?;
         if self.is_alive[node] {
-            self.nodes[node].tick(self.now, outgoing, &mut self.report);
+            self.nodes[node].tick(self.now, outgoing, &mut self.measurements);
             self.ticks.insert((self.nodes[node].next_tick_at().max(self.now + 1), node));
         }
         Some(node)
     }
 
-    fn send(&mut self, from: usize, outgoing: Vec<Outgoing>) {
-        for Outgoing { to, bytes } in outgoing {
-            self.report.datagrams += 1;
-            self.report.bytes += bytes.len() as u64;
+    fn send(&mut self, from: usize, outgoing: Vec<OutgoingDatagram>) {
+        for OutgoingDatagram { to, bytes } in outgoing {
+            self.measurements.datagrams += 1;
+            self.measurements.bytes += bytes.len() as u64;
             if !self.rng.random_bool(self.params.loss) {
                 self.datagrams_sent += 1;
                 let arrival = self.now + self.rng.random_range(1..=MAX_DELAY_MS);
-                self.in_flight.insert((arrival, self.datagrams_sent), InFlight { from, to, bytes });
+                self.in_flight.insert((arrival, self.datagrams_sent), InFlightDatagram { from, to, bytes });
             }
         }
     }
 
-    /// Kills a random member; `None` if it was dead before.
+    /// Kills a random member. Returns `None` if it had already been killed.
     fn kill(&mut self) -> Option<PendingKill> {
         let member = self.rng.random_range(0..self.nodes.len());
         let was_alive = std::mem::replace(&mut self.is_alive[member], false);
-        was_alive.then_some(PendingKill { member, killed_at: self.now, first_known_after: None })
+        was_alive.then_some(PendingKill { member, killed_at: self.now, first_detected_after: None })
     }
 
-    /// Whether enough members know of the death, or it is given up.
+    /// Whether enough members have detected the death, or the detection timed out.
     fn is_detected(&self, kill: &mut PendingKill) -> bool {
-        let knows = |n: &usize| self.is_alive[*n] && self.nodes[*n].sees_dead(kill.member);
-        let knowing = (0..self.nodes.len()).filter(knows).count();
+        let is_aware = |n: &usize| self.is_alive[*n] && self.nodes[*n].sees_dead(kill.member);
+        let aware = (0..self.nodes.len()).filter(is_aware).count();
         let live = self.is_alive.iter().filter(|is_alive| **is_alive).count();
-        if knowing > 0 && kill.first_known_after.is_none() {
-            kill.first_known_after = Some(self.now - kill.killed_at);
+        if aware > 0 && kill.first_detected_after.is_none() {
+            kill.first_detected_after = Some(self.now - kill.killed_at);
         }
-        let given_up_at = kill.killed_at + MAX_DETECTION_SETTLE_TIMES * self.params.settle_ms;
-        knowing as f64 >= KNOWING_SHARE * live as f64 || self.now > given_up_at
+        let timeout_at = kill.killed_at + MAX_DETECTION_SETTLE_TIMES * self.params.settle_ms;
+        aware as f64 >= DETECTED_SHARE * live as f64 || self.now > timeout_at
     }
 
-    /// Plays the quiet time; returns what was measured in it.
-    fn play_quiet_time(&mut self) -> Option<Report> {
+    /// Runs the phase without kills, and returns its measurements.
+    fn run_failure_free_phase(&mut self) -> Option<Measurements> {
         let settled_at = self.params.settle_ms;
-        let quiet_until = settled_at + (self.params.quiet_minutes * MINUTE_MS) as u64;
-        while self.now < quiet_until {
+        let failure_free_until = settled_at + (self.params.failure_free_minutes * MINUTE_MS) as u64;
+        while self.now < failure_free_until {
             let next = self.next_event_at()?;
             if self.now <= settled_at && next > settled_at {
-                // What happened while they found each other does not count.
-                self.report = Report::default();
+                // Discards the measurements from the time of the discovery.
+                self.measurements = Measurements::default();
             }
-            self.play_event(next);
+            self.process_event(next);
         }
-        Some(Report { seconds: self.params.quiet_minutes * 60.0, ..std::mem::take(&mut self.report) })
+        Some(Measurements {
+            seconds: self.params.failure_free_minutes * 60.0,
+            ..std::mem::take(&mut self.measurements)
+        })
     }
 
-    /// Plays the quiet time and the kills.
-    fn play(mut self) -> Report {
-        let Some(mut measured) = self.play_quiet_time() else { return Report::default() };
+    /// Runs the phase without kills and then the kills, and returns the measurements of both.
+    fn run(mut self) -> Measurements {
+        let Some(mut measured) = self.run_failure_free_phase() else { return Measurements::default() };
         let mut kills_left = self.params.kills;
-        let mut pause_until = 0;
+        let mut next_kill_at = 0;
         let mut pending: Option<PendingKill> = None;
         loop {
             match pending.take() {
                 None if kills_left == 0 => break,
-                None if self.now >= pause_until => {
+                None if self.now >= next_kill_at => {
                     kills_left -= 1;
                     pending = self.kill();
                 }
                 None => {}
                 Some(mut kill) => {
                     if self.is_detected(&mut kill) {
-                        measured.first_known_ms.extend(kill.first_known_after);
-                        measured.known_ms.push(self.now - kill.killed_at);
-                        pause_until = self.now + PAUSE_BETWEEN_KILLS_MS;
+                        measured.first_detection_ms.extend(kill.first_detected_after);
+                        measured.detection_ms.push(self.now - kill.killed_at);
+                        next_kill_at = self.now + PAUSE_BETWEEN_KILLS_MS;
                     } else {
                         pending = Some(kill);
                     }
                 }
             }
             let Some(next) = self.next_event_at() else { break };
-            self.play_event(next);
+            self.process_event(next);
         }
         measured
     }
 }
 
-/// The measurements of all trials of one kind.
+/// The measurements of all trials.
 struct Summary {
     member_count: usize,
-    reports: Vec<Report>,
+    trials: Vec<Measurements>,
 }
 
 impl Summary {
-    fn sum(&self, figure: fn(&Report) -> u64) -> u64 {
-        self.reports.iter().map(figure).sum()
+    fn sum(&self, counter: fn(&Measurements) -> u64) -> u64 {
+        self.trials.iter().map(counter).sum()
     }
 
+    /// The total duration of the phases without kills.
     fn seconds(&self) -> f64 {
-        self.reports.iter().map(|report| report.seconds).sum()
+        self.trials.iter().map(|measurements| measurements.seconds).sum()
     }
 
-    /// All times of a kind, sorted.
-    fn times(&self, times: fn(&Report) -> &Vec<u64>) -> Vec<u64> {
-        let mut all: Vec<u64> = self.reports.iter().flat_map(times).copied().collect();
+    /// The times of all trials, sorted.
+    fn times(&self, times: fn(&Measurements) -> &Vec<u64>) -> Vec<u64> {
+        let mut all: Vec<u64> = self.trials.iter().flat_map(times).copied().collect();
         all.sort_unstable();
         all
     }
@@ -428,31 +479,31 @@
     fn print(&self) {
         let members = self.member_count as f64;
         let seconds = self.seconds();
-        let false_deaths = self.sum(|report| report.false_deaths);
+        let false_deaths = self.sum(|measurements| measurements.false_deaths);
         println!(
-            "false deaths {false_deaths} ({:.4} a member-hour), suspicions {}",
+            "false deaths {false_deaths} ({:.4} per member-hour), suspicions {}",
             false_deaths as f64 / (members * seconds / 3600.0),
-            self.sum(|report| report.suspicions)
+            self.sum(|measurements| measurements.suspicions)
         );
         println!(
-            "a member: {:.1} datagrams and {:.0} bytes a second",
-            self.sum(|report| report.datagrams) as f64 / seconds / members,
-            self.sum(|report| report.bytes) as f64 / seconds / members
+            "per member: {:.1} datagrams and {:.0} bytes a second",
+            self.sum(|measurements| measurements.datagrams) as f64 / seconds / members,
+            self.sum(|measurements| measurements.bytes) as f64 / seconds / members
         );
-        let first_known = self.times(|report| &report.first_known_ms);
-        let known = self.times(|report| &report.known_ms);
+        let first_detection = self.times(|measurements| &measurements.first_detection_ms);
+        let detection = self.times(|measurements| &measurements.detection_ms);
         println!(
-            "{} deaths: first knows after p50 {} p99 {} ms, 99 in 100 after p50 {} p99 {} ms",
-            known.len(),
-            quantile(&first_known, 0.5),
-            quantile(&first_known, 0.99),
-            quantile(&known, 0.5),
-            quantile(&known, 0.99)
+            "{} deaths: detected by the first member after p50 {} p99 {} ms, by 99 in 100 after p50 {} p99 {} ms",
+            detection.len(),
+            quantile(&first_detection, 0.5),
+            quantile(&first_detection, 0.99),
+            quantile(&detection, 0.5),
+            quantile(&detection, 0.99)
         );
     }
 }
 
-/// A quantile of sorted times.
+/// A quantile of sorted times; 0 if there are none.
 fn quantile(sorted: &[u64], quantile: f64) -> u64 {
     let index = (sorted.len() as f64 * quantile) as usize;
     sorted.get(index.min(sorted.len().saturating_sub(1))).copied().unwrap_or(0)
@@ -471,11 +522,11 @@
     let thresholds = SuspicionThresholds::for_tier(member_count as u16, FANOUT, TOLERATED_LOSS);
     let (suspect, dead) = (thresholds.suspect_after_periods, thresholds.dead_after_periods);
     println!(
-        "{kind}, {member_count} members, {:.0}% lost, {hours} hours in {seeds} seeds, period {period_ms} ms",
+        "{kind}, {member_count} members, {:.0}% loss, {hours} hours over {seeds} seeds, period {period_ms} ms",
         100.0 * loss
     );
-    println!("ours suspects after {suspect} and declares dead after {dead} periods");
-    let play_trial = |seed: u64| {
+    println!("ours suspects a member after {suspect} periods and declares it dead after {dead}");
+    let run_trial = |seed: u64| {
         let new_node = |number: usize| -> Box<dyn Node> {
             let node_seed = seed * 1000 + number as u64;
             match kind.as_str() {
@@ -485,13 +536,13 @@
         };
         let params = TrialParams {
             loss,
-            quiet_minutes: hours * 60.0 / seeds as f64,
+            failure_free_minutes: hours * 60.0 / seeds as f64,
             kills: (member_count / 3).clamp(1, 20),
             settle_ms: MIN_SETTLE_MS.max(period_ms * u64::from(dead) * 2),
             seed,
         };
-        Trial::new((0..member_count).map(new_node).collect(), params).play()
+        Trial::new((0..member_count).map(new_node).collect(), params).run()
     };
-    let reports = (1..=seeds).into_par_iter().map(play_trial).collect();
-    Summary { member_count, reports }.print();
+    let trials = (1..=seeds).into_par_iter().map(run_trial).collect();
+    Summary { member_count, trials }.print();
 }
--- a/crates/service/membership/examples/soak.rs
+++ b/crates/service/membership/examples/soak.rs
@@ -1,10 +1,11 @@
-//! Hours of a tier in virtual time, in which members are suspended, can't hear one another, are
-//! partitioned and are killed, in turn and at random: who was taken for dead though it lived and
-//! could be heard, how often a member was suspected, and how long a death takes to be known.
+//! A soak test of a simulated tier: hours of virtual time with one random fault after another.
+//! Members are suspended, links are blocked, members cannot send, and members are killed. Reports
+//! the deaths declared of members that were alive and reachable, the suspicions, and the detection
+//! time of deaths.
 //!
 //!     cargo run --release -p spanlead-membership --example soak -- COUNT LOSS% HOURS SEED
 #[path = "../tests/common/simulated_tier.rs"]
-#[allow(dead_code, reason = "the tests use the rest")]
+#[allow(dead_code, reason = "the tests use the other items")]
 mod simulated_tier;
 
 use rand::{Rng, SeedableRng};
@@ -12,32 +13,34 @@
 use simulated_tier::SimulatedTier;
 use spanlead_membership::MemberState;
 
-/// Periods of 100 ms in a second.
+/// The number of periods in a second: a period is 100 ms.
 const PERIODS_PER_SECOND: u64 = 10;
+/// The length of a period.
 const MILLISECONDS_PER_PERIOD: u64 = 1000 / PERIODS_PER_SECOND;
-/// The incarnation of the first member that is restarted; later ones have later incarnations.
+/// The lower bound of the incarnations of restarted members, which increase with each restart.
 const FIRST_RESTART_INCARNATION: u32 = 1_000_000;
-/// Distinguishes the choice of faults from the tier's own randomness.
+/// Derives the seed for the choice of faults from the seed of the tier, so that the two differ.
 const FAULT_SEED_MASK: u64 = 0x50a5;
-/// The share of the others that must know of a death.
-const KNOWING_SHARE: f64 = 0.99;
-/// The longest time until all are alive for all again.
+/// The share of the other members that must see a killed member dead for its death to count as
+/// detected.
+const DETECTED_SHARE: f64 = 0.99;
+/// The maximum time after a fault until all members see one another alive again.
 const MAX_RECOVERY_PERIODS: u64 = 60 * PERIODS_PER_SECOND;
 
 /// A fault that lasts for some periods.
 enum Fault {
-    /// A member is suspended.
+    /// A member's process is suspended.
     Suspended(usize),
-    /// Pairs of which the second does not hear the first.
-    Deaf(Vec<(usize, usize)>),
-    /// Nobody hears a member.
-    Mute(usize),
-    /// A member is killed, and restarts at the end.
+    /// Links are blocked, each given by sender and receiver.
+    BlockedLinks(Vec<(usize, usize)>),
+    /// All links from a member are blocked.
+    OutboundBlocked(usize),
+    /// A member is killed, and restarts at the end of the fault.
     Killed(usize),
 }
 
 impl Fault {
-    /// A random fault, and for how many periods it lasts.
+    /// Draws a random fault and its duration, periods.
     fn random(rng: &mut ChaCha8Rng, member_count: usize) -> (Self, u64) {
         match rng.random_range(0..4) {
             0 => {
@@ -47,55 +50,66 @@
             1 => {
                 let pairs = (0..member_count)
                     .map(|_| (rng.random_range(0..member_count), rng.random_range(0..member_count)));
-                (Fault::Deaf(pairs.filter(|(from, to)| from != to).collect()), 20 * PERIODS_PER_SECOND)
+                (
+                    Fault::BlockedLinks(pairs.filter(|(from, to)| from != to).collect()),
+                    20 * PERIODS_PER_SECOND,
+                )
             }
-            2 => (Fault::Mute(rng.random_range(0..member_count)), 10 * PERIODS_PER_SECOND),
+            2 => (Fault::OutboundBlocked(rng.random_range(0..member_count)), 10 * PERIODS_PER_SECOND),
             _ => (Fault::Killed(rng.random_range(0..member_count)), 20 * PERIODS_PER_SECOND),
         }
     }
 
-    /// The member that may be taken for dead without a mistake.
-    fn excused_member(&self) -> Option<usize> {
+    /// The member that may rightly be declared dead during the fault.
+    fn expected_dead_member(&self) -> Option<usize> {
         match self {
-            Fault::Suspended(member) | Fault::Mute(member) | Fault::Killed(member) => Some(*member),
-            Fault::Deaf(_) => None,
+            Fault::Suspended(member) | Fault::OutboundBlocked(member) | Fault::Killed(member) => {
+                Some(*member)
+            }
+            Fault::BlockedLinks(_) => None,
         }
     }
 
-    fn begin(&self, tier: &mut SimulatedTier, member_count: usize) {
+    /// Begins the fault.
+    fn inject(&self, tier: &mut SimulatedTier, member_count: usize) {
         match self {
             Fault::Suspended(member) => tier.suspend(*member),
-            Fault::Deaf(pairs) => pairs.iter().for_each(|(from, to)| tier.set_cut(*from, *to, true)),
-            Fault::Mute(member) => {
+            Fault::BlockedLinks(pairs) => {
+                pairs.iter().for_each(|(from, to)| tier.set_link_blocked(*from, *to, true));
+            }
+            Fault::OutboundBlocked(member) => {
                 let others = (0..member_count).filter(|to| to != member);
-                others.for_each(|to| tier.set_cut(*member, to, true));
+                others.for_each(|to| tier.set_link_blocked(*member, to, true));
             }
             Fault::Killed(member) => tier.kill(*member),
         }
     }
 
-    fn end(&self, tier: &mut SimulatedTier, restart_incarnation: u32) {
+    /// Ends the fault.
+    fn repair(&self, tier: &mut SimulatedTier, restart_incarnation: u32) {
         tier.heal();
         match self {
             Fault::Suspended(member) => tier.resume(*member),
             Fault::Killed(member) => tier.start(*member, restart_incarnation),
-            Fault::Deaf(_) | Fault::Mute(_) => {}
+            Fault::BlockedLinks(_) | Fault::OutboundBlocked(_) => {}
         }
     }
 }
 
+/// The measurements of a soak test.
 #[derive(Default)]
 struct Report {
+    /// Number of declared deaths of members that were alive and reachable, once per observer.
     false_deaths: u64,
-    /// Suspicions of members that could be heard.
+    /// Number of suspicions of members that were alive and reachable, once per observer.
     suspicions: u64,
-    /// Members taken for dead that could not be heard, once for each observer.
-    excused_deaths: u64,
-    mutes: u64,
+    /// Number of declared deaths that involve the member with the fault, as member or as observer.
+    expected_deaths: u64,
+    outbound_blocks: u64,
     suspensions: u64,
-    /// The longest time until all were alive for all again, periods.
+    /// The maximum time after a fault until all members saw one another alive again, periods.
     longest_recovery: u64,
-    /// How long it took until 99 in 100 knew of a death, periods.
+    /// The times until 99 in 100 other members had detected a death, periods.
     detection_periods: Vec<u64>,
 }
 
@@ -106,60 +120,66 @@
 }
 
 impl Soak {
-    /// Plays a fault and the time after it; returns the periods that passed.
-    fn play(&mut self, fault: &Fault, duration: u64, restart_incarnation: u32) -> u64 {
+    /// Runs a fault and the recovery from it. Returns the number of periods that passed.
+    fn run_fault(&mut self, fault: &Fault, duration: u64, restart_incarnation: u32) -> u64 {
         self.report.suspensions += u64::from(matches!(fault, Fault::Suspended(_)));
-        self.report.mutes += u64::from(matches!(fault, Fault::Mute(_)));
+        self.report.outbound_blocks += u64::from(matches!(fault, Fault::OutboundBlocked(_)));
         let settle_periods = 4 * u64::from(self.tier.thresholds().dead_after_periods);
-        fault.begin(&mut self.tier, self.member_count);
+        fault.inject(&mut self.tier, self.member_count);
         let mut detected_after = None;
         for passed in 0..duration + settle_periods {
             if passed == duration {
-                fault.end(&mut self.tier, restart_incarnation);
+                fault.repair(&mut self.tier, restart_incarnation);
             }
-            self.tier.pass_period();
-            if passed < duration && detected_after.is_none() && self.is_death_known(fault) {
+            self.tier.run_period();
+            if passed < duration && detected_after.is_none() && self.is_death_detected(fault) {
                 detected_after = Some(passed + 1);
             }
-            self.count_changes(fault.excused_member());
+            self.count_changes(fault.expected_dead_member());
         }
         self.report.detection_periods.extend(detected_after);
         if matches!(fault, Fault::Killed(_)) && detected_after.is_none() {
-            println!("a death was not known within {duration} periods");
+            println!("a death was not detected within {duration} periods");
         }
         let recovery_periods = self.recover();
         self.report.longest_recovery = self.report.longest_recovery.max(settle_periods + recovery_periods);
         duration + settle_periods + recovery_periods
     }
 
-    fn is_death_known(&self, fault: &Fault) -> bool {
+    /// Whether the fault is a kill that enough other members have detected.
+    fn is_death_detected(&self, fault: &Fault) -> bool {
         let Fault::Killed(member) = fault else { return false };
-        let knows = |observer: &usize| self.tier.state(*observer, *member) == MemberState::Dead;
-        let knowing = self.tier.running().filter(knows).count();
-        knowing as f64 >= KNOWING_SHARE * (self.member_count - 1) as f64
+        let is_aware = |observer: &usize| self.tier.state(*observer, *member) == MemberState::Dead;
+        let aware = self.tier.running().filter(is_aware).count();
+        aware as f64 >= DETECTED_SHARE * (self.member_count - 1) as f64
     }
 
-    fn count_changes(&mut self, excused_member: Option<usize>) {
-        for seen in self.tier.changes.drain(..) {
-            let member = usize::from(seen.change.number);
-            let is_excused = excused_member == Some(member) || excused_member == Some(seen.observer);
-            match seen.change.to {
-                MemberState::Dead if is_excused => self.report.excused_deaths += 1,
+    /// Adds the observed changes to the report, and discards them.
+    fn count_changes(&mut self, expected_dead_member: Option<usize>) {
+        for observed in self.tier.changes.drain(..) {
+            let member = usize::from(observed.change.number);
+            let is_expected =
+                expected_dead_member == Some(member) || expected_dead_member == Some(observed.observer);
+            match observed.change.to {
+                MemberState::Dead if is_expected => self.report.expected_deaths += 1,
                 MemberState::Dead => self.report.false_deaths += 1,
-                MemberState::Suspect if !is_excused => self.report.suspicions += 1,
+                MemberState::Suspect if !is_expected => self.report.suspicions += 1,
                 _ => {}
             }
         }
     }
 
-    /// Passes periods until all are alive for all: whoever is taken for dead is contacted at
-    /// random.
+    /// Runs periods until all members see one another alive, which takes random contacts with
+    /// members that are seen dead. Returns the number of periods.
     fn recover(&mut self) -> u64 {
         let mut periods = 0;
         while !self.tier.all_see_all_alive() {
-            self.tier.pass_period();
+            self.tier.run_period();
             periods += 1;
-            assert!(periods < MAX_RECOVERY_PERIODS, "not recovered after a fault");
+            assert!(
+                periods < MAX_RECOVERY_PERIODS,
+                "all members must see one another alive within {MAX_RECOVERY_PERIODS} periods after a fault"
+            );
         }
         self.tier.changes.clear();
         periods
@@ -177,14 +197,14 @@
     fn print(&mut self) {
         self.detection_periods.sort_unstable();
         println!(
-            "false deaths {}, suspicions of members that could be heard {}; {} suspensions and {} mutes, \
-             taken for dead {} times by one observer",
-            self.false_deaths, self.suspicions, self.suspensions, self.mutes, self.excused_deaths
+            "false deaths {}, suspicions of reachable members {}; {} suspensions and {} blocked senders, \
+             declared dead {} times by one observer",
+            self.false_deaths, self.suspicions, self.suspensions, self.outbound_blocks, self.expected_deaths
         );
         let (kills, p50, p99) =
             (self.detection_periods.len(), self.detection_ms(0.5), self.detection_ms(0.99));
-        println!("{kills} kills, known by 99 in 100 after p50 {p50} p99 {p99} ms");
-        println!("all alive again after {} ms at the most", self.longest_recovery * MILLISECONDS_PER_PERIOD);
+        println!("{kills} kills, detected by 99 in 100 after p50 {p50} p99 {p99} ms");
+        println!("recovered from each fault within {} ms", self.longest_recovery * MILLISECONDS_PER_PERIOD);
     }
 }
 
@@ -199,16 +219,16 @@
     let tier = SimulatedTier::new(member_count, loss, seed);
     let mut soak = Soak { tier, member_count, report: Report::default() };
     while !soak.tier.all_see_all_alive() {
-        soak.tier.pass_period();
+        soak.tier.run_period();
     }
     let mut periods_left = (hours * 3600.0) as u64 * PERIODS_PER_SECOND;
     let mut restart_incarnation = FIRST_RESTART_INCARNATION;
     while periods_left > 0 {
         let (fault, duration) = Fault::random(&mut rng, member_count);
         restart_incarnation += u32::from(matches!(fault, Fault::Killed(_)));
-        let passed = soak.play(&fault, duration, restart_incarnation);
+        let passed = soak.run_fault(&fault, duration, restart_incarnation);
         periods_left = periods_left.saturating_sub(passed);
     }
-    println!("{member_count} members, {:.0}% lost, {hours} hours, seed {seed}", loss * 100.0);
+    println!("{member_count} members, {:.0}% loss, {hours} hours, seed {seed}", loss * 100.0);
     soak.report.print();
 }
--- a/crates/service/membership/src/datagram.rs
+++ b/crates/service/membership/src/datagram.rs
@@ -1,25 +1,25 @@
-//! Datagrams between schedulers. A datagram is postcard's form of [`Datagram`] with a CRC-32 behind
-//! it; whatever is not exactly that is dropped and counted by reason. Names are not part of the
-//! form; order and types of fields and variants are, and a change of them is a new
+//! Datagrams between schedulers. A datagram is the postcard encoding of [`Datagram`], followed by a
+//! CRC-32. Anything else is dropped and counted by reason. Names are not part of the encoding. The
+//! order and types of fields and variants are, and changing them requires a new
 //! [`PROTOCOL_VERSION`].
 use crate::digest::HeartbeatEntry;
 use crate::limits::{CHECKSUM_BYTES, MAX_DATAGRAM_BYTES, MAX_TEXT_BYTES};
 use crate::member::{Incarnation, MemberNumber};
 use serde::{Deserialize, Serialize};
 
-/// The version of the form. Datagrams of another version are dropped and counted.
+/// The version of the encoding. Datagrams of another version are dropped and counted.
 pub const PROTOCOL_VERSION: u8 = 2;
 
-/// A datagram.
+/// A datagram of the membership protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct Datagram {
-    /// [`PROTOCOL_VERSION`].
+    /// The version of the encoding, [`PROTOCOL_VERSION`].
     pub protocol_version: u8,
-    /// The tier that sender and receiver belong to.
+    /// The identifier of the tier of sender and receiver.
     pub tier_id: [u8; 4],
-    /// The sender.
+    /// The number of the sender.
     pub from: MemberNumber,
-    /// The receiver. A datagram that reaches another member is dropped.
+    /// The number of the receiver. A datagram that reaches another member is dropped.
     pub to: MemberNumber,
     /// The message.
     pub body: MessageBody,
@@ -30,21 +30,21 @@
 pub enum MessageBody {
     /// Heartbeats, the sender's own first.
     Heartbeats {
-        /// The sender wants heartbeats in return at once.
+        /// Whether the sender requests an immediate reply with heartbeats.
         reply_requested: bool,
         /// At most [`MAX_DIGEST_ENTRIES`](crate::MAX_DIGEST_ENTRIES) heartbeats.
         digest: Vec<HeartbeatEntry>,
     },
-    /// A message of another protocol between the same members.
+    /// A message of another protocol between members.
     Payload {
         /// The number of the other protocol.
         protocol: u8,
-        /// At most `MAX_PAYLOAD_BYTES`.
+        /// The message, at most [`MAX_PAYLOAD_BYTES`](crate::MAX_PAYLOAD_BYTES) bytes.
         bytes: Vec<u8>,
     },
-    /// What does not change while the sender's process lives.
+    /// Properties that are constant for the lifetime of the sender's process.
     Metadata {
-        /// The sender wants the receiver's metadata in return.
+        /// Whether the sender requests the receiver's metadata.
         reply_requested: bool,
         /// The sender's incarnation.
         incarnation: Incarnation,
@@ -55,33 +55,34 @@
     },
 }
 
-/// Why a datagram was dropped.
+/// The reason for which a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum DropReason {
-    /// It was cut short or damaged, or never was one of ours.
+    /// It is truncated, corrupted, too long or not of this protocol.
     #[error("malformed datagram")]
     #[serde(rename = "garbled")]
     Malformed,
-    /// It has the form of another protocol version.
+    /// Its protocol version differs from this scheduler's.
     #[error("another protocol version")]
     #[serde(rename = "protocol")]
     ProtocolVersion,
-    /// It is of another tier.
+    /// It belongs to another tier.
     #[error("another tier")]
     Tier,
-    /// It was sent to another scheduler, or from an address that is not its sender's.
-    #[error("another sender or receiver than its addresses say")]
+    /// It names another receiver than this scheduler, or another sender than the member whose
+    /// address it came from.
+    #[error("sender or receiver number does not match the addresses of the datagram")]
     #[serde(rename = "misled")]
     Misaddressed,
-    /// It names a member that does not exist, or figures that no member can have.
-    #[error("impossible member or figures")]
+    /// It contains a member number beyond the configured ones, or values that no member can have.
+    #[error("member number that is not configured, or implausible heartbeat values")]
     #[serde(rename = "absurd")]
     Implausible,
 }
 
 impl DropReason {
-    /// All reasons, in the order of their counters.
+    /// All reasons, in the order in which their counters are listed.
     pub const ALL: [DropReason; 5] = [
         DropReason::Malformed,
         DropReason::ProtocolVersion,
@@ -92,7 +93,7 @@
 }
 
 impl Datagram {
-    /// The bytes of the datagram.
+    /// Encodes the datagram, with its checksum.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = postcard::to_stdvec(self).unwrap_or_default();
         let checksum = crc32fast::hash(&bytes);
@@ -100,16 +101,17 @@
         bytes
     }
 
-    /// Reads a datagram.
+    /// Decodes a datagram.
     ///
     /// # Errors
-    /// Why it is to be dropped.
+    /// Returns [`DropReason::Malformed`] or [`DropReason::ProtocolVersion`] if the bytes are not a
+    /// datagram of this version.
     pub fn decode(bytes: &[u8]) -> Result<Self, DropReason> {
         let (message, checksum) = bytes.split_last_chunk::<CHECKSUM_BYTES>().ok_or(DropReason::Malformed)?;
         if bytes.len() > MAX_DATAGRAM_BYTES || crc32fast::hash(message) != u32::from_le_bytes(*checksum) {
             return Err(DropReason::Malformed);
         }
-        // Another version may have anything behind its first byte.
+        // Only the position of the version and of the checksum is common to all versions.
         if message.first().is_some_and(|version| *version != PROTOCOL_VERSION) {
             return Err(DropReason::ProtocolVersion);
         }
@@ -120,7 +122,7 @@
     }
 }
 
-/// A text as it may be sent: truncated to [`MAX_TEXT_BYTES`] at a character's boundary.
+/// Truncates a text to at most [`MAX_TEXT_BYTES`] bytes, at a character boundary.
 pub fn truncate_text(text: &str) -> String {
     let mut end = text.len().min(MAX_TEXT_BYTES);
     while !text.is_char_boundary(end) {
--- a/crates/service/membership/src/digest.rs
+++ b/crates/service/membership/src/digest.rs
@@ -1,53 +1,53 @@
-//! Digests: the heartbeats that a datagram passes on.
+//! Digests: the lists of heartbeats in datagrams.
 use crate::limits::{DIGEST_OVERHEAD_BYTES, MAX_DATAGRAM_BYTES};
 use crate::member::{Incarnation, LifecyclePhase, MemberNumber};
 use serde::{Deserialize, Serialize};
 
-/// Bits of a number that postcard writes in one byte.
+/// The number of bits of an integer that postcard encodes in one byte.
 const VARINT_BITS_PER_BYTE: usize = 7;
-/// Bytes of the phase in an entry.
+/// The encoded size of the phase in an entry, bytes.
 const PHASE_BYTES: usize = 1;
 
-/// A heartbeat of a member, as it is passed on.
+/// A heartbeat of a member in a digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct HeartbeatEntry {
-    /// The member.
+    /// The number of the member.
     pub number: MemberNumber,
     /// The member's incarnation.
     pub incarnation: Incarnation,
-    /// Grows with each period that the member lives through.
+    /// The heartbeat counter, which the member increments in each of its periods.
     pub heartbeat: u32,
-    /// Periods since the member made this heartbeat, by the reckoning of whoever passes it on.
+    /// The age of the heartbeat as measured by the sender of the digest, periods.
     pub age_periods: u32,
-    /// What the member reported of itself.
+    /// The lifecycle phase that the member reported.
     pub phase: LifecyclePhase,
 }
 
 impl HeartbeatEntry {
-    /// Whether this heartbeat supersedes the other one of the same member: it is of a later
-    /// incarnation, or later in the same.
+    /// Whether this heartbeat supersedes another one of the same member: it is of a higher
+    /// incarnation, or of the same one with a higher counter.
     pub fn is_newer_than(&self, other: &HeartbeatEntry) -> bool {
         (self.incarnation, self.heartbeat) > (other.incarnation, other.heartbeat)
     }
 
-    /// The entry's size in a datagram, bytes.
-    fn encoded_bytes(&self) -> usize {
+    /// The encoded size of the entry, bytes.
+    fn encoded_len(&self) -> usize {
         let numbers = [self.number.into(), self.incarnation, self.heartbeat, self.age_periods];
-        numbers.into_iter().map(varint_bytes).sum::<usize>() + PHASE_BYTES
+        numbers.into_iter().map(varint_len).sum::<usize>() + PHASE_BYTES
     }
 }
 
-/// The size of a number in postcard's form, bytes.
-fn varint_bytes(number: u32) -> usize {
+/// The size of an integer in postcard's variable-length encoding, bytes.
+fn varint_len(number: u32) -> usize {
     (number.max(1).ilog2() as usize) / VARINT_BITS_PER_BYTE + 1
 }
 
-/// As many of these entries as fit into a datagram, in their order.
+/// Returns the longest prefix of the entries that fits into a datagram.
 pub fn fit_into_datagram(entries: impl Iterator<Item = HeartbeatEntry>) -> Vec<HeartbeatEntry> {
     let mut free_bytes = MAX_DATAGRAM_BYTES - DIGEST_OVERHEAD_BYTES;
     let fits = |entry: &HeartbeatEntry| {
-        let fits = entry.encoded_bytes() <= free_bytes;
-        free_bytes = free_bytes.saturating_sub(entry.encoded_bytes());
+        let fits = entry.encoded_len() <= free_bytes;
+        free_bytes = free_bytes.saturating_sub(entry.encoded_len());
         fits
     };
     entries.take_while(fits).collect()
--- a/crates/service/membership/src/gossip.rs
+++ b/crates/service/membership/src/gossip.rs
@@ -1,8 +1,9 @@
-//! The protocol's state machine: what a scheduler knows of the members, and what it sends them.
+//! The state machine of the membership protocol: the state of the members in the view of one
+//! scheduler, and the datagrams that it sends them.
 //!
-//! - `period`: what is done once a period.
-//! - `receive`: what a datagram changes.
-//! - `send`: how datagrams are made.
+//! - `period`: the periodic failure detection and gossip.
+//! - `receive`: the processing of received datagrams.
+//! - `send`: the construction of datagrams.
 mod period;
 mod receive;
 mod send;
@@ -17,27 +18,27 @@
 use rand::seq::SliceRandom;
 use rand_chacha::ChaCha8Rng;
 
-/// Incarnations from here on are implausible, so that this scheduler's can always exceed one that
-/// it learns of.
+/// The exclusive upper bound of plausible incarnations in datagrams, so that this scheduler can
+/// always take a higher incarnation than one that it learns of.
 const MAX_INCARNATION: Incarnation = u32::MAX - (1 << 16);
-/// A scheduler that shuts down notifies this many members at the most.
+/// The maximum number of members that a scheduler notifies when it shuts down.
 const MAX_LEAVE_RECEIVERS: usize = 64;
-/// How often a scheduler that shuts down notifies each of them.
+/// The number of notifications that a scheduler sends to each of them, since some may be lost.
 const LEAVE_REPETITIONS: usize = 3;
 
-/// What the caller must do.
+/// An action that the caller must perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a datagram to a member.
     Send {
-        /// The member.
+        /// The receiver.
         to: MemberNumber,
-        /// The datagram.
+        /// The encoded datagram.
         datagram: Vec<u8>,
     },
     /// Report a change of a member's state.
     StateChanged(MemberStateChange),
-    /// Pass a message of another protocol on.
+    /// Pass a received message to the other protocol that it belongs to.
     Payload {
         /// The member that sent it.
         from: MemberNumber,
@@ -48,44 +49,45 @@
     },
 }
 
-/// The membership in the view of one scheduler.
+/// The membership of a tier in the view of one scheduler.
 #[derive(Clone, Debug)]
 pub struct GossipMembership {
     config: MembershipConfig,
     thresholds: SuspicionThresholds,
     rng: ChaCha8Rng,
-    /// This scheduler's incarnation: the configured one, or a higher one if others knew a later
-    /// start.
+    /// This scheduler's incarnation: the configured one, or a higher one if other members knew a
+    /// newer heartbeat of this scheduler than its own.
     incarnation: Incarnation,
-    /// This scheduler's newest heartbeat.
+    /// The counter of this scheduler's newest heartbeat.
     heartbeat: u32,
     phase: LifecyclePhase,
-    /// Periods lived through.
+    /// The number of periods through which this process has run.
     period: u64,
     clock: SuspicionClock,
-    /// Replies that may still be sent in this period, so that no member can make this one send
-    /// without end.
+    /// The number of replies that may still be sent in this period. It limits the traffic that
+    /// requests of other members can cause.
     replies_left: u32,
-    /// What is known of each member, by number; of this scheduler only its state counts.
+    /// The records of the members, by number. In the record of this scheduler only the state is
+    /// used.
     peers: Vec<PeerRecord>,
     stats: MembershipStats,
 }
 
-/// What is known of a member.
+/// The knowledge of a member.
 #[derive(Clone, Debug)]
 struct PeerRecord {
-    newest: Option<HeartbeatEntry>,
-    /// When the newest heartbeat was made, by the suspicion clock, milliperiods.
-    heartbeat_made_at: u64,
-    /// Probes of the member that it may have received since it is suspected, in thousandths.
+    newest_heartbeat: Option<HeartbeatEntry>,
+    /// The creation time of the newest heartbeat by the suspicion clock, milliperiods.
+    heartbeat_created_at: u64,
+    /// The weighted number of probes of the member since its newest heartbeat, in thousandths.
     milliprobes: u64,
     state: MemberState,
-    /// The period in which the state began.
+    /// The period in which the member entered its state.
     state_since: u64,
     metadata: Option<PeerMetadata>,
 }
 
-/// What a member sent of itself once.
+/// The metadata that a member has sent of itself.
 #[derive(Clone, Debug)]
 struct PeerMetadata {
     incarnation: Incarnation,
@@ -96,8 +98,8 @@
 impl PeerRecord {
     fn unknown() -> Self {
         PeerRecord {
-            newest: None,
-            heartbeat_made_at: 0,
+            newest_heartbeat: None,
+            heartbeat_created_at: 0,
             milliprobes: 0,
             state: MemberState::Unknown,
             state_since: 0,
@@ -106,22 +108,22 @@
     }
 
     fn incarnation(&self) -> Incarnation {
-        self.newest.map_or(0, |entry| entry.incarnation)
+        self.newest_heartbeat.map_or(0, |entry| entry.incarnation)
     }
 
-    /// The metadata, if it is of the present incarnation.
+    /// The metadata, if it is of the member's current incarnation.
     fn current_metadata(&self) -> Option<&PeerMetadata> {
         self.metadata.as_ref().filter(|metadata| metadata.incarnation == self.incarnation())
     }
 
     /// Whether the member has shut down gracefully.
     fn has_left(&self) -> bool {
-        self.newest.is_some_and(|entry| entry.phase == LifecyclePhase::Left)
+        self.newest_heartbeat.is_some_and(|entry| entry.phase == LifecyclePhase::Left)
     }
 }
 
 impl GossipMembership {
-    /// The membership of a scheduler that knows nothing of the others yet.
+    /// Creates the membership of a scheduler that knows nothing of the other members yet.
     pub fn new(config: MembershipConfig) -> Self {
         let mut peers = vec![PeerRecord::unknown(); usize::from(config.member_count)];
         if let Some(own) = peers.get_mut(usize::from(config.own_number)) {
@@ -146,30 +148,30 @@
         }
     }
 
-    /// After how many periods members are suspected, and dead.
+    /// The thresholds at which members are suspected and declared dead.
     pub fn thresholds(&self) -> SuspicionThresholds {
         self.thresholds
     }
 
-    /// This scheduler's number.
+    /// This scheduler's member number.
     pub fn own_number(&self) -> MemberNumber {
         self.config.own_number
     }
 
-    /// Whether this member serves, as far as is known.
+    /// Whether a member is alive and serves, in this scheduler's view.
     pub fn is_serving(&self, number: MemberNumber) -> bool {
         self.peers.get(usize::from(number)).is_some_and(|peer| peer.state == MemberState::Alive)
     }
 
-    /// All members, by number.
+    /// All members, ordered by number.
     pub fn members(&self) -> impl Iterator<Item = Member> {
         (0..self.config.member_count).map(|number| self.member(number))
     }
 
-    /// The counters, and the gauges of now.
+    /// The counters and the current gauges.
     pub fn stats(&self) -> MembershipStats {
-        let count = |is_wanted: fn(MemberState) -> bool| {
-            self.peers.iter().filter(|peer| is_wanted(peer.state)).count() as u16
+        let count = |matches: fn(MemberState) -> bool| {
+            self.peers.iter().filter(|peer| matches(peer.state)).count() as u16
         };
         let mut stats = self.stats.clone();
         stats.live_members = count(MemberState::is_live);
@@ -180,8 +182,8 @@
         stats
     }
 
-    /// What this scheduler reports of itself from now on. It is sent with the next heartbeat,
-    /// except the last phase, which is sent at once.
+    /// Sets the lifecycle phase that this scheduler reports. It is sent with the next heartbeat,
+    /// except [`LifecyclePhase::Left`], which is sent immediately and is final.
     pub fn set_phase(&mut self, phase: LifecyclePhase, actions: &mut Vec<Action>) {
         if self.phase == phase || self.phase == LifecyclePhase::Left {
             return;
@@ -194,11 +196,13 @@
         }
     }
 
-    /// Counts a datagram that was dropped before it came here: of an unknown sender, or too long.
+    /// Counts a dropped datagram. The caller uses it for a datagram that it drops before
+    /// [`Self::receive`].
     pub fn count_drop(&mut self, reason: DropReason) {
         *self.stats.dropped.entry(reason).or_default() += 1;
     }
 
+    /// Notifies live members that this scheduler has left.
     fn notify_leave(&mut self, actions: &mut Vec<Action>) {
         let mut receivers = self.peers_where(|peer| peer.state.is_live());
         receivers.shuffle(&mut self.rng);
@@ -225,7 +229,7 @@
         }
     }
 
-    /// A member's name, if it was received of its present incarnation.
+    /// The name of a member, if it was received for the member's current incarnation.
     fn member_name(&self, number: MemberNumber) -> Option<String> {
         if number == self.config.own_number {
             return Some(self.config.name.clone());
@@ -241,14 +245,14 @@
         &mut self.peers[usize::from(number)]
     }
 
-    /// The numbers of the other members of which this is true.
-    fn peers_where(&self, is_wanted: impl Fn(&PeerRecord) -> bool) -> Vec<MemberNumber> {
+    /// The numbers of the other members whose records match.
+    fn peers_where(&self, matches: impl Fn(&PeerRecord) -> bool) -> Vec<MemberNumber> {
         let own_number = self.config.own_number;
         let others = (0..self.config.member_count).filter(|number| *number != own_number);
-        others.filter(|number| is_wanted(self.peer(*number))).collect()
+        others.filter(|number| matches(self.peer(*number))).collect()
     }
 
-    /// Gives a member a state, and reports it if the member had another.
+    /// Sets the state of a member, and reports the change if there is one.
     fn set_state(&mut self, number: MemberNumber, to: MemberState, actions: &mut Vec<Action>) {
         let from = self.peer(number).state;
         if from == to {
--- a/crates/service/membership/src/gossip/period.rs
+++ b/crates/service/membership/src/gossip/period.rs
@@ -1,22 +1,22 @@
-//! What is done once a period: the failure detector judges the members, and heartbeats are sent.
+//! The work of a period: failure detection, probes and gossip.
 use super::{Action, GossipMembership};
 use crate::failure_detector::MILLIPERIODS_PER_PERIOD;
 use crate::member::{LifecyclePhase, MemberNumber, MemberState};
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-/// In one of this many periods a member that is not live is contacted, so that the sides of a
-/// partition find each other again when it heals.
+/// The mean number of periods between two contacts with members that are not live. They let the
+/// sides of a partition rediscover each other when it heals.
 const LOST_MEMBER_CONTACT_PERIODS: u32 = 4;
-/// A datagram asks about this many suspects at the most; the rest of it is gossip.
-const MAX_SUSPECTS_ASKED: usize = 10;
-/// Replies that may be sent in a period, beside those for each member.
+/// The maximum number of suspects about which a datagram asks. The rest of the datagram is gossip.
+const MAX_SUSPECTS_PER_DATAGRAM: usize = 10;
+/// The number of replies that may be sent in a period, in addition to those per member.
 const BASE_REPLIES_PER_PERIOD: u32 = 8;
-/// Replies that may be sent in a period for each member.
+/// The number of replies that may be sent in a period, per configured member.
 const REPLIES_PER_MEMBER: u32 = 2;
 
 impl GossipMembership {
-    /// One period has passed.
+    /// Runs one period: updates the states of the members, and sends probes and heartbeats.
     pub fn tick(&mut self, actions: &mut Vec<Action>) {
         if self.phase == LifecyclePhase::Left {
             return;
@@ -41,13 +41,13 @@
         self.clock.advance((1.0 - config.tolerated_loss) * f64::from(senders));
     }
 
-    /// Suspects a live member whose newest heartbeat is too old, and declares it dead when enough
+    /// Suspects a live member whose newest heartbeat is too old, and declares it dead once enough
     /// probes have failed.
     fn detect_failure(&mut self, number: MemberNumber, actions: &mut Vec<Action>) {
         let peer = self.peer(number);
-        let silent_periods = self.clock.periods_since(peer.heartbeat_made_at);
+        let silent_periods = self.clock.periods_since(peer.heartbeat_created_at);
         let is_recent = silent_periods <= u64::from(self.thresholds.suspect_after_periods);
-        if peer.newest.is_none() || !peer.state.is_live() || is_recent {
+        if peer.newest_heartbeat.is_none() || !peer.state.is_live() || is_recent {
             return;
         }
         let probes_until_dead = u64::from(self.thresholds.probes_until_dead) * MILLIPERIODS_PER_PERIOD;
@@ -55,7 +55,7 @@
         self.set_state(number, if is_dead { MemberState::Dead } else { MemberState::Suspect }, actions);
     }
 
-    /// Asks each suspect for its heartbeat.
+    /// Probes each suspect: requests its heartbeat from the suspect itself.
     fn probe(&mut self, suspects: &[MemberNumber], actions: &mut Vec<Action>) {
         for to in suspects {
             self.count_probe(*to);
@@ -63,24 +63,25 @@
         }
     }
 
-    /// Sends heartbeats to random members, and asks them about suspects: where one direction to a
-    /// suspect is cut, others have newer heartbeats of it.
+    /// Sends heartbeats to random members, and asks them about suspects: if only the direction from
+    /// a suspect to this scheduler is blocked, others have newer heartbeats of the suspect.
     fn gossip(&mut self, suspects: &[MemberNumber], actions: &mut Vec<Action>) {
-        let is_new = self.period <= u64::from(self.thresholds.dead_after_periods);
-        let candidates =
-            self.peers_where(|peer| peer.state.is_live() || is_new && peer.state == MemberState::Unknown);
+        let is_starting_up = self.period <= u64::from(self.thresholds.dead_after_periods);
+        let candidates = self
+            .peers_where(|peer| peer.state.is_live() || is_starting_up && peer.state == MemberState::Unknown);
         let fanout = usize::from(self.config.fanout);
         let receivers: Vec<MemberNumber> =
             candidates.choose_multiple(&mut self.rng, fanout).copied().collect();
         for to in receivers.into_iter().filter(|to| !suspects.contains(to)) {
-            let asked: Vec<MemberNumber> =
-                suspects.choose_multiple(&mut self.rng, MAX_SUSPECTS_ASKED).copied().collect();
-            asked.iter().for_each(|number| self.count_probe(*number));
-            self.send_heartbeats(to, !asked.is_empty(), &asked, actions);
+            let queried: Vec<MemberNumber> =
+                suspects.choose_multiple(&mut self.rng, MAX_SUSPECTS_PER_DATAGRAM).copied().collect();
+            queried.iter().for_each(|number| self.count_probe(*number));
+            self.send_heartbeats(to, !queried.is_empty(), &queried, actions);
         }
     }
 
-    /// Now and then asks a member that is not live for its heartbeat.
+    /// Requests the heartbeat of a random member that is not live, on average once in
+    /// [`LOST_MEMBER_CONTACT_PERIODS`].
     fn contact_lost_member(&mut self, actions: &mut Vec<Action>) {
         if self.rng.random_ratio(1, LOST_MEMBER_CONTACT_PERIODS) {
             let lost = self.peers_where(|peer| !peer.state.is_live());
@@ -90,20 +91,21 @@
         }
     }
 
-    /// Asks one live member for its name and version, if those of its present incarnation are
+    /// Requests the metadata of a random live member whose metadata for its current incarnation is
     /// missing.
     fn request_metadata(&mut self, actions: &mut Vec<Action>) {
-        let nameless = self.peers_where(|peer| {
-            let of_incarnation = peer.metadata.as_ref().map(|metadata| metadata.incarnation);
-            peer.state.is_live() && of_incarnation != peer.newest.map(|entry| entry.incarnation)
+        let without_metadata = self.peers_where(|peer| {
+            let metadata_incarnation = peer.metadata.as_ref().map(|metadata| metadata.incarnation);
+            peer.state.is_live()
+                && metadata_incarnation != peer.newest_heartbeat.map(|entry| entry.incarnation)
         });
-        if let Some(to) = nameless.choose(&mut self.rng) {
+        if let Some(to) = without_metadata.choose(&mut self.rng) {
             self.send_metadata(*to, true, actions);
         }
     }
 
-    /// A probe counts as much as this process hears at present: while it hears little, its probes
-    /// may be what is lost.
+    /// Counts a probe, weighted with the rate of the suspicion clock: while this process receives
+    /// few datagrams, its own probes may be the ones that are lost.
     fn count_probe(&mut self, number: MemberNumber) {
         let weight = self.clock.rate();
         self.peer_mut(number).milliprobes += weight;
--- a/crates/service/membership/src/gossip/receive.rs
+++ b/crates/service/membership/src/gossip/receive.rs
@@ -1,16 +1,17 @@
-//! What a datagram changes.
+//! Processing of received datagrams.
 use super::{Action, GossipMembership, MAX_INCARNATION, PeerMetadata};
 use crate::datagram::{Datagram, DropReason, MessageBody, truncate_text};
 use crate::digest::HeartbeatEntry;
 use crate::limits::MAX_DIGEST_ENTRIES;
 use crate::member::{LifecyclePhase, MemberNumber, MemberState};
 
-/// A heartbeat that is further ahead of the last one than this was never made: at ten heartbeats a
-/// second it is more than a day.
+/// The maximum plausible advance of a heartbeat counter over the last known one: more than a day at
+/// ten heartbeats a second.
 const MAX_HEARTBEAT_ADVANCE: u32 = 1 << 20;
 
 impl GossipMembership {
-    /// A datagram has arrived from the address of member `from`.
+    /// Processes a datagram that arrived from the address of member `from`. Drops and counts it if
+    /// it is invalid.
     pub fn receive(&mut self, from: MemberNumber, bytes: &[u8], actions: &mut Vec<Action>) {
         self.stats.datagrams_in += 1;
         self.stats.bytes_in += bytes.len() as u64;
@@ -46,7 +47,8 @@
         Ok(())
     }
 
-    /// Whether the datagram is of this tier, and from and to whom it says.
+    /// Checks that the datagram is of this tier and that its sender and receiver match the
+    /// addresses that it came from and to.
     fn check_addresses(&self, from: MemberNumber, datagram: &Datagram) -> Result<(), DropReason> {
         let own_number = self.config.own_number;
         if datagram.tier_id != self.config.tier_id {
@@ -68,7 +70,7 @@
         digest: &[HeartbeatEntry],
         actions: &mut Vec<Action>,
     ) -> Result<(), DropReason> {
-        // All or nothing: one impossible entry shows what the others are worth.
+        // One implausible entry makes the whole digest untrustworthy.
         if digest.len() > MAX_DIGEST_ENTRIES || !digest.iter().all(|entry| self.is_plausible(entry)) {
             return Err(DropReason::Implausible);
         }
@@ -81,29 +83,30 @@
         Ok(())
     }
 
+    /// Whether a reply may be sent. Takes one from the replies that are left in this period.
     fn may_reply(&mut self) -> bool {
         let may_reply = self.replies_left > 0 && self.phase != LifecyclePhase::Left;
         self.replies_left = self.replies_left.saturating_sub(1);
         may_reply
     }
 
-    /// Whether a heartbeat can have been made. A forged one far ahead would make all true ones pass
-    /// for old.
+    /// Whether a heartbeat can be genuine. A forged one that is far ahead would make all genuine
+    /// ones appear outdated.
     fn is_plausible(&self, entry: &HeartbeatEntry) -> bool {
         let Some(peer) = self.peers.get(usize::from(entry.number)) else { return false };
-        let known = peer.newest.filter(|known| known.incarnation == entry.incarnation);
+        let known = peer.newest_heartbeat.filter(|known| known.incarnation == entry.incarnation);
         let last_heartbeat = known.map_or(entry.heartbeat, |known| known.heartbeat);
         let max_heartbeat = last_heartbeat.saturating_add(MAX_HEARTBEAT_ADVANCE);
         entry.incarnation < MAX_INCARNATION && entry.heartbeat <= max_heartbeat
     }
 
     fn knows_newer(&self, entry: &HeartbeatEntry) -> bool {
-        self.peer(entry.number).newest.is_some_and(|known| known.is_newer_than(entry))
+        self.peer(entry.number).newest_heartbeat.is_some_and(|known| known.is_newer_than(entry))
     }
 
     fn learn_metadata(&mut self, from: MemberNumber, metadata: PeerMetadata) {
         let known = &mut self.peer_mut(from).metadata;
-        // Metadata of an earlier incarnation that arrives late is outdated.
+        // Metadata of an earlier incarnation may arrive late and is outdated.
         if known.as_ref().is_none_or(|known| known.incarnation <= metadata.incarnation) {
             *known = Some(metadata);
         }
@@ -113,15 +116,15 @@
         if entry.number == self.config.own_number {
             return self.renew_incarnation(&entry);
         }
-        // A stale heartbeat does not say who is alive now. That a member has left stays true.
+        // A stale heartbeat is no evidence that a member is alive now, but a departure stays valid.
         let is_stale = entry.age_periods > self.thresholds.suspect_after_periods;
         if is_stale && entry.phase != LifecyclePhase::Left || !self.supersedes(&entry) {
             return;
         }
-        let made_at = self.clock.reading_before(entry.age_periods);
+        let created_at = self.clock.reading_before(entry.age_periods);
         let peer = self.peer_mut(entry.number);
-        peer.newest = Some(entry);
-        peer.heartbeat_made_at = peer.heartbeat_made_at.max(made_at);
+        peer.newest_heartbeat = Some(entry);
+        peer.heartbeat_created_at = peer.heartbeat_created_at.max(created_at);
         peer.milliprobes = 0;
         if matches!(peer.state, MemberState::Suspect | MemberState::Dead) {
             self.stats.refutations += 1;
@@ -129,9 +132,9 @@
         self.set_state(entry.number, entry.phase.into(), actions);
     }
 
-    /// Takes a higher incarnation if others know a later start of this scheduler: the clock that
-    /// its incarnation came from has gone back, or two processes run as one scheduler. Else its
-    /// heartbeats would pass for old ones.
+    /// Takes a higher incarnation if another member knows a newer heartbeat of this scheduler than
+    /// its own: the clock from which the incarnation was derived has gone back, or two processes
+    /// run as the same scheduler. Otherwise its heartbeats would appear outdated.
     fn renew_incarnation(&mut self, entry: &HeartbeatEntry) {
         if entry.is_newer_than(&self.own_entry()) && self.phase != LifecyclePhase::Left {
             self.incarnation = entry.incarnation + 1;
@@ -139,10 +142,10 @@
         }
     }
 
-    /// Whether a heartbeat is newer than the one that is known. A member that has left comes back
-    /// by a new incarnation only.
+    /// Whether a heartbeat supersedes the newest known one of its member. A member that has left
+    /// returns only with a new incarnation.
     fn supersedes(&self, entry: &HeartbeatEntry) -> bool {
-        let Some(known) = &self.peer(entry.number).newest else { return true };
+        let Some(known) = &self.peer(entry.number).newest_heartbeat else { return true };
         let has_left = known.incarnation == entry.incarnation
             && known.phase == LifecyclePhase::Left
             && entry.phase != LifecyclePhase::Left;
--- a/crates/service/membership/src/gossip/send.rs
+++ b/crates/service/membership/src/gossip/send.rs
@@ -1,4 +1,4 @@
-//! How datagrams are made.
+//! Construction of datagrams.
 use super::{Action, GossipMembership};
 use crate::datagram::{Datagram, MessageBody, PROTOCOL_VERSION, truncate_text};
 use crate::digest::{HeartbeatEntry, fit_into_datagram};
@@ -20,11 +20,12 @@
         self.send(to, MessageBody::Payload { protocol, bytes }, actions);
     }
 
-    /// Sends heartbeats: this scheduler's own, the receiver's as far as it is known, those of
-    /// `requested`, and random ones that may be new to the receiver.
+    /// Sends heartbeats: this scheduler's own, the receiver's if it is known, those of `requested`,
+    /// and random ones that may be new to the receiver.
     ///
-    /// Stale heartbeats are sent only in questions and replies: they would make a receiver that has
-    /// just started take a dead member for a live one.
+    /// The random ones do not include stale heartbeats: a receiver that has just started would take
+    /// dead members for live ones. Stale heartbeats are sent only of the receiver itself and of
+    /// `requested`, in requests and replies.
     pub(super) fn send_heartbeats(
         &mut self,
         to: MemberNumber,
@@ -37,8 +38,8 @@
             fresh.choose_multiple(&mut self.rng, MAX_DIGEST_ENTRIES).copied().collect();
         let random = chosen.iter().filter(|number| **number != to && !requested.contains(number));
         let of_others = requested.iter().chain(random).filter_map(|number| self.newest_entry(*number));
-        // The receiver's own heartbeat, however old: a member that has started again under a clock
-        // that went back learns from it that its heartbeats pass for old ones.
+        // The receiver's own heartbeat, at any age: it tells a member that has restarted under a
+        // clock that went back that its heartbeats appear outdated.
         let of_receiver = self.newest_entry(to);
         let digest = fit_into_datagram(std::iter::once(self.own_entry()).chain(of_receiver).chain(of_others));
         self.send(to, MessageBody::Heartbeats { reply_requested, digest }, actions);
@@ -60,7 +61,7 @@
         self.send(to, body, actions);
     }
 
-    /// This scheduler's heartbeat.
+    /// This scheduler's newest heartbeat.
     pub(super) fn own_entry(&self) -> HeartbeatEntry {
         HeartbeatEntry {
             number: self.config.own_number,
@@ -71,22 +72,22 @@
         }
     }
 
-    /// The members whose newest heartbeat is worth passing on: they are live and not nearly
-    /// suspect, or have left.
+    /// The members whose newest heartbeat is passed on: those that are live and whose heartbeat is
+    /// younger than the suspicion threshold, and those that have left.
     fn fresh_peers(&self) -> Vec<MemberNumber> {
         let stale_after = u64::from(self.thresholds.suspect_after_periods) * MILLIPERIODS_PER_PERIOD;
         let now = self.clock.reading();
         self.peers_where(|peer| {
-            peer.has_left() || now - peer.heartbeat_made_at < stale_after && peer.state.is_live()
+            peer.has_left() || now - peer.heartbeat_created_at < stale_after && peer.state.is_live()
         })
     }
 
-    /// The newest heartbeat of a member, with its age of now.
+    /// The newest heartbeat of a member, with its current age.
     fn newest_entry(&self, number: MemberNumber) -> Option<HeartbeatEntry> {
         let peer = self.peer(number);
-        let age = self.clock.periods_since(peer.heartbeat_made_at);
+        let age = self.clock.periods_since(peer.heartbeat_created_at);
         let age_periods = u32::try_from(age).unwrap_or(u32::MAX);
-        peer.newest.map(|entry| HeartbeatEntry { age_periods, ..entry })
+        peer.newest_heartbeat.map(|entry| HeartbeatEntry { age_periods, ..entry })
     }
 
     fn send(&mut self, to: MemberNumber, body: MessageBody, actions: &mut Vec<Action>) {
--- a/crates/service/membership/src/lib.rs
+++ b/crates/service/membership/src/lib.rs
@@ -1,18 +1,18 @@
-//! Membership of the schedulers of a tier: which of them are alive, draining, have left or are
+//! The membership of a tier of schedulers: which of them are alive, draining, have left or are
 //! dead.
 //!
 //! Each scheduler gossips the newest heartbeats that it knows (gossip-style failure detection: van
-//! Renesse, Minsky, Hayden, Middleware 1998) and probes directly whoever is suspected. Time is
-//! counted in the periods that this process itself lives through, so a process that was suspended
-//! suspects nobody when it wakes. This crate has no sockets and no clock. Why this form was chosen:
-//! `docs/design/membership.md`.
+//! Renesse, Minsky, Hayden, Middleware 1998) and probes suspected members directly. Time is counted
+//! in the periods through which this process has run, so a process that was suspended suspects
+//! nobody when it resumes. This crate has no sockets and no clock. The reasons for this design are
+//! in `docs/design/membership.md`.
 //!
-//! - `config`: how a scheduler takes part.
-//! - `failure_detector`: when a member is suspected, and when a suspect is dead; the clock that
-//!   suspicion goes by.
-//! - `digest`, `datagram` and `limits`: what is sent.
-//! - `member` and `stats`: what operators are shown.
-//! - `gossip`: the protocol's state machine.
+//! - `config`: the configuration of a member.
+//! - `failure_detector`: the thresholds at which a member is suspected and declared dead, and the
+//!   clock by which they are measured.
+//! - `digest`, `datagram` and `limits`: the messages between members, and their encoding.
+//! - `member` and `stats`: the state of members and the statistics that operators see.
+//! - `gossip`: the state machine of the protocol.
 #![warn(missing_docs, unreachable_pub, clippy::wildcard_imports, clippy::match_bool, clippy::too_many_lines)]
 
 mod config;
--- a/crates/service/membership/src/member.rs
+++ b/crates/service/membership/src/member.rs
@@ -3,14 +3,14 @@
 
 /// The number of a scheduler in its tier: its position among the configured schedulers, from 0.
 pub type MemberNumber = u16;
-/// Grows with each start of a scheduler, so that its heartbeats supersede those of its earlier
-/// processes.
+/// The incarnation of a scheduler. It increases with each start, so that the heartbeats of the new
+/// process supersede those of earlier ones.
 pub type Incarnation = u32;
 
-/// What a scheduler reports of itself.
+/// The lifecycle phase that a scheduler reports of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, Serialize)]
 pub enum LifecyclePhase {
-    /// It can't serve yet.
+    /// It cannot serve yet.
     Starting,
     /// It serves.
     Serving,
@@ -24,18 +24,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// No heartbeat of it ever arrived.
+    /// No heartbeat of it has arrived yet.
     #[serde(rename = "unheard")]
     Unknown,
-    /// It is alive and can't serve yet.
+    /// It is alive and cannot serve yet.
     Starting,
-    /// It serves.
+    /// It is alive and serves.
     Alive,
-    /// It accepts no new requests.
+    /// It is alive and accepts no new requests.
     Draining,
-    /// No new heartbeat arrived for a while: it may be dead.
+    /// No new heartbeat has arrived within the suspicion threshold: it may be dead.
     Suspect,
-    /// No new heartbeat arrived, and probes failed, for so long that it must be dead or
+    /// No new heartbeat has arrived, and so many probes have failed that it must be dead or
     /// partitioned.
     Dead,
     /// It has shut down gracefully.
@@ -43,7 +43,7 @@
 }
 
 impl MemberState {
-    /// Whether a member of this state counts as live.
+    /// Whether a member in this state counts as live. A suspect does.
     pub fn is_live(self) -> bool {
         matches!(
             self,
@@ -69,32 +69,32 @@
 pub struct Member {
     /// Its number.
     pub number: MemberNumber,
-    /// Its name, once it was received.
+    /// Its name, once received.
     pub name: Option<String>,
-    /// The version of its program, once it was received.
+    /// The version of its program, once received.
     pub version: Option<String>,
     /// Its incarnation.
     pub incarnation: Incarnation,
     /// Its state.
     pub state: MemberState,
-    /// For how many periods it has this state.
+    /// The number of periods for which it has been in this state.
     #[serde(rename = "since")]
     pub periods_in_state: u64,
 }
 
-/// The state of a member has changed in this scheduler's view.
+/// A change of a member's state in this scheduler's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberStateChange {
-    /// The version of the view that this change makes.
+    /// The version of the view after this change.
     pub view: u64,
     /// The member.
     pub number: MemberNumber,
-    /// Its name, if it was received.
+    /// Its name, if known.
     pub name: Option<String>,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The state before.
+    /// Its state before the change.
     pub from: MemberState,
-    /// The state now.
+    /// Its state after the change.
     pub to: MemberState,
 }
--- a/crates/service/membership/src/stats.rs
+++ b/crates/service/membership/src/stats.rs
@@ -1,37 +1,37 @@
-//! Counters and gauges of the membership.
+//! Statistics of the membership.
 use crate::datagram::DropReason;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Counters since the start, and gauges.
+/// The counters of the membership since the start of this process, and its gauges.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct MembershipStats {
-    /// The version of the view: one more with each change of a member's state.
+    /// The version of the membership view, incremented by each change of a member's state.
     pub view: u64,
-    /// Members that are live, this one included.
+    /// Number of live members, including this one.
     #[serde(rename = "living")]
     pub live_members: u16,
-    /// Members that are suspected now.
+    /// Number of members that are suspected.
     #[serde(rename = "suspects")]
     pub suspected_members: u16,
-    /// How often a heartbeat arrived of a member that was suspected or dead.
+    /// Number of new heartbeats of members that were suspected or dead.
     pub refutations: u64,
-    /// How often this scheduler took a higher incarnation, since others knew a later start of it
-    /// than its own.
+    /// Number of times that this scheduler took a higher incarnation, because other members knew a
+    /// newer heartbeat of it than its own.
     #[serde(rename = "renewals")]
     pub incarnation_renewals: u64,
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub datagrams_out: u64,
-    /// Bytes of the datagrams sent.
+    /// Total size of the datagrams sent, bytes.
     pub bytes_out: u64,
-    /// Datagrams received from members' addresses.
+    /// Number of datagrams received from addresses of members.
     pub datagrams_in: u64,
-    /// Bytes of the datagrams received from members' addresses.
+    /// Total size of the datagrams received from addresses of members, bytes.
     pub bytes_in: u64,
-    /// Datagrams from addresses that are no member's, or too long for any; counted by whoever holds
-    /// the socket.
+    /// Number of datagrams that came from an address of no member or exceeded the maximum size. The
+    /// owner of the socket counts them.
     #[serde(rename = "strangers")]
     pub unknown_senders: u64,
-    /// Datagrams that were dropped, by reason.
+    /// Number of dropped datagrams, by reason.
     pub dropped: BTreeMap<DropReason, u64>,
 }
--- a/crates/service/membership/tests/common/datagrams.rs
+++ b/crates/service/membership/tests/common/datagrams.rs
@@ -1,4 +1,4 @@
-//! Builders of members, heartbeats and datagrams, and strategies for any of them.
+//! Builders of members, heartbeats and datagrams, and proptest strategies for datagrams.
 use proptest::collection::vec;
 use proptest::prelude::{Just, Strategy, any, prop_oneof};
 use spanlead_membership::{
@@ -53,16 +53,19 @@
     for number in 1..199 {
         membership.receive(1, &heartbeat_datagram(heartbeat(number, 50, 0), false), &mut actions);
     }
-    // Replies are allowed anew in each period.
+    // A new period resets the number of allowed replies.
     membership.tick(&mut actions);
     membership
 }
 
-/// The heartbeat of a member in the only datagram that is sent, to member 1.
+/// The heartbeat of a member in the sent datagram. Panics unless `actions` is a single datagram
+/// with heartbeats to member 1.
 pub fn sent_heartbeat(actions: &[Action], number: MemberNumber) -> Option<HeartbeatEntry> {
-    let [Action::Send { to: 1, datagram }] = actions else { panic!("{actions:?}") };
+    let [Action::Send { to: 1, datagram }] = actions else {
+        panic!("expected one datagram to member 1, found {actions:?}")
+    };
     let Ok(Datagram { body: MessageBody::Heartbeats { digest, .. }, .. }) = Datagram::decode(datagram) else {
-        panic!("no heartbeats")
+        panic!("expected a datagram with heartbeats, found {datagram:?}")
     };
     digest.into_iter().find(|entry| entry.number == number)
 }
--- a/crates/service/membership/tests/datagrams.rs
+++ b/crates/service/membership/tests/datagrams.rs
@@ -1,5 +1,4 @@
-//! Datagrams: they are read as they were written, they fit, and nothing else is read as one; what a
-//! single datagram changes.
+//! The encoding, size and validation of datagrams, and the effects of single datagrams on a member.
 mod common;
 
 use common::datagrams::{
@@ -15,7 +14,7 @@
 
 proptest! {
     #[test]
-    fn a_datagram_is_read_as_it_was_written_and_fits(datagram in any_datagram()) {
+    fn an_encoded_datagram_decodes_to_itself_and_fits_the_size_limit(datagram in any_datagram()) {
         let bytes = datagram.encode();
 
         prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
@@ -23,7 +22,7 @@
     }
 
     #[test]
-    fn a_datagram_with_a_flipped_bit_or_another_length_is_malformed(
+    fn a_datagram_with_a_flipped_bit_or_a_changed_length_is_malformed(
         datagram in any_datagram(),
         flipped_byte in any::<prop::sample::Index>(),
         flipped_bit in 0..8_u8,
@@ -40,10 +39,10 @@
         prop_assert_eq!(Datagram::decode(&longer), Err(DropReason::Malformed));
     }
 
-    // Whatever arrives, of another tier or with impossible figures: it is counted or accepted, and
-    // the member goes on.
+    // Any input, including datagrams of other tiers and with implausible values, is accepted or
+    // counted as dropped, and the member continues.
     #[test]
-    fn no_datagram_stops_a_member(
+    fn no_input_stops_a_member(
         datagrams in vec((0..6_u16, any_datagram(), any::<bool>()), 1..20),
         noise in vec(any::<u8>(), 0..300),
     ) {
@@ -72,39 +71,39 @@
         change(&mut datagram);
         datagram.encode()
     };
-    let of_another_version = changed(|datagram| datagram.protocol_version = 9);
-    let of_another_tier = changed(|datagram| datagram.tier_id = *b"else");
-    let of_another_sender = changed(|datagram| datagram.from = 2);
-    let for_another_receiver = changed(|datagram| datagram.to = 1);
-    let of_no_member = request(vec![heartbeat(4, 4, 0)]).encode();
-    let of_impossible_incarnation =
+    let other_version = changed(|datagram| datagram.protocol_version = 9);
+    let other_tier = changed(|datagram| datagram.tier_id = *b"else");
+    let other_sender = changed(|datagram| datagram.from = 2);
+    let other_receiver = changed(|datagram| datagram.to = 1);
+    let unknown_member = request(vec![heartbeat(4, 4, 0)]).encode();
+    let implausible_incarnation =
         request(vec![HeartbeatEntry { incarnation: u32::MAX, ..heartbeat(2, 4, 0) }]).encode();
 
     for bytes in [
-        of_another_version,
-        of_another_tier,
-        of_another_sender,
-        for_another_receiver,
-        of_no_member,
-        of_impossible_incarnation,
+        other_version,
+        other_tier,
+        other_sender,
+        other_receiver,
+        unknown_member,
+        implausible_incarnation,
         b"rubbish".to_vec(),
     ] {
         membership.receive(1, &bytes, &mut actions);
     }
 
-    // A reply to each would make this member an amplifier.
+    // Replies to invalid datagrams would make this member an amplifier.
     assert!(actions.is_empty(), "{actions:?}");
     let counts: Vec<u64> = membership.stats().dropped.into_values().collect();
     assert_eq!(counts, [1, 1, 1, 2, 2]);
     membership.tick(&mut Vec::new());
     membership.receive(1, &good.encode(), &mut actions);
-    assert!(matches!(actions[..], [Action::Send { to: 1, .. }]), "a good request gets a reply");
+    assert!(matches!(actions[..], [Action::Send { to: 1, .. }]), "a valid request gets a reply");
 }
 
-// A heartbeat far ahead of the last would make all true ones pass for old: one datagram could make
-// a member dead.
+// A forged heartbeat that is far ahead of the last one would make all genuine ones appear outdated,
+// so that one datagram could make a live member dead.
 #[test]
-fn a_heartbeat_far_ahead_is_implausible() {
+fn a_heartbeat_far_ahead_of_the_last_one_is_implausible() {
     let (mut membership, mut actions) = (first_member(), Vec::new());
     let heartbeat_of = |count| heartbeat_datagram(heartbeat(1, count, 0), false);
 
@@ -119,10 +118,10 @@
     assert_eq!(state_of(&membership, 1), Some(MemberState::Alive));
 }
 
-// Guards a member whose datagrams reach a few only: whoever is asked about it sends what it knows
-// of it, though it can't send what it knows of all.
+// The datagrams of a member may reach only a few others. One that is asked about the member must
+// send the member's heartbeat, although not all heartbeats fit into its reply.
 #[test]
-fn a_reply_contains_the_heartbeat_that_was_asked_for() {
+fn a_reply_contains_the_requested_heartbeat() {
     let outdated = heartbeat(77, 20, 40);
     for _ in 0..5 {
         let (mut membership, mut actions) = (first_of_two_hundred(), Vec::new());
@@ -133,10 +132,10 @@
     }
 }
 
-// Guards the time until a death is known: a heartbeat that took long to arrive is as old as it is,
-// not new.
+// A heartbeat that was relayed must not count as new on arrival, which would delay the detection of
+// a death.
 #[test]
-fn a_heartbeat_is_passed_on_with_its_age() {
+fn a_relayed_heartbeat_carries_its_age() {
     let (mut membership, mut actions) = (first_of_two_hundred(), Vec::new());
     membership.receive(1, &heartbeat_datagram(heartbeat(199, 60, 11), false), &mut actions);
     for _ in 0..3 {
@@ -147,12 +146,13 @@
 
     membership.receive(1, &heartbeat_datagram(heartbeat(199, 1, 11), true), &mut actions);
 
-    // Periods in which few datagrams arrive count for a quarter at least.
+    // The three periods, in which few datagrams arrive, count for at least a quarter each.
     let age = sent_heartbeat(&actions, 199).map(|entry| entry.age_periods);
     assert!(age.is_some_and(|age| (11..=14).contains(&age)), "{age:?}");
 }
 
-// Guards a member that has just started: the members that others ask about are mostly dead.
+// Other members ask mostly about dead members. Their stale heartbeats must not make a member that
+// has just started take those members for live ones.
 #[test]
 fn a_stale_heartbeat_makes_no_member_alive() {
     let (mut membership, mut actions) = (first_of_two_hundred(), Vec::new());
@@ -162,13 +162,17 @@
     membership.receive(1, &heartbeat_datagram(stale, false), &mut actions);
     assert_eq!(state_of(&membership, 199), Some(MemberState::Unknown));
     membership.receive(1, &heartbeat_datagram(has_left, false), &mut actions);
-    assert_eq!(state_of(&membership, 199), Some(MemberState::Left), "that a member has left stays true");
+    assert_eq!(
+        state_of(&membership, 199),
+        Some(MemberState::Left),
+        "a stale report that a member has left is accepted"
+    );
 }
 
-// Guards a member whose datagrams do not arrive here, since one direction is cut off: the others
-// are asked about it.
+// If only the direction from a member to this one is blocked, the other members have newer
+// heartbeats of it.
 #[test]
-fn other_members_are_asked_about_a_suspect() {
+fn other_members_are_asked_for_newer_heartbeats_of_a_suspect() {
     let (mut membership, mut actions) = (first_member(), Vec::new());
     membership.receive(1, &heartbeat_datagram(heartbeat(3, 1, 0), false), &mut actions);
     for count in 0..4 * membership.thresholds().suspect_after_periods {
--- a/crates/service/membership/tests/golden.rs
+++ b/crates/service/membership/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Datagrams of the membership as bytes: schedulers of the version before and of this one are in
-//! one tier at a time.
-#[allow(dead_code, reason = "each crate uses a part of it")]
+//! Compares the encoding of datagrams with committed bytes, because schedulers of the previous
+//! version and of this one run in one tier during an upgrade.
+#[allow(dead_code, reason = "each crate uses only some of the functions")]
 #[path = "../../wal/tests/golden/data.rs"]
 mod golden;
 
@@ -12,24 +12,24 @@
     HeartbeatEntry { number, incarnation: 3_456_789, heartbeat: 12_345, age_periods: 2, phase }
 }
 
-fn frame(body: MessageBody) -> Datagram {
+fn datagram(body: MessageBody) -> Datagram {
     Datagram { protocol_version: PROTOCOL_VERSION, tier_id: *b"t\x00\xff7", from: 3, to: 300, body }
 }
 
-fn hello(ask: bool, name: &str) -> MessageBody {
+fn metadata(reply_requested: bool, name: &str) -> MessageBody {
     MessageBody::Metadata {
-        reply_requested: ask,
+        reply_requested,
         incarnation: 3_456_789,
         name: name.into(),
         version: "0.2.0".into(),
     }
 }
 
-fn frames() -> Vec<(&'static str, Datagram)> {
-    let stages =
+fn datagrams() -> Vec<(&'static str, Datagram)> {
+    let phases =
         [LifecyclePhase::Starting, LifecyclePhase::Serving, LifecyclePhase::Draining, LifecyclePhase::Left];
     let entries: Vec<HeartbeatEntry> =
-        (0..).zip(stages).map(|(number, stage)| entry(number, stage)).collect();
+        (0..).zip(phases).map(|(number, phase)| entry(number, phase)).collect();
     let longest = HeartbeatEntry {
         number: u16::MAX,
         incarnation: u32::MAX,
@@ -37,31 +37,32 @@
         age_periods: u32::MAX,
         phase: LifecyclePhase::Serving,
     };
-    let beats = |ask, entries| frame(MessageBody::Heartbeats { reply_requested: ask, digest: entries });
+    let heartbeats =
+        |reply_requested, entries| datagram(MessageBody::Heartbeats { reply_requested, digest: entries });
     vec![
-        ("beats-none", beats(false, vec![])),
-        ("beats-ask", beats(true, vec![entry(3, LifecyclePhase::Serving)])),
-        ("beats-each-stage", beats(false, entries)),
-        ("beats-longest", beats(true, vec![longest])),
-        ("carried", frame(MessageBody::Payload { protocol: 1, bytes: vec![0, 1, 0x7f, 0x80, 0xff] })),
-        ("carried-empty", frame(MessageBody::Payload { protocol: 255, bytes: vec![] })),
-        ("hello", frame(hello(false, "backend-3"))),
-        ("hello-ask", frame(hello(true, "é"))),
+        ("beats-none", heartbeats(false, vec![])),
+        ("beats-ask", heartbeats(true, vec![entry(3, LifecyclePhase::Serving)])),
+        ("beats-each-stage", heartbeats(false, entries)),
+        ("beats-longest", heartbeats(true, vec![longest])),
+        ("carried", datagram(MessageBody::Payload { protocol: 1, bytes: vec![0, 1, 0x7f, 0x80, 0xff] })),
+        ("carried-empty", datagram(MessageBody::Payload { protocol: 255, bytes: vec![] })),
+        ("hello", datagram(metadata(false, "backend-3"))),
+        ("hello-ask", datagram(metadata(true, "é"))),
     ]
 }
 
 #[test]
-fn each_kind_of_datagram_keeps_its_bytes() {
-    let found: Vec<_> = frames().iter().map(|(name, frame)| (*name, frame.encode())).collect();
-    golden::assert_bytes(FILE, &found);
+fn each_datagram_encodes_to_its_committed_bytes() {
+    let encoded: Vec<_> = datagrams().iter().map(|(name, datagram)| (*name, datagram.encode())).collect();
+    golden::assert_bytes(FILE, &encoded);
 }
 
 #[test]
-fn committed_datagrams_are_read_as_the_same_frames() {
+fn committed_bytes_decode_to_the_same_datagrams() {
     let committed = golden::bytes(FILE);
-    assert_eq!(committed.len(), frames().len());
-    for ((name, bytes), (wanted_name, wanted)) in committed.iter().zip(frames()) {
-        assert_eq!(name, wanted_name);
-        assert_eq!(Datagram::decode(bytes), Ok(wanted), "{name}");
+    assert_eq!(committed.len(), datagrams().len());
+    for ((name, bytes), (expected_name, expected)) in committed.iter().zip(datagrams()) {
+        assert_eq!(name, expected_name);
+        assert_eq!(Datagram::decode(bytes), Ok(expected), "{name}");
     }
 }
