--- a/crates/service/singleton-roles/src/acceptor.rs
+++ b/crates/service/singleton-roles/src/acceptor.rs
@@ -1,31 +1,32 @@
-//! One scheduler's grants of one role.
+//! The acceptor of one scheduler for one role: it grants the lease on the role.
 //!
 //! Invariant: an acceptor has at most one unexpired grant, and each new grant has a higher term
-//! than all before it that the acceptor knows. Since any two majorities have an acceptor in common,
-//! at most one scheduler has unexpired grants of a majority.
+//! than any earlier term that the acceptor knows. Since any two majorities share an acceptor, at
+//! most one scheduler has unexpired grants from a majority.
 use crate::message::{MessageBody, Term};
 use crate::quorum::SchedulerNumber;
 use crate::time::Millis;
 
-/// What a scheduler has granted of one role.
+/// The acceptor state of one scheduler for one role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Acceptor {
-    /// Nothing is granted before: what an earlier process of this scheduler granted, and this one
-    /// does not know of, has expired by then.
-    quiet_until: Millis,
-    /// The highest term that was granted or learned of.
+    /// The time before which the acceptor grants nothing. Grants that an earlier process of this
+    /// scheduler made, which this process does not know of, have expired by then.
+    startup_wait_until: Millis,
+    /// The highest term that this acceptor has granted or learned of.
     highest_term: Term,
     granted: Option<StoredGrant>,
-    /// The last request that was rejected since another scheduler had the grant. If that one
-    /// releases it just then, by a message that was overtaken, the request is granted after all.
-    rejected: Option<RejectedRequest>,
+    /// The last request that was rejected because another scheduler had the grant. The request is
+    /// granted after all if it has overtaken that scheduler's release message, and that message
+    /// arrives within the reply timeout.
+    last_rejected: Option<RejectedRequest>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct StoredGrant {
     holder: SchedulerNumber,
     term: Term,
-    /// By this scheduler's clock.
+    /// The end of the grant by this scheduler's clock.
     expires_at: Millis,
 }
 
@@ -38,85 +39,90 @@
 /// An unexpired grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Grant {
-    /// The scheduler that has the grant.
+    /// The scheduler to which the lease is granted.
     pub holder: SchedulerNumber,
-    /// The term.
+    /// The granted term.
     pub term: Term,
-    /// How long the grant still lasts.
+    /// The time until the grant expires, milliseconds.
     pub remaining: Millis,
 }
 
-/// A request for a grant.
+/// A request for a new grant or for the renewal of a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct GrantRequest {
-    /// The scheduler that requests.
+    /// The requesting scheduler.
     pub from: SchedulerNumber,
-    /// The sender's number of the request.
+    /// The number of the request, counted by the requesting scheduler.
     pub request: u32,
-    /// The term.
+    /// The requested term.
     pub term: Term,
 }
 
-/// A reply to a request that was rejected before, and can be granted now.
+/// The reply to a request that was rejected earlier and is granted now, after a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct QueuedGrant {
-    /// The scheduler that requested.
+pub struct DeferredGrant {
+    /// The requesting scheduler.
     pub to: SchedulerNumber,
     /// The reply.
     pub reply: MessageBody,
 }
 
 impl Acceptor {
-    /// An acceptor that starts now, and grants nothing for as long as a grant may last that an
-    /// earlier process made.
+    /// Creates an acceptor that starts at `now`. It grants nothing for `grant_duration`, until any
+    /// grant of an earlier process has expired.
     pub fn new(now: Millis, grant_duration: Millis) -> Self {
-        Acceptor { quiet_until: now + grant_duration, highest_term: 0, granted: None, rejected: None }
+        Acceptor {
+            startup_wait_until: now + grant_duration,
+            highest_term: 0,
+            granted: None,
+            last_rejected: None,
+        }
     }
 
-    /// Whether the acceptor may not grant anything yet.
-    pub fn is_quiet(&self, now: Millis) -> bool {
-        now < self.quiet_until
+    /// Whether the acceptor still waits after its start and may not grant anything.
+    pub fn in_startup_wait(&self, now: Millis) -> bool {
+        now < self.startup_wait_until
     }
 
-    /// The highest term that the acceptor knows.
+    /// The highest term that the acceptor has granted or learned of.
     pub fn highest_term(&self) -> Term {
         self.highest_term
     }
 
-    /// The unexpired grant.
+    /// The unexpired grant, if there is one.
     pub fn grant(&self, now: Millis) -> Option<Grant> {
         let StoredGrant { holder, term, expires_at } =
             self.granted.filter(|granted| now < granted.expires_at)?;
         Some(Grant { holder, term, remaining: expires_at - now })
     }
 
-    /// Learns of a term from elsewhere, for example from what a lease holder acted on.
-    pub fn learn(&mut self, term: Term) {
+    /// Records a term that another scheduler or the resource that a lease holder acts on knows.
+    pub fn observe_term(&mut self, term: Term) {
         self.highest_term = self.highest_term.max(term);
     }
 
-    /// A request has arrived; returns the reply, if there is one.
-    pub fn request(
+    /// Processes a request. Returns the reply; `None` during the wait after the start.
+    pub fn handle_request(
         &mut self,
         now: Millis,
         request: GrantRequest,
         grant_duration: Millis,
     ) -> Option<MessageBody> {
-        if self.is_quiet(now) {
+        if self.in_startup_wait(now) {
             return None;
         }
         match self.grant(now) {
-            // While one scheduler has the grant no other is granted it, whatever its term.
+            // While one scheduler has the grant, no other one receives it, whatever its term.
             Some(grant) if grant.holder != request.from => {
-                self.rejected = Some(RejectedRequest { request, received_at: now });
+                self.last_rejected = Some(RejectedRequest { request, received_at: now });
                 return Some(self.reject(request, grant.remaining));
             }
-            // The request was overtaken by a later one of the same scheduler.
+            // A later request of the same scheduler arrived before this one.
             Some(grant) if request.term < grant.term => return Some(self.reject(request, 0)),
             // A renewal.
             Some(grant) if request.term == grant.term => {}
-            // A new term must be higher than all before it, also for the scheduler that had the
-            // last one.
+            // A new term must be higher than all earlier terms, also for the scheduler to which
+            // the last one was granted.
             _ if request.term <= self.highest_term => return Some(self.reject(request, 0)),
             _ => {}
         }
@@ -130,13 +136,13 @@
         MessageBody::Reject { request: request.request, highest_term: self.highest_term, remaining }
     }
 
-    /// A scheduler whose request was rejected has cancelled it.
+    /// Discards the last rejected request if it is one of `from`, which has cancelled it.
     pub fn forget_rejected(&mut self, from: SchedulerNumber) {
-        self.rejected.take_if(|rejected| rejected.request.from == from);
+        self.last_rejected.take_if(|rejected| rejected.request.from == from);
     }
 
-    /// The scheduler that has the grant releases it up to this term. Returns the reply to a request
-    /// that was rejected less than `reply_timeout` ago, if it is granted now.
+    /// Removes the grant if scheduler `from` has it with a term of at most `term`. Returns the
+    /// reply to a request that was rejected less than `reply_timeout` ago, if it is granted now.
     pub fn release(
         &mut self,
         now: Millis,
@@ -144,17 +150,17 @@
         term: Term,
         reply_timeout: Millis,
         grant_duration: Millis,
-    ) -> Option<QueuedGrant> {
+    ) -> Option<DeferredGrant> {
         if !self.granted.is_some_and(|granted| granted.holder == from && granted.term <= term) {
             return None;
         }
         self.granted = None;
-        let RejectedRequest { request, received_at } = self.rejected.take()?;
-        let still_waits = now < received_at + reply_timeout;
-        if !still_waits || request.term <= self.highest_term || request.from == from {
+        let RejectedRequest { request, received_at } = self.last_rejected.take()?;
+        let is_awaited = now < received_at + reply_timeout;
+        if !is_awaited || request.term <= self.highest_term || request.from == from {
             return None;
         }
-        let reply = self.request(now, request, grant_duration)?;
-        Some(QueuedGrant { to: request.from, reply })
+        let reply = self.handle_request(now, request, grant_duration)?;
+        Some(DeferredGrant { to: request.from, reply })
     }
 }
--- a/crates/service/singleton-roles/src/config.rs
+++ b/crates/service/singleton-roles/src/config.rs
@@ -1,34 +1,34 @@
-//! How a scheduler takes part.
+//! The configuration of a scheduler's part in the lease protocol.
 use crate::quorum::{QuorumConfig, SchedulerNumber};
 use crate::time::Millis;
 
-/// How a scheduler takes part in holding and granting roles.
+/// The configuration with which a scheduler grants and holds leases on roles.
 #[derive(Clone, Debug)]
 pub struct RoleConfig {
     /// This scheduler's number.
     pub own_number: SchedulerNumber,
-    /// Whose majorities grant leases.
+    /// The sets of schedulers whose majorities grant leases.
     pub quorum: QuorumConfig,
-    /// How long a lease lasts, from when it was requested.
+    /// The duration of a lease, counted from the time of the request.
     pub lease_duration: Millis,
-    /// By how much a grant outlasts the lease: the most by which two clocks drift apart within a
-    /// lease.
+    /// The maximum drift between the clocks of two schedulers during a lease. A grant outlasts the
+    /// lease by this time.
     pub clock_drift_bound: Millis,
-    /// How long a reply may take.
+    /// The time for which a scheduler waits for the replies to a request.
     pub reply_timeout: Millis,
-    /// Seed of the choice of when to request again.
+    /// The seed of the random delays before a failed request is repeated.
     pub seed: u64,
 }
 
 impl RoleConfig {
-    /// How long an acceptor's grant lasts. It must outlast the lease by the holder's clock, or two
-    /// could hold a role.
+    /// The duration of an acceptor's grant. The grant must outlast the lease as measured by the
+    /// holder's clock, or two schedulers could hold a role.
     pub(crate) fn grant_duration(&self) -> Millis {
         self.lease_duration + self.clock_drift_bound
     }
 
-    /// All other schedulers.
-    pub(crate) fn others(&self) -> impl Iterator<Item = SchedulerNumber> + use<> {
+    /// The numbers of all other configured schedulers.
+    pub(crate) fn other_schedulers(&self) -> impl Iterator<Item = SchedulerNumber> + use<> {
         let own_number = self.own_number;
         (0..self.quorum.schedulers).filter(move |number| *number != own_number)
     }
--- a/crates/service/singleton-roles/src/manager.rs
+++ b/crates/service/singleton-roles/src/manager.rs
@@ -1,9 +1,9 @@
-//! One scheduler's part in all roles: it grants them to others, requests them in its turn, and
-//! holds some.
+//! The role manager of one scheduler: it grants leases to other schedulers, and requests, renews
+//! and releases the scheduler's own leases.
 //!
-//! - `acquire`: when a lease is requested or renewed, and when a request is given up.
-//! - `receive`: what a message changes.
-//! - `release`: how a lease ends.
+//! - `acquire`: requests and renews leases, and cancels requests that fail.
+//! - `receive`: processes messages of other schedulers.
+//! - `release`: ends leases.
 mod acquire;
 mod receive;
 mod release;
@@ -17,27 +17,28 @@
 use crate::time::{ClockReading, Millis};
 use std::hash::{Hash, Hasher};
 
-/// All roles, as one scheduler has them.
+/// The state of all roles in the view of one scheduler.
 #[derive(Clone, Debug)]
 pub struct RoleManager {
     config: RoleConfig,
-    /// Requests sent so far; the last one has this number.
+    /// The number of requests sent so far, which is also the number of the last request.
     requests_sent: u32,
     roles: Vec<Role>,
     /// The counters of each role, by its index.
     stats: Vec<RoleStats>,
     last_tick: Millis,
-    /// This scheduler grants to others and requests nothing.
-    passive: bool,
+    /// Whether this scheduler only grants leases to others and requests none.
+    is_passive: bool,
 }
 
-/// Of the state that decides; counters don't.
+/// Hashes the state that the protocol's decisions depend on, without the counters.
 impl Hash for RoleManager {
-    fn hash<H: Hasher>(&self, to: &mut H) {
-        (&self.config.own_number, &self.requests_sent, &self.roles).hash(to);
+    fn hash<H: Hasher>(&self, state: &mut H) {
+        (&self.config.own_number, &self.requests_sent, &self.roles).hash(state);
     }
 }
 
+/// Compares the same state as the hash, without the counters.
 impl PartialEq for RoleManager {
     fn eq(&self, other: &Self) -> bool {
         (&self.config.own_number, &self.requests_sent, &self.roles)
@@ -48,7 +49,7 @@
 impl Eq for RoleManager {}
 
 impl RoleManager {
-    /// A scheduler that starts now.
+    /// Creates the role manager of a scheduler that starts at `now`, with the names of its roles.
     pub fn new(config: RoleConfig, names: &[String], now: Millis) -> Self {
         let grant_duration = config.grant_duration();
         RoleManager {
@@ -56,32 +57,35 @@
             roles: names.iter().map(|name| Role::new(name, now, grant_duration)).collect(),
             stats: vec![RoleStats::default(); names.len()],
             last_tick: now,
-            passive: false,
+            is_passive: false,
             config,
         }
     }
 
-    /// All roles with their counters.
+    /// The roles, by index, with their counters.
     pub fn roles(&self) -> impl Iterator<Item = (&Role, RoleStats)> {
         self.roles.iter().zip(self.stats.iter().copied())
     }
 
-    /// The term under which this scheduler may act in the role now.
+    /// The term of this scheduler's unexpired lease on the role, under which it may act now.
     ///
-    /// The caller asks at that moment, and passes the term to what it acts on, which rejects an
-    /// older one: the process may be suspended between this check and the act.
+    /// The caller reads it immediately before it acts, and passes the term on to the resource that
+    /// it acts on. That resource rejects an older term, since the process may be suspended between
+    /// this check and the act.
     pub fn held_term(&self, now: Millis, role: RoleIndex) -> Option<Term> {
         let held = self.roles.get(role.0)?.held;
         held.filter(|lease| now < lease.expires_at).map(|lease| lease.term)
     }
 
-    /// The lease holder by this scheduler's own grant.
+    /// The unexpired grant of this scheduler's own acceptor for the role. It names the lease holder
+    /// that this scheduler knows of.
     pub fn local_grant(&self, now: Millis, role: RoleIndex) -> Option<Grant> {
         self.roles.get(role.0)?.acceptor.grant(now)
     }
 
-    /// Some time has passed. `is_alive` says whether a scheduler is thought to be alive: that
-    /// decides who requests a role first, never whom it is granted to.
+    /// Expires, requests and renews leases, as is due at `now`. `is_alive` tells whether a
+    /// scheduler is believed to be alive: this decides which scheduler requests a role first, but
+    /// never to which one it is granted.
     pub fn tick(
         &mut self,
         now: ClockReading,
@@ -89,12 +93,11 @@
         actions: &mut Vec<Action>,
     ) {
         let mut outbox = Outbox::default();
-        let since_last_tick =
-            now.monotonic.saturating_sub(std::mem::replace(&mut self.last_tick, now.monotonic));
+        let elapsed = now.monotonic.saturating_sub(std::mem::replace(&mut self.last_tick, now.monotonic));
         for role in (0..self.roles.len()).map(RoleIndex) {
-            self.expire(now.monotonic, role, actions);
-            self.track_vacancy(now.monotonic, role, since_last_tick);
-            self.cancel_unanswered(now.monotonic, role, &mut outbox);
+            self.expire_lease(now.monotonic, role, actions);
+            self.track_vacancy(now.monotonic, role, elapsed);
+            self.cancel_timed_out_request(now.monotonic, role, &mut outbox);
             if self.should_request(now.monotonic, role, &is_alive) {
                 self.request(now, role, &mut outbox, actions);
             }
@@ -102,20 +105,21 @@
         outbox.flush(actions);
     }
 
-    /// Makes this scheduler passive, so that it grants to others and requests nothing, or active
-    /// again.
-    pub fn set_passive(&mut self, passive: bool) {
-        self.passive = passive;
+    /// Makes this scheduler passive, so that it only grants leases to others and requests none, or
+    /// active again.
+    pub fn set_passive(&mut self, is_passive: bool) {
+        self.is_passive = is_passive;
     }
 
-    fn track_vacancy(&mut self, now: Millis, role: RoleIndex, since_last_tick: Millis) {
-        let this = &mut self.roles[role.0];
-        if this.acceptor.grant(now).is_some() {
-            this.vacant_since = None;
+    /// Updates the start of the role's vacancy and the counter of the vacant time.
+    fn track_vacancy(&mut self, now: Millis, role: RoleIndex, elapsed: Millis) {
+        let role_state = &mut self.roles[role.0];
+        if role_state.acceptor.grant(now).is_some() {
+            role_state.vacant_since = None;
             return;
         }
-        this.vacant_since.get_or_insert(now);
-        self.stats[role.0].vacant_ms += since_last_tick;
+        role_state.vacant_since.get_or_insert(now);
+        self.stats[role.0].vacant_ms += elapsed;
     }
 
     fn send(&self, role: RoleIndex, to: SchedulerNumber, body: MessageBody, outbox: &mut Outbox) {
@@ -124,6 +128,6 @@
     }
 
     fn send_to_others(&self, role: RoleIndex, body: MessageBody, outbox: &mut Outbox) {
-        self.config.others().for_each(|to| self.send(role, to, body, outbox));
+        self.config.other_schedulers().for_each(|to| self.send(role, to, body, outbox));
     }
 }
--- a/crates/service/singleton-roles/src/manager/release.rs
+++ b/crates/service/singleton-roles/src/manager/release.rs
@@ -1,4 +1,4 @@
-//! How a lease ends.
+//! The end of leases: by release, by fencing and by expiry.
 use super::RoleManager;
 use crate::message::{MessageBody, Term};
 use crate::outbox::{Action, Outbox};
@@ -7,32 +7,34 @@
 use crate::time::Millis;
 
 impl RoleManager {
-    /// Releases a role, if this scheduler holds it; another scheduler may request it at once.
+    /// Releases the role if this scheduler holds it, so that another scheduler can acquire it
+    /// without waiting for the lease to expire.
     pub fn release(&mut self, now: Millis, role: RoleIndex, actions: &mut Vec<Action>) {
-        self.lose(now, role, LossReason::Released, actions);
+        self.end_lease(now, role, LossReason::Released, actions);
     }
 
-    /// What this scheduler acted on knows the later term `highest_term`: the lease is over,
-    /// whatever the acceptors say.
+    /// Processes the rejection of an act by its resource, which knows `highest_term`. If this is
+    /// later than the term of the lease that this scheduler holds, the lease ends, even if the
+    /// acceptors' grants are unexpired.
     pub fn fence(&mut self, now: Millis, role: RoleIndex, highest_term: Term, actions: &mut Vec<Action>) {
-        let Some(this) = self.roles.get_mut(role.0) else { return };
-        this.acceptor.learn(highest_term);
+        let Some(role_state) = self.roles.get_mut(role.0) else { return };
+        role_state.acceptor.observe_term(highest_term);
         self.stats[role.0].fenced += 1;
-        if this.held.is_some_and(|lease| lease.term < highest_term) {
-            self.lose(now, role, LossReason::Fenced, actions);
+        if role_state.held.is_some_and(|lease| lease.term < highest_term) {
+            self.end_lease(now, role, LossReason::Fenced, actions);
         }
     }
 
-    /// Ends a lease that was not renewed in time.
-    pub(super) fn expire(&mut self, now: Millis, role: RoleIndex, actions: &mut Vec<Action>) {
+    /// Ends the lease on the role if it has expired.
+    pub(super) fn expire_lease(&mut self, now: Millis, role: RoleIndex, actions: &mut Vec<Action>) {
         if let Some(lease) = self.roles[role.0].held.take_if(|lease| now >= lease.expires_at) {
             let change = LeaseChange::Lost(lease.term, LossReason::Expired);
             actions.push(Action::LeaseChanged { role, change });
         }
     }
 
-    /// Voids what this scheduler's acceptor granted up to this term, and sends the grant to a
-    /// request that it has just rejected, if there is one.
+    /// Removes the grant of this scheduler's acceptor to `from` if its term is at most `term`, and
+    /// grants a request that the acceptor has just rejected, if there is one.
     pub(super) fn release_grant(
         &mut self,
         now: Millis,
@@ -48,18 +50,19 @@
         }
     }
 
-    fn lose(&mut self, now: Millis, role: RoleIndex, reason: LossReason, actions: &mut Vec<Action>) {
-        let Some(this) = self.roles.get_mut(role.0) else { return };
-        let Some(lease) = this.held.take() else { return };
+    /// Ends the lease on the role if this scheduler holds it, and releases its grants.
+    fn end_lease(&mut self, now: Millis, role: RoleIndex, reason: LossReason, actions: &mut Vec<Action>) {
+        let Some(role_state) = self.roles.get_mut(role.0) else { return };
+        let Some(lease) = role_state.held.take() else { return };
         let change = LeaseChange::Lost(lease.term, reason);
         actions.push(Action::LeaseChanged { role, change });
-        this.pending = None;
-        // The scheduler that released a role does not take it again before the others had their
-        // turn.
+        role_state.pending = None;
+        // The scheduler that released the role does not request it for the duration of a lease, so
+        // that the others can acquire it.
         let own_number = self.config.own_number;
         let until = now + self.config.lease_duration;
-        this.not_before = until;
-        this.handover = Some(Handover { previous_holder: own_number, until });
+        role_state.earliest_request_at = until;
+        role_state.handover = Some(Handover { previous_holder: own_number, until });
         let mut outbox = Outbox::default();
         self.send_to_others(role, MessageBody::Release { term: lease.term }, &mut outbox);
         self.release_grant(now, role, own_number, lease.term, &mut outbox);
--- a/crates/service/singleton-roles/src/message.rs
+++ b/crates/service/singleton-roles/src/message.rs
@@ -1,71 +1,76 @@
-//! Messages between schedulers on roles, several in one datagram. Their form is postcard's: names
-//! are not part of it, order and types of fields and variants are.
+//! Messages between schedulers about roles. A datagram carries several of them, encoded with
+//! postcard: names are not part of the encoding, the order and types of fields and variants are.
 use crate::quorum::QuorumConfig;
 use crate::time::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Numbers the leases of a role, one after the other; whatever a lease holder acts on rejects an
-/// older term.
+/// The number of a lease on a role, which increases from lease to lease. It is the fencing token:
+/// the resource that a lease holder acts on rejects an older term.
 pub type Term = u64;
 
-/// The most messages in a datagram: with the largest figures they take less than the 200 bytes that
-/// one carries.
+/// The maximum number of messages in a datagram. With the largest values in all fields they take
+/// less than the 200 bytes that a datagram carries.
 pub const MAX_MESSAGES: usize = 5;
 
-/// Terms from here on are rejected: no term could follow one that is accepted.
+/// The exclusive upper bound of terms. Messages with this or a higher term are rejected, so that a
+/// higher term remains available after any accepted one.
 pub const MAX_TERM: Term = 1 << 60;
 
-/// A message on one role.
+/// A message about one role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, Serialize)]
 pub struct RoleMessage {
-    /// The hash of the role's name: schedulers need not have the roles in the same order.
+    /// The hash of the role's name. An index would not identify the role, since schedulers may have
+    /// their roles in different orders.
     pub role_hash: u32,
-    /// The sets whose majorities the sender goes by.
+    /// The quorum configuration of the sender.
     pub quorum: QuorumConfig,
-    /// What is said of the role.
+    /// The content of the message.
     pub body: MessageBody,
 }
 
-/// What a message says of a role.
+/// The content of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, Serialize)]
 pub enum MessageBody {
-    /// A request to grant this term, or to renew the grant of it.
+    /// A request for a grant of this term, or for its renewal.
     Request {
-        /// The sender's number of the request, repeated in the reply.
+        /// The number of the request, counted by the sender and repeated in the reply.
         request: u32,
-        /// The term.
+        /// The requested term.
         term: Term,
     },
-    /// The grant of a lease, which counts from when it was requested.
+    /// The grant of a lease. The lease duration counts from the time of the request.
     Grant {
-        /// The request.
+        /// The number of the granted request.
         request: u32,
-        /// The term.
+        /// The granted term.
         term: Term,
     },
     /// The rejection of a request: another scheduler has the grant, or the term is too low.
     Reject {
-        /// The request.
+        /// The number of the rejected request.
         request: u32,
         /// The highest term that the sender knows.
         highest_term: Term,
-        /// How long the other scheduler's grant still lasts at the sender.
+        /// The time until the sender's grant to the other scheduler expires, milliseconds; 0 if the
+        /// term is too low.
         remaining: Millis,
     },
-    /// The request found no majority: grants of this term are void.
+    /// The cancellation of a request that did not get a majority: the receiver removes its grant to
+    /// the sender if the grant's term is at most this one.
     Cancel {
         /// The term that was requested.
         term: Term,
     },
-    /// The sender's lease is over: grants up to this term are void.
+    /// The end of the sender's lease: the receiver removes its grant to the sender if the grant's
+    /// term is at most this one.
     Release {
-        /// The term that is over.
+        /// The term of the lease that ended.
         term: Term,
     },
 }
 
 impl MessageBody {
-    /// The term that the message names.
+    /// The term in the message.
     fn term(&self) -> Term {
         match *self {
             MessageBody::Request { term, .. } | MessageBody::Grant { term, .. } => term,
@@ -75,13 +80,13 @@
     }
 }
 
-/// The payload of a datagram with these messages.
+/// Encodes messages as the payload of a datagram.
 pub fn encode(messages: &[RoleMessage]) -> Vec<u8> {
     postcard::to_stdvec(messages).unwrap_or_default()
 }
 
-/// Reads a datagram's payload; `None` if it is malformed, or has too many messages or an impossible
-/// term.
+/// Decodes the payload of a datagram. Returns `None` if it is malformed, has more than
+/// [`MAX_MESSAGES`] messages, or a term of [`MAX_TERM`] or higher.
 pub fn decode(bytes: &[u8]) -> Option<Vec<RoleMessage>> {
     let (messages, rest) = postcard::take_from_bytes::<Vec<RoleMessage>>(bytes).ok()?;
     let is_plausible =
--- a/crates/service/singleton-roles/src/outbox.rs
+++ b/crates/service/singleton-roles/src/outbox.rs
@@ -1,29 +1,29 @@
-//! What the caller must do, and messages that are sent together.
+//! The actions that the caller performs, and the batching of messages into datagrams.
 use crate::message::{MAX_MESSAGES, RoleMessage, encode};
 use crate::quorum::SchedulerNumber;
 use crate::role::{LeaseChange, RoleIndex};
 use std::collections::BTreeMap;
 
-/// What the caller must do.
+/// An action that the caller must perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a payload to a scheduler.
     Send {
-        /// The scheduler.
+        /// The receiver.
         to: SchedulerNumber,
-        /// The payload, at most [`MAX_MESSAGES`] messages.
+        /// The payload of a datagram: at most [`MAX_MESSAGES`] encoded messages.
         payload: Vec<u8>,
     },
-    /// Report that a lease has begun or ended here.
+    /// Report that this scheduler has acquired or lost a lease.
     LeaseChanged {
         /// The role.
         role: RoleIndex,
-        /// What has changed.
+        /// The change.
         change: LeaseChange,
     },
 }
 
-/// Messages that are sent together, by receiver.
+/// Messages that are to be sent, grouped by receiver.
 #[derive(Default)]
 pub(crate) struct Outbox {
     by_receiver: BTreeMap<SchedulerNumber, Vec<RoleMessage>>,
@@ -34,7 +34,7 @@
         self.by_receiver.entry(to).or_default().push(message);
     }
 
-    /// Makes as few datagrams as possible of the messages.
+    /// Adds the actions that send the messages, in as few datagrams as possible.
     pub(crate) fn flush(self, actions: &mut Vec<Action>) {
         for (to, messages) in self.by_receiver {
             let payloads = messages.chunks(MAX_MESSAGES).map(encode);
--- a/crates/service/singleton-roles/src/quorum.rs
+++ b/crates/service/singleton-roles/src/quorum.rs
@@ -1,32 +1,32 @@
-//! Whose grants make a majority.
+//! The sets of schedulers whose majorities grant leases.
 use serde::{Deserialize, Serialize};
 
 /// The number of a scheduler in its tier: its position among the configured schedulers, from 0.
 pub type SchedulerNumber = u16;
 
-/// The schedulers whose majorities grant leases: those with the first numbers. While the set is
-/// changed, majorities of both sets (joint consensus: Ongaro, "Consensus: Bridging Theory and
-/// Practice", 2014, 4.3).
+/// The set of schedulers whose majorities grant leases: those with the lowest numbers. While the
+/// set is being changed, a lease takes a majority of the old set and of the new one (joint
+/// consensus: Ongaro, "Consensus: Bridging Theory and Practice", 2014, 4.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Deserialize, Serialize)]
 pub struct QuorumConfig {
-    /// How many schedulers are configured.
+    /// The number of configured schedulers.
     pub schedulers: u16,
-    /// While the set is changed: the size of the set that it is changed from, or to. Else 0.
+    /// The size of the other set, old or new, while the set is being changed; otherwise 0.
     pub joint_schedulers: u16,
 }
 
 impl QuorumConfig {
-    /// One set of this size.
-    pub fn of(schedulers: u16) -> Self {
+    /// A configuration with a single set of this size.
+    pub fn single(schedulers: u16) -> Self {
         QuorumConfig { schedulers, joint_schedulers: 0 }
     }
 
-    /// The sizes of the set, or of both sets while it is changed.
+    /// The size of the set, or the sizes of both sets during a change.
     fn set_sizes(self) -> impl Iterator<Item = u16> {
         [self.schedulers, self.joint_schedulers].into_iter().filter(|size| *size > 0)
     }
 
-    /// Whether the schedulers that granted are a majority of each set.
+    /// Whether the schedulers `granted_by` contain a majority of each set.
     pub fn has_majority(self, granted_by: &[SchedulerNumber]) -> bool {
         self.set_sizes().all(|size| {
             let granted = granted_by.iter().filter(|number| **number < size).count();
@@ -34,8 +34,8 @@
         })
     }
 
-    /// Whether each majority by this configuration has a scheduler in common with each majority by
-    /// the other. They do if a set is in both.
+    /// Whether each majority of this configuration shares a scheduler with each majority of the
+    /// other. This is the case if the configurations have a set in common.
     pub fn intersects(self, other: QuorumConfig) -> bool {
         self.set_sizes().any(|size| other.set_sizes().any(|other_size| size == other_size))
     }
--- a/crates/service/singleton-roles/src/role.rs
+++ b/crates/service/singleton-roles/src/role.rs
@@ -1,4 +1,4 @@
-//! One role, as one scheduler sees it.
+//! The state of one role in the view of one scheduler.
 use crate::acceptor::Acceptor;
 use crate::message::Term;
 use crate::quorum::SchedulerNumber;
@@ -6,72 +6,73 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The position of a role among this scheduler's roles, from 0.
+/// The index of a role among this scheduler's roles, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RoleIndex(pub usize);
 
-/// Why a lease was lost.
+/// The reason for which a lease ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LossReason {
-    /// No majority renewed it in time.
+    /// No majority granted its renewal before it expired.
     Expired,
     /// Its holder released it.
     Released,
-    /// What its holder acted on knows a later term.
+    /// The resource that its holder acted on knows a later term.
     Fenced,
 }
 
-/// The lease of a role has begun or ended on this scheduler.
+/// The begin or the end of a lease of this scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseChange {
-    /// This scheduler holds the role from now on.
+    /// This scheduler has acquired the role under this term.
     Acquired(Term),
-    /// This scheduler does not hold the role any more.
+    /// This scheduler no longer holds the role under this term.
     Lost(Term, LossReason),
 }
 
 /// A lease that this scheduler holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct HeldLease {
-    /// The term.
+    /// The term of the lease.
     pub term: Term,
-    /// Until when by this scheduler's clock, if it isn't renewed.
+    /// The end of the lease by this scheduler's monotonic clock, unless it is renewed.
     pub expires_at: Millis,
 }
 
-/// A request for a lease that this scheduler has sent.
+/// A request for a lease that this scheduler has sent and that has no majority yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingRequest {
     pub(crate) number: u32,
     pub(crate) term: Term,
-    /// When it was sent. The lease counts from then, not from when the grants arrive, so that it
-    /// ends before they do.
+    /// The time at which the request was sent. The lease counts from this time and not from the
+    /// arrival of the grants, so that it ends before the grants expire.
     pub(crate) sent_at: Millis,
     pub(crate) granted_by: Vec<SchedulerNumber>,
 }
 
-/// A scheduler has just released the role: until this time the others come first.
+/// A recent release of the role. Until the time `until`, all other schedulers are preferred to the
+/// previous holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Handover {
     pub(crate) previous_holder: SchedulerNumber,
     pub(crate) until: Millis,
 }
 
-/// Counters since the start.
+/// Counters of a role since the start of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize)]
 pub struct RoleStats {
-    /// Terms that began on this scheduler.
+    /// Number of terms under which this scheduler acquired the role.
     pub terms: u64,
-    /// How often a lease was renewed.
+    /// Number of renewals of this scheduler's leases.
     pub renewals: u64,
-    /// How often what this scheduler acted on rejected its term.
+    /// Number of acts that their resource rejected because it knew a later term.
     pub fenced: u64,
-    /// Milliseconds in which this scheduler knew of no lease holder.
+    /// Total time in which this scheduler knew of no lease holder, milliseconds.
     pub vacant_ms: u64,
 }
 
-/// One role.
+/// The state of a role.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Role {
     /// Its name.
@@ -80,15 +81,15 @@
     pub(crate) acceptor: Acceptor,
     pub(crate) held: Option<HeldLease>,
     pub(crate) pending: Option<PendingRequest>,
-    /// The role is not requested before.
-    pub(crate) not_before: Millis,
-    /// Since when no scheduler has held the role, as far as this one knows.
+    /// The earliest time at which this scheduler may request the role.
+    pub(crate) earliest_request_at: Millis,
+    /// The time since which this scheduler has known of no holder; `None` while it knows one.
     pub(crate) vacant_since: Option<Millis>,
     pub(crate) handover: Option<Handover>,
 }
 
 impl Role {
-    /// A role that no scheduler is known to hold.
+    /// Creates the state of a role of which no holder is known.
     pub(crate) fn new(name: &str, now: Millis, grant_duration: Millis) -> Self {
         Role {
             name: name.to_owned(),
@@ -96,26 +97,30 @@
             acceptor: Acceptor::new(now, grant_duration),
             held: None,
             pending: None,
-            not_before: 0,
+            earliest_request_at: 0,
             vacant_since: Some(now),
             handover: None,
         }
     }
 
-    /// Whether this scheduler has a lease of the role, expired or not.
+    /// Whether this scheduler has a lease on the role, including one that has expired but has not
+    /// been removed yet.
     pub fn is_held(&self) -> bool {
         self.held.is_some()
     }
 
+    /// Prevents requests for the role until a time, or until a later time already set.
     pub(crate) fn delay_requests(&mut self, until: Millis) {
-        self.not_before = self.not_before.max(until);
+        self.earliest_request_at = self.earliest_request_at.max(until);
     }
 
+    /// Allows requests for the role from a time, or from an earlier time already set.
     pub(crate) fn allow_requests(&mut self, from: Millis) {
-        self.not_before = self.not_before.min(from);
+        self.earliest_request_at = self.earliest_request_at.min(from);
     }
 
-    /// The scheduler that released the role so recently that others come first.
+    /// The scheduler that released the role less than a lease duration ago, to which all others are
+    /// preferred.
     pub(crate) fn previous_holder(&self, now: Millis) -> Option<SchedulerNumber> {
         self.handover.filter(|handover| now < handover.until).map(|handover| handover.previous_holder)
     }
--- a/crates/service/singleton-roles/src/time.rs
+++ b/crates/service/singleton-roles/src/time.rs
@@ -1,14 +1,15 @@
-//! Times, as the caller passes them in.
+//! Times and clock readings that the caller passes in.
 
-/// A time or a span, milliseconds. Only differences of one process's own clock mean anything.
+/// A time or a duration, milliseconds. Times are comparable only if they are from the clock of one
+/// process.
 pub type Millis = u64;
 
-/// A reading of a process's two clocks.
+/// A reading of the two clocks of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// The process's own monotonic clock, which leases are measured by.
+    /// The time of the monotonic clock, by which leases are measured.
     pub monotonic: Millis,
-    /// The time of day. It only lifts the first term above those of processes that have all
-    /// forgotten theirs; nothing that must be safe depends on it.
+    /// The time of the wall clock. It only makes the first term exceed the earlier ones after all
+    /// schedulers have restarted without their terms. Mutual exclusion does not depend on it.
     pub wall: Millis,
 }
--- a/crates/service/singleton-roles/tests/common/mod.rs
+++ b/crates/service/singleton-roles/tests/common/mod.rs
@@ -1,27 +1,28 @@
-//! What the tests share: a tier whose datagrams are handed over as they are sent, in one process
-//! and without a network.
+//! A tier of schedulers for the tests, in one process and without a network. It delivers datagrams
+//! as soon as they are sent, unless a test delivers them itself.
 use spanlead_singleton_roles::{
     Action, ClockReading, LeaseChange, Millis, QuorumConfig, RoleConfig, RoleIndex, RoleManager,
     SchedulerNumber, Term, decode,
 };
 use std::collections::VecDeque;
 
-/// The duration of a lease.
+/// The duration of a lease, milliseconds.
 pub const LEASE: Millis = 3000;
-/// The only role.
+/// The name of the only role.
 pub const ROLE_NAME: &str = "duty";
 pub const ROLE: RoleIndex = RoleIndex(0);
-/// When all have been up for long enough to grant.
+/// The time after the start by which all schedulers may grant and one has acquired the role,
+/// milliseconds.
 pub const SETTLE_TIME: Millis = 5000;
-/// The time between two ticks.
+/// The time between two ticks, milliseconds.
 const TICK: Millis = 100;
 
-/// The hash by which messages name the role.
+/// The hash that identifies the role in messages.
 pub fn role_hash() -> u32 {
     xxhash_rust::xxh3::xxh3_64(ROLE_NAME.as_bytes()) as u32
 }
 
-/// The order in which datagrams arrive.
+/// The order in which datagrams are delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
     OldestFirst,
@@ -34,26 +35,27 @@
     payload: Vec<u8>,
 }
 
-/// A change of a lease, and on which scheduler.
-pub type SeenChange = (SchedulerNumber, LeaseChange);
+/// A change of a lease, with the scheduler that reported it.
+pub type ObservedChange = (SchedulerNumber, LeaseChange);
 
 pub struct Tier {
     pub schedulers: Vec<RoleManager>,
     pub now: Millis,
-    pub changes: Vec<SeenChange>,
-    under_way: VecDeque<Datagram>,
+    pub changes: Vec<ObservedChange>,
+    in_flight: VecDeque<Datagram>,
     is_up: Vec<bool>,
     seed: u64,
 }
 
 impl Tier {
-    /// A tier of schedulers that start now; the seed draws when they request again.
+    /// Creates a tier of schedulers that start at time 0. The seed determines the random delays
+    /// before failed requests are repeated.
     pub fn new(count: u16, seed: u64) -> Self {
         let mut tier = Tier {
             schedulers: Vec::new(),
             now: 0,
             changes: Vec::new(),
-            under_way: VecDeque::new(),
+            in_flight: VecDeque::new(),
             is_up: vec![true; count.into()],
             seed,
         };
@@ -61,17 +63,17 @@
         tier
     }
 
-    /// A tier that has a lease holder.
+    /// Creates a tier and advances its time until a scheduler holds the role.
     pub fn settled(count: u16, seed: u64) -> Self {
         let mut tier = Tier::new(count, seed);
-        tier.pass(SETTLE_TIME);
+        tier.advance(SETTLE_TIME);
         tier
     }
 
     fn new_scheduler(&self, number: SchedulerNumber) -> RoleManager {
         let config = RoleConfig {
             own_number: number,
-            quorum: QuorumConfig::of(self.is_up.len() as u16),
+            quorum: QuorumConfig::single(self.is_up.len() as u16),
             lease_duration: LEASE,
             clock_drift_bound: 300,
             reply_timeout: 200,
@@ -80,13 +82,13 @@
         RoleManager::new(config, &[ROLE_NAME.to_owned()], self.now)
     }
 
-    /// Starts a scheduler again, without what it knew.
+    /// Restarts a scheduler, which loses its state.
     pub fn restart(&mut self, number: SchedulerNumber) {
         self.schedulers[usize::from(number)] = self.new_scheduler(number);
         self.is_up[usize::from(number)] = true;
     }
 
-    /// Ends a scheduler.
+    /// Stops a scheduler: it receives nothing and does not tick.
     pub fn stop(&mut self, number: SchedulerNumber) {
         self.is_up[usize::from(number)] = false;
     }
@@ -99,42 +101,42 @@
         ClockReading { monotonic: self.now, wall: self.now }
     }
 
-    /// A scheduler releases the role.
+    /// Makes a scheduler release the role.
     pub fn release(&mut self, number: SchedulerNumber) {
         let (now, mut actions) = (self.now, Vec::new());
         self.scheduler(number).release(now, ROLE, &mut actions);
-        self.perform(number, actions);
+        self.apply_actions(number, actions);
     }
 
-    pub fn perform(&mut self, from: SchedulerNumber, actions: Vec<Action>) {
+    pub fn apply_actions(&mut self, from: SchedulerNumber, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Send { to, payload } => self.under_way.push_back(Datagram { from, to, payload }),
+                Action::Send { to, payload } => self.in_flight.push_back(Datagram { from, to, payload }),
                 Action::LeaseChanged { change, .. } => self.changes.push((from, change)),
             }
         }
     }
 
-    /// All datagrams that are under way arrive, and those that answer them.
+    /// Delivers all datagrams in flight and all replies to them.
     pub fn deliver_all(&mut self, delivery: Delivery) {
         while let Some(Datagram { from, to, payload }) = match delivery {
-            Delivery::OldestFirst => self.under_way.pop_front(),
-            Delivery::NewestFirst => self.under_way.pop_back(),
+            Delivery::OldestFirst => self.in_flight.pop_front(),
+            Delivery::NewestFirst => self.in_flight.pop_back(),
         } {
             if !self.is_up[usize::from(to)] {
                 continue;
             }
             let (mut actions, clock, is_up) = (Vec::new(), self.clock(), self.is_up.clone());
-            let messages = decode(&payload).expect("the payload of a scheduler");
+            let messages = decode(&payload).expect("decoding a payload that a scheduler encoded");
             let is_alive = |number: SchedulerNumber| is_up[usize::from(number)];
             self.scheduler(to).receive(clock, from, &messages, is_alive, &mut actions);
-            self.perform(to, actions);
+            self.apply_actions(to, actions);
         }
     }
 
-    /// Time passes, and datagrams arrive at once.
-    pub fn pass(&mut self, span: Millis) {
-        for _ in 0..span / TICK {
+    /// Advances the time tick by tick, and delivers the datagrams of each tick immediately.
+    pub fn advance(&mut self, duration: Millis) {
+        for _ in 0..duration / TICK {
             self.now += TICK;
             for number in 0..self.schedulers.len() as u16 {
                 self.tick(number);
@@ -148,21 +150,21 @@
         }
         let (mut actions, clock, is_up) = (Vec::new(), self.clock(), self.is_up.clone());
         self.scheduler(number).tick(clock, |other| is_up[usize::from(other)], &mut actions);
-        self.perform(number, actions);
+        self.apply_actions(number, actions);
         self.deliver_all(Delivery::OldestFirst);
     }
 
-    /// The term under which a scheduler may act now.
+    /// The term of a scheduler's unexpired lease.
     pub fn term_of(&self, number: SchedulerNumber) -> Option<Term> {
         self.schedulers[usize::from(number)].held_term(self.now, ROLE)
     }
 
-    /// The lease holder. There must not be two.
+    /// The lease holder. Panics if several schedulers hold the role.
     pub fn lease_holder(&self) -> Option<SchedulerNumber> {
         let numbers = 0..self.schedulers.len() as u16;
         let holders: Vec<SchedulerNumber> =
             numbers.filter(|number| self.term_of(*number).is_some()).collect();
-        assert!(holders.len() <= 1, "{holders:?} hold the role");
+        assert!(holders.len() <= 1, "at most one scheduler may hold the role, found {holders:?}");
         holders.first().copied()
     }
 }
--- a/crates/service/singleton-roles/tests/golden.rs
+++ b/crates/service/singleton-roles/tests/golden.rs
@@ -1,7 +1,6 @@
-//! What schedulers say to each other of duties, as bytes: those of the version before and of this
-//! one are in one tier at a
-//! time.
-#[allow(dead_code, reason = "each crate uses a part of it")]
+//! Compares the encoding of role messages with committed bytes, because schedulers of the previous
+//! version and of this one run in one tier during an upgrade.
+#[allow(dead_code, reason = "each crate uses only some of the functions")]
 #[path = "../../wal/tests/golden/data.rs"]
 mod golden;
 
@@ -9,18 +8,18 @@
 
 const FILE: &str = "messages.txt";
 
-fn item(body: MessageBody) -> RoleMessage {
+fn message(body: MessageBody) -> RoleMessage {
     RoleMessage { role_hash: 0xdead_beef, quorum: QuorumConfig { schedulers: 5, joint_schedulers: 3 }, body }
 }
 
-fn messages() -> Vec<(&'static str, Vec<RoleMessage>)> {
-    let (ask, term) = (77, 1_234_567);
+fn message_lists() -> Vec<(&'static str, Vec<RoleMessage>)> {
+    let (request, term) = (77, 1_234_567);
     let all = vec![
-        item(MessageBody::Request { request: ask, term }),
-        item(MessageBody::Grant { request: ask, term }),
-        item(MessageBody::Reject { request: ask, highest_term: term + 1, remaining: 2_999 }),
-        item(MessageBody::Cancel { term }),
-        item(MessageBody::Release { term }),
+        message(MessageBody::Request { request, term }),
+        message(MessageBody::Grant { request, term }),
+        message(MessageBody::Reject { request, highest_term: term + 1, remaining: 2_999 }),
+        message(MessageBody::Cancel { term }),
+        message(MessageBody::Release { term }),
     ];
     let longest = RoleMessage {
         role_hash: u32::MAX,
@@ -34,24 +33,24 @@
         ("refuse", vec![all[2]]),
         ("withdraw", vec![all[3]]),
         ("release", vec![all[4]]),
-        ("one-set", vec![RoleMessage { quorum: QuorumConfig::of(3), ..all[0] }]),
+        ("one-set", vec![RoleMessage { quorum: QuorumConfig::single(3), ..all[0] }]),
         ("all", all),
         ("longest", vec![longest; 5]),
     ]
 }
 
 #[test]
-fn each_kind_of_message_keeps_its_bytes() {
-    let found: Vec<_> = messages().iter().map(|(name, items)| (*name, encode(items))).collect();
-    golden::assert_bytes(FILE, &found);
+fn each_message_encodes_to_its_committed_bytes() {
+    let encoded: Vec<_> = message_lists().iter().map(|(name, messages)| (*name, encode(messages))).collect();
+    golden::assert_bytes(FILE, &encoded);
 }
 
 #[test]
-fn committed_messages_are_read_as_the_same_items() {
+fn committed_bytes_decode_to_the_same_messages() {
     let committed = golden::bytes(FILE);
-    assert_eq!(committed.len(), messages().len());
-    for ((name, bytes), (wanted_name, wanted)) in committed.iter().zip(messages()) {
-        assert_eq!(name, wanted_name);
-        assert_eq!(decode(bytes), Some(wanted), "{name}");
+    assert_eq!(committed.len(), message_lists().len());
+    for ((name, bytes), (expected_name, expected)) in committed.iter().zip(message_lists()) {
+        assert_eq!(name, expected_name);
+        assert_eq!(decode(bytes), Some(expected), "{name}");
     }
 }
--- a/crates/service/singleton-roles/tests/lease_model.rs
+++ b/crates/service/singleton-roles/tests/lease_model.rs
@@ -1,8 +1,8 @@
-//! The leases, searched completely for small sizes by the crate's own state machine: three
-//! schedulers that grant and request, messages lost, doubled and late, a clock that runs slow by
-//! the bound, restarts without memory, a change of the set, and a suspension between the check of a
-//! lease and the act. Each rule can be taken out; then the search must find the fault that the rule
-//! prevents.
+//! Exhaustive model checking of the lease protocol within small bounds, with the crate's own state
+//! machine: three schedulers that grant and request, lost, duplicated and delayed messages, a clock
+//! that runs slow by the drift bound, restarts without state, a change of the configured set, and a
+//! suspension between the check of a lease and the act. Each rule of the protocol can be disabled;
+//! the search must then find the violation that the rule prevents.
 use spanlead_singleton_roles::{
     Action as RoleAction, ClockReading, MessageBody, Millis, QuorumConfig, RoleConfig, RoleIndex,
     RoleManager, RoleMessage, SchedulerNumber, Term, decode,
@@ -11,37 +11,39 @@
 use std::collections::BTreeSet;
 
 const SCHEDULERS: u16 = 3;
-/// Two schedulers request; the third only grants. That is all that a majority needs to go wrong.
+/// The schedulers that request the role. The third one only grants: these are enough for two
+/// conflicting majorities.
 const CANDIDATES: u16 = 2;
 const LEASE: Millis = 1;
 const CLOCK_DRIFT_BOUND: Millis = 1;
-/// When all have been up for long enough to grant.
+/// The time at which the schedulers that started at 0 may grant.
 const START: Millis = LEASE + CLOCK_DRIFT_BOUND;
-/// A search that finds more states is not complete.
+/// The maximum number of states: a search that reaches it is incomplete.
 const MAX_STATES: usize = 4_000_000;
 const ROLE_NAME: &str = "duty";
 const ROLE: RoleIndex = RoleIndex(0);
 
 const ONE_HOLDER: &str = "one lease holder";
-const NO_LATE_ACT: &str = "no act under an older term";
+const NO_STALE_ACT: &str = "no act under an older term";
 const HANDED_OVER: &str = "the role is held and handed over";
 
+/// A rule of the protocol that the search can disable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Rule {
-    /// A scheduler that restarts grants nothing until the grants that it has forgotten have
-    /// expired.
-    QuietAfterRestart,
-    /// A grant outlasts the lease by the bound on clocks.
+    /// A restarted scheduler grants nothing until the grants of its earlier process have expired.
+    StartupWait,
+    /// A grant outlasts the lease by the clock drift bound.
     ClockDriftBound,
-    /// A majority of the configured schedulers grants, not of those that can be reached.
+    /// A lease takes a majority of the configured schedulers, not of the reachable ones.
     ConfiguredMajority,
-    /// What is acted on rejects an older term.
+    /// The resource rejects an act under an older term.
     Fencing,
-    /// A set is changed by way of majorities of both sets.
+    /// During a change of the set a lease takes a majority of both sets.
     JointQuorum,
 }
 
-/// The configurations before a change, and after each scheduler has been restarted once.
+/// The configurations before and after a change. Each scheduler changes its configuration by one
+/// restart.
 #[derive(Clone, Copy, Debug)]
 struct QuorumChange {
     before: QuorumConfig,
@@ -52,27 +54,27 @@
 const JOINT: QuorumConfig = QuorumConfig { schedulers: SCHEDULERS, joint_schedulers: 1 };
 const ALL: QuorumConfig = QuorumConfig { schedulers: SCHEDULERS, joint_schedulers: 0 };
 
-/// What is searched.
+/// The bounds of the search.
 #[derive(Clone, Copy)]
-struct Size {
+struct SearchBounds {
     /// Ticks of real time.
     ticks: u8,
     restarts: u8,
-    /// How often a clock does not notice a tick.
+    /// The maximum number of ticks that a clock misses.
     slow_ticks: u8,
-    /// The most requests of each scheduler.
+    /// The maximum number of requests of each scheduler.
     requests: u32,
-    /// Lease holders release the role.
+    /// Whether lease holders release the role.
     releases: bool,
     quorum_change: Option<QuorumChange>,
 }
 
-const SMALL: Size =
-    Size { ticks: 3, restarts: 0, slow_ticks: 0, requests: 1, releases: false, quorum_change: None };
+const BASE_BOUNDS: SearchBounds =
+    SearchBounds { ticks: 3, restarts: 0, slow_ticks: 0, requests: 1, releases: false, quorum_change: None };
 
 struct LeaseModel {
-    without: Option<Rule>,
-    size: Size,
+    disabled_rule: Option<Rule>,
+    bounds: SearchBounds,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -80,22 +82,22 @@
     ticks: u8,
     clocks: Vec<Millis>,
     schedulers: Vec<RoleManager>,
-    /// The configuration that each scheduler runs with; `None` where it does not run.
+    /// The configuration of each scheduler; `None` if it is not running.
     quorums: Vec<Option<QuorumConfig>>,
     requests: Vec<u32>,
     restarts: u8,
     slow_ticks: u8,
-    /// Messages that may arrive at any time and any number of times, or never.
+    /// The messages sent so far. Each may be delivered at any time, any number of times, or never.
     in_flight: BTreeSet<SentMessage>,
-    /// Terms that were checked, under which the act is still to come.
+    /// The term that each scheduler has checked and not yet acted under.
     pending_acts: Vec<Option<Term>>,
     /// The highest term that the resource has accepted.
     accepted_term: Term,
-    /// The resource has accepted an older term after a newer one.
+    /// Whether the resource has accepted an older term after a newer one.
     accepted_older_term: bool,
 }
 
-/// A message with a model's copy of its body, which can be ordered.
+/// A message in flight, with a body that implements `Ord`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct SentMessage {
     from: SchedulerNumber,
@@ -113,8 +115,8 @@
 }
 
 impl ModelBody {
-    /// `None` for a rejection: it only makes its receiver wait, or request a higher term, as if it
-    /// were lost.
+    /// Converts a message body. Returns `None` for a rejection, which the model treats as lost: it
+    /// only makes its receiver wait or request a higher term.
     fn of(body: MessageBody) -> Option<Self> {
         match body {
             MessageBody::Request { request, term } => Some(ModelBody::Request { request, term }),
@@ -137,19 +139,21 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    /// A tick of real time passes; the clock of this scheduler may not notice.
-    Pass {
+    /// One tick of real time passes. The clock of the scheduler `slow`, if any, misses the tick.
+    AdvanceClocks {
         slow: Option<SchedulerNumber>,
     },
-    /// A scheduler requests the role, if it is its turn.
+    /// A scheduler ticks and requests the role, if it may request it now.
     Tick(SchedulerNumber),
     Deliver(SentMessage),
     Restart(SchedulerNumber),
-    /// A scheduler starts, again or for the first time, with the configuration after the change; or
-    /// ends, if it is not in that.
+    /// A scheduler starts or restarts with the configuration after the change, or stops if it is
+    /// not in that configuration.
     ChangeQuorum(SchedulerNumber),
     Release(SchedulerNumber),
-    Check(SchedulerNumber),
+    /// A scheduler reads the term of its lease in order to act under it.
+    CheckLease(SchedulerNumber),
+    /// The act under the term that the scheduler has read reaches the resource.
     Act(SchedulerNumber),
 }
 
@@ -167,7 +171,7 @@
         self.schedulers[index].held_term(self.clocks[index], ROLE)
     }
 
-    /// Whether a scheduler has a lease, expired or not.
+    /// Whether a scheduler has a lease, including one that has expired but has not been removed.
     fn has_lease(&self, index: usize) -> bool {
         self.schedulers[index].roles().any(|(role, _)| role.is_held())
     }
@@ -176,14 +180,14 @@
         let quorum = self.quorums[usize::from(from)].unwrap_or(ALL);
         for action in actions {
             if let RoleAction::Send { to, payload } = action {
-                let messages = decode(&payload).expect("the payload of a scheduler");
+                let messages = decode(&payload).expect("decoding a payload that a scheduler encoded");
                 let bodies = messages.into_iter().filter_map(|message| ModelBody::of(message.body));
                 self.in_flight.extend(bodies.map(|body| SentMessage { from, to, quorum, body }));
             }
         }
     }
 
-    fn pass(&mut self, slow: Option<SchedulerNumber>) {
+    fn advance_clocks(&mut self, slow: Option<SchedulerNumber>) {
         self.ticks += 1;
         self.slow_ticks += u8::from(slow.is_some());
         for (number, clock) in (0..).zip(&mut self.clocks) {
@@ -191,13 +195,13 @@
         }
     }
 
-    /// A scheduler requests the role; `false` if it is not its turn.
+    /// Ticks a scheduler, which may request the role. Returns `false` if this changes nothing.
     fn tick(&mut self, number: SchedulerNumber) -> bool {
         let (clock, mut actions) = (self.clock(number), Vec::new());
         let scheduler = &mut self.schedulers[usize::from(number)];
         let before = scheduler.clone();
-        // It believes that the role is its to hold: whom it takes for alive decides nothing of
-        // safety.
+        // The scheduler believes that no other one is alive, so it requests the role at once. This
+        // belief must not affect safety.
         scheduler.tick(clock, |_| false, &mut actions);
         if *scheduler == before {
             return false;
@@ -221,7 +225,7 @@
         self.send(number, actions);
     }
 
-    /// The act under a term that was checked before arrives at the resource.
+    /// Processes, at the resource, an act under a term that its scheduler has checked earlier.
     fn act(&mut self, term: Term, is_fenced: bool) {
         let is_older = term < self.accepted_term;
         if is_older && is_fenced {
@@ -237,67 +241,69 @@
 }
 
 impl LeaseModel {
-    fn has(&self, rule: Rule) -> bool {
-        self.without != Some(rule)
+    fn is_enabled(&self, rule: Rule) -> bool {
+        self.disabled_rule != Some(rule)
     }
 
-    /// A scheduler that starts now; `forgets` if an earlier process of it may have granted.
+    /// Creates a scheduler that starts at `now`. `has_restarted` tells whether an earlier process
+    /// of it may have made grants.
     fn new_scheduler(
         &self,
         number: SchedulerNumber,
         quorum: QuorumConfig,
         now: Millis,
-        forgets: bool,
+        has_restarted: bool,
     ) -> RoleManager {
-        // Without the rule each scheduler sees only itself.
-        let sees_all = self.has(Rule::ConfiguredMajority);
+        // Without the rule each scheduler counts only itself as configured.
+        let uses_configured_set = self.is_enabled(Rule::ConfiguredMajority);
         let config = RoleConfig {
-            own_number: if sees_all { number } else { 0 },
-            quorum: if sees_all { quorum } else { QuorumConfig::of(1) },
+            own_number: if uses_configured_set { number } else { 0 },
+            quorum: if uses_configured_set { quorum } else { QuorumConfig::single(1) },
             lease_duration: LEASE,
-            clock_drift_bound: if self.has(Rule::ClockDriftBound) { CLOCK_DRIFT_BOUND } else { 0 },
+            clock_drift_bound: if self.is_enabled(Rule::ClockDriftBound) { CLOCK_DRIFT_BOUND } else { 0 },
             reply_timeout: 1,
             seed: 1,
         };
-        // A scheduler that believes to have started long ago is not quiet.
-        let is_quiet = forgets && self.has(Rule::QuietAfterRestart);
-        let started_at = if is_quiet { now } else { now.saturating_sub(START) };
+        // An earlier start time makes the scheduler skip the wait before its first grant.
+        let must_wait = has_restarted && self.is_enabled(Rule::StartupWait);
+        let started_at = if must_wait { now } else { now.saturating_sub(START) };
         RoleManager::new(config, &[ROLE_NAME.to_owned()], started_at)
     }
 
     fn first_quorum(&self) -> QuorumConfig {
-        self.size.quorum_change.map_or(ALL, |change| change.before)
+        self.bounds.quorum_change.map_or(ALL, |change| change.before)
     }
 
     fn restart(&self, state: &mut State, number: SchedulerNumber, quorum: QuorumConfig) {
         let index = usize::from(number);
         state.schedulers[index] = self.new_scheduler(number, quorum, state.clocks[index], true);
-        // What it was about to send is not sent any more.
+        // The act of the earlier process is lost in the restart.
         state.pending_acts[index] = None;
     }
 
     fn may_change_quorum(&self, state: &State, number: SchedulerNumber) -> bool {
-        let Some(QuorumChange { before, after }) = self.size.quorum_change else { return false };
+        let Some(QuorumChange { before, after }) = self.bounds.quorum_change else { return false };
         let present = state.quorums[usize::from(number)];
         let is_changed = present == (number < after.schedulers).then_some(after);
         !is_changed && present == (number < before.schedulers).then_some(before)
     }
 
-    /// The actions of a scheduler that runs.
+    /// Adds the possible actions of a running scheduler.
     fn scheduler_actions(&self, state: &State, number: SchedulerNumber, actions: &mut Vec<Action>) {
         let index = usize::from(number);
-        if number < CANDIDATES && state.requests[index] < self.size.requests {
+        if number < CANDIDATES && state.requests[index] < self.bounds.requests {
             actions.push(Action::Tick(number));
         }
-        // The scheduler that grants to both candidates is the one that matters.
-        if number == CANDIDATES && state.restarts < self.size.restarts {
+        // Only the scheduler that may grant to both candidates restarts: it can make two
+        // majorities.
+        if number == CANDIDATES && state.restarts < self.bounds.restarts {
             actions.push(Action::Restart(number));
         }
         if let Some(term) = state.term_of(number) {
             if state.pending_acts[index] != Some(term) {
-                actions.push(Action::Check(number));
+                actions.push(Action::CheckLease(number));
             }
-            if self.size.releases {
+            if self.bounds.releases {
                 actions.push(Action::Release(number));
             }
         }
@@ -331,10 +337,10 @@
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.ticks < self.size.ticks {
-            actions.push(Action::Pass { slow: None });
-            if state.slow_ticks < self.size.slow_ticks {
-                actions.extend((0..CANDIDATES).map(|number| Action::Pass { slow: Some(number) }));
+        if state.ticks < self.bounds.ticks {
+            actions.push(Action::AdvanceClocks { slow: None });
+            if state.slow_ticks < self.bounds.slow_ticks {
+                actions.extend((0..CANDIDATES).map(|number| Action::AdvanceClocks { slow: Some(number) }));
             }
         }
         for number in 0..SCHEDULERS {
@@ -352,7 +358,7 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::Pass { slow } => state.pass(slow),
+            Action::AdvanceClocks { slow } => state.advance_clocks(slow),
             Action::Tick(number) => {
                 if !state.tick(number) {
                     return None;
@@ -360,7 +366,8 @@
             }
             Action::Deliver(message) => {
                 state.deliver(message);
-                // The message may arrive again; a message that changes nothing is no step.
+                // A message may be delivered repeatedly. A delivery that changes nothing is no
+                // step.
                 if state == *last {
                     return None;
                 }
@@ -370,15 +377,15 @@
                 self.restart(&mut state, number, ALL);
             }
             Action::ChangeQuorum(number) => {
-                let after = self.size.quorum_change?.after;
+                let after = self.bounds.quorum_change?.after;
                 state.quorums[usize::from(number)] = (number < after.schedulers).then_some(after);
                 self.restart(&mut state, number, after);
             }
             Action::Release(number) => state.release(number),
-            Action::Check(number) => state.pending_acts[usize::from(number)] = state.term_of(number),
+            Action::CheckLease(number) => state.pending_acts[usize::from(number)] = state.term_of(number),
             Action::Act(number) => {
                 let term = state.pending_acts[usize::from(number)].take()?;
-                state.act(term, self.has(Rule::Fencing));
+                state.act(term, self.is_enabled(Rule::Fencing));
             }
         }
         Some(state)
@@ -391,15 +398,15 @@
                     |number: &SchedulerNumber| state.is_running(*number) && state.term_of(*number).is_some();
                 (0..SCHEDULERS).filter(holds).count() <= 1
             }),
-            Property::always(NO_LATE_ACT, |_, state: &State| !state.accepted_older_term),
-            // That a scheduler can hold the role at all, and after another: else the rest shows
-            // nothing.
+            Property::always(NO_STALE_ACT, |_, state: &State| !state.accepted_older_term),
+            // Shows that a scheduler can acquire the role, also after another one has held it.
+            // Otherwise the invariants would hold trivially.
             Property::sometimes(HANDED_OVER, |model: &LeaseModel, state: &State| {
                 let mut indices = 0..state.schedulers.len();
-                match model.size.quorum_change {
+                match model.bounds.quorum_change {
                     None => state.accepted_term > 1 && indices.any(|index| state.has_lease(index)),
-                    // Each forgets the terms that it knew: that a scheduler holds the role after
-                    // the change shows as much.
+                    // Schedulers lose their terms when they restart, so a higher term cannot show
+                    // the handover. A holder with the configuration after the change shows it.
                     Some(QuorumChange { after, .. }) => {
                         indices.any(|index| state.quorums[index] == Some(after) && state.has_lease(index))
                     }
@@ -409,87 +416,95 @@
     }
 }
 
-/// Searches all states of a size; returns the invariants that break.
-fn broken_invariants(without: Option<Rule>, size: Size) -> Vec<&'static str> {
-    let model = LeaseModel { without, size };
+/// Searches all states within the bounds and returns the invariants that are violated.
+fn broken_invariants(disabled_rule: Option<Rule>, bounds: SearchBounds) -> Vec<&'static str> {
+    let model = LeaseModel { disabled_rule, bounds };
     let checker = model.checker().threads(2).target_state_count(MAX_STATES).spawn_bfs().join();
-    println!("without {without:?}: {} states", checker.unique_state_count());
-    if without.is_none() {
-        assert!(checker.unique_state_count() < MAX_STATES, "the search is not complete");
-        assert!(checker.discoveries().contains_key(HANDED_OVER), "nothing was searched");
+    println!("disabled rule {disabled_rule:?}: {} states", checker.unique_state_count());
+    if disabled_rule.is_none() {
+        assert!(
+            checker.unique_state_count() < MAX_STATES,
+            "the search must be complete: it reached the maximum of {MAX_STATES} states"
+        );
+        assert!(
+            checker.discoveries().contains_key(HANDED_OVER),
+            "the search must reach a state in which the role is held and handed over"
+        );
     }
     checker.discoveries().into_keys().filter(|name| *name != HANDED_OVER).collect()
 }
 
 #[test]
-fn no_invariant_breaks_through_a_restart() {
-    assert!(broken_invariants(None, Size { restarts: 1, ..SMALL }).is_empty());
+fn no_invariant_breaks_when_a_scheduler_restarts() {
+    assert!(broken_invariants(None, SearchBounds { restarts: 1, ..BASE_BOUNDS }).is_empty());
 }
 
 #[test]
-fn no_invariant_breaks_under_a_slow_clock() {
-    assert!(broken_invariants(None, Size { slow_ticks: 1, ..SMALL }).is_empty());
+fn no_invariant_breaks_when_a_clock_runs_slow_by_the_drift_bound() {
+    assert!(broken_invariants(None, SearchBounds { slow_ticks: 1, ..BASE_BOUNDS }).is_empty());
 }
 
 #[test]
 fn no_invariant_breaks_where_lease_holders_release() {
-    assert!(broken_invariants(None, Size { releases: true, ticks: 2, ..SMALL }).is_empty());
+    assert!(broken_invariants(None, SearchBounds { releases: true, ticks: 2, ..BASE_BOUNDS }).is_empty());
 }
 
 #[test]
-fn without_quiet_after_a_restart_two_hold_the_role() {
-    let broken = broken_invariants(Some(Rule::QuietAfterRestart), Size { restarts: 1, ..SMALL });
+fn without_the_startup_wait_two_schedulers_hold_the_role() {
+    let broken = broken_invariants(Some(Rule::StartupWait), SearchBounds { restarts: 1, ..BASE_BOUNDS });
 
     assert_eq!(broken, [ONE_HOLDER]);
 }
 
 #[test]
-fn without_the_clock_drift_bound_two_hold_the_role() {
-    let broken = broken_invariants(Some(Rule::ClockDriftBound), Size { slow_ticks: 1, ..SMALL });
+fn without_the_clock_drift_bound_two_schedulers_hold_the_role() {
+    let broken =
+        broken_invariants(Some(Rule::ClockDriftBound), SearchBounds { slow_ticks: 1, ..BASE_BOUNDS });
 
     assert_eq!(broken, [ONE_HOLDER]);
 }
 
 #[test]
-fn without_a_majority_of_the_configured_two_hold_the_role() {
-    assert!(broken_invariants(Some(Rule::ConfiguredMajority), SMALL).contains(&ONE_HOLDER));
+fn without_a_majority_of_the_configured_set_two_schedulers_hold_the_role() {
+    assert!(broken_invariants(Some(Rule::ConfiguredMajority), BASE_BOUNDS).contains(&ONE_HOLDER));
 }
 
 #[test]
 fn without_fencing_an_act_under_an_older_term_is_accepted() {
-    assert_eq!(broken_invariants(Some(Rule::Fencing), SMALL), [NO_LATE_ACT]);
+    assert_eq!(broken_invariants(Some(Rule::Fencing), BASE_BOUNDS), [NO_STALE_ACT]);
 }
 
-// From one scheduler to three, by way of both sets: each is restarted once a step, in any order and
-// at any time.
+// The set grows from one scheduler to three through the joint configuration. In each step every
+// scheduler is restarted once, in any order and at any time.
 #[test]
-fn one_holds_the_role_while_the_set_grows() {
+fn no_invariant_breaks_while_the_set_grows() {
     for (before, after) in [(ONE, JOINT), (JOINT, ALL)] {
         let quorum_change = Some(QuorumChange { before, after });
 
-        let broken = broken_invariants(None, Size { quorum_change, ..SMALL });
+        let broken = broken_invariants(None, SearchBounds { quorum_change, ..BASE_BOUNDS });
 
         assert!(broken.is_empty(), "{quorum_change:?}: {broken:?}");
     }
 }
 
 #[test]
-fn one_holds_the_role_while_the_set_shrinks() {
+fn no_invariant_breaks_while_the_set_shrinks() {
     for (before, after) in [(ALL, JOINT), (JOINT, ONE)] {
         let quorum_change = Some(QuorumChange { before, after });
 
-        let broken = broken_invariants(None, Size { quorum_change, ..SMALL });
+        let broken = broken_invariants(None, SearchBounds { quorum_change, ..BASE_BOUNDS });
 
         assert!(broken.is_empty(), "{quorum_change:?}: {broken:?}");
     }
 }
 
 #[test]
-fn without_the_joint_quorum_two_hold_the_role() {
+fn without_the_joint_quorum_two_schedulers_hold_the_role() {
     for (before, after) in [(ONE, ALL), (ALL, ONE)] {
         let quorum_change = Some(QuorumChange { before, after });
 
-        let broken = broken_invariants(Some(Rule::JointQuorum), Size { quorum_change, ..SMALL });
+        let broken =
+            broken_invariants(Some(Rule::JointQuorum), SearchBounds { quorum_change, ..BASE_BOUNDS });
 
         assert!(broken.contains(&ONE_HOLDER), "{quorum_change:?}: {broken:?}");
     }
--- a/crates/service/singleton-roles/tests/messages.rs
+++ b/crates/service/singleton-roles/tests/messages.rs
@@ -1,13 +1,12 @@
-//! Messages and quorums: what fits into a datagram, what is rejected, and whose majorities
-//! intersect.
+//! The size limits and the validation of messages, and the majorities of quorum configurations.
 use spanlead_singleton_roles::{
     MAX_MESSAGES, MAX_TERM, MessageBody, QuorumConfig, RoleMessage, decode, encode,
 };
 
-/// What a datagram of the membership carries, bytes.
+/// The maximum payload of a membership datagram, bytes.
 const MAX_PAYLOAD_BYTES: usize = 200;
 
-/// A message with the largest figures.
+/// A message with the largest values in all fields.
 fn longest_message() -> RoleMessage {
     RoleMessage {
         role_hash: u32::MAX,
@@ -17,7 +16,7 @@
 }
 
 #[test]
-fn as_many_of_the_longest_messages_as_are_allowed_fit_into_a_datagram() {
+fn the_maximum_number_of_longest_messages_fits_into_a_datagram() {
     let messages = [longest_message(); MAX_MESSAGES];
 
     let payload = encode(&messages);
@@ -27,23 +26,23 @@
 }
 
 #[test]
-fn too_many_messages_an_impossible_term_or_other_bytes_are_rejected() {
+fn a_payload_with_too_many_messages_an_implausible_term_or_malformed_bytes_is_rejected() {
     let too_many = encode(&[longest_message(); MAX_MESSAGES + 1]);
     let body = MessageBody::Request { request: 1, term: MAX_TERM };
-    let impossible_term = encode(&[RoleMessage { body, ..longest_message() }]);
+    let implausible_term = encode(&[RoleMessage { body, ..longest_message() }]);
 
     assert_eq!(decode(&too_many), None);
-    assert_eq!(decode(&impossible_term), None);
+    assert_eq!(decode(&implausible_term), None);
     assert_eq!(decode(b"rubbish"), None);
 }
 
-// Configurations that share no set need not have majorities that intersect: nothing is granted
-// between them.
+// Schedulers whose configurations share no set grant each other nothing, since majorities of such
+// configurations need not intersect.
 #[test]
-fn majorities_intersect_where_a_set_is_in_both_configurations() {
-    let three = QuorumConfig::of(3);
+fn configurations_intersect_exactly_if_they_share_a_set() {
+    let three = QuorumConfig::single(3);
     let joint = QuorumConfig { schedulers: 5, joint_schedulers: 3 };
-    let five = QuorumConfig::of(5);
+    let five = QuorumConfig::single(5);
 
     assert!(three.intersects(joint) && joint.intersects(three));
     assert!(joint.intersects(five) && five.intersects(joint));
@@ -53,9 +52,9 @@
 
 #[test]
 fn a_joint_majority_is_a_majority_of_both_sets() {
-    let three = QuorumConfig::of(3);
+    let three = QuorumConfig::single(3);
     let joint = QuorumConfig { schedulers: 5, joint_schedulers: 3 };
-    let five = QuorumConfig::of(5);
+    let five = QuorumConfig::single(5);
 
     assert!(joint.has_majority(&[0, 1, 4]));
     assert!(!joint.has_majority(&[2, 3, 4]) && !joint.has_majority(&[0, 1]));
