--- a/crates/cluster/replication/src/replica/repair.rs
+++ b/crates/cluster/replication/src/replica/repair.rs
@@ -84,7 +84,7 @@
                 messages.push((Destination { address, id: Some(id) }, message));
             }
             if session.is_over_limit() {
-                log::warn!("session ended: too many unacknowledged batches backup={}", id.0);
+                log::warn!("backup too slow, session ended backup={}", id.0);
                 primary.end_session(id);
             }
         }
--- a/crates/cluster/runtime/src/http/framing/body.rs
+++ b/crates/cluster/runtime/src/http/framing/body.rs
@@ -130,7 +130,7 @@
             Ok(httparse::Status::Partial) if buffer.as_slice().len() <= MAX_CHUNK_LINE_BYTES => {
                 Ok(Step::NeedsBytes)
             }
-            _ => Err(FramingError::Malformed("invalid or overlong chunk size line")),
+            _ => Err(FramingError::Malformed("chunk size")),
         }
     }
 
@@ -142,7 +142,7 @@
                 Ok(Step::Advanced)
             }
             [] | [b'\r'] => Ok(Step::NeedsBytes),
-            _ => Err(FramingError::Malformed("no line break after the data of a chunk")),
+            _ => Err(FramingError::Malformed("chunk end")),
         }
     }
 }
@@ -160,6 +160,6 @@
             Ok(Step::Advanced)
         }
         None if *consumed + buffer.as_slice().len() <= MAX_TRAILER_BYTES => Ok(Step::NeedsBytes),
-        _ => Err(FramingError::Malformed("trailer after the last chunk exceeds the size limit")),
+        _ => Err(FramingError::Malformed("trailer")),
     }
 }
--- a/crates/cluster/runtime/src/http/framing/headers.rs
+++ b/crates/cluster/runtime/src/http/framing/headers.rs
@@ -5,7 +5,7 @@
 
 /// Maximum number of header lines of a message.
 pub(super) const MAX_HEADERS: usize = 100;
-const NOT_ASCII: &str = "value of a header field is not ASCII text";
+const NOT_ASCII: &str = "header";
 
 /// Returns the trimmed value of a header field. Only ASCII is accepted.
 pub(super) fn ascii_value(value: &[u8]) -> Result<&str, FramingError> {
@@ -19,7 +19,7 @@
     for header in headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name)) {
         let value = ascii_value(header.value)?;
         if single.is_some_and(|previous| previous != value) {
-            return Err(FramingError::Malformed("a header field occurs several times with different values"));
+            return Err(FramingError::Malformed("a header that contradicts itself"));
         }
         single = Some(value);
     }
@@ -50,15 +50,11 @@
     let coding = single_value(headers, "transfer-encoding")?;
     match (length, coding) {
         (None, None) => Ok(None),
-        (Some(_), Some(_)) => {
-            Err(FramingError::Malformed("both Content-Length and Transfer-Encoding are present"))
-        }
+        (Some(_), Some(_)) => Err(FramingError::Malformed("both a length and chunks")),
         (None, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => {
             Ok(Some(BodyFraming::Chunked(ChunkState::Size)))
         }
-        (None, Some(_)) => {
-            Err(FramingError::Malformed("unsupported Transfer-Encoding: only chunked is supported"))
-        }
+        (None, Some(_)) => Err(FramingError::Malformed("Transfer-Encoding")),
         (Some(length), None) => content_length(length).map(|length| Some(BodyFraming::Length(length))),
     }
 }
@@ -68,5 +64,5 @@
 fn content_length(text: &str) -> Result<usize, FramingError> {
     let is_number = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     let length = text.parse().ok().filter(|_| is_number);
-    length.ok_or(FramingError::Malformed("Content-Length is not a number of bytes"))
+    length.ok_or(FramingError::Malformed("Content-Length"))
 }
--- a/crates/cluster/runtime/src/http/framing/mod.rs
+++ b/crates/cluster/runtime/src/http/framing/mod.rs
@@ -23,15 +23,15 @@
         }
         /// The head exceeds its limit on bytes or header fields.
         HeadTooLarge {
-            display("head of the message exceeds the limit on its size or number of fields")
+            display("head too large")
         }
         /// The body exceeds its size limit.
         BodyTooLarge {
-            display("body of the message exceeds the size limit")
+            display("body too large")
         }
         /// The request has an `Expect` header other than `100-continue`.
         ExpectationFailed {
-            display("unsupported Expect header: only 100-continue is supported")
+            display("expectation not met")
         }
     }
 }
--- a/crates/cluster/runtime/src/http/framing/request.rs
+++ b/crates/cluster/runtime/src/http/framing/request.rs
@@ -97,18 +97,16 @@
         Err(httparse::Error::TooManyHeaders) => return Err(FramingError::HeadTooLarge),
         _ => return Err(FramingError::Malformed("no request")),
     }
-    let method = Method::from_str(parsed.method.unwrap_or_default())
-        .map_err(|_| FramingError::Malformed("unknown request method"))?;
-    let host =
-        single_value(parsed.headers, "host")?.ok_or(FramingError::Malformed("Host header is missing"))?;
+    let method =
+        Method::from_str(parsed.method.unwrap_or_default()).map_err(|_| FramingError::Malformed("method"))?;
+    let host = single_value(parsed.headers, "host")?.ok_or(FramingError::Malformed("Host: missing"))?;
     let url = parse_target(host, parsed.path.unwrap_or_default())?;
     let body_framing = body_framing(parsed.headers)?.unwrap_or(BodyFraming::Length(0));
     let expects_continue = expects_continue(parsed.headers)?;
     let mut request = Request::new(method, url);
     request.set_version(Some(Version::Http1_1));
     for header in parsed.headers.iter() {
-        let name = HeaderName::from_str(header.name)
-            .map_err(|_| FramingError::Malformed("invalid name of a header field"))?;
+        let name = HeaderName::from_str(header.name).map_err(|_| FramingError::Malformed("header"))?;
         request.append_header(name, ascii_value(header.value)?);
     }
     request.insert_header(HOST, host);
@@ -123,7 +121,7 @@
     } else {
         Url::parse(target)
     };
-    url.map_err(|_| FramingError::Malformed("Host header or request target is invalid"))
+    url.map_err(|_| FramingError::Malformed("target"))
 }
 
 /// Returns whether the client waits for `100 Continue`.
--- a/crates/cluster/runtime/src/http/server.rs
+++ b/crates/cluster/runtime/src/http/server.rs
@@ -131,11 +131,7 @@
                     return Ok(());
                 }
                 NextRequest::TimedOut => {
-                    self.respond_and_close(
-                        REQUEST_TIMEOUT_STATUS,
-                        "request not completed within the time-out",
-                    )
-                    .await;
+                    self.respond_and_close(REQUEST_TIMEOUT_STATUS, "request not complete in time").await;
                     return Ok(());
                 }
                 NextRequest::ConnectionEnded => return Ok(()),
