--- a/crates/cluster/replication/src/backup/state.rs
+++ b/crates/cluster/replication/src/backup/state.rs
@@ -1,4 +1,4 @@
-//! The state of a backup: its session, and the time-outs after which it replaces the session.
+//! The state of a backup: its session, and the timeouts after which it replaces the session.
 use super::session::BackupSession;
 use crate::timing::{
     MAX_STALL_DOUBLINGS, REPAIR_STALL_TIMEOUT_MS, SESSION_STALL_TIMEOUT_MS, STALL_BACKOFF_RESET_MS,
@@ -17,7 +17,7 @@
     pub(crate) sequence: u64,
 }
 
-/// A back-off of the time-outs of sessions: each session that stalled doubles those of the next.
+/// A back-off of the timeouts of sessions: each session that stalled doubles those of the next.
 #[derive(Clone, Debug, Default)]
 struct StallBackoff {
     stalls: u32,
--- a/crates/cluster/replication/src/election.rs
+++ b/crates/cluster/replication/src/election.rs
@@ -14,8 +14,8 @@
     PreVote { view: View, supporters: Vec<MemberId> },
     /// The candidate is collecting promises.
     Preparing,
-    /// The candidate has proposed a view that may be decided to all its voters, under its own
-    /// ballot.
+    /// The candidate has proposed the newest view that the promises report, under its own ballot.
+    /// That view may already be decided, so it must be completed before another one is proposed.
     Completing(Proposal),
     /// The candidate has proposed the view in which it is primary.
     Proposing(Proposal),
@@ -244,8 +244,8 @@
         accepted.view.is_decided_by(&holders, self.min_quorum)
     }
 
-    /// Proposes the first view once enough voters have promised to accept no other view of a lower
-    /// ballot.
+    /// Proposes the first view of a bootstrap election once `min_quorum` voters have promised, none
+    /// of which has accepted a view.
     fn propose_first_view(&mut self) -> ElectionStep {
         let Some(view) = self.first_view.clone().filter(|_| self.promises.len() >= self.min_quorum) else {
             return ElectionStep::Wait;
--- a/crates/cluster/replication/src/lib.rs
+++ b/crates/cluster/replication/src/lib.rs
@@ -1,12 +1,12 @@
 //! Primary-backup replication of a key space, with views that witnesses decide.
 //!
 //! - **Views.** A [`View`], numbered by its [`Epoch`], names the primary, the in-sync set and the
-//!   members. A view is decided, or in force, once a majority of the members, acting as witnesses,
-//!   has it on disk. Witnesses store nothing else. View changes follow single-decree Paxos: a
-//!   [`Ballot`] is prepared, then a view is accepted under it.
+//!   members. A view is decided once a majority of the members, acting as witnesses, has it on
+//!   disk. A witness stores only its promise and the newest view that it has accepted. View changes
+//!   follow single-decree Paxos: a [`Ballot`] is prepared, then a view is accepted under it.
 //! - **Leases.** A primary acts only while a majority of the witnesses has granted it a lease. A
 //!   witness that has granted a lease makes no promise to another candidate until the lease
-//!   expires. So at most one primary acts at any time.
+//!   expires or is released. So at most one primary acts at any time.
 //! - **In-sync set.** A batch is committed once it is on disk at every replica of the in-sync set.
 //!   The set always has at least f + 1 members, where f is the number of machines that may be lost
 //!   at once. So at least one replica with all committed batches survives, and only a replica of
@@ -35,7 +35,7 @@
 //! | `bootstrap`, `leave` | the state of a machine before the first view, and of a leaving member |
 //! | `replica` | the state machine that combines these modules |
 //! | `message`, `interface`, `config` | the wire format, the embedder's interface, the settings |
-//! | `timing` | all time-outs and intervals |
+//! | `timing` | all timeouts and intervals |
 #![warn(
     missing_docs,
     unreachable_pub,
--- a/crates/cluster/replication/src/message.rs
+++ b/crates/cluster/replication/src/message.rs
@@ -173,7 +173,8 @@
     pub sequence: u64,
     /// The session in which the primary replicates to the receiver; `None` if there is none.
     pub session: Option<u64>,
-    /// The primary's proof of contact with a majority, while it holds its lease.
+    /// The primary's proof of contact with a majority; `None` if the primary holds no lease or has
+    /// no grant of the receiver.
     pub majority_contact: Option<MajorityContact>,
 }
 
--- a/crates/cluster/replication/src/primary/failure_detector.rs
+++ b/crates/cluster/replication/src/primary/failure_detector.rs
@@ -26,8 +26,9 @@
         self.last_contact_ms.insert(id, last_contact_ms);
     }
 
-    /// Records the loss of the connection to a machine. Unless the machine is in contact again
-    /// within [`RECONNECT_TIMEOUT_MS`], it exceeds [`IN_SYNC_CONTACT_TIMEOUT_MS`].
+    /// Records the loss of the connection to a machine, by moving the last contact back in time:
+    /// [`RECONNECT_TIMEOUT_MS`] from now the machine has been out of contact for
+    /// [`IN_SYNC_CONTACT_TIMEOUT_MS`], unless it is in contact again before.
     pub(crate) fn record_disconnect(&mut self, id: MemberId, now_ms: u64) {
         let latest_ms = now_ms.saturating_sub(IN_SYNC_CONTACT_TIMEOUT_MS - RECONNECT_TIMEOUT_MS);
         let last_contact_ms = self.last_contact_ms.entry(id).or_default();
--- a/crates/cluster/replication/src/primary/membership.rs
+++ b/crates/cluster/replication/src/primary/membership.rs
@@ -15,7 +15,7 @@
 }
 
 impl Standby {
-    /// Whether a message from the machine has arrived within the time-out.
+    /// Whether a message from the machine has arrived within the timeout.
     pub(crate) fn is_in_contact(&self, contact_timeout_ms: u64, now_ms: u64) -> bool {
         now_ms <= self.last_contact_ms + contact_timeout_ms
     }
--- a/crates/cluster/replication/src/replica/backup.rs
+++ b/crates/cluster/replication/src/replica/backup.rs
@@ -44,9 +44,10 @@
         self.send_to(primary, Message::SessionRequest { term, session, range_digests });
     }
 
-    /// Handles the resignation of the primary, which has released its lease. The named successor
-    /// starts an election immediately, the other replicas one [`ELECTION_STAGGER_MS`] later;
-    /// without a successor all start in the order of their election ranks.
+    /// Handles the resignation of the primary, which has released its lease. A named successor
+    /// starts an election immediately. The other replicas start theirs as after an expired lease,
+    /// in the order of their election ranks, but [`ELECTION_STAGGER_MS`] later if there is a
+    /// successor.
     pub(super) fn handle_resign(&mut self, now_ms: u64, ballot: Ballot, successor: Option<MemberId>) {
         self.witness.release_lease(ballot);
         let is_known_primary = self.view.as_ref().is_some_and(|view| view.primary == ballot.candidate);
@@ -56,8 +57,8 @@
         if successor == Some(self.local_member.id) {
             return self.start_election(now_ms);
         }
-        let head_start_ms = if successor.is_some() { ELECTION_STAGGER_MS } else { 0 };
-        self.timers.last_primary_contact_ms = (now_ms + head_start_ms).saturating_sub(self.config.lease_ms);
+        let delay_ms = if successor.is_some() { ELECTION_STAGGER_MS } else { 0 };
+        self.timers.last_primary_contact_ms = (now_ms + delay_ms).saturating_sub(self.config.lease_ms);
     }
 
     pub(super) fn handle_leaf_digest_request(&mut self, number: u64, in_sync: bool, ranges: &[u16]) {
--- a/crates/cluster/replication/src/replica/bootstrap.rs
+++ b/crates/cluster/replication/src/replica/bootstrap.rs
@@ -1,12 +1,12 @@
 //! Bootstrap: the election of the first view.
 //!
-//! The voters are the machines whose data directories were created at the first start of the system
+//! The voters are the machines whose data folders were first used at the first start of the system
 //! ("bootstrap voters"). There are 2f + 1 of them; if at least 2f + 1 seeds are configured, only
 //! the machines at seed addresses vote. A candidate collects promises from f + 1 voters and then
-//! proposes the first view, which is in force once f + 1 voters have it on disk. Any two such sets
-//! share a voter, and a voter keeps its promise on disk, so at most one first view is ever in
-//! force, whatever the order of messages and whichever links are down. A machine that lost its data
-//! directory gets a new one that is not a bootstrap voter.
+//! proposes the first view, which is decided once f + 1 voters have it on disk. Any two such sets
+//! share a voter, and a voter keeps its promise on disk, so at most one first view is ever decided,
+//! whatever the order of messages and whichever links are down. A machine that lost its data folder
+//! starts with a new one, which makes it no bootstrap voter.
 use super::state::{Replica, Role};
 use crate::election::Election;
 use crate::timing::{BOOTSTRAP_ANNOUNCE_INTERVAL_MS, BOOTSTRAP_GATHER_TIMEOUT_MS, ELECTION_STAGGER_MS};
--- a/crates/cluster/replication/src/replica/discovery.rs
+++ b/crates/cluster/replication/src/replica/discovery.rs
@@ -17,7 +17,7 @@
         addresses.retain(|address| *address != self.local_member.peer_address);
         let message = Message::Announce {
             member: self.local_member.clone(),
-            bootstrap_voter: self.is_undecided_bootstrap_voter(),
+            bootstrap_voter: self.is_waiting_bootstrap_voter(),
             known_epoch: self.view.as_ref().map_or(Epoch::default(), |view| view.epoch),
         };
         for address in addresses {
@@ -26,7 +26,7 @@
     }
 
     /// Whether this machine may vote in the bootstrap election and knows no view yet.
-    fn is_undecided_bootstrap_voter(&self) -> bool {
+    fn is_waiting_bootstrap_voter(&self) -> bool {
         self.bootstrap.is_voter()
             && self.view.is_none()
             && self.is_eligible_bootstrap_voter(&self.local_member)
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Stores a view, which may not be in force yet, if it is newer than the known one.
+    /// Stores a view, which may be undecided, if it is newer than the known one.
     pub(super) fn learn_view(&mut self, view: View) {
         if self.view.as_ref().is_none_or(|known| view.epoch > known.epoch) {
             self.bootstrap.clear_other_voters();
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Stores a view that is in force. It also replaces a different view of the same epoch, which
-    /// was never decided.
+    /// Stores a decided view if it is newer than the known one. It also replaces a different view
+    /// of the same epoch, which was never decided.
     pub(super) fn learn_decided_view(&mut self, view: View) {
         if self.view.as_ref().is_some_and(|known| view.epoch == known.epoch && view != *known) {
             self.view = None;
--- a/crates/cluster/replication/src/replica/dispatch.rs
+++ b/crates/cluster/replication/src/replica/dispatch.rs
@@ -12,7 +12,7 @@
         match input {
             Input::Message(envelope) => self.handle_envelope(now_ms, envelope),
             Input::Written(token) => self.handle_written(now_ms, token),
-            Input::PeerDisconnected(address) => self.handle_peer_down(now_ms, &address),
+            Input::PeerDisconnected(address) => self.handle_peer_disconnected(now_ms, &address),
             Input::Tick => {}
         }
         self.tick(now_ms);
@@ -102,7 +102,9 @@
         self.advance_commit();
     }
 
-    fn handle_peer_down(&mut self, now_ms: u64, address: &str) {
+    /// Handles the loss of the connection to a peer address: ends the session with the primary at
+    /// this address or, as primary, the sessions of the members at this address.
+    fn handle_peer_disconnected(&mut self, now_ms: u64, address: &str) {
         let session = self.backup.session.as_ref();
         if session.is_some_and(|session| session.primary_address == address) {
             self.backup.end_session();
@@ -118,6 +120,7 @@
         }
     }
 
+    /// Performs the periodic work of the current role, and sends a leave request if one is due.
     fn tick(&mut self, now_ms: u64) {
         match &self.role {
             Role::Primary(_) => self.run_primary(now_ms),
@@ -128,6 +131,8 @@
         self.send_leave_requests(now_ms);
     }
 
+    /// Performs the periodic work of a candidate: ends an election that has timed out, and repeats
+    /// the pre-vote.
     fn run_candidate(&mut self, now_ms: u64) {
         let Role::Candidate(election) = &self.role else { return };
         let ballot = election.ballot();
--- a/crates/cluster/replication/src/replica/handover.rs
+++ b/crates/cluster/replication/src/replica/handover.rs
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Sends the leave request to all members if one is pending and due.
+    /// Sends the leave request to all members if it is due. A machine that is no voter of the
+    /// newest known view may terminate without a request.
     pub(super) fn send_leave_requests(&mut self, now_ms: u64) {
         let Some(leave) = &mut self.leave else { return };
         if !leave.take_due_request(now_ms) {
--- a/crates/cluster/replication/src/replica/local_state.rs
+++ b/crates/cluster/replication/src/replica/local_state.rs
@@ -22,7 +22,7 @@
 }
 
 impl LocalState {
-    /// Creates the state from a recovered data directory.
+    /// Creates the state from a recovered data folder.
     pub(super) fn recovered(state: RecoveredState) -> Self {
         LocalState {
             keyspace: state.keyspace,
--- a/crates/cluster/replication/src/replica/primary.rs
+++ b/crates/cluster/replication/src/replica/primary.rs
@@ -35,7 +35,7 @@
         let last = primary.batches.last_sequence();
         let is_current = |id: &&MemberId| primary.acknowledged_sequence(**id) == Some(last);
         let successor = primary.view().in_sync.iter().find(is_current).copied();
-        self.release_lease(now_ms, ballot, successor);
+        self.step_down(now_ms, ballot, successor);
         self.timers.not_candidate_before_ms = now_ms + STEP_DOWN_COOLDOWN_MS;
     }
 
@@ -49,7 +49,7 @@
 
     /// Stops acting as primary and releases the lease, so that other candidates need not wait until
     /// it expires.
-    fn release_lease(&mut self, now_ms: u64, ballot: Ballot, successor: Option<MemberId>) {
+    fn step_down(&mut self, now_ms: u64, ballot: Ballot, successor: Option<MemberId>) {
         let Some(primary) = self.as_primary() else { return };
         let members = primary.view().members.clone();
         self.witness.release_lease(ballot);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Adopts a view that this primary proposed and that is now in force.
+    /// Adopts a view that this primary proposed and that is now decided.
     pub(super) fn adopt_view(&mut self, now_ms: u64, view: View) {
         let Role::Primary(primary) = &mut self.role else { return };
         log::info!(
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Performs the periodic work of a primary: checks the lease, sends heartbeats and reviews the
-    /// view.
+    /// Performs the periodic work of a primary: checks the lease and the local disk, sends
+    /// heartbeats, and proposes the view change that is due.
     pub(super) fn run_primary(&mut self, now_ms: u64) {
         let lease_ms = self.config.lease_ms;
         let Some(primary) = self.as_primary_mut() else { return };
@@ -146,7 +146,7 @@
             // This machine has no contact with a majority of the witnesses. Those that still
             // receive its messages need not wait until the lease expires.
             let ballot = primary.ballot();
-            return self.release_lease(now_ms, ballot, None);
+            return self.step_down(now_ms, ballot, None);
         }
         if holds_majority && !primary.is_active() {
             primary.activate();
@@ -155,12 +155,12 @@
         }
         if self.as_primary().is_some_and(|primary| primary.batches.is_own_disk_stalled(now_ms)) {
             log::warn!(
-                "local disk made no progress for {DISK_STALL_TIMEOUT_MS} ms; stepping down as primary"
+                "a batch is not on the local disk after {DISK_STALL_TIMEOUT_MS} ms; stepping down as primary"
             );
             return self.resign(now_ms);
         }
         self.send_heartbeats(now_ms);
-        self.review_view(now_ms);
+        self.propose_due_view(now_ms);
         self.advance_commit();
     }
 
@@ -205,7 +205,7 @@
     }
 
     /// Proposes the view change that is due, or repeats the pending proposal.
-    fn review_view(&mut self, now_ms: u64) {
+    fn propose_due_view(&mut self, now_ms: u64) {
         let local_id = self.local_member.id;
         let max_failures = self.config.max_failures;
         let Some(primary) = self.as_primary_mut() else { return };
--- a/crates/cluster/replication/src/replica/state.rs
+++ b/crates/cluster/replication/src/replica/state.rs
@@ -67,10 +67,10 @@
 
 impl Replica {
     /// Creates a replica that starts at `now_ms` (milliseconds) with the recovered contents of its
-    /// data directory. Its first outputs are ready to be taken.
+    /// data folder. Its first outputs are ready to be taken.
     #[must_use]
     pub fn start(config: ReplicaConfig, recovered: RecoveredState, now_ms: u64) -> Self {
-        let is_new_directory = recovered.identity.is_none();
+        let is_new_folder = recovered.identity.is_none();
         let id = recovered.identity.unwrap_or(MemberId(config.random | 1));
         let local_member = Member {
             id,
@@ -78,7 +78,7 @@
             peer_address: config.peer_address.clone(),
             operator_address: config.operator_address.clone(),
         };
-        let bootstrap_voter = if is_new_directory { config.bootstrap } else { recovered.bootstrap_voter };
+        let bootstrap_voter = if is_new_folder { config.bootstrap } else { recovered.bootstrap_voter };
         let view = recovered.witness.accepted.as_ref().map(|accepted| accepted.view.clone());
         let last_primary_contact_ms = if view.as_ref().is_some_and(|view| view.primary == id) {
             // No other machine can hold a lease while this machine's own may still be valid, so it
@@ -106,7 +106,7 @@
             outbox: Outbox::default(),
             config,
         };
-        if is_new_directory {
+        if is_new_folder {
             let record = Record::Identity { id, bootstrap_voter };
             replica.outbox.write(record, WriteCompletion::NoAction);
         }
--- a/crates/cluster/replication/src/timing.rs
+++ b/crates/cluster/replication/src/timing.rs
@@ -1,4 +1,4 @@
-//! All time-outs and intervals of the protocol, in milliseconds, and the limits that go with them.
+//! All timeouts and intervals of the protocol, in milliseconds, and the limits that go with them.
 //!
 //! The lease and the heartbeat interval are settings; see [`crate::ReplicaConfig`].
 
@@ -36,9 +36,9 @@
 
 /// The time without progress after which a backup replaces a session that lacks items.
 pub(crate) const SESSION_STALL_TIMEOUT_MS: u64 = 400;
-/// The same time-out during repair while no items are missing.
+/// The same timeout during repair while no items are missing.
 pub(crate) const REPAIR_STALL_TIMEOUT_MS: u64 = 1_000;
-/// The maximum number of doublings of these two time-outs. Each session that stalled doubles them
+/// The maximum number of doublings of these two timeouts. Each session that stalled doubles them
 /// once.
 pub(crate) const MAX_STALL_DOUBLINGS: u32 = 4;
 /// The time after the last stalled session at which the doublings are reset.
@@ -51,8 +51,8 @@
 pub(crate) const MAX_BATCH_TRANSIT_MS: u64 = 200;
 /// The time without contact after which a replica is removed from the in-sync set.
 pub(crate) const IN_SYNC_CONTACT_TIMEOUT_MS: u64 = 600;
-/// The time within which a machine whose connection was lost must be in contact again, or else
-/// exceeds [`IN_SYNC_CONTACT_TIMEOUT_MS`].
+/// The time within which a machine whose connection was lost must be in contact again. Otherwise it
+/// counts as out of contact for longer than [`IN_SYNC_CONTACT_TIMEOUT_MS`].
 pub(crate) const RECONNECT_TIMEOUT_MS: u64 = 200;
 /// The time without a replica's acknowledgement of a batch after which the replica is removed from
 /// the in-sync set.
--- a/crates/cluster/replication/src/view.rs
+++ b/crates/cluster/replication/src/view.rs
@@ -181,7 +181,7 @@
 }
 
 /// The last batch of changes that a replica has applied. Two replicas at the same position are
-/// equal.
+/// equal unless a repair of one is incomplete.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
     /// The term of the primary that the replica last followed.
--- a/crates/cluster/replication/src/witness.rs
+++ b/crates/cluster/replication/src/witness.rs
@@ -49,9 +49,9 @@
 }
 
 impl Witness {
-    /// Creates a witness that starts at `now_ms`. It does not know which leases it granted before,
-    /// so if it has accepted a view, it grants for the duration of a lease only to that view's
-    /// primary.
+    /// Creates a witness that starts at `now_ms`. It does not know which leases it granted before
+    /// the start. So if it has accepted a view, it assumes that the view's primary holds a lease
+    /// that was granted just now.
     pub(crate) fn new(record: WitnessRecord, lease_ms: u64, now_ms: u64) -> Self {
         let lease_holder = record.accepted.as_ref().map(|accepted| accepted.view.primary);
         let lease_until_ms = if lease_holder.is_some() { now_ms + lease_ms } else { 0 };
