--- a/crates/cluster/replication/tests/bootstrap.rs
+++ b/crates/cluster/replication/tests/bootstrap.rs
@@ -72,7 +72,7 @@
 }
 
 /// Cuts links in single directions, crashes machines and erases disks during bootstrap. The system
-/// must start exactly once: two first views in force would show as two primaries, or as committed
+/// must start exactly once: two decided first views would show as two primaries, or as committed
 /// keys that a later primary lacks.
 fn check_bootstrap_under_faults(seed: u64, max_failures: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0xF157);
--- a/crates/cluster/replication/tests/common/rules.rs
+++ b/crates/cluster/replication/tests/common/rules.rs
@@ -71,8 +71,7 @@
         }
     }
 
-    /// Checks that the primary that a machine reports as verified was active less than one lease
-    /// ago.
+    /// Checks that the primary that a machine reports as verified was active at most one lease ago.
     fn check_verified_primary(&self, index: usize) {
         if self.is_paused(index) {
             return;
@@ -85,7 +84,7 @@
         let name = &primary.node_name;
         assert!(
             inactive_ms <= LEASE_MS,
-            "machine {index} reports {name} as primary, which has been inactive for {inactive_ms} ms"
+            "machine {index} reports {name} as primary, inactive for {inactive_ms} ms (limit {LEASE_MS} ms)"
         );
     }
 
--- a/crates/cluster/replication/tests/failover_times.rs
+++ b/crates/cluster/replication/tests/failover_times.rs
@@ -23,7 +23,7 @@
 }
 
 const FAILOVER_KINDS: [FailoverKind; 8] = [
-    failover_kind("killed", crash, 620, 1_000),
+    failover_kind("crashed", crash, 620, 1_000),
     failover_kind("paused", pause, 620, 1_000),
     failover_kind("isolated", isolate, 620, 1_000),
     failover_kind("outgoing links cut", isolate_sends, 620, 1_000),
--- a/crates/cluster/replication/tests/isolation.rs
+++ b/crates/cluster/replication/tests/isolation.rs
@@ -1,6 +1,6 @@
 //! Long isolation of a machine, in one direction or both: which machines report a verified primary
 //! meanwhile, and whether the machine's return disrupts the primary. An invariant of `common`
-//! checks after each step that a reported primary was active less than one lease ago.
+//! checks after each step that a reported primary was active at most one lease ago.
 mod common;
 use common::{LEASE_MS, SimulatedCluster};
 
@@ -112,7 +112,7 @@
 }
 
 /// A `Resign` that arrives after its sender has obtained a new lease must not release that lease,
-/// or there could be two active primaries.
+/// or there could be two active primaries, which an invariant of `common` excludes.
 #[test]
 fn a_late_resign_does_not_end_a_newer_lease() {
     for seed in 0..40 {
--- a/crates/cluster/replication/tests/keyspace.rs
+++ b/crates/cluster/replication/tests/keyspace.rs
@@ -62,7 +62,11 @@
         is_changed && keyspace.range_digests() == digests
     }
 
-    fn all_chunks_of_a_key_space_make_a_replica_equal_to_it(source: Entries, replica: Entries, limit_bytes: u8) -> bool {
+    fn all_chunks_of_a_key_space_make_a_replica_equal_to_it(
+        source: Entries,
+        replica: Entries,
+        limit_bytes: u8
+    ) -> bool {
         let source = keyspace_of(source.iter());
         let mut replica = keyspace_of(replica.iter());
         repair(&mut replica, &source, usize::from(limit_bytes));
--- a/crates/cluster/replication/tests/member_replacement.rs
+++ b/crates/cluster/replication/tests/member_replacement.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_standby_has_replaced_a_lost_member_within_400_ms() {
+fn a_second_loss_is_tolerated_400_ms_after_the_loss_of_a_member_with_a_standby() {
     for delay_ms in [400, 600, 1_000] {
         let fails_with_one = |seed: &u64| !serves_after_unplanned_replacement(*seed, 1, delay_ms);
         let failed: Vec<u64> = (0..SEEDS).filter(fails_with_one).collect();
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_machine_that_starts_a_second_after_the_loss_has_joined_within_150_ms() {
+fn a_second_loss_is_tolerated_150_ms_after_the_start_of_a_machine_that_replaces_a_lost_member() {
     for delay_ms in [150, 500, 1_000] {
         let failed: Vec<u64> =
             (0..SEEDS).filter(|seed| !serves_after_late_replacement(*seed, delay_ms)).collect();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_machine_that_lost_its_disk_has_rejoined_within_50_ms_of_its_return() {
+fn a_second_loss_is_tolerated_50_ms_after_the_return_of_a_member_without_its_disk() {
     for seed in 0..SEEDS {
         let mut cluster = SimulatedCluster::with_primary(seed, 1);
         let primary = cluster.primary().expect("the cluster has a primary");
@@ -184,8 +184,8 @@
 
 /// During a replacement the network is partitioned between the primary with the standby and the two
 /// other machines. The majority of the new members is on the primary's side and that of the old
-/// members on the other, so a change of members needs both majorities, or each side could elect a
-/// primary.
+/// members on the other. So a change of members must need both majorities: with one of them alone,
+/// each side could elect a primary.
 #[test]
 fn a_partition_during_a_replacement_leaves_at_most_one_primary() {
     for seed in 0..4 {
--- a/crates/cluster/replication/tests/model.rs
+++ b/crates/cluster/replication/tests/model.rs
@@ -20,9 +20,9 @@
     second: u64,
 }
 
-/// The time steps of a run for each change of the code.
+/// The time steps of the default search, which is short enough to run for each change of the code.
 const COARSE: TimeSteps = TimeSteps { step_ms: 53, first: 2, second: 13 };
-/// The time steps of a run with `MODEL_FULL=1`.
+/// The time steps of the search if the environment variable `MODEL_FULL` is set.
 const FINE: TimeSteps = TimeSteps { step_ms: 12, first: 9, second: 56 };
 
 fn time_steps() -> TimeSteps {
@@ -192,13 +192,14 @@
                 let from = target.index(primary);
                 (0..cluster.machines.len()).for_each(|to| cluster.delay_link(from, to, DELAY_MS));
             }
-            Fault::Leave(target) => self.let_leave(cluster, target.index(primary)),
+            Fault::Leave(target) => self.leave(cluster, target.index(primary)),
             Fault::PowerLoss => restart_all(cluster),
         }
     }
 
-    /// Tells a machine to leave and terminates it once it may terminate.
-    fn let_leave(&self, cluster: &mut SimulatedCluster, index: usize) {
+    /// Tells a machine to leave, and terminates it once it may terminate or after
+    /// [`LEAVE_TIMEOUT_MS`].
+    fn leave(&self, cluster: &mut SimulatedCluster, index: usize) {
         cluster.request_leave(index);
         for _ in 0..LEAVE_TIMEOUT_MS {
             let machine = &cluster.machines[index];
--- a/crates/cluster/replication/tests/repair.rs
+++ b/crates/cluster/replication/tests/repair.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// Guards against a measured failure: the first response of a repair is delayed, and the third
+/// Guards against an observed failure: the first response of a repair is delayed, and the third
 /// machine crashes meanwhile. Service must be restored.
 fn check_slow_repair_and_a_loss(seed: u64, delay_ms: u64, shared_connection: bool) {
     let mut cluster = cluster_with_state(seed, 200, 1_000);
@@ -67,14 +67,14 @@
 }
 
 #[test]
-fn a_slow_repair_does_not_end_service_when_the_third_machine_is_lost() {
+fn service_is_restored_when_the_third_machine_crashes_during_a_slow_repair() {
     for delay_ms in [300, 600, 1_000, 1_500] {
         (0..SEEDS).for_each(|seed| check_slow_repair_and_a_loss(seed, delay_ms, false));
     }
 }
 
 #[test]
-fn a_slow_repair_over_a_shared_connection_does_not_end_service_when_the_third_machine_is_lost() {
+fn service_is_restored_when_the_third_machine_crashes_during_a_slow_repair_over_a_shared_connection() {
     for delay_ms in [300, 400] {
         (0..SEEDS).for_each(|seed| check_slow_repair_and_a_loss(seed, delay_ms, true));
     }
