--- a/crates/cluster/runtime/tests/peer_connections.rs
+++ b/crates/cluster/runtime/tests/peer_connections.rs
@@ -35,7 +35,7 @@
 }
 
 #[async_std::test]
-async fn a_frame_that_is_announced_and_not_sent_uses_no_memory_and_times_out() {
+async fn an_announced_frame_that_is_not_sent_uses_no_memory_and_times_out() {
     let address = free_address();
     task::spawn(peer_server::serve(address.clone(), Arc::new(|_, _| {})));
     task::sleep(Duration::from_millis(50)).await;
