--- a/crates/cluster/cluster-config/tests/configuration.rs
+++ b/crates/cluster/cluster-config/tests/configuration.rs
@@ -17,7 +17,17 @@
     assert_eq!(name("a.example", "/x/y/1"), Some("r-2"));
     assert_eq!(name("b.example", "/x/y/1"), None);
     assert_eq!(name("a.example", "/y/"), None);
+}
+
+#[test]
+fn a_configuration_is_newer_than_lower_versions_only() {
+    let configuration = Configuration::parse(VALID).expect("valid");
     assert!(configuration.is_newer_than(6) && !configuration.is_newer_than(7));
+}
+
+#[test]
+fn a_service_is_found_by_its_name() {
+    let configuration = Configuration::parse(VALID).expect("valid");
     assert_eq!(configuration.service("s").and_then(|service| service.enforces_capacity), Some(true));
 }
 
--- a/crates/cluster/runtime/tests/http_framing.rs
+++ b/crates/cluster/runtime/tests/http_framing.rs
@@ -92,7 +92,8 @@
     assert_requests(&[head, &"0".repeat(2_000)].concat(), &[], Some(400));
 }
 
-/// Returns the response in `bytes`, pushed in pieces of several sizes.
+/// Returns the response in `bytes`. Reads them once for each of several piece sizes and returns the
+/// result of the last one, in which all bytes are pushed at once.
 fn response(bytes: &[u8]) -> Option<ReceivedResponse> {
     let mut last = None;
     for piece in [1, 5, bytes.len()] {
--- a/crates/cluster/runtime/tests/peer_connections.rs
+++ b/crates/cluster/runtime/tests/peer_connections.rs
@@ -35,7 +35,7 @@
 }
 
 #[async_std::test]
-async fn a_frame_that_is_announced_and_not_sent_uses_no_memory_and_times_out() {
+async fn frames_that_are_announced_and_not_sent_use_little_memory_and_time_out() {
     let address = free_address();
     task::spawn(peer_server::serve(address.clone(), Arc::new(|_, _| {})));
     task::sleep(Duration::from_millis(50)).await;
@@ -81,7 +81,8 @@
             .expect("open");
         assert!(count > 0, "the connection ended after {read} bytes");
         read += count;
-        // Answers a ping, then delays the next read as a slow link would.
+        // Sends a frame, without which the link would time out, then delays the next read as a slow
+        // connection would.
         stream.write_all(&encode(&Frame::Ping)).await.expect("open");
         task::sleep(Duration::from_millis(130)).await;
     }
--- a/crates/cluster/runtime/tests/settings.rs
+++ b/crates/cluster/runtime/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings files: valid ones are read, and errors of invalid ones name the field.
+//! Settings files: valid ones are read, invalid values are refused with an error that names the
+//! field, and files with a missing field or without valid JSON are refused as malformed.
 use spanlead_cluster_runtime::settings::{Settings, SettingsError};
 
 fn read(text: &str) -> Result<Settings, SettingsError> {
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn invalid_settings_are_refused_with_an_error_that_names_the_field() {
+fn invalid_values_are_refused_by_field_and_incomplete_settings_as_malformed() {
     let error = |text: &str| read(text).expect_err("invalid").to_string();
     assert!(error(&VALID.replace("[5,9]", "[9,5]")).contains("portRange"));
     assert!(error(&VALID.replace("127.0.0.2:9", "nowhere")).contains("seeds"));
--- a/crates/cluster/runtime/tests/timeouts.rs
+++ b/crates/cluster/runtime/tests/timeouts.rs
@@ -23,7 +23,7 @@
 }
 
 #[async_std::test]
-async fn a_deadline_before_all_others_wakes_the_timer_task() {
+async fn a_deadline_before_all_registered_ones_expires_on_time() {
     let long = task::spawn(timeout(Duration::from_secs(60), pending::<()>()));
     // Several rounds, so that the timer task sleeps until the long deadline in the later ones.
     let short = Duration::from_millis(20);
