--- a/crates/cluster/cluster-config/src/validation.rs
+++ b/crates/cluster/cluster-config/src/validation.rs
@@ -11,7 +11,7 @@
         UnknownService(route: String, service: String) {
             display("route {}: service {} is not known", route, service)
         }
-        /// Two routes match the same requests.
+        /// Two routes have the same host and path prefix.
         DuplicateRoute(route: String, host: String, prefix: String) {
             display("route {}: {}{} has a route already", route, host, prefix)
         }
--- a/crates/cluster/dissemination/src/lib.rs
+++ b/crates/cluster/dissemination/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! Every process selects a few peers by rendezvous hashing among all known processes, so that each
 //! process is selected by about the same number of others. It advertises the version of its item to
-//! its peers, periodically and immediately after an update; a peer with an older version requests
-//! the item and is sent it. The same exchange is the heartbeat by which a process detects the
-//! failure of its peers.
+//! its peers, periodically and immediately after an update. A peer with an older version requests
+//! the item and is sent it; a peer with a newer version sends its own item. The same exchange is
+//! the heartbeat by which a process detects the failure of its peers.
 //!
 //! ```
 //! use spanlead_dissemination::{Disseminator, Item, Message, Output};
--- a/crates/cluster/runtime/src/frame_codec.rs
+++ b/crates/cluster/runtime/src/frame_codec.rs
@@ -25,7 +25,7 @@
             from()
             display("{}", error)
         }
-        /// The peer sent nothing for the read time-out.
+        /// The length prefix or a part of the frame did not arrive within the read time-out.
         TimedOut {
             display("timed out")
         }
@@ -59,7 +59,8 @@
 /// `READ_CHUNK_BYTES` separately.
 ///
 /// # Errors
-/// If the connection ends or times out, or the bytes received are not a frame of this version.
+/// If the connection ends or times out, the bytes received are not a frame of this version, or the
+/// announced length exceeds [`MAX_FRAME_BYTES`].
 pub async fn read_frame(
     stream: &mut (impl Read + Unpin),
     read_timeout: Duration,
--- a/crates/cluster/runtime/src/http/server.rs
+++ b/crates/cluster/runtime/src/http/server.rs
@@ -15,7 +15,8 @@
 const READ_BYTES: usize = 4 * 1024;
 /// Delay before listening or accepting is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Time that a client has to read the last response before its connection is closed.
+/// Time that a client has to read the last response before its connection is closed, and time-out
+/// for writing an error response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum number of bytes that are read and discarded after a response that closes the connection.
 const MAX_LINGER_BYTES: usize = 1024 * 1024;
@@ -37,7 +38,7 @@
     pub idle_timeout: Duration,
 }
 
-/// Returns the current limits, which change with the configuration.
+/// A function that returns the current limits, which change with the configuration.
 pub type CurrentLimits = Arc<dyn Fn() -> ConnectionLimits + Send + Sync>;
 
 /// Listens on an address, `ip:port`, and serves up to `max_connections` connections at a time: any
@@ -220,8 +221,9 @@
         }
     }
 
-    /// Closes the connection after the client has had time to read the last response: closing it
-    /// with unread bytes would reset it, and the response would be lost.
+    /// Shuts down the sending side and discards received bytes, until the client closes the
+    /// connection or a limit is reached. Closing the connection with unread bytes would reset it,
+    /// and the client would lose the last response.
     async fn linger(&mut self) {
         let _ = self.stream.shutdown(Shutdown::Write);
         let mut buffer = [0; READ_BYTES];
--- a/crates/cluster/runtime/src/lib.rs
+++ b/crates/cluster/runtime/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! - Communication between processes: [`frame`] and [`frame_codec`] (messages and their encoding),
 //!   [`peer_links`] (outgoing connections), [`peer_server`] (incoming connections), [`traffic`]
-//!   (counters), [`mod@timeout`].
+//!   (counters), [`socket`] (listening and writing), [`mod@timeout`].
 //! - Communication with clients, operators, workers and the platform: [`http`].
 //! - The process itself: [`program`], [`settings`], [`signals`], [`clock`], [`logs`], [`metrics`].
 #![warn(missing_docs, unreachable_pub)]
--- a/crates/cluster/runtime/src/peer_links.rs
+++ b/crates/cluster/runtime/src/peer_links.rs
@@ -32,7 +32,7 @@
 const MAX_QUEUED_FRAMES: usize = 4_096;
 /// Size at which a batch of frames for one write is complete, in bytes.
 const MAX_WRITE_BATCH_BYTES: usize = 64 * 1024;
-/// Time after which a link with nothing to send ends.
+/// Time after which a link that has no connection and nothing to send ends.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An event that a link reports.
@@ -40,7 +40,8 @@
 pub enum LinkEvent {
     /// The connection to this address was established.
     Connected(String),
-    /// The connection to this address was lost.
+    /// The connection to this address was lost, or a frame of class [`TrafficClass::Data`] was
+    /// dropped because the queue was full.
     Disconnected(String),
     /// A frame was received from this address.
     Received(String, Frame),
@@ -108,9 +109,9 @@
 }
 
 impl Link {
-    /// Runs the link until it has had nothing to send for [`IDLE_TIMEOUT`]. A lost connection is
-    /// re-established without waiting for the next frame: the peer may be available again, and
-    /// callers may be waiting for its responses.
+    /// Runs the link until it has had no connection and nothing to send for [`IDLE_TIMEOUT`].
+    /// During [`RECONNECT_PERIOD`] a lost connection is re-established without waiting for the next
+    /// frame: the peer may be available again, and callers may be waiting for its responses.
     async fn run(self) {
         let mut lost_at: Option<Instant> = None;
         while let Some(first) = self.first_bytes(lost_at).await {
--- a/crates/cluster/runtime/src/peer_server.rs
+++ b/crates/cluster/runtime/src/peer_server.rs
@@ -11,7 +11,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Capacity of the queue of frames for a peer that does not read; frames beyond it are dropped.
+/// Capacity of a connection's queue of outgoing frames, which fills if the peer does not read;
+/// frames beyond it are dropped.
 const MAX_QUEUED_FRAMES: usize = 4_096;
 /// Size at which a batch of frames for one write is complete, in bytes.
 const MAX_WRITE_BATCH_BYTES: usize = 64 * 1024;
@@ -25,7 +26,8 @@
 /// Delay before listening or accepting is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Handles a received frame. The sender queues frames for the peer on the same connection.
+/// Handles a received frame. Frames sent to the [`Sender`] are queued for the peer on the same
+/// connection.
 pub type FrameHandler = Arc<dyn Fn(Frame, &Sender<Frame>) + Send + Sync>;
 
 /// Accepts connections on an address, `ip:port`, and passes their frames to `handler`. Never
--- a/crates/cluster/runtime/src/program.rs
+++ b/crates/cluster/runtime/src/program.rs
@@ -24,7 +24,7 @@
 }
 
 /// Runs a program until it ends and returns its exit status: parses the command line, loads the
-/// settings, starts logging and calls `program`.
+/// settings, starts logging and calls `program`. With `--check` it only loads the settings.
 ///
 /// `name` and `about` are the command's name and the first line of its help.
 pub fn run<E: Display>(
--- a/crates/cluster/runtime/src/settings.rs
+++ b/crates/cluster/runtime/src/settings.rs
@@ -63,7 +63,7 @@
 
 /// Resource limits of a process.
 #[derive(Deserialize, Clone, Debug)]
-pub struct Limits {
+pub struct ResourceLimits {
     /// Memory, in megabytes.
     #[serde(rename = "memoryMb")]
     pub memory_mb: Option<u64>,
@@ -79,7 +79,7 @@
     pub machines: Option<u32>,
 }
 
-/// Time limits and factors of the scheduling rules.
+/// Time limits and factors of the scheduling rules, and the time limit of a shutdown.
 #[derive(Deserialize, Clone, Debug)]
 pub struct Bounds {
     /// Time that a process has to shut down, in seconds.
@@ -88,10 +88,10 @@
     /// Maximum duration of a lease on the runs of a worker, in milliseconds.
     #[serde(rename = "maxHoldMs")]
     pub max_lease_ms: Option<f64>,
-    /// Time that the members of a gang wait for one another to start, in milliseconds.
+    /// Maximum time that started members of a gang wait for the others, in milliseconds.
     #[serde(rename = "gang_ms")]
     pub gang_assembly_timeout_ms: Option<f64>,
-    /// Time that stopping a run takes, in milliseconds.
+    /// Maximum time that a worker takes to stop a run, in milliseconds.
     #[serde(rename = "stop_ms")]
     pub stop_timeout_ms: Option<f64>,
     /// Time that a task needs to resume from a checkpoint, in milliseconds.
@@ -110,7 +110,7 @@
 pub struct CloudApi {
     /// Address, `ip:port`.
     pub address: String,
-    /// Rate limit for all schedulers together, in calls per second.
+    /// Rate limit for all callers together, in calls per second.
     #[serde(rename = "ratePerS")]
     pub rate_per_s: Option<f64>,
 }
@@ -136,10 +136,11 @@
     /// Addresses on which the process listens.
     #[serde(rename = "listenAddrs")]
     pub listen: ListenAddresses,
-    /// First and last port of the range for traffic between schedulers; the first one is used.
+    /// First and last port of the range for traffic between processes of the system; the first one
+    /// is used.
     #[serde(rename = "portRange")]
     pub ports: Vec<u16>,
-    /// Operator API addresses, `ip:port`, of other machines of the control plane.
+    /// Operator API addresses, `ip:port`, of control plane machines, possibly including this one.
     pub seeds: Vec<String>,
     /// Whether this is the first start of the whole system.
     pub bootstrap: Option<bool>,
@@ -147,14 +148,14 @@
     #[serde(rename = "countsForQuorum")]
     pub counts_for_quorum: Option<bool>,
     /// Resource limits of the process.
-    pub limits: Option<Limits>,
+    pub limits: Option<ResourceLimits>,
     /// Folder of the process's files; `None` without a disk.
     #[serde(rename = "dataDir")]
     pub data_folder: Option<String>,
     /// Failures that the system tolerates at the same time.
     #[serde(rename = "faultTolerance")]
     pub fault_tolerance: Option<FaultTolerance>,
-    /// Time limits and factors of the scheduling rules.
+    /// Time limits and factors of the scheduling rules, and the time limit of a shutdown.
     pub bounds: Option<Bounds>,
     /// Port and path of the metrics endpoint, for example `9100/metrics`.
     pub metrics: Option<String>,
@@ -203,7 +204,7 @@
         None
     }
 
-    /// Returns the peer address of a machine, at which other schedulers reach it.
+    /// Returns the peer address of a machine, at which other processes of the system reach it.
     #[must_use]
     pub fn peer_address_of(&self, ip: &str) -> String {
         format!("{ip}:{}", self.ports[0])
--- a/crates/cluster/runtime/src/timeout.rs
+++ b/crates/cluster/runtime/src/timeout.rs
@@ -13,7 +13,7 @@
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
 
-/// Maximum delay after its deadline with which a time-out expires.
+/// Maximum delay between the deadline of a time-out and its expiry.
 pub const GRANULARITY: Duration = Duration::from_millis(5);
 /// Maximum time-out; a longer one is shortened to this.
 const MAX_TIMEOUT: Duration = Duration::from_secs(24 * 3_600);
--- a/crates/cluster/runtime/src/traffic.rs
+++ b/crates/cluster/runtime/src/traffic.rs
@@ -1,7 +1,8 @@
 //! Counters of the frames and bytes sent to other processes of the system, by kind of frame.
 //!
-//! Frames are counted when they are encoded for a connection's queue or for a write. The counters
-//! are global to the process, like a metrics registry.
+//! Frames are counted when they are encoded for a connection's queue or for a write, so frames that
+//! are dropped or lost afterwards are counted too. The counters are global to the process, like a
+//! metrics registry.
 use crate::frame::{Frame, FrameKind};
 use crate::frame_codec::encode;
 use std::fmt::Write;
