--- a/crates/service/membership/examples/compare_with_swim.rs
+++ b/crates/service/membership/examples/compare_with_swim.rs
@@ -29,13 +29,16 @@
 #[derive(Default)]
 struct Measurements {
     false_deaths: u64,
+    /// Number of suspicions of the gossip protocol; 0 for SWIM, which does not report them.
     suspicions: u64,
     /// The times from a kill until the first member detected it, milliseconds.
     first_detection_ms: Vec<u64>,
-    /// The times from a kill until 99 in 100 live members had detected it, milliseconds.
+    /// The times from a kill until 99 in 100 live members had detected it or the detection timed
+    /// out, milliseconds.
     detection_ms: Vec<u64>,
     datagrams: u64,
     bytes: u64,
+    /// The duration of the phase without kills, seconds.
     seconds: f64,
 }
 
@@ -392,7 +395,8 @@
         was_alive.then_some(PendingKill { member, killed_at: self.now, first_detected_after: None })
     }
 
-    /// Whether enough members have detected the death, or the detection timed out.
+    /// Whether enough members have detected the death, or the detection timed out. Sets the time of
+    /// the first detection.
     fn is_detected(&self, kill: &mut PendingKill) -> bool {
         let is_aware = |n: &usize| self.is_alive[*n] && self.nodes[*n].sees_dead(kill.member);
         let aware = (0..self.nodes.len()).filter(is_aware).count();
@@ -411,7 +415,7 @@
         while self.now < failure_free_until {
             let next = self.next_event_at()?;
             if self.now <= settled_at && next > settled_at {
-                // Discards the measurements from the time of the discovery.
+                // Discards the measurements of the time in which the members discovered one another.
                 self.measurements = Measurements::default();
             }
             self.process_event(next);
@@ -464,7 +468,7 @@
         self.trials.iter().map(counter).sum()
     }
 
-    /// The total duration of the phases without kills.
+    /// The total duration of the phases without kills, seconds.
     fn seconds(&self) -> f64 {
         self.trials.iter().map(|measurements| measurements.seconds).sum()
     }
--- a/crates/service/membership/examples/soak.rs
+++ b/crates/service/membership/examples/soak.rs
@@ -107,7 +107,8 @@
     expected_deaths: u64,
     outbound_blocks: u64,
     suspensions: u64,
-    /// The maximum time after a fault until all members saw one another alive again, periods.
+    /// The maximum time after a fault until all members saw one another alive again, periods. It
+    /// includes the fixed settle time after each fault, even if they did so earlier.
     longest_recovery: u64,
     /// The times until 99 in 100 other members had detected a death, periods.
     detection_periods: Vec<u64>,
@@ -197,13 +198,13 @@
     fn print(&mut self) {
         self.detection_periods.sort_unstable();
         println!(
-            "false deaths {}, suspicions of reachable members {}; {} suspensions and {} blocked senders, \
-             declared dead {} times by one observer",
+            "false deaths {}, suspicions of reachable members {}; {} suspensions and {} blocked senders; \
+             {} declared deaths by or of a member with a fault, once per observer",
             self.false_deaths, self.suspicions, self.suspensions, self.outbound_blocks, self.expected_deaths
         );
-        let (kills, p50, p99) =
+        let (detected, p50, p99) =
             (self.detection_periods.len(), self.detection_ms(0.5), self.detection_ms(0.99));
-        println!("{kills} kills, detected by 99 in 100 after p50 {p50} p99 {p99} ms");
+        println!("{detected} detected kills, by 99 in 100 after p50 {p50} p99 {p99} ms");
         println!("recovered from each fault within {} ms", self.longest_recovery * MILLISECONDS_PER_PERIOD);
     }
 }
--- a/crates/service/membership/src/failure_detector.rs
+++ b/crates/service/membership/src/failure_detector.rs
@@ -15,8 +15,8 @@
 /// Milliperiods in a period. Ages and probe counts are kept in thousandths, since the suspicion
 /// clock may advance by a fraction of a period.
 pub(crate) const MILLIPERIODS_PER_PERIOD: u64 = 1000;
-/// The first reading of the suspicion clock, milliperiods. It is high enough for the creation time
-/// of a heartbeat that is older than the receiving process.
+/// The first reading of the suspicion clock, milliperiods. It is so high that the creation time of
+/// a heartbeat is never negative, even if the heartbeat is older than the receiving process.
 const INITIAL_READING: u64 = 1 << 44;
 /// The minimum rate of the suspicion clock, as a share of its full rate.
 const MIN_CLOCK_RATE: f64 = 0.25;
--- a/crates/service/membership/src/gossip/period.rs
+++ b/crates/service/membership/src/gossip/period.rs
@@ -5,9 +5,9 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-/// The mean number of periods between two contacts with members that are not live. They let the
-/// sides of a partition rediscover each other when it heals.
-const LOST_MEMBER_CONTACT_PERIODS: u32 = 4;
+/// The mean number of periods between two contacts with members that are not live. The contacts let
+/// the sides of a partition rediscover each other when it heals.
+const NON_LIVE_CONTACT_PERIODS: u32 = 4;
 /// The maximum number of suspects about which a datagram asks. The rest of the datagram is gossip.
 const MAX_SUSPECTS_PER_DATAGRAM: usize = 10;
 /// The number of replies that may be sent in a period, in addition to those per member.
@@ -28,7 +28,7 @@
         let suspects = self.peers_where(|peer| peer.state == MemberState::Suspect);
         self.probe(&suspects, actions);
         self.gossip(&suspects, actions);
-        self.contact_lost_member(actions);
+        self.contact_non_live_member(actions);
         self.request_metadata(actions);
     }
 
@@ -81,11 +81,11 @@
     }
 
     /// Requests the heartbeat of a random member that is not live, on average once in
-    /// [`LOST_MEMBER_CONTACT_PERIODS`].
-    fn contact_lost_member(&mut self, actions: &mut Vec<Action>) {
-        if self.rng.random_ratio(1, LOST_MEMBER_CONTACT_PERIODS) {
-            let lost = self.peers_where(|peer| !peer.state.is_live());
-            if let Some(to) = lost.choose(&mut self.rng) {
+    /// [`NON_LIVE_CONTACT_PERIODS`] periods.
+    fn contact_non_live_member(&mut self, actions: &mut Vec<Action>) {
+        if self.rng.random_ratio(1, NON_LIVE_CONTACT_PERIODS) {
+            let candidates = self.peers_where(|peer| !peer.state.is_live());
+            if let Some(to) = candidates.choose(&mut self.rng) {
                 self.send_heartbeats(*to, true, &[], actions);
             }
         }
--- a/crates/service/membership/tests/datagrams.rs
+++ b/crates/service/membership/tests/datagrams.rs
@@ -146,7 +146,8 @@
 
     membership.receive(1, &heartbeat_datagram(heartbeat(199, 1, 11), true), &mut actions);
 
-    // The three periods, in which few datagrams arrive, count for at least a quarter each.
+    // Few datagrams arrive in the three periods, so the suspicion clock advances in each of them by
+    // less than a period, but by at least a quarter.
     let age = sent_heartbeat(&actions, 199).map(|entry| entry.age_periods);
     assert!(age.is_some_and(|age| (11..=14).contains(&age)), "{age:?}");
 }
--- a/crates/service/membership/tests/simulated_tiers.rs
+++ b/crates/service/membership/tests/simulated_tiers.rs
@@ -90,7 +90,11 @@
         tier.run_periods(600);
 
         assert_no_false_death(&tier, &[]);
-        assert!(tier.changes.len() <= 2 * 2, "seed {seed}: {:?}", tier.changes);
+        assert!(
+            tier.changes.len() <= 2 * 2,
+            "seed {seed}: expected at most 4 state changes, found {:?}",
+            tier.changes
+        );
     }
 }
 
--- a/crates/service/singleton-roles/src/manager.rs
+++ b/crates/service/singleton-roles/src/manager.rs
@@ -31,14 +31,15 @@
     is_passive: bool,
 }
 
-/// Hashes the state that the protocol's decisions depend on, without the counters.
+/// Hashes the scheduler's number, its request counter and the state of its roles. The rest of the
+/// configuration, the counters, the time of the last tick and the passive flag are left out.
 impl Hash for RoleManager {
     fn hash<H: Hasher>(&self, state: &mut H) {
         (&self.config.own_number, &self.requests_sent, &self.roles).hash(state);
     }
 }
 
-/// Compares the same state as the hash, without the counters.
+/// Compares the same state as the hash.
 impl PartialEq for RoleManager {
     fn eq(&self, other: &Self) -> bool {
         (&self.config.own_number, &self.requests_sent, &self.roles)
--- a/crates/service/singleton-roles/src/manager/acquire.rs
+++ b/crates/service/singleton-roles/src/manager/acquire.rs
@@ -11,7 +11,7 @@
 /// The renewal window is this fraction of the lease duration: a lease is renewed once its remaining
 /// time is within the window, which leaves time to repeat lost requests.
 const RENEWAL_WINDOW_NUMERATOR: u64 = 2;
-/// See [`RENEW_WHEN_LEFT_NUMERATOR`].
+/// See [`RENEWAL_WINDOW_NUMERATOR`].
 const RENEWAL_WINDOW_DENOMINATOR: u64 = 3;
 
 impl RoleManager {
--- a/crates/service/singleton-roles/src/manager/receive.rs
+++ b/crates/service/singleton-roles/src/manager/receive.rs
@@ -107,8 +107,9 @@
                 role_state.acceptor.observe_term(highest_term);
                 let is_current = role_state.pending.as_ref().is_some_and(|pending| pending.number == request);
                 if is_current && role_state.held.is_none() {
-                    // Another scheduler holds the role. If it releases the role earlier, its
-                    // release message allows requests again.
+                    // If another scheduler has the grant, `remaining` is the time until the grant
+                    // expires. An earlier release message allows requests again. If the term was
+                    // too low, `remaining` is 0.
                     role_state.delay_requests(now + remaining.min(lease_duration));
                 }
             }
--- a/crates/service/singleton-roles/src/manager/release.rs
+++ b/crates/service/singleton-roles/src/manager/release.rs
@@ -45,8 +45,8 @@
     ) {
         let (reply_timeout, grant_duration) = (self.config.reply_timeout, self.config.grant_duration());
         let acceptor = &mut self.roles[role.0].acceptor;
-        if let Some(queued) = acceptor.release(now, from, term, reply_timeout, grant_duration) {
-            self.send(role, queued.to, queued.reply, outbox);
+        if let Some(deferred) = acceptor.release(now, from, term, reply_timeout, grant_duration) {
+            self.send(role, deferred.to, deferred.reply, outbox);
         }
     }
 
--- a/crates/service/singleton-roles/src/role.rs
+++ b/crates/service/singleton-roles/src/role.rs
@@ -22,7 +22,7 @@
     Fenced,
 }
 
-/// The begin or the end of a lease of this scheduler.
+/// The beginning or the end of a lease of this scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseChange {
     /// This scheduler has acquired the role under this term.
--- a/crates/service/singleton-roles/tests/common/mod.rs
+++ b/crates/service/singleton-roles/tests/common/mod.rs
@@ -63,7 +63,8 @@
         tier
     }
 
-    /// Creates a tier and advances its time until a scheduler holds the role.
+    /// Creates a tier and advances its time by [`SETTLE_TIME`], after which a scheduler holds the
+    /// role.
     pub fn settled(count: u16, seed: u64) -> Self {
         let mut tier = Tier::new(count, seed);
         tier.advance(SETTLE_TIME);
--- a/crates/service/singleton-roles/tests/lease_model.rs
+++ b/crates/service/singleton-roles/tests/lease_model.rs
@@ -16,8 +16,9 @@
 const CANDIDATES: u16 = 2;
 const LEASE: Millis = 1;
 const CLOCK_DRIFT_BOUND: Millis = 1;
-/// The time at which the schedulers that started at 0 may grant.
-const START: Millis = LEASE + CLOCK_DRIFT_BOUND;
+/// The time after its start for which a scheduler grants nothing. The clocks begin at this time, so
+/// that the first schedulers, which started at 0, may grant.
+const STARTUP_WAIT: Millis = LEASE + CLOCK_DRIFT_BOUND;
 /// The maximum number of states: a search that reaches it is incomplete.
 const MAX_STATES: usize = 4_000_000;
 const ROLE_NAME: &str = "duty";
@@ -266,7 +267,7 @@
         };
         // An earlier start time makes the scheduler skip the wait before its first grant.
         let must_wait = has_restarted && self.is_enabled(Rule::StartupWait);
-        let started_at = if must_wait { now } else { now.saturating_sub(START) };
+        let started_at = if must_wait { now } else { now.saturating_sub(STARTUP_WAIT) };
         RoleManager::new(config, &[ROLE_NAME.to_owned()], started_at)
     }
 
@@ -319,11 +320,12 @@
 
     fn init_states(&self) -> Vec<State> {
         let quorum = self.first_quorum();
-        let schedulers = (0..SCHEDULERS).map(|number| self.new_scheduler(number, quorum, START, false));
+        let schedulers =
+            (0..SCHEDULERS).map(|number| self.new_scheduler(number, quorum, STARTUP_WAIT, false));
         let quorums = (0..SCHEDULERS).map(|number| (number < quorum.schedulers).then_some(quorum));
         vec![State {
             ticks: 0,
-            clocks: vec![START; SCHEDULERS.into()],
+            clocks: vec![STARTUP_WAIT; SCHEDULERS.into()],
             schedulers: schedulers.collect(),
             quorums: quorums.collect(),
             requests: vec![0; SCHEDULERS.into()],
--- a/crates/service/wal/src/log.rs
+++ b/crates/service/wal/src/log.rs
@@ -222,7 +222,7 @@
         Ok(removed)
     }
 
-    /// Closes the log.
+    /// Closes the log: ends the active segment, if there is one, with a closing frame and syncs it.
     ///
     /// # Errors
     /// The I/O error of the system, or [`AppendError::FailedBefore`].
--- a/crates/service/wal/src/reader.rs
+++ b/crates/service/wal/src/reader.rs
@@ -139,8 +139,8 @@
             let offset = parsed.valid_bytes;
             match Frame::decode(&bytes[offset..], salt, parsed.next_lsn) {
                 Ok(frame) => self.read_frame(frame, &mut parsed, on_record)?,
-                // Each frame is synced before the next is written: since a readable frame follows,
-                // this one was once complete.
+                // With `sync_on_commit`, each frame is synced before the next is written: since a
+                // readable frame follows or a later segment exists, this one was once complete.
                 Err(error)
                     if !self.is_last || contains_later_frame(&bytes[offset + 1..], salt, parsed.next_lsn) =>
                 {
--- a/crates/service/wal/src/simulated.rs
+++ b/crates/service/wal/src/simulated.rs
@@ -86,8 +86,8 @@
     }
 
     /// Simulates a crash and restart of the machine. As drawn from the seed, unsynced data is kept,
-    /// lost or torn at any byte. Files that are still open reject writes, and the injected faults
-    /// end.
+    /// lost, zeroed or torn at any byte, and unsynced changes of file names are kept or lost. Files
+    /// that are still open reject writes, and the injected faults end.
     pub fn crash(&self, seed: u64) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut state = self.state();
--- a/crates/service/wal/src/writer.rs
+++ b/crates/service/wal/src/writer.rs
@@ -30,12 +30,13 @@
         /// The size of the log on disk, bytes.
         log_bytes: u64,
     },
-    /// A write or sync failed, and the log accepts no more records in this process. Records behind
+    /// A write or sync failed, and the log accepts no more records in this process. Records after
     /// the last one that was reported as durable may be on disk or not.
     Failed,
 }
 
-/// Counts and latencies of the commits so far.
+/// Counts and latencies of the commits so far. The latency of a commit is the duration of its write
+/// and sync, without the time for which its records were queued.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CommitStats {
     /// The number of group commits.
@@ -172,11 +173,11 @@
     }
 }
 
-/// The records of one commit, and the last trim that was requested among them.
+/// The records of one commit, and the argument of the last trim that was queued among them.
 #[derive(Default)]
 struct CommitGroup {
     records: Vec<Bytes>,
-    trim_before: Option<Lsn>,
+    oldest_needed: Option<Lsn>,
 }
 
 impl CommitGroup {
@@ -191,7 +192,7 @@
                     collected_bytes += records.iter().map(Bytes::len).sum::<usize>();
                     group.records.extend(records);
                 }
-                WriterCommand::Trim { oldest_needed } => group.trim_before = Some(oldest_needed),
+                WriterCommand::Trim { oldest_needed } => group.oldest_needed = Some(oldest_needed),
             }
             next = if collected_bytes < MAX_GROUP_BYTES { receiver.try_recv().ok() } else { None };
         }
@@ -222,7 +223,8 @@
         }
         // The next trim retries a segment that can't be removed now. If the disk is full, the next
         // append reports it.
-        let trimmed = group.trim_before.is_some_and(|oldest_needed| log.trim(oldest_needed).unwrap_or(false));
+        let trimmed =
+            group.oldest_needed.is_some_and(|oldest_needed| log.trim(oldest_needed).unwrap_or(false));
         if !group.records.is_empty() || trimmed {
             let last_lsn = log.next_lsn() - 1;
             on_progress(CommitProgress::Durable { last_lsn, log_bytes: log.size_bytes() });
