--- a/crates/service/membership/examples/compare_with_swim.rs
+++ b/crates/service/membership/examples/compare_with_swim.rs
@@ -415,7 +415,7 @@
         while self.now < failure_free_until {
             let next = self.next_event_at()?;
             if self.now <= settled_at && next > settled_at {
-                // Discards the measurements of the time in which the members discovered one another.
+                // Discards the measurements of the time of mutual discovery.
                 self.measurements = Measurements::default();
             }
             self.process_event(next);
