--- a/crates/cluster/control-plane/src/store.rs
+++ b/crates/cluster/control-plane/src/store.rs
@@ -32,11 +32,7 @@
         }
         /// The folder has this format, which only a newer version of the program supports.
         NewerFormat(format: u32) {
-            display(
-                "the folder has format {}, this program supports formats up to {}: start the version that wrote it",
-                format,
-                FORMAT_VERSION
-            )
+            display("the folder is of form {}, newer than this program: start the version that wrote it", format)
         }
     }
 }
